--- a/src/bramblebeam/core/feed/messages.py
+++ b/src/bramblebeam/core/feed/messages.py
@@ -7,7 +7,7 @@
 from bramblebeam.core.gateway.routes import GroupSettings, Route
 from bramblebeam.core.tenants import Tenant
 
-NOTHING_KNOWN = -1
+UNKNOWN_REVISION = -1
 ERA_NOT_TOLD = -1
 """By a node of a version that knows no eras: it means whatever era the other one is in."""
 
@@ -73,7 +73,7 @@
 
     available: bool
     whole: bool = False
-    revision: int = NOTHING_KNOWN
+    revision: int = UNKNOWN_REVISION
     age: float = 0.0
     routes: tuple[ToldRoutes, ...] = ()
     databases: tuple[ToldDatabase, ...] = ()
--- a/src/bramblebeam/services/feed/peers.py
+++ b/src/bramblebeam/services/feed/peers.py
@@ -8,7 +8,7 @@
 
 from bramblebeam.core.feed.messages import (
     ERA_NOT_TOLD,
-    NOTHING_KNOWN,
+    UNKNOWN_REVISION,
     DatabaseStart,
     FollowReply,
     FollowRequest,
@@ -65,7 +65,7 @@
 
     async def list(self) -> Batch[Item]:
         """Return the whole list as the node knows it. Raises SourceUnavailableError."""
-        return self._batch(await self._ask(Revision(ERA_NOT_TOLD, NOTHING_KNOWN), 0.0))
+        return self._batch(await self._ask(Revision(ERA_NOT_TOLD, UNKNOWN_REVISION), 0.0))
 
     async def changes(self, revision: Revision, wait: float) -> Batch[Item]:
         """Return what changed. Raises HistoryLostError, SourceUnavailableError."""
