--- a/src/bramblebeam/core/feed/messages.py
+++ b/src/bramblebeam/core/feed/messages.py
@@ -8,7 +8,7 @@
 from bramblebeam.core.tenants import Tenant
 
 UNKNOWN_REVISION = -1
-ERA_NOT_TOLD = -1
+UNKNOWN_ERA = -1
 """By a node of a version that knows no eras: it means whatever era the other one is in."""
 
 
@@ -28,7 +28,7 @@
     name: ListName
     revision: int
     wait: float
-    era: int = ERA_NOT_TOLD
+    era: int = UNKNOWN_ERA
 
 
 class ToldRoutes(NamedTuple):
@@ -78,4 +78,4 @@
     routes: tuple[ToldRoutes, ...] = ()
     databases: tuple[ToldDatabase, ...] = ()
     starts: tuple[DatabaseStart, ...] = ()
-    era: int = ERA_NOT_TOLD
+    era: int = UNKNOWN_ERA
--- a/src/bramblebeam/services/feed/peers.py
+++ b/src/bramblebeam/services/feed/peers.py
@@ -7,7 +7,7 @@
 from typing import Any, Generic, NamedTuple, TypeVar
 
 from bramblebeam.core.feed.messages import (
-    ERA_NOT_TOLD,
+    UNKNOWN_ERA,
     UNKNOWN_REVISION,
     DatabaseStart,
     FollowReply,
@@ -65,7 +65,7 @@
 
     async def list(self) -> Batch[Item]:
         """Return the whole list as the node knows it. Raises SourceUnavailableError."""
-        return self._batch(await self._ask(Revision(ERA_NOT_TOLD, UNKNOWN_REVISION), 0.0))
+        return self._batch(await self._ask(Revision(UNKNOWN_ERA, UNKNOWN_REVISION), 0.0))
 
     async def changes(self, revision: Revision, wait: float) -> Batch[Item]:
         """Return what changed. Raises HistoryLostError, SourceUnavailableError."""
@@ -94,7 +94,7 @@
 
 def told_era(reply: FollowReply) -> int:
     """Return the era of a reply; a node that knows none tells of the first."""
-    return FIRST_ERA if reply.era == ERA_NOT_TOLD else reply.era
+    return FIRST_ERA if reply.era == UNKNOWN_ERA else reply.era
 
 
 def route_items(reply: FollowReply) -> tuple[Versioned[RouteTable], ...]:
@@ -222,7 +222,7 @@
 
 def _asked_revision(request: FollowRequest, followed: FollowedList[Any]) -> Revision:
     """Return what the asking node knows; one that knows no eras means the present one."""
-    if request.era != ERA_NOT_TOLD or followed.revision is None:
+    if request.era != UNKNOWN_ERA or followed.revision is None:
         return Revision(max(request.era, FIRST_ERA), request.revision)
     return Revision(followed.revision.era, request.revision)
 
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -11,7 +11,7 @@
 import pytest
 
 from bramblebeam.core.feed.messages import (
-    ERA_NOT_TOLD,
+    UNKNOWN_ERA,
     UNKNOWN_REVISION,
     FollowReply,
     FollowRequest,
@@ -341,7 +341,7 @@
     "message",
     [
         FollowRequest(ListName.ROUTES, 7, 1.0, 2),
-        FollowRequest(ListName.DATABASES, UNKNOWN_REVISION, 0.0, ERA_NOT_TOLD),
+        FollowRequest(ListName.DATABASES, UNKNOWN_REVISION, 0.0, UNKNOWN_ERA),
         FollowReply(True, True, 7, 0.5, era=2),
     ],
 )
