--- a/src/bramblebeam/core/feed/messages.py
+++ b/src/bramblebeam/core/feed/messages.py
@@ -31,7 +31,7 @@
     era: int = UNKNOWN_ERA
 
 
-class ToldRoutes(NamedTuple):
+class RouteTableItem(NamedTuple):
     """A route table under its name in the store. `version` 0: it was deleted.
 
     `tenants` None: the table knows none, and anybody may use the databases.
@@ -75,7 +75,7 @@
     whole: bool = False
     revision: int = UNKNOWN_REVISION
     age: float = 0.0
-    routes: tuple[ToldRoutes, ...] = ()
+    routes: tuple[RouteTableItem, ...] = ()
     databases: tuple[ToldDatabase, ...] = ()
     starts: tuple[DatabaseStart, ...] = ()
     era: int = UNKNOWN_ERA
--- a/src/bramblebeam/services/feed/peers.py
+++ b/src/bramblebeam/services/feed/peers.py
@@ -13,8 +13,8 @@
     FollowReply,
     FollowRequest,
     ListName,
+    RouteTableItem,
     ToldDatabase,
-    ToldRoutes,
 )
 from bramblebeam.core.gateway.directory import DatabaseEntry
 from bramblebeam.core.gateway.routes import RouteTable
@@ -119,7 +119,7 @@
     )
 
 
-def _revision(reply: FollowReply, told: ToldRoutes | ToldDatabase) -> Revision:
+def _revision(reply: FollowReply, told: RouteTableItem | ToldDatabase) -> Revision:
     return Revision(told_era(reply), told.revision)
 
 
@@ -129,7 +129,7 @@
     return entry._replace(instance=instance_id(entry.instance, born))
 
 
-def _table(told: ToldRoutes) -> RouteTable | None:
+def _table(told: RouteTableItem) -> RouteTable | None:
     if not told.version:
         return None
     return RouteTable(
@@ -145,7 +145,7 @@
 class Told(NamedTuple):
     """The items of an answer: one of the two is empty."""
 
-    routes: tuple[ToldRoutes, ...] = ()
+    routes: tuple[RouteTableItem, ...] = ()
     databases: tuple[ToldDatabase, ...] = ()
     starts: tuple[DatabaseStart, ...] = ()
 
@@ -155,11 +155,11 @@
     return Told(routes=tuple(_told_table(item) for item in items if item.item or item.deleted))
 
 
-def _told_table(item: Versioned[RouteTable]) -> ToldRoutes:
+def _told_table(item: Versioned[RouteTable]) -> RouteTableItem:
     table = item.item
     if table is None:
-        return ToldRoutes(item.name, item.revision.number)
-    return ToldRoutes(
+        return RouteTableItem(item.name, item.revision.number)
+    return RouteTableItem(
         item.name,
         item.revision.number,
         table.version,
