--- a/src/bramblebeam/core/feed/messages.py
+++ b/src/bramblebeam/core/feed/messages.py
@@ -47,7 +47,7 @@
     public: tuple[str, ...] = ()
 
 
-class ToldDatabase(NamedTuple):
+class DatabaseItem(NamedTuple):
     """A registered database under its name in the store. `entry` None: it was deleted."""
 
     name: str
@@ -76,6 +76,6 @@
     revision: int = UNKNOWN_REVISION
     age: float = 0.0
     routes: tuple[RouteTableItem, ...] = ()
-    databases: tuple[ToldDatabase, ...] = ()
+    databases: tuple[DatabaseItem, ...] = ()
     starts: tuple[DatabaseStart, ...] = ()
     era: int = UNKNOWN_ERA
--- a/src/bramblebeam/services/feed/peers.py
+++ b/src/bramblebeam/services/feed/peers.py
@@ -9,12 +9,12 @@
 from bramblebeam.core.feed.messages import (
     UNKNOWN_ERA,
     UNKNOWN_REVISION,
+    DatabaseItem,
     DatabaseStart,
     FollowReply,
     FollowRequest,
     ListName,
     RouteTableItem,
-    ToldDatabase,
 )
 from bramblebeam.core.gateway.directory import DatabaseEntry
 from bramblebeam.core.gateway.routes import RouteTable
@@ -119,7 +119,7 @@
     )
 
 
-def _revision(reply: FollowReply, told: RouteTableItem | ToldDatabase) -> Revision:
+def _revision(reply: FollowReply, told: RouteTableItem | DatabaseItem) -> Revision:
     return Revision(told_era(reply), told.revision)
 
 
@@ -146,7 +146,7 @@
     """The items of an answer: one of the two is empty."""
 
     routes: tuple[RouteTableItem, ...] = ()
-    databases: tuple[ToldDatabase, ...] = ()
+    databases: tuple[DatabaseItem, ...] = ()
     starts: tuple[DatabaseStart, ...] = ()
 
 
@@ -176,7 +176,7 @@
     readable = [item for item in items if item.item or item.deleted]
     return Told(
         databases=tuple(
-            ToldDatabase(item.name, item.revision.number, _named(item.item)) for item in readable
+            DatabaseItem(item.name, item.revision.number, _named(item.item)) for item in readable
         ),
         starts=tuple(
             DatabaseStart(item.name, born_at(item.item.instance))
