--- a/src/bramblebeam/core/feed/plan.py
+++ b/src/bramblebeam/core/feed/plan.py
@@ -13,7 +13,7 @@
 from bramblebeam.core.membership.view import MembersView
 from bramblebeam.core.ownership.rendezvous import ranked_owners
 
-READERS_A_REGION = 2
+READERS_PER_REGION = 2
 ALL_READ = 12
 """So few nodes all read the store themselves."""
 
@@ -39,7 +39,7 @@
 
 
 def _readers(region: str, nodes: list[NodeId]) -> tuple[NodeId, ...]:
-    return tuple(ranked_owners(f"feed/{region}", nodes)[:READERS_A_REGION])
+    return tuple(ranked_owners(f"feed/{region}", nodes)[:READERS_PER_REGION])
 
 
 def _nodes_by_region(members: MembersView) -> Mapping[str, list[NodeId]]:
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -134,7 +134,7 @@
 def follower(world: World) -> int | None:
     """The place of a node that does not read the store."""
     plans = [node.kernel._services["feed"]._plan for node in world.nodes]  # type: ignore[attr-defined]
-    if sum(plan.reads_store for plan in plans) != plan_module.READERS_A_REGION:
+    if sum(plan.reads_store for plan in plans) != plan_module.READERS_PER_REGION:
         return None
     return next(place for place, plan in enumerate(plans) if not plan.reads_store)
 
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -169,7 +169,7 @@
     """Six nodes, two of which read the store and tell the others."""
     monkeypatch.setattr(plan_module, "ALL_READ", 3)
     async with joined_world(6, 36) as world:
-        await until(lambda: len(readers(world)) == plan_module.READERS_A_REGION)
+        await until(lambda: len(readers(world)) == plan_module.READERS_PER_REGION)
         yield world
 
 
