--- a/src/bramblebeam/core/feed/plan.py
+++ b/src/bramblebeam/core/feed/plan.py
@@ -14,7 +14,7 @@
 from bramblebeam.core.ownership.rendezvous import ranked_owners
 
 READERS_PER_REGION = 2
-ALL_READ = 12
+MAX_DIRECT_READERS = 12
 """So few nodes all read the store themselves."""
 
 
@@ -28,7 +28,7 @@
 def feed_plan(place: NodePlace, members: MembersView) -> FeedPlan:
     """Return what the node at `place` follows."""
     regions = _nodes_by_region(members)
-    if sum(map(len, regions.values())) <= ALL_READ:
+    if sum(map(len, regions.values())) <= MAX_DIRECT_READERS:
         return FeedPlan()
     readers = {region: _readers(region, nodes) for region, nodes in regions.items()}
     own = readers.get(place.region, ())
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -142,7 +142,7 @@
 @pytest.fixture
 async def told(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[tuple[World, int]]:
     """Four nodes, and the place of one that does not read the store."""
-    monkeypatch.setattr(plan_module, "ALL_READ", 3)
+    monkeypatch.setattr(plan_module, "MAX_DIRECT_READERS", 3)
     async with joined_world(4, 36) as world:
         await until(lambda: follower(world) is not None)
         place = follower(world)
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -167,7 +167,7 @@
 @pytest.fixture
 async def told(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[World]:
     """Six nodes, two of which read the store and tell the others."""
-    monkeypatch.setattr(plan_module, "ALL_READ", 3)
+    monkeypatch.setattr(plan_module, "MAX_DIRECT_READERS", 3)
     async with joined_world(6, 36) as world:
         await until(lambda: len(readers(world)) == plan_module.READERS_PER_REGION)
         yield world
