--- a/src/bramblebeam/core/ownership/claim.py
+++ b/src/bramblebeam/core/ownership/claim.py
@@ -40,7 +40,7 @@
 )
 from bramblebeam.core.ownership.rendezvous import instance_key, ranked_owners
 
-LEASE = 2.0
+LEASE_SECONDS = 2.0
 """A holder that the back end has not heard from for so long may be evicted (seconds)."""
 UNANSWERED_LEASE = 10.0
 """A live holder of higher rank that answers no peer is evicted after so long (seconds)."""
@@ -197,7 +197,7 @@
         if not self.wanted:
             return self._give_up()
         self._holder = held
-        if held.node == self.node or held.silent >= LEASE:
+        if held.node == self.node or held.silent >= LEASE_SECONDS:
             return self._evict(held)
         if not held.node:
             return self._retry_later(now)
--- a/src/bramblebeam/services/pool/ownership.py
+++ b/src/bramblebeam/services/pool/ownership.py
@@ -9,7 +9,7 @@
 
 from bramblebeam.core.identity import InstanceSpec, NodeId
 from bramblebeam.core.machine import Wakeup
-from bramblebeam.core.ownership.claim import LEASE, ClaimMachine
+from bramblebeam.core.ownership.claim import LEASE_SECONDS, ClaimMachine
 from bramblebeam.core.ownership.events import (
     AnswerRelease,
     AskRelease,
@@ -226,7 +226,7 @@
 
     async def _ask_release(self, ask: AskRelease) -> object:
         request = ReleaseRequest(self.spec.instance, ask.epoch, self._node)
-        reply = await self._ask_peer(ask.node, request, LEASE)
+        reply = await self._ask_peer(ask.node, request, LEASE_SECONDS)
         if isinstance(reply, PeerFailure):
             return ReleaseUnanswered()
         if not reply.granted:
--- a/tests/test_ownership_claim.py
+++ b/tests/test_ownership_claim.py
@@ -7,7 +7,7 @@
 from bramblebeam.core.identity import GroupId, InstanceId, NodeId, ZoneId
 from bramblebeam.core.ownership import events as e
 from bramblebeam.core.ownership.assignment import Assignment
-from bramblebeam.core.ownership.claim import LEASE, ClaimMachine, ClaimState
+from bramblebeam.core.ownership.claim import LEASE_SECONDS, ClaimMachine, ClaimState
 from bramblebeam.core.ownership.rendezvous import instance_key, ranked_owners
 from ownership_world import World
 
@@ -62,7 +62,7 @@
 
 
 def test_live_holder_is_asked_and_a_silent_one_evicted() -> None:
-    for silent, expected in ((0.0, e.AskRelease), (LEASE, e.Evict)):
+    for silent, expected in ((0.0, e.AskRelease), (LEASE_SECONDS, e.Evict)):
         machine = ClaimMachine(NodeId("b"), InstanceId("db"))
         machine.handle(e.WantedChanged(True), 0.0)
         machine.handle(e.ControlOpened(2), 0.0)
