--- a/src/bramblebeam/core/ownership/claim.py
+++ b/src/bramblebeam/core/ownership/claim.py
@@ -14,7 +14,6 @@
 from bramblebeam.core.identity import InstanceId, NodeId
 from bramblebeam.core.ownership.events import (
     AnswerRelease,
-    AskRelease,
     CloseControl,
     CloseSlots,
     ControlLost,
@@ -31,6 +30,7 @@
     ReleaseAsked,
     ReleaseLock,
     ReleaseUnanswered,
+    RequestRelease,
     SlotsClosed,
     Stopping,
     Sweep,
@@ -202,7 +202,7 @@
         if not held.node:
             return self._retry_later(now)
         self.state = ClaimState.ASKING
-        return [AskRelease(held.node, held.connection_id)]
+        return [RequestRelease(held.node, held.connection_id)]
 
     def _evict(self, held: LockHeld) -> list[object]:
         self.state = ClaimState.EVICTING
--- a/src/bramblebeam/core/ownership/events.py
+++ b/src/bramblebeam/core/ownership/events.py
@@ -92,7 +92,7 @@
     """Try to take the lock; answered by LockTaken, LockHeld or ControlLost."""
 
 
-class AskRelease(NamedTuple):
+class RequestRelease(NamedTuple):
     """Ask the holder; answered by ReleaseAnswered or ReleaseUnanswered."""
 
     node: NodeId
--- a/src/bramblebeam/services/pool/ownership.py
+++ b/src/bramblebeam/services/pool/ownership.py
@@ -12,7 +12,6 @@
 from bramblebeam.core.ownership.claim import LEASE_SECONDS, ClaimMachine
 from bramblebeam.core.ownership.events import (
     AnswerRelease,
-    AskRelease,
     CloseControl,
     CloseSlots,
     ControlLost,
@@ -27,6 +26,7 @@
     ReleaseAsked,
     ReleaseLock,
     ReleaseUnanswered,
+    RequestRelease,
     SlotsClosed,
     Stopping,
     Sweep,
@@ -196,7 +196,7 @@
             case OpenControl():
                 self._control = await ControlConnection.open(self.spec, self._settings, self._node)
                 return ControlOpened(self._control.epoch)
-            case AskRelease():
+            case RequestRelease():
                 return await self._ask_release(effect)
             case CloseSlots():
                 return SlotsClosed(tuple(sorted(await self._slots.close_slots())))
@@ -224,7 +224,7 @@
                 return Swept(tuple(sorted(await control.sweep(frozenset(effect.keep)))))
         raise TypeError(f"unknown operation {effect!r}")
 
-    async def _ask_release(self, ask: AskRelease) -> object:
+    async def _ask_release(self, ask: RequestRelease) -> object:
         request = ReleaseRequest(self.spec.instance, ask.epoch, self._node)
         reply = await self._ask_peer(ask.node, request, LEASE_SECONDS)
         if isinstance(reply, PeerFailure):
--- a/tests/ownership_world.py
+++ b/tests/ownership_world.py
@@ -87,7 +87,7 @@
                 self.close_control()
             case e.AnswerRelease():
                 for asker in self.asked:
-                    if isinstance(asker.operation, e.AskRelease) and asker.answer is None:
+                    if isinstance(asker.operation, e.RequestRelease) and asker.answer is None:
                         asker.answer = e.ReleaseAnswered(effect.granted, effect.retained, GRACE)
                 self.asked.clear()
             case _:
@@ -130,7 +130,7 @@
         if isinstance(operation, e.OpenControl):
             self.control = backend.open(self.name, False, world.now).id
             self.answer = e.ControlOpened(self.control)
-        elif isinstance(operation, e.AskRelease):
+        elif isinstance(operation, e.RequestRelease):
             peer = world.nodes.get(operation.node)
             if peer is None or peer.is_paused or world.random.random() < 0.2:
                 self.answer = e.ReleaseUnanswered()
--- a/tests/test_ownership_claim.py
+++ b/tests/test_ownership_claim.py
@@ -62,7 +62,7 @@
 
 
 def test_live_holder_is_asked_and_a_silent_one_evicted() -> None:
-    for silent, expected in ((0.0, e.AskRelease), (LEASE_SECONDS, e.Evict)):
+    for silent, expected in ((0.0, e.RequestRelease), (LEASE_SECONDS, e.Evict)):
         machine = ClaimMachine(NodeId("b"), InstanceId("db"))
         machine.handle(e.WantedChanged(True), 0.0)
         machine.handle(e.ControlOpened(2), 0.0)
