--- a/src/bramblebeam/core/ownership/claim.py
+++ b/src/bramblebeam/core/ownership/claim.py
@@ -27,8 +27,8 @@
     OpenControl,
     OpenSlots,
     ReleaseAnswered,
-    ReleaseAsked,
     ReleaseLock,
+    ReleaseRequested,
     ReleaseUnanswered,
     RequestRelease,
     SlotsClosed,
@@ -104,7 +104,7 @@
             case Stopping():
                 self.stopping = True
                 return self._wanted_changed(False, now)
-            case ReleaseAsked():
+            case ReleaseRequested():
                 return self._release_asked(event)
             case ControlOpened():
                 self._has_control = True
@@ -239,7 +239,7 @@
         self._unanswered_since = None
         return [OpenSlots(self.epoch, swept.retained, self._retained_until)]
 
-    def _release_asked(self, asked: ReleaseAsked) -> list[object]:
+    def _release_asked(self, asked: ReleaseRequested) -> list[object]:
         if self.state in (ClaimState.CLOSING, ClaimState.RELEASING):
             return []
         if self.state is not ClaimState.OWNING:
@@ -249,7 +249,7 @@
         self.state = ClaimState.CLOSING
         return [CloseSlots()]
 
-    def _yields_to(self, asked: ReleaseAsked) -> bool:
+    def _yields_to(self, asked: ReleaseRequested) -> bool:
         return asked.epoch == self.epoch and not self._outranks(asked.requester)
 
     def _slots_closed(self, closed: SlotsClosed, now: float) -> list[object]:
--- a/src/bramblebeam/core/ownership/events.py
+++ b/src/bramblebeam/core/ownership/events.py
@@ -63,7 +63,7 @@
     retained: tuple[int, ...]
 
 
-class ReleaseAsked(NamedTuple):
+class ReleaseRequested(NamedTuple):
     """A peer asks for the instance."""
 
     requester: NodeId
--- a/src/bramblebeam/services/pool/ownership.py
+++ b/src/bramblebeam/services/pool/ownership.py
@@ -23,8 +23,8 @@
     OpenControl,
     OpenSlots,
     ReleaseAnswered,
-    ReleaseAsked,
     ReleaseLock,
+    ReleaseRequested,
     ReleaseUnanswered,
     RequestRelease,
     SlotsClosed,
@@ -116,14 +116,14 @@
     def release_to_nobody(self) -> None:
         """Free the instance, though no peer asks for it."""
         self._events.put_nowait(WantedChanged(False))
-        self._events.put_nowait(ReleaseAsked(self._node, 0))
+        self._events.put_nowait(ReleaseRequested(self._node, 0))
 
     async def release(self, request: ReleaseRequest) -> ReleaseReply:
         """Hand the instance over, if this node holds it and the asking one should have it."""
         waiter: asyncio.Future[ReleaseReply] = self._loop.create_future()
         self._release_waiters.append(waiter)
         self._requester = request.requester
-        self._events.put_nowait(ReleaseAsked(request.requester, request.epoch))
+        self._events.put_nowait(ReleaseRequested(request.requester, request.epoch))
         return await waiter
 
     async def run(self) -> None:
--- a/tests/ownership_world.py
+++ b/tests/ownership_world.py
@@ -136,7 +136,7 @@
                 self.answer = e.ReleaseUnanswered()
             elif self not in peer.asked:
                 peer.asked.append(self)
-                peer.handle(e.ReleaseAsked(NodeId(self.name), operation.epoch))
+                peer.handle(e.ReleaseRequested(NodeId(self.name), operation.epoch))
         elif isinstance(operation, e.CloseSlots):
             if not self.opening:
                 self.answer = e.SlotsClosed(tuple(sorted(self.mine | self.foreign)))
--- a/tests/test_ownership_claim.py
+++ b/tests/test_ownership_claim.py
@@ -72,17 +72,17 @@
 
 def test_holder_yields_only_to_a_better_owner_while_it_is_wanted() -> None:
     best, worst = ranked_owners(instance_key(InstanceId("db")), [NodeId("a"), NodeId("b")])
-    assert owning(best).handle(e.ReleaseAsked(worst, 1), 1.0) == [e.AnswerRelease(False)]
-    assert owning(worst).handle(e.ReleaseAsked(best, 1), 1.0) == [e.CloseSlots()]
+    assert owning(best).handle(e.ReleaseRequested(worst, 1), 1.0) == [e.AnswerRelease(False)]
+    assert owning(worst).handle(e.ReleaseRequested(best, 1), 1.0) == [e.CloseSlots()]
     unwanted = owning(best)
     unwanted.handle(e.WantedChanged(False), 1.0)
-    assert unwanted.handle(e.ReleaseAsked(worst, 1), 1.0) == [e.CloseSlots()]
+    assert unwanted.handle(e.ReleaseRequested(worst, 1), 1.0) == [e.CloseSlots()]
 
 
 def test_handover_tells_the_retained_connections() -> None:
     machine = owning()
     machine.handle(e.Stopping(), 1.0)
-    machine.handle(e.ReleaseAsked(NodeId("b"), 1), 1.0)
+    machine.handle(e.ReleaseRequested(NodeId("b"), 1), 1.0)
     assert machine.handle(e.SlotsClosed((7, 9)), 1.1) == [e.ReleaseLock()]
     assert machine.handle(e.LockReleased(), 1.2) == [e.AnswerRelease(True, (7, 9))]
     assert machine.state is ClaimState.IDLE
