--- a/src/bramblebeam/core/ownership/claim.py
+++ b/src/bramblebeam/core/ownership/claim.py
@@ -197,7 +197,7 @@
         if not self.wanted:
             return self._give_up()
         self._holder = held
-        if held.node == self.node or held.silent >= LEASE_SECONDS:
+        if held.node == self.node or held.idle_seconds >= LEASE_SECONDS:
             return self._evict(held)
         if not held.node:
             return self._retry_later(now)
--- a/src/bramblebeam/core/ownership/events.py
+++ b/src/bramblebeam/core/ownership/events.py
@@ -32,13 +32,13 @@
 class LockHeld(NamedTuple):
     """Another connection holds the lock.
 
-    `node` is its owner ("": unknown). `silent` is how long the holder has sent nothing to the back
-    end on it (seconds), as the back end tells.
+    `node`: the node that opened it (empty: unknown). `idle_seconds`: time since the connection's
+    last statement, as the back end reports it.
     """
 
     connection_id: int
     node: NodeId
-    silent: float
+    idle_seconds: float
 
 
 class ReleaseAnswered(NamedTuple):
