--- a/src/bramblebeam/core/configuration/relay_events.py
+++ b/src/bramblebeam/core/configuration/relay_events.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaveStore:
+class StopReadingStore:
     """Effect: end the listing or watch under way; this node is no reader any more."""
 
 
--- a/src/bramblebeam/core/configuration/relay_store.py
+++ b/src/bramblebeam/core/configuration/relay_store.py
@@ -7,10 +7,10 @@
 import xxhash
 
 from bramblebeam.core.configuration.relay_events import (
-    LeaveStore,
     ListStore,
     RowsListed,
     RowsWatched,
+    StopReadingStore,
     StoreBehind,
     StoreFailure,
     WatchStore,
@@ -128,7 +128,7 @@
     def _end(self) -> list[Any]:
         self._state = _State.IDLE
         self._try_due = None
-        return [LeaveStore()]
+        return [StopReadingStore()]
 
     def _fraction(self, now: float) -> float:
         text = f"{self._node}\x00{now!r}"
--- a/src/bramblebeam/lab/configuration/world.py
+++ b/src/bramblebeam/lab/configuration/world.py
@@ -8,9 +8,9 @@
 from bramblebeam.core.configuration.relay import ConfigurationRelay
 from bramblebeam.core.configuration.relay_events import (
     BecameReady,
-    LeaveStore,
     ListStore,
     RowsApplied,
+    StopReadingStore,
     StoreFailed,
     StoreFailure,
     WatchStore,
@@ -176,7 +176,7 @@
                 self.store.list(self._teller(node))
             case WatchStore(after):
                 self.store.watch(node.name, after, self._teller(node))
-            case LeaveStore():
+            case StopReadingStore():
                 self.store.leave(node.name)
 
     def _teller(self, node: WorldNode) -> Callable[[Any], None]:
--- a/src/bramblebeam/services/configuration/service.py
+++ b/src/bramblebeam/services/configuration/service.py
@@ -27,10 +27,10 @@
 from bramblebeam.core.configuration.relay import ConfigurationRelay
 from bramblebeam.core.configuration.relay_events import (
     BecameReady,
-    LeaveStore,
     ListStore,
     RowsApplied,
     RowWritten,
+    StopReadingStore,
     StoreBehind,
     StoreFailed,
     StoreFailure,
@@ -193,7 +193,7 @@
                 self._publisher.begin()
             case StoreBehind(version, complete):
                 log_event(logger, CONFIGURATION_STORE_BEHIND, version=version, complete=complete)
-            case ListStore() | WatchStore() | LeaveStore():
+            case ListStore() | WatchStore() | StopReadingStore():
                 if self._feed is not None:
                     self._feed.carry_out(effect)
 
