--- a/src/bramblebeam/core/configuration/relay.py
+++ b/src/bramblebeam/core/configuration/relay.py
@@ -106,7 +106,7 @@
             self.zone, completes[slowest], slowest, len(completes), behind, self.peers.is_reader
         )
 
-    def ask_behind(self, version: int) -> list[Any]:
+    def probe_lagging(self, version: int) -> list[Any]:
         """Return the questions to those members of the zone that are not known to have it."""
         late = self.spreading.late_members(version)
         return [Send(node, self._probe(answer=True)) for node in late if node != self.node]
--- a/src/bramblebeam/services/configuration/service.py
+++ b/src/bramblebeam/services/configuration/service.py
@@ -228,7 +228,7 @@
 
     def _summary(self, version: int) -> InForceReply:
         """Answer for the own zone; ask the members that seem to be behind."""
-        for effect in self.relay.ask_behind(version):
+        for effect in self.relay.probe_lagging(version):
             self._carry_out(effect)
         return self.relay.in_force(version)
 
