--- a/src/bramblebeam/core/configuration/edit.py
+++ b/src/bramblebeam/core/configuration/edit.py
@@ -1,10 +1,10 @@
-"""One operator's edit of one row: write it once, and find out whether it was written.
+"""State machine of one operator's edit of one row, applied at most once.
 
-Every write is conditional on the version that the operator saw. When an answer is lost, the row is
-read back: the change ids that it keeps say whether this edit made it. A write that is not there
-may be sent again under the same condition, for it can take effect at most once. A deleted row
-stays in the store without a spec, so that its change ids stay too; only the first creation of a
-row, or one whose object was removed by other means, can end in doubt.
+Every write is conditional on the version that the operator saw. If the reply to a write is lost,
+the row is read back, and the change ids stored with it show whether the write took effect. If it
+did not, it is safe to send it again under the same condition. A deleted row stays in the store
+with an empty spec, which keeps its change ids. The outcome can stay unknown only for the first
+creation of a row, or if the row's object was removed by other means.
 """
 
 from dataclasses import dataclass
@@ -16,16 +16,16 @@
 from bramblebeam.core.machine import Wakeup
 
 PREVIOUS_CHANGES = 8
-"""How many earlier change ids a row keeps."""
+"""Number of earlier change ids stored with a row."""
 
 RETRY_SECONDS = 0.3
 
 
 @dataclass(frozen=True, slots=True)
 class StoreRow:
-    """A row with what the store keeps beside it.
+    """A row with the metadata stored beside it.
 
-    `previous_changes`: the change ids of the versions before this one, newest first.
+    `previous_changes`: the history ids of the versions before this one, newest first.
     """
 
     row: Row
@@ -33,27 +33,27 @@
     previous_changes: tuple[str, ...] = ()
 
     def has_change(self, change_id: str) -> bool:
-        """Whether this version or one of the last before it was made by the change."""
+        """Whether the change made this version or one of those in `previous_changes`."""
         return change_id == self.row.change_id or change_id in self.previous_changes
 
     @property
-    def mark(self) -> str:
-        """Name this version among the changes of later ones."""
+    def history_id(self) -> str:
+        """The id under which later versions list this one in `previous_changes`."""
         return self.row.change_id or f"version-{self.row.version}"
 
 
 @dataclass(frozen=True, slots=True)
 class ReadRow:
-    """Effect: read the row from the store; answer `RowRead` or `StoreUnanswered`."""
+    """Effect: read the row from the store; answered by `RowRead` or `StoreUnanswered`."""
 
     key: RowKey
 
 
 @dataclass(frozen=True, slots=True)
 class WriteRow:
-    """Effect: create (version 0) or replace the row at `row.version`; empty spec: deleted.
+    """Effect: create the row (version 0) or replace it at `row.version`; an empty spec deletes it.
 
-    Answer `RowAccepted`, `RowConflicted`, `RowRejected` or `StoreUnanswered`.
+    Answered by `RowAccepted`, `RowConflicted`, `RowRejected` or `StoreUnanswered`.
     """
 
     written: StoreRow
@@ -61,40 +61,40 @@
 
 @dataclass(frozen=True, slots=True)
 class EditFinished:
-    """Effect: the edit's end. `row`: what it wrote, where that is known."""
+    """Effect: the edit has ended with this reply."""
 
     reply: EditReply
 
 
 @dataclass(frozen=True, slots=True)
 class RowRead:
-    """The row as the store has it (None: there is none)."""
+    """The row in the store (None: it does not exist)."""
 
     found: StoreRow | None
 
 
 @dataclass(frozen=True, slots=True)
 class RowAccepted:
-    """The store wrote the row; `row` has its new version."""
+    """The store accepted the write; `row` has its new version."""
 
     row: Row
 
 
 @dataclass(frozen=True, slots=True)
 class RowConflicted:
-    """The store refused the write: the row is at another version."""
+    """The store refused the write because the row is at another version."""
 
 
 @dataclass(frozen=True, slots=True)
 class RowRejected:
-    """The store refused the write as wrong."""
+    """The store refused the write as invalid."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class StoreUnanswered:
-    """No answer. `sent` False: the request surely did not reach the store."""
+    """The store did not reply. `sent` False: the request certainly did not reach it."""
 
     sent: bool
     detail: str
@@ -108,9 +108,9 @@
 
 
 class EditMachine:
-    """Carries one edit to its end. `in_force`: the row's version in force at this node.
+    """Carries out one edit.
 
-    `deadline`: when it must end (seconds).
+    `in_force`: the row's version in force at this node. `deadline`: when it must end (seconds).
     """
 
     def __init__(self, edit: EditRow, in_force: int, deadline: float) -> None:
@@ -118,10 +118,10 @@
         self._in_force = in_force
         self._deadline = deadline
         self._state = _State.WAITING
-        self._retry_due = 0.0
+        self._retry_at = 0.0
         self._in_doubt = False
         self._base: StoreRow | None = None
-        self._written = False
+        self._write_sent = False
         self._detail = ""
 
     def begin(self) -> list[Any]:
@@ -129,25 +129,25 @@
         return self._read()
 
     def handle(self, event: Any, now: float) -> list[Any]:
-        """Take one event; return the effects."""
+        """Handle one event; return the effects."""
         if self._state is _State.FINISHED:
             return []
         if isinstance(event, Wakeup):
-            return self._woken(now)
-        return self._answered(event, now)
+            return self._handle_wakeup(now)
+        return self._handle_store_event(event, now)
 
-    def _answered(self, event: Any, now: float) -> list[Any]:
+    def _handle_store_event(self, event: Any, now: float) -> list[Any]:
         match event:
             case RowRead(found):
-                return self._judge(found, now)
+                return self._decide(found, now)
             case RowAccepted(row):
                 return self._finish(EditReply(EditStatus.WRITTEN, row))
             case RowConflicted():
                 return self._read()
             case RowRejected(detail):
-                return self._rejected(detail, now)
+                return self._handle_rejected(detail, now)
             case StoreUnanswered():
-                return self._unanswered(event, now)
+                return self._handle_unanswered(event, now)
             case _:
                 raise TypeError(f"unknown event {type(event).__name__}")
 
@@ -157,14 +157,14 @@
             case _State.FINISHED:
                 return None
             case _State.WAITING:
-                return min(self._retry_due, self._deadline)
+                return min(self._retry_at, self._deadline)
             case _:
                 return self._deadline
 
-    def _woken(self, now: float) -> list[Any]:
+    def _handle_wakeup(self, now: float) -> list[Any]:
         if now >= self._deadline:
-            return self._give_up()
-        if self._state is _State.WAITING and now >= self._retry_due:
+            return self._time_out()
+        if self._state is _State.WAITING and now >= self._retry_at:
             return self._read()
         return []
 
@@ -172,72 +172,82 @@
         self._state = _State.READING
         return [ReadRow(self._edit.key)]
 
-    def _judge(self, found: StoreRow | None, now: float) -> list[Any]:
-        """Decide by the row as it is now: done, refused, or to be written."""
+    def _decide(self, found: StoreRow | None, now: float) -> list[Any]:
+        """Decide by the row's current state whether the edit is done, refused or to be written."""
         current = found.row if found else None
         if found is not None and found.has_change(self._edit.change_id):
             overwritten = found.row.change_id != self._edit.change_id
             return self._finish(EditReply(EditStatus.WRITTEN, current, overwritten=overwritten))
-        if self._as_expected(found):
-            return self._may_write(found, now)
-        if self._in_doubt and not self._follows_base(found):
-            return self._finish(EditReply(EditStatus.UNKNOWN, current, "changed too much since"))
-        return self._finish(EditReply(EditStatus.CONFLICT, current, "another edit came first"))
-
-    def _as_expected(self, found: StoreRow | None) -> bool:
-        """Whether the row is at the version that the operator saw, or that was written upon."""
-        if self._written:
+        if self._is_at_expected_version(found):
+            return self._write_if_current(found, now)
+        if self._in_doubt and not self._has_complete_history(found):
+            return self._finish(
+                EditReply(EditStatus.UNKNOWN, current, "the row's history is too short to tell")
+            )
+        return self._finish(
+            EditReply(EditStatus.CONFLICT, current, "the row is not at the expected version")
+        )
+
+    def _is_at_expected_version(self, found: StoreRow | None) -> bool:
+        """Whether the row is at the version the operator saw, or at the base of the write sent."""
+        if self._write_sent:
             return _version(found) == _version(self._base)
         live = found is not None and bool(found.row.spec)
         return (_version(found) if live else 0) == self._edit.expected
 
-    def _follows_base(self, found: StoreRow | None) -> bool:
-        """Whether the row's changes since the write are all known, so that it is not among them."""
+    def _has_complete_history(self, found: StoreRow | None) -> bool:
+        """Whether the row lists every change since the write was sent.
+
+        If it does and the edit is not among them, the edit was not written.
+        """
         if found is None or self._base is None:
             return False
-        return self._base.mark in found.previous_changes or self._base.mark == found.row.change_id
+        return (
+            self._base.history_id in found.previous_changes
+            or self._base.history_id == found.row.change_id
+        )
 
-    def _may_write(self, found: StoreRow | None, now: float) -> list[Any]:
+    def _write_if_current(self, found: StoreRow | None, now: float) -> list[Any]:
         if found is not None and found.row.version < self._in_force:
-            detail = "the store is behind the rows in force"
+            detail = "the store has an older version than the one in force"
             return self._finish(EditReply(EditStatus.UNAVAILABLE, found.row, detail))
         if self._in_doubt and found is None:
-            return self._wait("the creation may be under way", now)
+            return self._retry_later("the creation may still be in flight", now)
         return self._write(found)
 
     def _write(self, found: StoreRow | None) -> list[Any]:
         self._state = _State.WRITING
-        self._written = True
+        self._write_sent = True
         self._base = found
         edit = self._edit
         previous: tuple[str, ...] = ()
         if found is not None:
-            previous = (found.mark, *found.previous_changes)[:PREVIOUS_CHANGES]
+            previous = (found.history_id, *found.previous_changes)[:PREVIOUS_CHANGES]
         row = Row(edit.key, _version(found), edit.spec, edit.change_id)
         return [WriteRow(StoreRow(row, edit.operator, previous))]
 
-    def _rejected(self, detail: str, now: float) -> list[Any]:
+    def _handle_rejected(self, detail: str, now: float) -> list[Any]:
         if self._in_doubt:
-            return self._wait(detail, now)
+            return self._retry_later(detail, now)
         return self._finish(EditReply(EditStatus.INVALID, None, detail))
 
-    def _unanswered(self, failure: StoreUnanswered, now: float) -> list[Any]:
+    def _handle_unanswered(self, failure: StoreUnanswered, now: float) -> list[Any]:
         if self._state is _State.WRITING and failure.sent:
             self._in_doubt = True
-        return self._wait(failure.detail, now)
+        return self._retry_later(failure.detail, now)
 
-    def _wait(self, detail: str, now: float) -> list[Any]:
+    def _retry_later(self, detail: str, now: float) -> list[Any]:
         self._detail = detail
         if now >= self._deadline:
-            return self._give_up()
+            return self._time_out()
         self._state = _State.WAITING
-        self._retry_due = now + RETRY_SECONDS
+        self._retry_at = now + RETRY_SECONDS
         return []
 
-    def _give_up(self) -> list[Any]:
+    def _time_out(self) -> list[Any]:
         in_doubt = self._in_doubt or self._state is _State.WRITING
         status = EditStatus.UNKNOWN if in_doubt else EditStatus.UNAVAILABLE
-        return self._finish(EditReply(status, None, self._detail or "no answer from the store"))
+        return self._finish(EditReply(status, None, self._detail or "no reply from the store"))
 
     def _finish(self, reply: EditReply) -> list[Any]:
         self._state = _State.FINISHED
--- a/src/bramblebeam/core/configuration/messages.py
+++ b/src/bramblebeam/core/configuration/messages.py
@@ -1,7 +1,7 @@
-"""What the configuration services of nodes tell each other, and what operators' edits ask.
+"""Messages between the configuration services of nodes, and requests for operators' edits.
 
-`complete` is a store version C of which the sender says: every change up to C is in its table.
-Rows travel as `Row`; a row that is deleted has an empty spec and the deletion's version.
+`complete` is a store version: the sender's table has every change up to it. Rows are sent as
+`Row`; a deleted row has an empty spec and the version of the deletion.
 """
 
 from dataclasses import dataclass
@@ -13,9 +13,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """The sender's state, so that the one that is behind fetches what it misses.
+    """The state of the sender's table, so that the node that is behind fetches what it lacks.
 
-    `ready`: the sender's rows may be trusted. `answer`: send your state back in any case.
+    `ready`: the sender serves by its rows. `answer`: the receiver must reply with its own probe.
     """
 
     complete: int
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """A node tells its zone's readers how far its rows are."""
+    """Report the sender's `complete` version to the readers of its zone."""
 
     complete: int
 
 
 @dataclass(frozen=True, slots=True)
 class Pull:
-    """Ask for the changes after the store version `after`."""
+    """Request the changes after the store version `after`."""
 
     after: int
 
@@ -42,8 +42,9 @@
 class Changes:
     """The newest version of every row changed after `after` and up to `through`.
 
-    `more`: the sender has later ones; ask again by `Pull(through)`. `floor`: deletions up to this
-    version may be missing, for the sender has listed the store and not seen each change.
+    `more`: the sender has later changes, to be requested by `Pull(through)`. `floor`: deletions up
+    to this version may be missing, because the sender listed the store at it and has not seen each
+    change before.
     """
 
     after: int
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BucketDigests:
-    """The digest of each bucket of rows: sent where the tables' digests differ for no known gap."""
+    """The digest of each bucket of rows; sent if tables differ without a known missing change."""
 
     digests: tuple[int, ...]
 
@@ -64,7 +65,7 @@
 class BucketVersions:
     """The version of every row of some buckets.
 
-    A row that is not among them and whose version is not above `floor` was deleted.
+    If a row of these buckets is not listed and its version is below `floor`, it was deleted.
     """
 
     buckets: tuple[int, ...]
@@ -74,31 +75,32 @@
 
 @dataclass(frozen=True, slots=True)
 class RowsWanted:
-    """Ask for these rows."""
+    """Request these rows."""
 
     keys: tuple[RowKey, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class RowsGiven:
-    """Rows that the receiver lacks; they say nothing on the completeness of its table."""
+    """Rows that the receiver lacks; they do not advance its `complete` version."""
 
     rows: tuple[Row, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class InForceRequest:
-    """Ask a zone's reader how far its zone is with the version `version`."""
+    """Query a zone's reader for how many nodes of its zone have `version` in force."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class InForceReply:
-    """How far one zone is. `lowest` is the version that all its nodes have in force at least.
+    """The progress of one zone: every node of it has at least version `lowest` in force.
 
-    `slowest`: the node at `lowest`. `nodes`: members counted. `behind`: how many have not yet the
-    asked version. `reader`: whether the node that answers is one of its zone's readers.
+    `slowest`: the node at `lowest`. `nodes`: number of members counted. `behind`: how many of them
+    are not known to have the requested version. `reader`: whether the replying node is one of its
+    zone's readers.
     """
 
     zone: ZoneId
@@ -111,37 +113,37 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneVersionsRequest:
-    """Ask a zone's reader how far each node of its zone is."""
+    """Query a zone's reader for the version in force at each node of its zone."""
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneVersionsReply:
-    """What each node of a zone has in force at least (0: not known)."""
+    """The version that each node of a zone has in force at least (0: unknown)."""
 
     zone: ZoneId
     versions: tuple[tuple[NodeId, int], ...]
 
 
 class EditStatus(IntEnum):
-    """How an edit ended."""
+    """The outcome of an edit."""
 
     WRITTEN = 1
-    """The store accepted it; it comes into force everywhere."""
+    """The store accepted it; it will come into force at every node."""
     CONFLICT = 2
-    """Not done: the row is at another version than expected."""
+    """Not written: the row is at another version than expected."""
     INVALID = 3
-    """Not done: the row is wrong."""
+    """Not written: the row is invalid."""
     UNAVAILABLE = 4
-    """Not done: the store could not be reached."""
+    """Not written: the store could not be reached, or has an older version than this node."""
     UNKNOWN = 5
-    """It may have been done: read the row later and compare its change id."""
+    """It may have been written: read the row later and compare its change id."""
 
 
 @dataclass(frozen=True, slots=True)
 class EditRow:
-    """Write a row if it is still at the version `expected` (0: it must not exist).
+    """Request to write a row if it is still at the version `expected` (0: it must not exist).
 
-    `spec` is JSON text; empty: delete the row. `change_id` names this edit and is unique.
+    `spec` is JSON text; an empty one deletes the row. `change_id` identifies this edit uniquely.
     """
 
     key: RowKey
@@ -153,9 +155,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EditReply:
-    """The end of an edit. `current` is the row as the store has it, where that is known.
+    """The outcome of an edit. `current`: the row in the store, if known.
 
-    `overwritten`: the edit was written, and a later one took its place.
+    `overwritten`: the edit was written, and a later one has replaced it.
     """
 
     status: EditStatus
--- a/src/bramblebeam/core/configuration/relay_events.py
+++ b/src/bramblebeam/core/configuration/relay_events.py
@@ -1,4 +1,4 @@
-"""What the relay is told by its driver, and what it asks its driver to do."""
+"""Events and effects of the configuration relay."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -11,12 +11,12 @@
 
     UNAVAILABLE = 1
     EXPIRED = 2
-    """The store no longer keeps the changes after the asked version."""
+    """The store no longer keeps the changes after the requested version."""
 
 
 @dataclass(frozen=True, slots=True)
 class RowsListed:
-    """The store listed every row, at its version `version`."""
+    """The store listed all rows at its version `version`."""
 
     version: int
     rows: tuple[Row, ...]
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RowsWatched:
-    """The watch told changes, oldest first, and that there are no others up to `version`."""
+    """The watch delivered all changes up to `version`, oldest first."""
 
     version: int
     rows: tuple[Row, ...]
@@ -39,45 +39,45 @@
 
 @dataclass(frozen=True, slots=True)
 class RowWritten:
-    """This node itself wrote a row to the store (an edit)."""
+    """This node wrote a row to the store for an edit."""
 
     row: Row
 
 
 @dataclass(frozen=True, slots=True)
 class ListStore:
-    """Effect: list the store; answer `RowsListed` or `StoreFailed`."""
+    """Effect: list the store; answered by `RowsListed` or `StoreFailed`."""
 
 
 @dataclass(frozen=True, slots=True)
 class WatchStore:
-    """Effect: watch the store from `after`; tell `RowsWatched` until `StoreFailed`."""
+    """Effect: watch the store from `after`; answered by `RowsWatched` until `StoreFailed`."""
 
     after: int
 
 
 @dataclass(frozen=True, slots=True)
 class StopReadingStore:
-    """Effect: end the listing or watch under way; this node is no reader any more."""
+    """Effect: end the current listing or watch; this node is no longer a reader."""
 
 
 @dataclass(frozen=True, slots=True)
 class RowsApplied:
-    """Effect: these rows are in force at this node from now on."""
+    """Effect: these rows are now in force at this node."""
 
     rows: tuple[Row, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class BecameReady:
-    """Effect: this node has rows it may serve by. `source`: `store` or `peers`."""
+    """Effect: the rows here are complete enough to serve by. `source`: `store` or `peers`."""
 
     source: str
 
 
 @dataclass(frozen=True, slots=True)
 class StoreBehind:
-    """Effect: the store shows an older state (`version`) than what is in force (`complete`)."""
+    """Effect: the store's state (`version`) is older than what is in force (`complete`)."""
 
     version: int
     complete: int
--- a/src/bramblebeam/core/configuration/relay_join.py
+++ b/src/bramblebeam/core/configuration/relay_join.py
@@ -1,28 +1,31 @@
-"""How a node without rows learns that it has what the others have."""
+"""Decides when a node that has fetched its rows from peers may serve by them."""
 
 from bramblebeam.core.identity import NodeId
 
 
-class Joining:
-    """The peers asked last, and those that confirmed. `due`: when to ask again (seconds)."""
+class JoinQuorum:
+    """The peers queried in the current round, and those of them with the same rows.
+
+    `next_round_at`: when the next round is due (seconds).
+    """
 
     def __init__(self) -> None:
-        self.due = 0.0
-        self._asked: frozenset[NodeId] = frozenset()
+        self.next_round_at = 0.0
+        self._queried: frozenset[NodeId] = frozenset()
         self._confirmed: set[NodeId] = set()
 
-    def ask(self, peers: tuple[NodeId, ...], again_at: float) -> None:
-        """Begin a round with these peers."""
-        self.due = again_at
-        self._asked = frozenset(peers)
+    def begin_round(self, peers: tuple[NodeId, ...], next_round_at: float) -> None:
+        """Begin a round of queries to these peers."""
+        self.next_round_at = next_round_at
+        self._queried = frozenset(peers)
         self._confirmed.clear()
 
-    def hasten(self, now: float) -> None:
-        """Let the next round begin at once: rows that were missing have come."""
-        self.due = min(self.due, now)
+    def begin_next_round_now(self, now: float) -> None:
+        """Make the next round due at once, because missing rows have arrived."""
+        self.next_round_at = min(self.next_round_at, now)
 
-    def confirmed_by(self, peer: NodeId) -> bool:
-        """Count a peer of this round; return whether a majority of those asked has confirmed."""
-        if peer in self._asked:
+    def record_confirmation(self, peer: NodeId) -> bool:
+        """Record that a peer has the same rows; return whether a majority of this round has."""
+        if peer in self._queried:
             self._confirmed.add(peer)
-        return len(self._confirmed) * 2 > len(self._asked)
+        return len(self._confirmed) * 2 > len(self._queried)
--- a/src/bramblebeam/core/configuration/relay_peers.py
+++ b/src/bramblebeam/core/configuration/relay_peers.py
@@ -1,21 +1,21 @@
-"""What a relay knows of the other nodes: zones, readers, and how far each member's rows are."""
+"""A relay's view of the other nodes: zones, readers and the `complete` version of each member."""
 
 from bramblebeam.core.identity import NodeId, ZoneId
 from bramblebeam.core.membership.view import MemberState, MembersView
 from bramblebeam.core.ownership.rendezvous import ranked_owners
 
-READERS_A_ZONE = 2
-PEERS_TO_JOIN = 3
+READERS_PER_ZONE = 2
+JOIN_PEERS = 3
 _READER_KEY = "configuration-reader"
 
 
 def zone_readers(view: MembersView, zone: ZoneId) -> tuple[NodeId, ...]:
-    """Return the members of the zone that read the store, best first."""
-    return tuple(ranked_owners(_READER_KEY, view.owners.get(zone, ()))[:READERS_A_ZONE])
+    """Return the members of the zone that read the store, highest rank first."""
+    return tuple(ranked_owners(_READER_KEY, view.owners.get(zone, ()))[:READERS_PER_ZONE])
 
 
 class RelayPeers:
-    """The members as one node sees them."""
+    """The members as seen from one node."""
 
     def __init__(self, node: NodeId, zone: ZoneId) -> None:
         self._node = node
@@ -27,7 +27,7 @@
         self.known = False
 
     def update(self, view: MembersView) -> None:
-        """Take a new view of the members."""
+        """Replace the view of the members."""
         self._view = view
         self.known = True
         nodes = tuple(
@@ -45,54 +45,54 @@
         return self.known and self._node in self._readers_of(self._zone)
 
     def is_zone_reader(self, node: NodeId) -> bool:
-        """Whether `node` is one of the own zone's readers."""
+        """Whether `node` is one of this zone's readers."""
         return node in self._readers_of(self._zone)
 
     def in_own_zone(self, node: NodeId) -> bool:
-        """Whether `node` is in the own zone."""
+        """Whether `node` is in this zone."""
         member = self._view.members.get(node)
         return member is not None and member.spec.zone == self._zone
 
-    def zone_members(self, but: NodeId | None) -> list[NodeId]:
-        """Return the other members of the own zone, without `but`."""
-        return [node for node in self._zone_nodes if node not in (self._node, but)]
+    def zone_members(self, exclude: NodeId | None) -> list[NodeId]:
+        """Return the other members of this zone, without `exclude`."""
+        return [node for node in self._zone_nodes if node not in (self._node, exclude)]
 
-    def zone_readers(self, but: NodeId | None) -> list[NodeId]:
-        """Return the own zone's readers, without this node and `but`."""
-        return [node for node in self._readers_of(self._zone) if node not in (self._node, but)]
+    def zone_readers(self, exclude: NodeId | None) -> list[NodeId]:
+        """Return this zone's readers, without this node and `exclude`."""
+        return [node for node in self._readers_of(self._zone) if node not in (self._node, exclude)]
 
     def foreign_readers(self, fraction: float) -> list[NodeId]:
-        """Return one reader of each other zone."""
+        """Return one reader of each other zone, chosen by `fraction` (0 to 1)."""
         chosen = [_choose(self._readers_of(zone), fraction) for zone in self._foreign_zones()]
         return [node for node in chosen if node is not None]
 
     def random_zone_member(self, fraction: float) -> NodeId | None:
-        """Return another member of the own zone."""
-        return _choose(self.zone_members(but=None), fraction)
+        """Return another member of this zone, chosen by `fraction` (0 to 1)."""
+        return _choose(self.zone_members(exclude=None), fraction)
 
     def random_foreign_member(self, fraction: float) -> NodeId | None:
-        """Return a reader of another zone."""
+        """Return a reader of another zone, chosen by `fraction` (0 to 1)."""
         return _choose(self.foreign_readers(fraction), (fraction * 7919) % 1.0)
 
     def join_candidates(self, fraction: float) -> tuple[NodeId, ...]:
-        """Return up to three peers to ask for the rows: own readers, then others."""
-        asked = self.zone_readers(but=None)
-        others = [node for node in self.zone_members(but=None) if node not in asked]
+        """Return up to `JOIN_PEERS` peers to query for rows: this zone's readers, then others."""
+        peers = self.zone_readers(exclude=None)
+        others = [node for node in self.zone_members(exclude=None) if node not in peers]
         offset = int(fraction * len(others))
-        asked += others[offset:] + others[:offset]
-        if len(asked) < PEERS_TO_JOIN:
+        peers += others[offset:] + others[:offset]
+        if len(peers) < JOIN_PEERS:
             foreign = self.foreign_readers(fraction)
             offset = int(fraction * len(foreign))
-            asked += foreign[offset:] + foreign[:offset]
-        return tuple(asked[:PEERS_TO_JOIN])
+            peers += foreign[offset:] + foreign[:offset]
+        return tuple(peers[:JOIN_PEERS])
 
-    def note_complete(self, node: NodeId, complete: int) -> None:
-        """Note how far a member of the own zone is; a restarted one may be further back."""
+    def record_complete(self, node: NodeId, complete: int) -> None:
+        """Record the `complete` version of a member of this zone; a restart may lower it."""
         if self.in_own_zone(node):
             self._complete[node] = complete
 
     def zone_completes(self, own: int) -> dict[NodeId, int]:
-        """Return how far each member of the own zone is known to be (0: not known)."""
+        """Return the last known `complete` version of each member of this zone (0: unknown)."""
         completes = {node: self._complete.get(node, 0) for node in self._zone_nodes}
         completes[self._node] = own
         return completes
--- a/src/bramblebeam/core/configuration/relay_spread.py
+++ b/src/bramblebeam/core/configuration/relay_propagation.py
@@ -1,8 +1,8 @@
-"""How news goes on from a node: to its zone, to the readers of other zones, and reports back.
+"""Propagates changes from a node to its zone and to other zones, and reports its progress.
 
-A reader pushes what is new to every member of its zone, announces it to one reader of each other
-zone, and after a while probes the members that have not reported it. Any other node gives news
-to its zone's readers, and reports to them how far its rows are.
+A reader pushes changes to every member of its zone, announces them to one reader of each other
+zone, and after a delay probes the members that have not reported them. Any other node sends changes
+to its zone's readers and reports its `complete` version to them.
 """
 
 from collections.abc import Callable
@@ -16,37 +16,37 @@
 from bramblebeam.core.identity import NodeId
 from bramblebeam.core.machine import Send
 
-FOLLOW_UPS = 4
-"""How often members that have not reported are probed after a push."""
+MAX_FOLLOW_UPS = 4
+"""How many times the members that have not reported a push are probed."""
 
-FOLLOW_UP_MEMBERS = 64
-"""How many are probed at once."""
+MAX_FOLLOW_UP_MEMBERS = 64
+"""How many members are probed at a time."""
 
 
-class _Repeated:
-    """Something to do soon, but not more often than each `period` seconds."""
+class _RateLimited:
+    """An action that runs at most once per `interval` seconds."""
 
-    def __init__(self, period: float) -> None:
+    def __init__(self, interval: float) -> None:
         self.due: float | None = None
-        self._period = period
-        self._done_at = float("-inf")
+        self._interval = interval
+        self._last_at = float("-inf")
 
     def request(self, now: float) -> None:
-        """Let it be done as soon as the period allows."""
+        """Schedule the action as soon as the interval allows."""
         if self.due is None:
-            self.due = max(now, self._done_at + self._period)
+            self.due = max(now, self._last_at + self._interval)
 
-    def take(self, now: float) -> bool:
-        """Whether it is to be done now."""
+    def take_if_due(self, now: float) -> bool:
+        """Return whether the action is due, and if so count it as done."""
         if self.due is None or now < self.due:
             return False
         self.due = None
-        self._done_at = now
+        self._last_at = now
         return True
 
 
-class Spreading:
-    """The outgoing side of one relay. `probe` makes the node's own probe (True: to be answered)."""
+class Propagator:
+    """The outgoing side of one relay. `probe` builds this node's probe (True: with a reply)."""
 
     def __init__(
         self,
@@ -59,8 +59,8 @@
         self._peers = peers
         self._settings = settings
         self._probe = probe
-        self._report = _Repeated(settings.report)
-        self._announcement = _Repeated(settings.report)
+        self._report = _RateLimited(settings.report_interval)
+        self._announcement = _RateLimited(settings.report_interval)
         self._follow_up_due: float | None = None
         self._follow_ups = 0
 
@@ -70,12 +70,12 @@
         return min((moment for moment in due if moment is not None), default=None)
 
     def wakeup(self, now: float, fraction: float) -> list[Any]:
-        """Send what is due; `fraction` (0 to 1) chooses among the readers of other zones."""
+        """Send what is due; `fraction` (0 to 1) selects among the readers of other zones."""
         effects: list[Any] = []
-        if self._report.take(now):
-            readers = self._peers.zone_readers(but=None)
+        if self._report.take_if_due(now):
+            readers = self._peers.zone_readers(exclude=None)
             effects += [Send(node, Report(self._table.complete)) for node in readers]
-        if self._announcement.take(now):
+        if self._announcement.take_if_due(now):
             foreign = self._peers.foreign_readers(fraction)
             effects += [Send(node, self._probe(False)) for node in foreign]
         if self._follow_up_due is not None and now >= self._follow_up_due:
@@ -83,18 +83,21 @@
         return effects
 
     def report(self, now: float) -> None:
-        """Let the zone's readers know soon how far the rows are here."""
+        """Schedule a report of the `complete` version to the zone's readers."""
         if not self._peers.is_reader:
             self._report.request(now)
 
-    def pass_on(
+    def propagate(
         self, applied: list[Row], before: int, source: NodeId | None, now: float
     ) -> list[Any]:
-        """Send on what is new here since the version `before`, which came from `source`."""
+        """Send on the changes since the version `before`.
+
+        `source`: the peer that sent them; None: the store, or an edit at this node.
+        """
         if self._peers.is_reader:
-            targets = self._peers.zone_members(but=source)
+            targets = self._peers.zone_members(exclude=source)
         elif applied and (source is None or not self._peers.is_zone_reader(source)):
-            targets = self._peers.zone_readers(but=source)
+            targets = self._peers.zone_readers(exclude=source)
         else:
             return []
         push = self._push(applied, before)
@@ -102,23 +105,23 @@
             return []
         if self._peers.is_reader:
             self._follow_ups = 0
-            self._follow_up_due = now + self._settings.follow_up
+            self._follow_up_due = now + self._settings.follow_up_delay
             if source is None or not self._peers.in_own_zone(source):
                 self._announcement.request(now)
         return [Send(node, push) for node in targets]
 
-    def late_members(self, version: int) -> list[NodeId]:
-        """Return members of the zone that have not reported the version, some at most."""
+    def lagging_members(self, version: int) -> list[NodeId]:
+        """Return up to `MAX_FOLLOW_UP_MEMBERS` zone members that have not reported the version."""
         completes = self._peers.zone_completes(version)
-        late = [node for node, complete in completes.items() if complete < version]
-        return late[:FOLLOW_UP_MEMBERS]
+        lagging = [node for node, complete in completes.items() if complete < version]
+        return lagging[:MAX_FOLLOW_UP_MEMBERS]
 
     def _push(self, applied: list[Row], before: int) -> Changes | Probe | None:
-        """Return the rows that are new here, or a probe if they are many, or None.
+        """Return the new rows, a probe if they exceed one message, or None if there are none.
 
-        Rows that came earlier, ahead of their turn, are among the changes that are now complete.
+        Rows that arrived out of order are included once all changes before them are complete.
         """
-        batch = self._settings.batch
+        batch = self._settings.batch_rows
         complete = self._table.complete
         since, more = self._table.rows_after(before, batch)
         newer = {row.key: row for row in since if row.version <= complete}
@@ -130,8 +133,8 @@
         return Changes(before, complete, tuple(newer.values()), floor=self._table.floor)
 
     def _follow_up(self, now: float) -> list[Any]:
-        late = self.late_members(self._table.complete)
+        lagging = self.lagging_members(self._table.complete)
         self._follow_ups += 1
-        again = bool(late) and self._follow_ups < FOLLOW_UPS
-        self._follow_up_due = now + self._settings.follow_up if again else None
-        return [Send(node, self._probe(True)) for node in late]
+        again = bool(lagging) and self._follow_ups < MAX_FOLLOW_UPS
+        self._follow_up_due = now + self._settings.follow_up_delay if again else None
+        return [Send(node, self._probe(True)) for node in lagging]
--- a/src/bramblebeam/core/configuration/relay_settings.py
+++ b/src/bramblebeam/core/configuration/relay_settings.py
@@ -1,25 +1,26 @@
-"""The periods and bounds of the relay."""
+"""Intervals and limits of the relay."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class RelaySettings:
-    """Periods in seconds and bounds of one relay.
+    """Intervals and limits of one relay; times are in seconds.
 
-    `probe`: between two comparisons with a member of the own zone. `zone_probe_every`: each so
-    many probes of an ordinary node go to another zone; a reader sends both at each period.
-    `join`: between two questions of a node that has no rows yet. `report`: least time between two
-    reports. `follow_up`: after a push, until members that have not reported it are probed.
-    `pull`: how long an answer to a pull is waited for. `batch`: rows in one message. `settle`: how
-    long a node must be among the readers before it reads, or out before it stops.
+    `probe_interval`: between two comparisons with a member of the own zone. `zone_probe_every`: of
+    a node that is no reader, every so many probes go to another zone instead; a reader sends both
+    at each interval. `join_interval`: between two rounds of queries of a node that is not ready.
+    `report_interval`: least time between two reports. `follow_up_delay`: after a push, until the
+    members that have not reported it are probed. `pull_timeout`: how long to wait for the reply to
+    a pull. `batch_rows`: rows per message. `role_settle_time`: how long a node must be a reader
+    before it reads the store, or not be one before it stops.
     """
 
-    probe: float = 2.0
+    probe_interval: float = 2.0
     zone_probe_every: int = 10
-    join: float = 0.5
-    report: float = 0.2
-    follow_up: float = 0.5
-    pull: float = 1.0
-    batch: int = 200
-    settle: float = 0.5
+    join_interval: float = 0.5
+    report_interval: float = 0.2
+    follow_up_delay: float = 0.5
+    pull_timeout: float = 1.0
+    batch_rows: int = 200
+    role_settle_time: float = 0.5
--- a/src/bramblebeam/core/configuration/relay_store.py
+++ b/src/bramblebeam/core/configuration/relay_store.py
@@ -1,4 +1,4 @@
-"""The part of the relay that reads the store: list, watch, back off, list again."""
+"""The part of the relay that reads the store: listing, watching, backing off after a failure."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -19,9 +19,9 @@
 from bramblebeam.core.configuration.table import Coverage, RowTable
 from bramblebeam.core.identity import NodeId
 
-FIRST_BACKOFF = 0.2
-LONGEST_BACKOFF = 3.0
-"""Seconds between two tries at a store that fails; doubled each time, with jitter of a half."""
+INITIAL_BACKOFF_SECONDS = 0.2
+MAX_BACKOFF_SECONDS = 3.0
+"""Delay between attempts at a failing store: doubled each time, with a jitter of half of it."""
 
 
 class _State(Enum):
@@ -32,8 +32,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """What the store told: rows, what they cover, and effects."""
+class StoreUpdate:
+    """Rows from the store, the versions they cover, and the effects to carry out."""
 
     rows: tuple[Row, ...]
     coverage: Coverage
@@ -41,17 +41,17 @@
 
 
 class StoreReader:
-    """Decides when to list and when to watch. `store`: whether there is a store to read."""
+    """Decides when to list and when to watch. `store`: whether a store is configured."""
 
-    def __init__(self, node: NodeId, store: bool, settle: float) -> None:
+    def __init__(self, node: NodeId, store: bool, settle_time: float) -> None:
         self._node = node
         self._store = store
-        self._settle = settle
+        self._settle_time = settle_time
         self._state = _State.IDLE
-        self._changing_since: float | None = None
-        self._try_due: float | None = None
+        self._role_differs_since: float | None = None
+        self._retry_at: float | None = None
         self._failures = 0
-        self._list_next = False
+        self._must_list = False
         self._version = 0
 
     @property
@@ -61,51 +61,51 @@
 
     def next_wakeup(self) -> float | None:
         """Return when `wakeup` is due (seconds), or None."""
-        due = [self._try_due]
-        if self._changing_since is not None:
-            due.append(self._changing_since + self._settle)
+        due = [self._retry_at]
+        if self._role_differs_since is not None:
+            due.append(self._role_differs_since + self._settle_time)
         return min((moment for moment in due if moment is not None), default=None)
 
     def wakeup(self, is_reader: bool, table: RowTable, now: float) -> list[Any]:
-        """Begin or end reading as the role says, or try again; return the effects."""
-        reading = self._state is not _State.IDLE
-        if not self._store or is_reader == reading:
-            self._changing_since = None
-        elif self._changing_since is None:
-            self._changing_since = now
-        elif now >= self._changing_since + self._settle:
-            self._changing_since = None
-            return self._begin(table) if is_reader else self._end()
-        if self._try_due is not None and now >= self._try_due:
-            return self._begin(table)
+        """Begin or end reading when the role has changed, or retry; return the effects."""
+        is_reading = self._state is not _State.IDLE
+        if not self._store or is_reader == is_reading:
+            self._role_differs_since = None
+        elif self._role_differs_since is None:
+            self._role_differs_since = now
+        elif now >= self._role_differs_since + self._settle_time:
+            self._role_differs_since = None
+            return self._begin_reading(table) if is_reader else self._end_reading()
+        if self._retry_at is not None and now >= self._retry_at:
+            return self._begin_reading(table)
         return []
 
-    def failed(self, failure: StoreFailure, now: float) -> None:
-        """Note that the listing failed or the watch ended."""
+    def handle_failure(self, failure: StoreFailure, now: float) -> None:
+        """Schedule a retry after the listing failed or the watch ended."""
         if self._state not in (_State.LISTING, _State.WATCHING):
             return
         if failure is StoreFailure.EXPIRED:
-            self._list_next = True
+            self._must_list = True
             self._failures = 0
-        backoff = min(FIRST_BACKOFF * 2**self._failures, LONGEST_BACKOFF)
+        backoff = min(INITIAL_BACKOFF_SECONDS * 2**self._failures, MAX_BACKOFF_SECONDS)
         self._failures = min(self._failures + 1, 16)
         self._state = _State.WAITING
-        self._try_due = now + backoff * (0.5 + self._fraction(now))
+        self._retry_at = now + backoff * (0.5 + self._fraction(now))
 
-    def told(self, event: RowsListed | RowsWatched, table: RowTable) -> Told:
-        """Take what the store told; return the rows and what they make complete."""
+    def handle_rows(self, event: RowsListed | RowsWatched, table: RowTable) -> StoreUpdate:
+        """Handle rows from the store; return them with the versions that they cover."""
         self._failures = 0
         if isinstance(event, RowsWatched):
             coverage = Coverage(self._version, event.version)
             self._version = event.version
-            return Told(event.rows, coverage)
-        return self._listed_rows(event, table)
+            return StoreUpdate(event.rows, coverage)
+        return self._handle_listing(event, table)
 
-    def _listed_rows(self, listing: RowsListed, table: RowTable) -> Told:
+    def _handle_listing(self, listing: RowsListed, table: RowTable) -> StoreUpdate:
         effects: list[Any] = []
         if self._state is _State.LISTING:
             self._version = listing.version
-            self._list_next = False
+            self._must_list = False
             self._state = _State.WATCHING
             effects.append(WatchStore(listing.version))
         coverage = Coverage(0, listing.version, listed=True)
@@ -114,20 +114,20 @@
             effects.append(StoreBehind(listing.version, table.complete))
         else:
             rows += _deletions(listing, table)
-        return Told(rows, coverage, tuple(effects))
+        return StoreUpdate(rows, coverage, tuple(effects))
 
-    def _begin(self, table: RowTable) -> list[Any]:
-        self._try_due = None
-        if self._list_next or not table.complete:
+    def _begin_reading(self, table: RowTable) -> list[Any]:
+        self._retry_at = None
+        if self._must_list or not table.complete:
             self._state = _State.LISTING
             return [ListStore()]
         self._version = max(self._version, table.complete)
         self._state = _State.WATCHING
         return [WatchStore(self._version)]
 
-    def _end(self) -> list[Any]:
+    def _end_reading(self) -> list[Any]:
         self._state = _State.IDLE
-        self._try_due = None
+        self._retry_at = None
         return [StopReadingStore()]
 
     def _fraction(self, now: float) -> float:
@@ -136,14 +136,14 @@
 
 
 def _is_behind(listing: RowsListed, table: RowTable) -> bool:
-    """Whether the store shows an older state than the rows here."""
+    """Whether the store's state is older than the rows in the table."""
     if listing.version < table.complete:
         return True
     return any(row.version < table.version_of(row.key) <= listing.version for row in listing.rows)
 
 
 def _deletions(listing: RowsListed, table: RowTable) -> tuple[Row, ...]:
-    """Return a deletion for each row here that the listing, which is newer, does not have."""
+    """Return a deletion for each older row of the table that the listing does not have."""
     listed = {row.key for row in listing.rows}
     return tuple(
         Row(row.key, listing.version, "")
--- a/src/bramblebeam/core/configuration/rows.py
+++ b/src/bramblebeam/core/configuration/rows.py
@@ -1,7 +1,7 @@
-"""The rows of the shared table, as operators write them, and the checks on them.
+"""The rows of the replicated table, as operators write them, and their validation rules.
 
-A row is an object of the platform's store: (kind, name), a version that the store gives and that
-only grows, and a spec. Kinds: `group`, `limit`, `weight`.
+A row is an object of the platform's store, named by its kind (`group`, `limit` or `weight`) and
+name. It has a spec and a version, which the store assigns and which only increases.
 """
 
 from typing import Annotated, Any, Literal, NamedTuple
@@ -16,10 +16,10 @@
 Milliseconds = Annotated[int, Field(ge=0, le=3_600_000)]
 
 
-_CHECKED = ConfigDict(extra="forbid")
+_STRICT = ConfigDict(extra="forbid")
 
 
-@dataclass(frozen=True, slots=True, kw_only=True, config=_CHECKED)
+@dataclass(frozen=True, slots=True, kw_only=True, config=_STRICT)
 class MemberSpec:
     """One database server of a group."""
 
@@ -29,25 +29,26 @@
     port: int = Field(ge=1, le=65_535)
 
 
-@dataclass(frozen=True, slots=True, kw_only=True, config=_CHECKED)
+@dataclass(frozen=True, slots=True, kw_only=True, config=_STRICT)
 class GroupSpec:
     """A database group. Its name is the database (schema) name that callers connect to.
 
-    `failover`: `managed` (the system changes the primary) or `observed` (the group does it).
+    `failover`: `managed` (bramblebeam changes the primary) or `observed` (the group itself does).
     """
 
     members: tuple[MemberSpec, ...] = Field(min_length=1, max_length=15)
     failover: Literal["managed", "observed"] = "managed"
 
 
-@dataclass(frozen=True, slots=True, kw_only=True, config=_CHECKED)
+@dataclass(frozen=True, slots=True, kw_only=True, config=_STRICT)
 class LimitSpec:
-    """What one service may use of each member of one group. Named `SERVICE.GROUP`.
+    """The limits of one service at each member of one group. Named `SERVICE.GROUP`.
 
-    `slots`: back-end connections a member holds for the service. `burst`: slots it may borrow
-    beyond them while others leave theirs idle. `queue`: statements that may wait for a slot.
-    `queue_wait_ms`: how long one may wait. `staleness_ms`: how old a replica's answer may be.
-    `deadline_ms`: the longest a statement may take. `connections`: caller connections a node.
+    `slots`: back-end connections reserved for the service per member. `burst`: further slots it may
+    borrow while other services leave theirs idle. `queue`: statements that may wait for a slot.
+    `queue_wait_ms`: how long a statement may wait. `staleness_ms`: maximum staleness of a replica's
+    result. `deadline_ms`: maximum duration of a statement. `connections`: caller connections per
+    node.
     """
 
     service: ServiceId
@@ -61,12 +62,12 @@
     connections: int = Field(default=1_000, ge=1, le=100_000)
 
 
-@dataclass(frozen=True, slots=True, kw_only=True, config=_CHECKED)
+@dataclass(frozen=True, slots=True, kw_only=True, config=_STRICT)
 class WeightSpec:
-    """How much reading one instance takes, relative to its group. Named after the instance.
+    """The share of reads that one instance gets within its group. Named after the instance.
 
-    `read_weight` 0: no reads while another member can serve them. `drain`: the instance is to
-    get no new work.
+    `read_weight` 0: no reads while another member can serve them. `drain`: the instance gets no
+    new work.
     """
 
     instance: InstanceId
@@ -81,20 +82,20 @@
     "limit": TypeAdapter(LimitSpec),
     "weight": TypeAdapter(WeightSpec),
 }
-"""What checks and reads the spec of each kind of row."""
+"""Parses and validates the spec of each kind of row."""
 
 
 class RowKey(NamedTuple):
-    """Names one row."""
+    """The key of one row."""
 
     kind: str
     name: str
 
 
 class Row(NamedTuple):
-    """One version of one row. `spec` is JSON text; empty: the row is deleted.
+    """One version of one row. `spec` is JSON text; an empty one means that the row is deleted.
 
-    `change_id` names the edit that made this version, to settle an edit whose answer was lost.
+    `change_id` identifies the edit that made this version, to resolve an edit whose reply was lost.
     """
 
     key: RowKey
--- a/src/bramblebeam/core/configuration/table.py
+++ b/src/bramblebeam/core/configuration/table.py
@@ -1,4 +1,4 @@
-"""The rows a node has, with the order and the digests that peers compare."""
+"""The rows of a node, ordered by version, with the digests that peers compare."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Coverage:
-    """What a set of rows covers: every change in (after, through].
+    """The range of versions that a set of rows covers: every change in (after, through].
 
-    `floor`: but for deletions up to this version, which matter to a table that has rows.
-    `listed`: the rows are the whole store's, with a deletion for each row that is absent there.
+    `floor`: deletions up to this version may be missing, which matters to a table that has rows.
+    `listed`: the rows are a listing of the whole store, with a deletion for each row absent there.
     """
 
     after: int
@@ -29,8 +29,8 @@
     """Rows by key. A row is replaced only by one of a higher version; deletions stay as rows.
 
     `complete`: every change up to this store version is in the table. `floor`: deletions up to this
-    version may be known only by the row's absence, for the store was listed at it. `live`: rows
-    that are not deleted.
+    version may be known only by the row's absence, because the store was listed at it. `live`:
+    number of rows that are not deleted.
     """
 
     def __init__(self) -> None:
@@ -59,20 +59,20 @@
         return tuple(self._digests)
 
     def get(self, key: RowKey) -> Row | None:
-        """Return the row, which may be a deletion."""
+        """Return the row, which may be a deletion, or None."""
         return self._rows.get(key)
 
     def version_of(self, key: RowKey) -> int:
-        """Return the version of the row; 0 for none."""
+        """Return the version of the row, or 0 if there is none."""
         row = self._rows.get(key)
         return row.version if row else 0
 
     def apply(self, rows: Iterable[Row]) -> list[Row]:
-        """Take every row that is newer than the one here; return those taken."""
+        """Apply every row that is newer than the one in the table; return those applied."""
         return [row for row in rows if self._apply_one(row)]
 
-    def cover(self, coverage: Coverage) -> None:
-        """Take note of what the rows just applied cover, unless there is a gap before them."""
+    def record_coverage(self, coverage: Coverage) -> None:
+        """Record what the rows just applied cover, unless changes before them are missing."""
         if coverage.listed:
             self.floor = max(self.floor, coverage.through)
         elif coverage.after > self.complete:
@@ -84,16 +84,16 @@
         self.complete = max(self.complete, coverage.through)
 
     def rows_after(self, version: int, limit: int) -> tuple[list[Row], bool]:
-        """Return up to `limit` rows of later versions, in order, and whether there are more."""
+        """Return up to `limit` rows of later versions in order, and whether there are more."""
         start = self._order.bisect_left((version + 1,))
         entries = list(self._order.islice(start, start + limit))
         more = start + limit < len(self._order)
         return [self._rows[key] for _, key in entries], more
 
     def differing_buckets(self, digests: tuple[int, ...], limit: int) -> list[int]:
-        """Return up to `limit` buckets whose digest is another one than in `digests`."""
+        """Return up to `limit` buckets whose digest differs from the one in `digests`."""
         pairs = zip(self._digests, digests, strict=False)
-        found = [number for number, (mine, other) in enumerate(pairs) if mine != other]
+        found = [number for number, (own, other) in enumerate(pairs) if own != other]
         return found[:limit]
 
     def versions_in(self, buckets: Iterable[int]) -> list[tuple[RowKey, int]]:
@@ -107,15 +107,15 @@
             if current.version >= row.version:
                 return False
             self._order.remove((current.version, row.key))
-            self._toggle(current)
+            self._toggle_digest(current)
             self.live -= bool(current.spec)
         self._rows[row.key] = row
         self.live += bool(row.spec)
         self._order.add((row.version, row.key))
-        self._toggle(row)
+        self._toggle_digest(row)
         return True
 
-    def _toggle(self, row: Row) -> None:
+    def _toggle_digest(self, row: Row) -> None:
         value = xxhash.xxh3_64_intdigest(
             f"{row.key.kind}\x00{row.key.name}\x00{row.version}".encode()
         )
--- a/src/bramblebeam/core/configuration/validation.py
+++ b/src/bramblebeam/core/configuration/validation.py
@@ -1,4 +1,4 @@
-"""Checks the text of a row and says which field is wrong."""
+"""Validates the text of a row and reports which field is invalid."""
 
 from expression import Error, Ok, Result
 from pydantic import ValidationError
@@ -18,7 +18,7 @@
 
 
 def parse_spec(key: RowKey, text: str) -> Result[Spec, str]:
-    """Return the checked spec, or what is wrong with it, field by field."""
+    """Return the validated spec, or the errors by field."""
     adapter = SPECS.get(key.kind)
     if adapter is None:
         return Error(f"kind: expected one of {', '.join(SPECS)}, got {key.kind!r}")
@@ -28,8 +28,8 @@
         return Error(f"spec: expected at most {MAXIMUM_SPEC_BYTES} bytes")
     try:
         spec: Spec = adapter.validate_json(text)
-    except ValidationError as error:
-        return Error("; ".join(_describe(entry) for entry in error.errors()))
+    except ValidationError as exc:
+        return Error("; ".join(_describe(entry) for entry in exc.errors()))
     return _check_name(key, spec)
 
 
@@ -44,7 +44,7 @@
         case GroupSpec():
             return _check_members(key, spec)
     if key.name != expected:
-        return Error(f"name: expected {expected!r} after the spec, got {key.name!r}")
+        return Error(f"name: expected {expected!r} to match the spec, got {key.name!r}")
     return Ok(spec)
 
 
@@ -53,7 +53,7 @@
         return Error("name: expected no dot in a group's name")
     names = [member.instance for member in spec.members]
     if len(set(names)) != len(names):
-        return Error("spec.members: an instance is named twice")
+        return Error("spec.members: duplicate instance")
     return Ok(spec)
 
 
--- a/src/bramblebeam/core/configuration/view.py
+++ b/src/bramblebeam/core/configuration/view.py
@@ -1,4 +1,4 @@
-"""The immutable view of the rows in force that other services read."""
+"""The immutable view of the rows in force, as read by other services."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -11,8 +11,8 @@
 class ConfigurationView:
     """The rows in force at one node. `version` is the highest version applied.
 
-    A mapping of which no row changed is the same object as in the view before: what was derived
-    from it stays good.
+    A mapping without changed rows is the same object as in the previous view, so that data derived
+    from it stays valid.
     """
 
     version: int = 0
@@ -23,6 +23,6 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationChanged:
-    """Published by the configuration service each time rows come into force."""
+    """Published by the configuration service whenever rows come into force."""
 
     view: ConfigurationView
--- a/src/bramblebeam/core/configuration/view_builder.py
+++ b/src/bramblebeam/core/configuration/view_builder.py
@@ -20,20 +20,20 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidRow:
-    """A row that does not come into force; the one before it, if any, stays."""
+    """A row that is not put in force; its previous version, if any, stays in force."""
 
     row: Row
     detail: str
 
 
 class ViewBuilder:
-    """Holds the parsed rows; `view` is replaced, never changed."""
+    """Holds the parsed rows; `view` is replaced by each update and never modified."""
 
     def __init__(self) -> None:
         self.view = ConfigurationView()
 
     def apply(self, rows: Iterable[Row]) -> list[InvalidRow]:
-        """Put the rows in force; return those that are wrong."""
+        """Put the rows in force; return the invalid ones."""
         draft = _Draft(self.view)
         invalid: list[InvalidRow] = []
         for row in rows:
@@ -51,57 +51,57 @@
 
 
 class _Draft:
-    """The next view. A mapping is copied when its first row changes."""
+    """The next view. A mapping is copied on its first change."""
 
     def __init__(self, view: ConfigurationView) -> None:
         self.version = view.version
-        self._before = view
+        self._previous = view
         self._groups: dict[GroupId, GroupSpec] | None = None
         self._limits: dict[tuple[ServiceId, GroupId], LimitSpec] | None = None
         self._weights: dict[InstanceId, WeightSpec] | None = None
 
     def view(self) -> ConfigurationView:
-        """Return the view, with the mappings of the one before where nothing changed."""
-        before = self._before
+        """Return the view; mappings without changes are those of the previous view."""
+        previous = self._previous
         return ConfigurationView(
             self.version,
-            before.groups if self._groups is None else self._groups,
-            before.limits if self._limits is None else self._limits,
-            before.weights if self._weights is None else self._weights,
+            previous.groups if self._groups is None else self._groups,
+            previous.limits if self._limits is None else self._limits,
+            previous.weights if self._weights is None else self._weights,
         )
 
     def put(self, key: RowKey, spec: Spec) -> None:
         """Set one row."""
         match spec:
             case GroupSpec():
-                self._changed_groups()[GroupId(key.name)] = spec
+                self._mutable_groups()[GroupId(key.name)] = spec
             case LimitSpec():
-                self._changed_limits()[spec.service, spec.group] = spec
+                self._mutable_limits()[spec.service, spec.group] = spec
             case WeightSpec():
-                self._changed_weights()[spec.instance] = spec
+                self._mutable_weights()[spec.instance] = spec
 
     def remove(self, key: RowKey) -> None:
-        """Take one row out."""
+        """Remove one row."""
         match key.kind:
             case "group":
-                self._changed_groups().pop(GroupId(key.name), None)
+                self._mutable_groups().pop(GroupId(key.name), None)
             case "limit":
                 service, _, group = key.name.rpartition(".")
-                self._changed_limits().pop((ServiceId(service), GroupId(group)), None)
+                self._mutable_limits().pop((ServiceId(service), GroupId(group)), None)
             case "weight":
-                self._changed_weights().pop(InstanceId(key.name), None)
+                self._mutable_weights().pop(InstanceId(key.name), None)
 
-    def _changed_groups(self) -> dict[GroupId, GroupSpec]:
+    def _mutable_groups(self) -> dict[GroupId, GroupSpec]:
         if self._groups is None:
-            self._groups = dict(self._before.groups)
+            self._groups = dict(self._previous.groups)
         return self._groups
 
-    def _changed_limits(self) -> dict[tuple[ServiceId, GroupId], LimitSpec]:
+    def _mutable_limits(self) -> dict[tuple[ServiceId, GroupId], LimitSpec]:
         if self._limits is None:
-            self._limits = dict(self._before.limits)
+            self._limits = dict(self._previous.limits)
         return self._limits
 
-    def _changed_weights(self) -> dict[InstanceId, WeightSpec]:
+    def _mutable_weights(self) -> dict[InstanceId, WeightSpec]:
         if self._weights is None:
-            self._weights = dict(self._before.weights)
+            self._weights = dict(self._previous.weights)
         return self._weights
--- a/tests/test_configuration_view.py
+++ b/tests/test_configuration_view.py
@@ -45,7 +45,7 @@
 def test_names_must_follow_the_spec() -> None:
     renamed = LIMIT._replace(key=RowKey("limit", "other.a"))
     (invalid,) = ViewBuilder().apply([renamed])
-    assert invalid.detail == "name: expected 's.a' after the spec, got 'other.a'"
+    assert invalid.detail == "name: expected 's.a' to match the spec, got 'other.a'"
 
 
 def test_what_follows_from_groups_and_limits_is_the_same_by_either_way() -> None:
