--- a/src/bramblebeam/core/administration/__init__.py
+++ b/src/bramblebeam/core/administration/__init__.py
@@ -1,1 +1,1 @@
-"""Administration: what the admin services of nodes ask each other."""
+"""Administration: requests between the admin services of nodes."""
--- a/src/bramblebeam/core/administration/messages.py
+++ b/src/bramblebeam/core/administration/messages.py
@@ -1,4 +1,4 @@
-"""What the admin service of one node asks that of another."""
+"""Requests of one node's admin service to another's, and their replies."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class ServiceSlots(NamedTuple):
-    """One service's part of one back end's slots. `borrowed`: how many of `used` are others'."""
+    """One service's share of a back end's slots. `borrowed`: part of `used`, from others."""
 
     service: ServiceId
     slots: int
@@ -18,7 +18,7 @@
 
 
 class PoolReport(NamedTuple):
-    """The slots of one back end that the answering node owns."""
+    """The slots of one back end that the replying node owns."""
 
     instance: InstanceId
     group: GroupId
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolStatusRequest:
-    """Ask the node's pool service for its slots; the answer is a `PoolStatus`."""
+    """Query the node's pool service for its slots; answered by `PoolStatus`."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,14 +42,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeStatusRequest:
-    """Ask a node for its own state; `instances`: those back ends to report (empty: all it owns)."""
+    """Query a node for its state; `instances`: back ends to report (empty: all that it owns)."""
 
     instances: tuple[InstanceId, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class NodeStatusReply:
-    """One node's state. `complete`: the store version that it has in force at least."""
+    """The state of one node. `complete`: it has at least this store version in force."""
 
     node: NodeId
     zone: ZoneId
@@ -64,13 +64,13 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainNodeRequest:
-    """Ask a node to stop as planned: it hands over what it owns and cuts nothing."""
+    """Request a planned stop: the node hands over what it owns and interrupts no work."""
 
     operator: str
 
 
 @dataclass(frozen=True, slots=True)
 class DrainNodeReply:
-    """The node begins its planned stop."""
+    """The node has begun its planned stop."""
 
     node: NodeId
--- a/src/bramblebeam/core/feed/__init__.py
+++ b/src/bramblebeam/core/feed/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on who reads the store, and the lists that nodes tell each other."""
+"""Decides which nodes read the store; messages by which nodes pass on its lists."""
--- a/src/bramblebeam/core/feed/messages.py
+++ b/src/bramblebeam/core/feed/messages.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of the store's lists."""
+"""Messages by which one node follows the store's lists at another."""
 
 from enum import IntEnum
 from typing import NamedTuple
@@ -8,21 +8,22 @@
 from bramblebeam.core.tenants import Tenant
 
 UNKNOWN_REVISION = -1
+"""Nothing is known of the list."""
 UNKNOWN_ERA = -1
-"""By a node of a version that knows no eras: it means whatever era the other one is in."""
+"""Sent by nodes of versions without eras; a request then means the era of the replying node."""
 
 
 class ListName(IntEnum):
-    """A list of the store."""
+    """A list in the store."""
 
     ROUTES = 1
     DATABASES = 2
 
 
 class FollowRequest(NamedTuple):
-    """Ask a node for what changed in a list since `revision`, or for all (NOTHING_KNOWN).
+    """Request the changes of a list since `revision`, or the whole list (UNKNOWN_REVISION).
 
-    `wait`: how long to wait for a change (seconds). `era`: that of `revision`.
+    `wait`: how long to hold the reply until there is a change (seconds). `era`: the era of `revision`.
     """
 
     name: ListName
@@ -34,7 +35,7 @@
 class RouteTableItem(NamedTuple):
     """A route table under its name in the store. `version` 0: it was deleted.
 
-    `tenants` None: the table knows none, and anybody may use the databases.
+    `tenants` None: the table defines no tenants, and any caller may use the databases.
     """
 
     name: str
@@ -56,19 +57,19 @@
 
 
 class DatabaseStart(NamedTuple):
-    """When the database of an entry started (milliseconds of the epoch), by its name."""
+    """The start time (milliseconds since the epoch) of the database with this name."""
 
     name: str
     born: int
 
 
 class FollowReply(NamedTuple):
-    """The changes, or the whole list, up to `revision`.
+    """The changes of a list up to `revision`, or the whole list.
 
-    `available` False: the node knows nothing, or has lost all its own sources. `age`: seconds since
-    the last time that the store, or who told the node, confirmed the list. `starts`: of those
-    databases that tell theirs; their entries have the plain name, as nodes of an earlier version
-    know nothing else. `era`: that of every revision in the reply.
+    `available` False: the node has no list, or has lost all its own sources. `age`: seconds since
+    the list was last confirmed by the store, directly or through other nodes. `starts`: the start
+    times of the databases that report one. Their entries carry the plain name without it, because
+    nodes of earlier versions know only that name. `era`: the era of every revision in the reply.
     """
 
     available: bool
--- a/src/bramblebeam/core/feed/plan.py
+++ b/src/bramblebeam/core/feed/plan.py
@@ -1,8 +1,8 @@
-"""Who reads the store, and who is told by those that do.
+"""Decides which nodes read the store and which follow those that do.
 
-Each question to the store has a price, and a store bears few readers. Where the nodes are many, two
-in each region read it; they tell the others of their region, and each other across regions, so that
-a region whose readers are cut off from the store still has its news.
+Every request costs the store something, and it can serve only a few readers. In a large system two
+nodes of each region read it. The other nodes of the region follow them, and readers also follow
+each other across regions, so that a region whose readers cannot reach the store still gets changes.
 """
 
 from collections.abc import Mapping
@@ -15,18 +15,21 @@
 
 READERS_PER_REGION = 2
 MAX_DIRECT_READERS = 12
-"""So few nodes all read the store themselves."""
+"""Up to this number of nodes, all of them read the store themselves."""
 
 
 class FeedPlan(NamedTuple):
-    """What one node follows. `reads_store`: always, not only where no peer can tell."""
+    """What one node follows.
+
+    `reads_store`: the node always reads the store, not only if no peer is available.
+    """
 
     reads_store: bool = True
     peers: tuple[NodeId, ...] = ()
 
 
 def feed_plan(place: NodePlace, members: MembersView) -> FeedPlan:
-    """Return what the node at `place` follows."""
+    """Return the plan of the node at `place`."""
     regions = _nodes_by_region(members)
     if sum(map(len, regions.values())) <= MAX_DIRECT_READERS:
         return FeedPlan()
@@ -34,8 +37,10 @@
     own = readers.get(place.region, ())
     if place.node not in own:
         return FeedPlan(not own, own)
-    others = [found[0] for region, found in sorted(readers.items()) if region != place.region]
-    return FeedPlan(True, tuple(others))
+    remote_readers = [
+        found[0] for region, found in sorted(readers.items()) if region != place.region
+    ]
+    return FeedPlan(True, tuple(remote_readers))
 
 
 def _readers(region: str, nodes: list[NodeId]) -> tuple[NodeId, ...]:
--- a/src/bramblebeam/core/ownership/__init__.py
+++ b/src/bramblebeam/core/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Ownership: which node owns a back-end instance's connections, a group, a reader's role."""
+"""Ownership: which node owns an instance's connections, a group or a reader's role."""
--- a/src/bramblebeam/core/ownership/assignment.py
+++ b/src/bramblebeam/core/ownership/assignment.py
@@ -1,4 +1,4 @@
-"""Which instances a node should own, kept up to date as members and rows change."""
+"""Tracks which instances a node should own as members and rows change."""
 
 from collections.abc import Iterable, Mapping
 
@@ -9,7 +9,10 @@
 
 
 class Assignment:
-    """The instances of one zone and which of them this node should own."""
+    """The instances of one zone, and those of them that this node should own (`wanted`).
+
+    `owners`: the nodes of the zone that may own instances.
+    """
 
     def __init__(self, node: NodeId, zone: ZoneId) -> None:
         self.node = node
@@ -18,10 +21,10 @@
         self.wanted: frozenset[InstanceId] = frozenset()
         self.owners: tuple[NodeId, ...] = ()
         self._groups: Mapping[GroupId, GroupSpec] | None = None
-        self._chosen: dict[InstanceId, NodeId | None] = {}
+        self._owner_by_instance: dict[InstanceId, NodeId | None] = {}
 
     def configure(self, view: ConfigurationView) -> None:
-        """Take the rows in force; nothing is to be done while the groups' rows are the same."""
+        """Apply the rows in force; does nothing if the groups are unchanged."""
         if view.groups is self._groups:
             return
         self._groups = view.groups
@@ -33,29 +36,31 @@
             for member in spec.members
             if member.zone == self.zone
         }
-        self._choose()
+        self._update_wanted()
 
     def set_owners(self, owners: Iterable[NodeId]) -> None:
-        """Take the nodes of the zone that may own something."""
+        """Set the nodes of the zone that may own instances."""
         owners = tuple(owners)
         if owners == self.owners:
             return
         self.owners = owners
-        self._chosen.clear()
-        self._choose()
+        self._owner_by_instance.clear()
+        self._update_wanted()
 
     def group_of(self, instance: InstanceId) -> GroupId | None:
-        """Return the instance's group, or None where no row names the instance in this zone."""
+        """Return the instance's group, or None if no row lists the instance in this zone."""
         spec = self.instances.get(instance)
         return spec.group if spec else None
 
-    def _choose(self) -> None:
-        self._chosen = {instance: self._owner(instance) for instance in self.instances}
+    def _update_wanted(self) -> None:
+        self._owner_by_instance = {
+            instance: self._choose_owner(instance) for instance in self.instances
+        }
         self.wanted = frozenset(
-            instance for instance, owner in self._chosen.items() if owner == self.node
+            instance for instance, owner in self._owner_by_instance.items() if owner == self.node
         )
 
-    def _owner(self, instance: InstanceId) -> NodeId | None:
-        if instance in self._chosen:
-            return self._chosen[instance]
+    def _choose_owner(self, instance: InstanceId) -> NodeId | None:
+        if instance in self._owner_by_instance:
+            return self._owner_by_instance[instance]
         return owner_of(instance_key(instance), self.owners)
--- a/src/bramblebeam/core/ownership/events.py
+++ b/src/bramblebeam/core/ownership/events.py
@@ -1,4 +1,4 @@
-"""Events and effects of the claim machine. Epochs are the back end's connection ids."""
+"""Events and effects of the claim machine. An epoch is a connection id of the back end."""
 
 from typing import NamedTuple
 
@@ -6,27 +6,27 @@
 
 
 class WantedChanged(NamedTuple):
-    """The member table now says that this node is (or is not) the instance's owner."""
+    """The member table assigns the instance to this node, or no longer does."""
 
     wanted: bool
 
 
 class Stopping(NamedTuple):
-    """The node stops as planned: hand the instance to whoever asks and claim it no more."""
+    """The node is shutting down: hand the instance to any requester and claim it no more."""
 
 
 class ControlOpened(NamedTuple):
-    """The control connection stands. `connection_id` is the epoch if the lock is taken on it."""
+    """The control connection is open. Its id becomes the epoch if it takes the lock."""
 
     connection_id: int
 
 
 class ControlLost(NamedTuple):
-    """The control connection failed, or could not be opened. A lock held on it is lost."""
+    """The control connection failed or could not be opened. A lock held on it is lost."""
 
 
 class LockTaken(NamedTuple):
-    """The ownership lock is held by the control connection."""
+    """The control connection holds the ownership lock."""
 
 
 class LockHeld(NamedTuple):
@@ -42,7 +42,10 @@
 
 
 class ReleaseAnswered(NamedTuple):
-    """The holder's answer to a release request; `grace` in seconds."""
+    """The holder's reply to a release request.
+
+    `retained`: connections that stay in use, to be left alone for `grace` seconds.
+    """
 
     granted: bool
     retained: tuple[int, ...] = ()
@@ -50,7 +53,7 @@
 
 
 class ReleaseUnanswered(NamedTuple):
-    """The holder gave no answer within the lease."""
+    """The holder did not reply within the lease."""
 
 
 class Evicted(NamedTuple):
@@ -58,61 +61,65 @@
 
 
 class Swept(NamedTuple):
-    """No connection of an older epoch is left at the back end, except `retained` ones."""
+    """All slot connections of older epochs have ended at the back end, except `retained`."""
 
     retained: tuple[int, ...]
 
 
 class ReleaseRequested(NamedTuple):
-    """A peer asks for the instance."""
+    """A peer requests the instance. `epoch`: the ownership epoch that it saw."""
 
     requester: NodeId
     epoch: int
 
 
 class SlotsClosed(NamedTuple):
-    """No slot connection is open or opening any more, except those still in use: `retained`."""
+    """No slot connection is open or being opened, except `retained`, which are still in use."""
 
     retained: tuple[int, ...]
 
 
 class LockReleased(NamedTuple):
-    """The lock is free and the control connection is closed."""
+    """The lock is released and the control connection is closed."""
 
 
 class OpenControl(NamedTuple):
-    """Open the control connection; answered by ControlOpened or ControlLost."""
+    """Effect: open the control connection; answered by ControlOpened or ControlLost."""
 
 
 class CloseControl(NamedTuple):
-    """Close the control connection; no answer."""
+    """Effect: close the control connection; not answered."""
 
 
 class TryLock(NamedTuple):
-    """Try to take the lock; answered by LockTaken, LockHeld or ControlLost."""
+    """Effect: try to take the lock; answered by LockTaken, LockHeld or ControlLost."""
 
 
 class RequestRelease(NamedTuple):
-    """Ask the holder; answered by ReleaseAnswered or ReleaseUnanswered."""
+    """Effect: ask the holder to hand over; answered by ReleaseAnswered or ReleaseUnanswered."""
 
     node: NodeId
     epoch: int
 
 
 class Evict(NamedTuple):
-    """Have the back end end the holder's control connection; Evicted or ControlLost."""
+    """Effect: end the holder's control connection; answered by Evicted or ControlLost."""
 
     connection_id: int
 
 
 class Sweep(NamedTuple):
-    """Have the back end end every slot connection but `keep`; Swept or ControlLost."""
+    """Effect: end every slot connection except `keep`; answered by Swept or ControlLost."""
 
     keep: tuple[int, ...]
 
 
 class OpenSlots(NamedTuple):
-    """This node is the owner: slots may be used, but for those that `retained` still take."""
+    """Effect: this node owns the instance and may use its slots.
+
+    Connections in `retained` belong to the previous owner and occupy slots until they end, or until
+    `retained_until` (seconds).
+    """
 
     epoch: int
     retained: tuple[int, ...]
@@ -120,19 +127,19 @@
 
 
 class CloseSlots(NamedTuple):
-    """Start no work, close idle connections; answered by SlotsClosed."""
+    """Effect: start no new work and close idle connections; answered by SlotsClosed."""
 
 
 class CutSlots(NamedTuple):
-    """Ownership is lost without a handover: close every slot connection at once; no answer."""
+    """Effect: close all slot connections at once, as ownership is lost; not answered."""
 
 
 class ReleaseLock(NamedTuple):
-    """Release the lock and close the control connection; answered by LockReleased."""
+    """Effect: release the lock and close the control connection; answered by LockReleased."""
 
 
 class AnswerRelease(NamedTuple):
-    """Answer the peers that asked for the instance."""
+    """Effect: reply to the peers that requested the instance."""
 
     granted: bool
     retained: tuple[int, ...] = ()
--- a/src/bramblebeam/core/ownership/messages.py
+++ b/src/bramblebeam/core/ownership/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the holder of an instance's ownership lock and the node that wants it."""
+"""Messages between the holder of an instance's ownership lock and a node that should own it."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseRequest:
-    """Ask the holder to hand the instance over. `epoch` is the holder's ownership epoch."""
+    """Request that the holder hand the instance over. `epoch`: the holder's ownership epoch."""
 
     instance: InstanceId
     epoch: int
@@ -16,11 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseReply:
-    """The holder's answer.
+    """The holder's reply.
 
-    `granted`: the lock is free, and the holder opens no connection any more. `retained` are the
-    back end's ids of connections that still serve transactions and statements of the holder; they
-    count against the slots, and the new owner leaves them alone for `grace_ms`.
+    `granted`: the lock is released, and the holder opens no more connections. `retained`: back-end
+    ids of connections that still serve transactions and statements of the holder. They occupy
+    slots, and the new owner does not end them for `grace_ms`.
     """
 
     instance: InstanceId
