--- a/src/bramblebeam/core/configuration/relay.py
+++ b/src/bramblebeam/core/configuration/relay.py
@@ -98,7 +98,7 @@
         return min(moment for moment in due if moment is not None)
 
     def in_force(self, version: int) -> InForceReply:
-        """Return how far this zone is towards a store version, as far as known here."""
+        """Return the progress of this zone towards a store version, as known to this node."""
         completes = self.peers.zone_completes(self.table.complete if self.ready else 0)
         slowest = min(completes, key=lambda node: (completes[node], node))
         behind = sum(1 for complete in completes.values() if complete < version)
--- a/src/bramblebeam/core/feed/messages.py
+++ b/src/bramblebeam/core/feed/messages.py
@@ -23,7 +23,7 @@
 class FollowRequest(NamedTuple):
     """Request the changes of a list since `revision`, or the whole list (UNKNOWN_REVISION).
 
-    `wait`: how long to hold the reply until there is a change (seconds). `era`: the era of `revision`.
+    `wait`: how long to hold the reply until there is a change (seconds). `era`: that of `revision`.
     """
 
     name: ListName
--- a/tests/ownership_world.py
+++ b/tests/ownership_world.py
@@ -1,7 +1,7 @@
 """A model of several nodes that claim one instance, and of the back end that arbitrates.
 
-Every operation acts at the back end at one moment and is answered at a later one; nodes are paused,
-restarted, cut from each other, and told different things about who should own the instance.
+Every operation takes effect at the back end at one time and is answered at a later one. Nodes are
+paused, restarted and disconnected from each other, and disagree on which should own the instance.
 """
 
 import random
@@ -29,7 +29,7 @@
 
 @dataclass
 class Backend:
-    """Connections and the lock."""
+    """The connections to the back end, and the connection that holds the lock."""
 
     connections: dict[int, Connection] = field(default_factory=dict)
     lock: int = 0
@@ -47,14 +47,14 @@
             self.lock = 0
 
     def slots(self) -> set[int]:
-        return {one.id for one in self.connections.values() if one.is_slot}
+        return {connection.id for connection in self.connections.values() if connection.is_slot}
 
     def usable(self) -> int:
-        return sum(one.usable for one in self.connections.values())
+        return sum(connection.usable for connection in self.connections.values())
 
 
 class Node:
-    """One node: the claim machine and a small shell that follows its effects."""
+    """One node: the claim machine and a driver that carries out its effects."""
 
     def __init__(self, world: "World", name: str) -> None:
         self.world, self.name = world, name
@@ -65,10 +65,10 @@
         self.answer: object = None
         self.sweeping: set[int] | None = None
         self.open, self.epoch = False, 0
-        self.mine: set[int] = set()
-        self.opening: set[int] = set()
-        self.foreign: set[int] = set()
-        self.asked: list[Node] = []
+        self.own_slots: set[int] = set()
+        self.opening_slots: set[int] = set()
+        self.retained_slots: set[int] = set()
+        self.requesters: list[Node] = []
 
     def handle(self, event: object) -> None:
         for effect in self.machine.handle(event, self.world.now):
@@ -79,31 +79,34 @@
         match effect:
             case e.OpenSlots():
                 self.open, self.epoch = True, effect.epoch
-                self.foreign = set(effect.retained)
-                self.mine, self.opening = set(), set()
+                self.retained_slots = set(effect.retained)
+                self.own_slots, self.opening_slots = set(), set()
             case e.CutSlots():
                 self.cut()
             case e.CloseControl():
                 self.close_control()
             case e.AnswerRelease():
-                for asker in self.asked:
-                    if isinstance(asker.operation, e.RequestRelease) and asker.answer is None:
-                        asker.answer = e.ReleaseAnswered(effect.granted, effect.retained, GRACE)
-                self.asked.clear()
+                for requester in self.requesters:
+                    if (
+                        isinstance(requester.operation, e.RequestRelease)
+                        and requester.answer is None
+                    ):
+                        requester.answer = e.ReleaseAnswered(effect.granted, effect.retained, GRACE)
+                self.requesters.clear()
             case _:
                 assert self.operation is None, "one operation at a time"
                 self.operation = effect
                 if isinstance(effect, e.CloseSlots):
                     self.open = False
-                    for one in self.mine - self.world.busy:
-                        backend.end(one)
-                        self.mine.discard(one)
+                    for slot_id in self.own_slots - self.world.busy:
+                        backend.end(slot_id)
+                        self.own_slots.discard(slot_id)
 
     def cut(self) -> None:
         self.open = False
-        for one in self.mine | self.opening:
-            self.world.backend.end(one)
-        self.mine, self.opening = set(), set()
+        for slot_id in self.own_slots | self.opening_slots:
+            self.world.backend.end(slot_id)
+        self.own_slots, self.opening_slots = set(), set()
         self.close_control()
 
     def close_control(self) -> None:
@@ -111,20 +114,20 @@
         self.control = 0
 
     def step(self) -> None:
-        """Do the next thing that is due."""
+        """Deliver the next reply or execute the next operation, then use the slots."""
         if self.answer is not None:
             self.operation, answer, self.answer = None, self.answer, None
             self.handle(answer)
         elif self.operation is not None:
-            self.act()
+            self.execute_operation()
         wakeup = self.machine.next_wakeup()
         if self.operation is None and wakeup is not None and wakeup <= self.world.now:
             self.handle(Wakeup())
         if self.open:
-            self.work()
+            self.use_slots()
 
-    def act(self) -> None:
-        """Let the operation under way act at the back end."""
+    def execute_operation(self) -> None:
+        """Execute the operation in flight at the back end."""
         world, backend = self.world, self.world.backend
         operation = self.operation
         if isinstance(operation, e.OpenControl):
@@ -134,12 +137,12 @@
             peer = world.nodes.get(operation.node)
             if peer is None or peer.is_paused or world.random.random() < 0.2:
                 self.answer = e.ReleaseUnanswered()
-            elif self not in peer.asked:
-                peer.asked.append(self)
+            elif self not in peer.requesters:
+                peer.requesters.append(self)
                 peer.handle(e.ReleaseRequested(NodeId(self.name), operation.epoch))
         elif isinstance(operation, e.CloseSlots):
-            if not self.opening:
-                self.answer = e.SlotsClosed(tuple(sorted(self.mine | self.foreign)))
+            if not self.opening_slots:
+                self.answer = e.SlotsClosed(tuple(sorted(self.own_slots | self.retained_slots)))
         elif isinstance(operation, e.ReleaseLock):
             self.close_control()
             self.answer = e.LockReleased()
@@ -174,8 +177,8 @@
             return
         self.answer = e.Swept(tuple(sorted(backend.slots() & keep)))
 
-    def work(self) -> None:
-        """Poll on the control connection; open, check, use and close slots."""
+    def use_slots(self) -> None:
+        """Use the control connection, notice its loss, open slots and end statements."""
         world, backend = self.world, self.world.backend
         control = backend.connections.get(self.control)
         notices = world.random.random() < 0.3
@@ -184,32 +187,35 @@
             return
         if control is not None:
             control.used_at = world.now
-        self.foreign &= backend.slots()
-        self.mine &= backend.slots()
+        self.retained_slots &= backend.slots()
+        self.own_slots &= backend.slots()
         choice = world.random.random()
-        if choice < 0.6 and len(self.mine | self.opening | self.foreign) < world.total:
+        if (
+            choice < 0.6
+            and len(self.own_slots | self.opening_slots | self.retained_slots) < world.total
+        ):
             refused = world.backstop and len(backend.slots()) >= world.total
             if not refused:
-                self.opening.add(backend.open(self.name, True, world.now).id)
-        elif choice < 0.7 and self.mine:
-            ended = world.random.choice(sorted(self.mine))
+                self.opening_slots.add(backend.open(self.name, True, world.now).id)
+        elif choice < 0.7 and self.own_slots:
+            ended = world.random.choice(sorted(self.own_slots))
             world.busy.discard(ended)
 
-    def check(self) -> None:
-        """Finish the openings: a connection is used only if its epoch holds the lock."""
+    def check_opened_slots(self) -> None:
+        """Finish opening slots: a connection is used only if its epoch holds the lock."""
         backend = self.world.backend
-        for one in sorted(self.opening):
-            self.opening.discard(one)
-            connection = backend.connections.get(one)
+        for slot_id in sorted(self.opening_slots):
+            self.opening_slots.discard(slot_id)
+            connection = backend.connections.get(slot_id)
             if connection is None:
                 continue
             if backend.lock == self.epoch or self.world.no_check:
                 connection.usable = True
-                self.mine.add(one)
+                self.own_slots.add(slot_id)
                 if self.world.random.random() < 0.5:
-                    self.world.busy.add(one)
+                    self.world.busy.add(slot_id)
             else:
-                backend.end(one)
+                backend.end(slot_id)
 
     @property
     def is_paused(self) -> bool:
@@ -217,7 +223,7 @@
 
 
 class World:
-    """Random schedules over the nodes; `violations` counts moments beyond the limit."""
+    """Random schedules over the nodes; records the peak numbers of connections and the owners."""
 
     def __init__(
         self,
@@ -238,23 +244,23 @@
         for _ in range(steps):
             self.now += self.random.choice((0.0, 0.01, 0.05, 0.3))
             node = self.random.choice(list(self.nodes.values()))
-            self.disturb(node)
+            self.inject_fault(node)
             if not node.is_paused:
                 node.step()
                 self.observe()
-                node.check()
-            self.finish_some()
+                node.check_opened_slots()
+            self.finish_some_statements()
             self.observe()
 
-    def finish_some(self) -> None:
-        """End statements of handed-over connections now and then, paused nodes' ones too."""
+    def finish_some_statements(self) -> None:
+        """End statements on connections being handed over at random, also of paused nodes."""
         for node in self.nodes.values():
-            for one in sorted(node.mine):
+            for slot_id in sorted(node.own_slots):
                 if not node.open and self.random.random() < 0.05:
-                    self.backend.end(one)
-                    node.mine.discard(one)
+                    self.backend.end(slot_id)
+                    node.own_slots.discard(slot_id)
 
-    def disturb(self, node: Node) -> None:
+    def inject_fault(self, node: Node) -> None:
         choice = self.random.random()
         if choice < 0.04:
             node.paused_until = self.now + self.random.choice((0.5, 3.0, 8.0))
@@ -267,13 +273,13 @@
             self.backend.lock = 0
 
     def restart(self, node: Node) -> None:
-        """Replace a node; its connections may linger at the back end."""
+        """Replace a node; its connections may stay open at the back end."""
         if self.random.random() < 0.5:
             node.cut()
         self.nodes[NodeId(node.name)] = Node(self, node.name)
 
     def settle(self) -> None:
-        """End the disturbances and let one node want the instance."""
+        """End the faults and let only node `a` want the instance."""
         for node in self.nodes.values():
             node.paused_until = 0.0
             node.handle(e.WantedChanged(node.name == "a"))
@@ -281,7 +287,7 @@
             self.now += 0.01
             for node in self.nodes.values():
                 node.step()
-                node.check()
+                node.check_opened_slots()
             self.observe()
 
     def observe(self) -> None:
--- a/tests/test_configuration_edit.py
+++ b/tests/test_configuration_edit.py
@@ -1,4 +1,4 @@
-"""One edit, answer by answer."""
+"""The state machine of one edit, driven reply by reply."""
 
 from typing import Any
 
@@ -30,7 +30,7 @@
 
 
 def run(expected: int, *events: Any) -> list[Any]:
-    """Feed the events, with a wake-up wherever the machine waits; return the last effects."""
+    """Feed the events, with a wakeup whenever the machine waits; return the last effects."""
     machine = EditMachine(EditRow(KEY, expected, "{}", "mine"), 0, deadline=100.0)
     effects = machine.begin()
     now = 0.0
@@ -47,20 +47,20 @@
     return effects[0].reply.status
 
 
-def test_a_write_is_conditional_on_the_version_seen_and_keeps_the_changes_before() -> None:
+def test_a_write_is_conditional_on_the_version_seen_and_keeps_earlier_change_ids() -> None:
     (write,) = run(5, RowRead(BASE))
     assert write == WriteRow(StoreRow(Row(KEY, 5, "{}", "mine"), "", ("base",)))
     accepted = Row(KEY, 6, "{}", "mine")
     assert status_of(run(5, RowRead(BASE), RowAccepted(accepted))) is EditStatus.WRITTEN
 
 
-def test_a_row_at_another_version_is_a_conflict_without_a_write() -> None:
+def test_a_row_at_another_version_is_a_conflict_and_is_not_written() -> None:
     assert status_of(run(4, RowRead(BASE))) is EditStatus.CONFLICT
     assert status_of(run(0, RowRead(BASE))) is EditStatus.CONFLICT
     assert status_of(run(4, ABSENT)) is EditStatus.CONFLICT
 
 
-def test_a_deleted_row_is_created_upon_what_is_left_of_it() -> None:
+def test_creating_a_deleted_row_replaces_its_remains() -> None:
     (write,) = run(0, RowRead(stored(9, "gone", "base", spec="")))
     assert write == WriteRow(StoreRow(Row(KEY, 9, "{}", "mine"), "", ("gone", "base")))
 
@@ -75,25 +75,25 @@
         (None, EditStatus.UNKNOWN),
     ],
 )
-def test_a_lost_answer_is_settled_by_the_changes_that_the_row_keeps(
+def test_a_lost_reply_is_resolved_by_the_change_ids_of_the_row(
     found: StoreRow | None, status: EditStatus
 ) -> None:
     assert status_of(run(5, RowRead(BASE), LOST, RowRead(found))) is status
 
 
-def test_a_write_that_is_not_there_is_sent_again_under_the_same_condition() -> None:
+def test_a_write_that_did_not_take_effect_is_resent_under_the_same_condition() -> None:
     first = run(5, RowRead(BASE))
     again = run(5, RowRead(BASE), LOST, RowRead(BASE))
     assert again == first
     assert run(5, RowRead(BASE), LOST, RowRead(BASE), RowConflicted()) == [ReadRow(KEY)]
 
 
-def test_a_creation_that_may_be_under_way_is_not_sent_again() -> None:
+def test_a_creation_that_may_be_in_flight_is_not_resent() -> None:
     assert run(0, ABSENT, LOST, ABSENT) == []
     assert status_of(run(0, ABSENT, LOST, ABSENT, RowRead(stored(3, "mine")))) is EditStatus.WRITTEN
 
 
-def test_time_up_tells_whether_the_edit_may_have_been_written() -> None:
+def test_at_the_deadline_the_status_shows_whether_the_edit_may_have_been_written() -> None:
     for events, status in (((), EditStatus.UNAVAILABLE), ((RowRead(BASE),), EditStatus.UNKNOWN)):
         machine = EditMachine(EditRow(KEY, 5, "{}", "mine"), 0, deadline=1.0)
         machine.begin()
@@ -102,7 +102,7 @@
         assert status_of(machine.handle(Wakeup(), 1.0)) is status
 
 
-def test_a_store_behind_the_rows_in_force_is_not_written_to() -> None:
+def test_a_store_older_than_the_rows_in_force_is_not_written_to() -> None:
     machine = EditMachine(EditRow(KEY, 5, "{}", "mine"), in_force=7, deadline=1.0)
     machine.begin()
     assert status_of(machine.handle(RowRead(BASE), 0.0)) is EditStatus.UNAVAILABLE
--- a/tests/test_configuration_relay.py
+++ b/tests/test_configuration_relay.py
@@ -1,4 +1,4 @@
-"""The relay and the edits in virtual time, under faults."""
+"""The relay: trials of many nodes and edits under faults in virtual time, and single relays."""
 
 import pytest
 
@@ -44,21 +44,21 @@
     assert result.store_watches_peak <= 3 * 4
 
 
-def test_the_trial_sees_rows_that_go_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    def apply_anything(table: RowTable, new: Row) -> bool:
+def test_the_trial_detects_reverted_rows(monkeypatch: pytest.MonkeyPatch) -> None:
+    def apply_any_version(table: RowTable, new: Row) -> bool:
         table._rows[new.key] = new
         return True
 
-    monkeypatch.setattr(RowTable, "_apply_one", apply_anything)
+    monkeypatch.setattr(RowTable, "_apply_one", apply_any_version)
     assert run_trial(1, zones=4, nodes=20, edits=200, seconds=160.0).reverted > 0
 
 
-def test_the_trial_sees_false_answers(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_trial_detects_false_replies(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(StoreRow, "has_change", lambda _row, _change_id: False)
     assert run_trial(1, zones=4, nodes=20, edits=200, seconds=160.0).lost_or_false_answers > 0
 
 
-def test_a_zone_cut_off_from_the_store_gets_rows_from_the_others() -> None:
+def test_a_zone_without_the_store_gets_rows_from_other_zones() -> None:
     world = World(seed=1, zones=3, nodes=9)
     world.clock.run_until(5.0)
     world.cut_from_store.add(ZoneId("zone-01"))
@@ -70,7 +70,7 @@
     assert trial.delays(with_absent=True)[-1] < 9_000
 
 
-def test_the_store_down_for_long_changes_nothing_and_new_nodes_get_the_rows_from_peers() -> None:
+def test_during_a_store_outage_rows_stay_and_new_nodes_get_them_from_peers() -> None:
     world = World(seed=1, zones=2, nodes=8)
     Trial(world, edits=20, seconds=10.0).run()
     before = {name: node.relay.table.digest for name, node in world.nodes.items()}
@@ -85,7 +85,7 @@
     assert all(node.relay.ready for node in world.nodes.values())
 
 
-def test_all_nodes_restarted_with_the_store_down_take_no_traffic() -> None:
+def test_nodes_that_all_start_during_a_store_outage_are_not_ready() -> None:
     world = World(seed=1, zones=2, nodes=6)
     world.store.down = True
     world.clock.run_until(60.0)
@@ -95,7 +95,7 @@
     assert all(node.relay.ready for node in world.nodes.values())
 
 
-def test_a_restored_store_does_not_take_rows_back() -> None:
+def test_a_store_restored_to_an_older_state_does_not_revert_rows() -> None:
     relay = relay_with(row(10), row(20, key=RowKey("weight", "b")))
     effects = relay.handle(RowsListed(15, (row(8),)), 1.0)
     assert StoreBehind(15, 20) in effects
@@ -103,7 +103,7 @@
     assert relay.table.complete == 20
 
 
-def test_a_row_missing_from_a_newer_list_is_deleted_and_stays_so() -> None:
+def test_a_row_missing_from_a_newer_listing_is_deleted_and_stays_deleted() -> None:
     relay = relay_with(row(10), row(12, key=RowKey("weight", "b")))
     relay.handle(RowsListed(30, (row(12, key=RowKey("weight", "b")),)), 1.0)
     assert relay.table.get(KEY) == row(30, "")
@@ -111,7 +111,7 @@
     assert relay.table.get(KEY) == row(30, "")
 
 
-def test_changes_with_a_gap_do_not_count_as_complete_until_it_is_filled() -> None:
+def test_changes_after_a_gap_are_not_complete_until_it_is_filled() -> None:
     relay = relay_with(row(10))
     later = row(14, key=RowKey("weight", "b"))
     relay.handle(Received(NodeId("m"), Changes(13, 14, (later,))), 1.0)
@@ -122,7 +122,7 @@
     assert relay.table.complete == 14
 
 
-def test_tables_that_differ_without_a_gap_are_mended_by_buckets() -> None:
+def test_tables_that_differ_without_a_gap_are_repaired_by_buckets() -> None:
     ours, theirs = relay_with(row(10)), relay_with(row(10))
     ahead = row(12, key=RowKey("weight", "b"))
     theirs.handle(RowWritten(ahead), 1.0)
@@ -147,14 +147,14 @@
 
 
 def exchange(nodes: dict[NodeId, ConfigurationRelay], messages: list[tuple[NodeId, Send]]) -> None:
-    """Deliver messages, and what comes of them, until none is left."""
+    """Deliver messages, and those sent in response, until none is left."""
     while messages:
         sender, send = messages.pop(0)
         effects = nodes[send.to].handle(Received(sender, send.message), 1.0)
         messages += [(send.to, effect) for effect in effects if isinstance(effect, Send)]
 
 
-def test_a_listing_begins_service_and_the_watch() -> None:
+def test_an_unrequested_listing_makes_the_relay_ready_without_a_watch() -> None:
     relay = ConfigurationRelay(NODE, ZoneId("z"), True)
     assert not relay.ready
     effects = relay.handle(RowsListed(3, ()), 0.0)
--- a/tests/test_configuration_view.py
+++ b/tests/test_configuration_view.py
@@ -1,4 +1,4 @@
-"""The view of the rows in force."""
+"""The view of the rows in force, and what is derived from it."""
 
 import json
 
@@ -20,7 +20,7 @@
     return builder
 
 
-def test_a_change_leaves_the_mappings_of_other_kinds_as_they_are() -> None:
+def test_a_change_keeps_the_mappings_of_other_kinds() -> None:
     builder = built()
     before = builder.view
     builder.apply([WEIGHT._replace(version=4, spec=json.dumps({"instance": "a-1"}))])
@@ -32,10 +32,10 @@
     assert after.version == 4
 
 
-def test_deleted_rows_go_and_wrong_rows_leave_the_one_before() -> None:
+def test_deleted_rows_are_removed_and_invalid_rows_keep_the_previous_version() -> None:
     builder = built()
-    wrong = WEIGHT._replace(version=5, spec='{"instance": "a-1", "weight": 1}')
-    (invalid,) = builder.apply([wrong, LIMIT._replace(version=6, spec="")])
+    malformed = WEIGHT._replace(version=5, spec='{"instance": "a-1", "weight": 1}')
+    (invalid,) = builder.apply([malformed, LIMIT._replace(version=6, spec="")])
     assert invalid.detail == "spec.weight: there is no such field"
     assert builder.view.weights[InstanceId("a-1")].read_weight == 7
     assert builder.view.limits == {}
@@ -43,12 +43,12 @@
 
 
 def test_names_must_follow_the_spec() -> None:
-    renamed = LIMIT._replace(key=RowKey("limit", "other.a"))
-    (invalid,) = ViewBuilder().apply([renamed])
+    misnamed = LIMIT._replace(key=RowKey("limit", "other.a"))
+    (invalid,) = ViewBuilder().apply([misnamed])
     assert invalid.detail == "name: expected 's.a' to match the spec, got 'other.a'"
 
 
-def test_what_follows_from_groups_and_limits_is_the_same_by_either_way() -> None:
+def test_assignment_and_limits_follow_the_view() -> None:
     builder = built()
     assignment = Assignment(NodeId("n"), ZoneId("z"))
     assignment.set_owners([NodeId("n")])
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -1,4 +1,4 @@
-"""The lists of the store, as several sources tell of them, and who reads the store."""
+"""Lists of the store merged from several sources, and which nodes read the store."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -17,45 +17,45 @@
 
 
 def make_list() -> tuple[FollowedList[str], list[Versioned[str]]]:
-    news: list[Versioned[str]] = []
-    return FollowedList[str](news.extend), news
+    changes: list[Versioned[str]] = []
+    return FollowedList[str](changes.extend), changes
 
 
 def item(name: str, revision: int, deleted: bool = False) -> Versioned[str]:
     return Versioned(name, at(revision), None if deleted else f"{name}{revision}", deleted)
 
 
-def test_of_one_name_the_highest_revision_counts_whoever_tells_it() -> None:
-    followed, news = make_list()
+def test_the_highest_revision_of_a_name_wins_from_any_source() -> None:
+    followed, changes = make_list()
     followed.merge(Batch((item("a", 5),), at(5)), True, 0.0)
     followed.merge(Batch((item("a", 4),), at(4)), False, 0.0)
     followed.merge(Batch((item("a", 5),), at(5)), False, 0.0)
     followed.merge(Batch((item("a", 7),), at(7)), False, 0.0)
-    assert news == [item("a", 5), item("a", 7)]
+    assert changes == [item("a", 5), item("a", 7)]
     assert followed.revision == at(7)
 
 
-def test_a_whole_list_that_is_older_removes_nothing_newer() -> None:
-    followed, news = make_list()
+def test_an_older_whole_list_removes_no_newer_item() -> None:
+    followed, changes = make_list()
     followed.merge(Batch((item("a", 5), item("b", 6)), at(6)), True, 0.0)
     followed.merge(Batch((item("c", 9),), at(9)), False, 0.0)
-    news.clear()
+    changes.clear()
     followed.merge(Batch((item("a", 5),), at(8)), True, 0.0)
-    assert news == [Versioned("b", at(8), None, True)]
+    assert changes == [Versioned("b", at(8), None, True)]
     assert {found.name for found in followed.whole().items} == {"a", "c"}
 
 
 def test_a_deletion_may_come_with_the_last_revision_of_the_item() -> None:
-    followed, news = make_list()
+    followed, changes = make_list()
     followed.merge(Batch((item("a", 5),), at(5)), True, 0.0)
     followed.merge(Batch((item("a", 5, deleted=True),), at(8)), False, 0.0)
-    assert news[-1] == item("a", 8, deleted=True)
+    assert changes[-1] == item("a", 8, deleted=True)
     assert followed.since(at(6)).items == (item("a", 8, deleted=True),)
     followed.merge(Batch((item("a", 5),), at(6)), False, 0.0)
     assert followed.whole().items == ()
 
 
-def test_an_item_that_was_deleted_and_made_again_is_there() -> None:
+def test_an_item_deleted_and_created_again_exists() -> None:
     followed, _ = make_list()
     followed.merge(Batch((item("a", 5),), at(5)), True, 0.0)
     followed.merge(Batch((item("a", 5, deleted=True), item("a", 7)), at(9)), False, 0.0)
@@ -70,7 +70,7 @@
     assert followed.since(at(7)).items == ()
 
 
-def test_deletions_that_were_forgotten_lose_the_history() -> None:
+def test_the_history_before_a_discarded_deletion_is_lost() -> None:
     followed, _ = make_list()
     count = MAXIMUM_DELETED + 1
     for number in range(1, count + 1):
@@ -80,7 +80,7 @@
     assert len(followed.since(at(1)).items) == count - 1
 
 
-async def test_who_waits_for_news_is_woken_by_it() -> None:
+async def test_a_waiting_caller_is_woken_by_a_change() -> None:
     followed, _ = make_list()
     followed.merge(Batch((item("a", 5),), at(5)), True, 0.0)
     waiting = asyncio.ensure_future(followed.wait_news(at(5), 60.0))
@@ -90,7 +90,7 @@
     await waiting
 
 
-def test_a_list_is_as_fresh_as_its_source() -> None:
+def test_a_list_is_as_recent_as_its_source() -> None:
     followed, _ = make_list()
     followed.merge(Batch((), at(5), age=2.0), True, 10.0)
     assert followed.confirmed_at == 8.0
@@ -98,7 +98,7 @@
     assert followed.confirmed_at == 8.0
 
 
-# The plan.
+# Which nodes read the store.
 
 
 def test_few_nodes_all_read_the_store() -> None:
@@ -108,7 +108,7 @@
         assert feed_plan(place, view) == FeedPlan(reads_store=True)
 
 
-def test_two_readers_a_region_tell_the_others() -> None:
+def test_two_readers_per_region_are_followed_by_the_others() -> None:
     view = view_of(nodes_in(3, 20), int)
     plans = {
         node: feed_plan(NodePlace(node, member.spec.zone, member.spec.region), view)
@@ -117,10 +117,12 @@
     readers = {node for node, plan in plans.items() if plan.reads_store}
     assert len(readers) == 6
     for node, plan in plans.items():
-        told_by = {view.members[peer].spec.region for peer in plan.peers}
+        regions_followed = {view.members[peer].spec.region for peer in plan.peers}
         own = view.members[node].spec.region
         assert set(plan.peers) <= readers - {node}
-        assert told_by == ({own} if node not in readers else set(view_regions(view)) - {own})
+        assert regions_followed == (
+            {own} if node not in readers else set(view_regions(view)) - {own}
+        )
         assert len(plan.peers) == 2
 
 
@@ -128,31 +130,33 @@
     return sorted({member.spec.region for member in view.members.values()})
 
 
-# Nodes that tell each other.
+# Nodes that follow each other.
 
 
-def follower(world: World) -> int | None:
-    """The place of a node that does not read the store."""
+def follower_index(world: World) -> int | None:
+    """Return the index of a node that does not read the store, once the plans are settled."""
     plans = [node.kernel._services["feed"]._plan for node in world.nodes]  # type: ignore[attr-defined]
     if sum(plan.reads_store for plan in plans) != plan_module.READERS_PER_REGION:
         return None
-    return next(place for place, plan in enumerate(plans) if not plan.reads_store)
+    return next(index for index, plan in enumerate(plans) if not plan.reads_store)
 
 
 @pytest.fixture
-async def told(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[tuple[World, int]]:
-    """Four nodes, and the place of one that does not read the store."""
+async def follower_world(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[tuple[World, int]]:
+    """Four nodes, and the index of one that does not read the store."""
     monkeypatch.setattr(plan_module, "MAX_DIRECT_READERS", 3)
     async with joined_world(4, 36) as world:
-        await until(lambda: follower(world) is not None)
-        place = follower(world)
-        assert place is not None
-        yield world, place
+        await until(lambda: follower_index(world) is not None)
+        index = follower_index(world)
+        assert index is not None
+        yield world, index
 
 
-async def test_a_node_that_does_not_read_the_store_has_its_news(told: tuple[World, int]) -> None:
-    world, place = told
-    context = world.nodes[place].gateway.context
+async def test_a_node_that_does_not_read_the_store_gets_its_changes(
+    follower_world: tuple[World, int],
+) -> None:
+    world, index = follower_world
+    context = world.nodes[index].gateway.context
     for version in (5, 9):
         world.configure(version, newer={"route_type": "primary"})
         await until(lambda version=version: context.table.version == version)  # type: ignore[misc]
@@ -160,12 +164,12 @@
     await until(lambda: any(pool.entry.leaving for pool in context.placement.pools.values()))
 
 
-async def test_a_node_whose_readers_are_gone_reads_the_store_itself(
-    told: tuple[World, int],
+async def test_a_node_whose_readers_have_stopped_reads_the_store_itself(
+    follower_world: tuple[World, int],
 ) -> None:
-    world, place = told
-    for node in world.nodes[:place] + world.nodes[place + 1 :]:
+    world, index = follower_world
+    for node in world.nodes[:index] + world.nodes[index + 1 :]:
         await node.stop()
     world.configure(5, newer={"route_type": "primary"})
-    context = world.nodes[place].gateway.context
+    context = world.nodes[index].gateway.context
     await until(lambda: context.table.version == 5)
--- a/tests/test_ownership_claim.py
+++ b/tests/test_ownership_claim.py
@@ -1,4 +1,4 @@
-"""Claims of several nodes against one back end: the slots hold whatever happens."""
+"""Claims of several nodes to one instance: its slots are never exceeded, under any schedule."""
 
 import pytest
 
@@ -18,15 +18,15 @@
 
 @pytest.mark.parametrize("backstop", [False, True])
 def test_usable_connections_never_exceed_the_slots(backstop: bool) -> None:
-    changes_of_owner = 0
+    owner_count = 0
     for seed in SEEDS:
         world = World(seed, backstop)
         world.run(STEPS)
         assert world.peak_usable <= world.total, f"seed {seed}"
         if backstop:
             assert world.peak_connections <= world.total, f"seed {seed}"
-        changes_of_owner += len(world.owners)
-    assert changes_of_owner > len(SEEDS)
+        owner_count += len(world.owners)
+    assert owner_count > len(SEEDS)
 
 
 @pytest.mark.parametrize("mutation", ["no_sweep", "no_check"])
@@ -39,7 +39,7 @@
     assert any(exceeded(seed) for seed in SEEDS)
 
 
-def test_the_wanted_node_owns_once_all_is_calm() -> None:
+def test_the_wanted_node_owns_once_faults_end() -> None:
     for seed in range(30):
         world = World(seed)
         world.run(STEPS)
@@ -61,25 +61,25 @@
     return machine
 
 
-def test_live_holder_is_asked_and_a_silent_one_evicted() -> None:
-    for silent, expected in ((0.0, e.RequestRelease), (LEASE_SECONDS, e.Evict)):
+def test_live_holder_is_asked_to_release_and_idle_one_evicted() -> None:
+    for idle_seconds, expected in ((0.0, e.RequestRelease), (LEASE_SECONDS, e.Evict)):
         machine = ClaimMachine(NodeId("b"), InstanceId("db"))
         machine.handle(e.WantedChanged(True), 0.0)
         machine.handle(e.ControlOpened(2), 0.0)
-        (effect,) = machine.handle(e.LockHeld(1, NodeId("a"), silent), 0.0)
+        (effect,) = machine.handle(e.LockHeld(1, NodeId("a"), idle_seconds), 0.0)
         assert isinstance(effect, expected)
 
 
-def test_holder_yields_only_to_a_better_owner_while_it_is_wanted() -> None:
-    best, worst = ranked_owners(instance_key(InstanceId("db")), [NodeId("a"), NodeId("b")])
-    assert owning(best).handle(e.ReleaseRequested(worst, 1), 1.0) == [e.AnswerRelease(False)]
-    assert owning(worst).handle(e.ReleaseRequested(best, 1), 1.0) == [e.CloseSlots()]
-    unwanted = owning(best)
+def test_wanted_holder_yields_only_to_a_higher_ranked_node() -> None:
+    first, second = ranked_owners(instance_key(InstanceId("db")), [NodeId("a"), NodeId("b")])
+    assert owning(first).handle(e.ReleaseRequested(second, 1), 1.0) == [e.AnswerRelease(False)]
+    assert owning(second).handle(e.ReleaseRequested(first, 1), 1.0) == [e.CloseSlots()]
+    unwanted = owning(first)
     unwanted.handle(e.WantedChanged(False), 1.0)
-    assert unwanted.handle(e.ReleaseRequested(worst, 1), 1.0) == [e.CloseSlots()]
+    assert unwanted.handle(e.ReleaseRequested(second, 1), 1.0) == [e.CloseSlots()]
 
 
-def test_handover_tells_the_retained_connections() -> None:
+def test_handover_reports_the_retained_connections() -> None:
     machine = owning()
     machine.handle(e.Stopping(), 1.0)
     machine.handle(e.ReleaseRequested(NodeId("b"), 1), 1.0)
@@ -88,7 +88,7 @@
     assert machine.state is ClaimState.IDLE
 
 
-def test_lost_control_connection_cuts_the_slots_and_claims_again() -> None:
+def test_lost_control_connection_closes_the_slots_and_claims_again() -> None:
     machine = owning()
     assert machine.handle(e.ControlLost(), 1.0) == [e.CutSlots()]
     wakeup = machine.next_wakeup()
@@ -96,7 +96,7 @@
     assert machine.handle(None, wakeup) == [e.OpenControl()]
 
 
-def test_assignment_names_this_node_where_it_ranks_first() -> None:
+def test_assignment_wants_the_instances_for_which_this_node_ranks_first() -> None:
     members = tuple(
         MemberSpec(instance=InstanceId(f"db{number}"), zone=zone, host="127.0.0.1", port=1)
         for number, zone in enumerate([Z1, Z1, Z1, ZoneId("z2")])
--- a/tests/test_rendezvous.py
+++ b/tests/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: even, stable when members come and go, independent of order."""
+"""Rendezvous hashing: even, stable when members change, independent of their order."""
 
 from collections import Counter
 
@@ -9,7 +9,7 @@
 KEYS = [f"instance/db-{n}" for n in range(2_000)]
 
 
-def test_owner_is_the_best_ranked_in_any_order() -> None:
+def test_owner_ranks_first_independent_of_the_order() -> None:
     for key in KEYS[:200]:
         assert owner_of(key, NODES) == ranked_owners(key, reversed(NODES))[0]
     assert owner_of("key", ()) is None
@@ -22,10 +22,10 @@
     assert max(owned.values()) < 2 * len(KEYS) / len(NODES)
 
 
-def test_only_the_keys_of_a_lost_node_move_and_evenly() -> None:
+def test_only_the_keys_of_a_lost_node_move_and_they_spread_evenly() -> None:
     lost = NODES[17]
-    rest = tuple(node for node in NODES if node != lost)
+    remaining = tuple(node for node in NODES if node != lost)
     moved = [key for key in KEYS if owner_of(key, NODES) == lost]
-    assert all(owner_of(key, rest) == owner_of(key, NODES) for key in KEYS if key not in moved)
-    assert Counter(owner_of(key, rest) for key in moved).most_common(1)[0][1] < len(moved) / 4
-    assert all(owner_of(key, rest) == ranked_owners(key, NODES)[1] for key in moved)
+    assert all(owner_of(key, remaining) == owner_of(key, NODES) for key in KEYS if key not in moved)
+    assert Counter(owner_of(key, remaining) for key in moved).most_common(1)[0][1] < len(moved) / 4
+    assert all(owner_of(key, remaining) == ranked_owners(key, NODES)[1] for key in moved)
