--- a/src/bramblebeam/core/configuration/edit.py
+++ b/src/bramblebeam/core/configuration/edit.py
@@ -3,8 +3,8 @@
 Every write is conditional on the version that the operator saw. If the reply to a write is lost,
 the row is read back, and the change ids stored with it show whether the write took effect. If it
 did not, it is safe to send it again under the same condition. A deleted row stays in the store
-with an empty spec, which keeps its change ids. The outcome can stay unknown only for the first
-creation of a row, or if the row's object was removed by other means.
+with an empty spec, which keeps its change ids. The first creation of a row leaves no such record
+if it fails, and neither does an object removed by other means: these outcomes can stay unknown.
 """
 
 from dataclasses import dataclass
--- a/src/bramblebeam/core/configuration/relay_settings.py
+++ b/src/bramblebeam/core/configuration/relay_settings.py
@@ -9,7 +9,7 @@
 
     `probe_interval`: between two comparisons with a member of the own zone. `zone_probe_every`: a
     node that is not a reader sends one in this many probes to another zone instead; a reader probes
-    both at each interval. `join_interval`: between two rounds of queries of a node that is not ready.
+    both at each interval. `join_interval`: between two rounds of queries while not ready.
     `report_interval`: least time between two reports. `follow_up_delay`: after a push, until the
     members that have not reported it are probed. `pull_timeout`: how long to wait for the reply to
     a pull. `batch_rows`: rows per message. `role_settle_time`: how long a node must be a reader
