--- a/src/bramblebeam/core/failover/in_vain.py
+++ b/src/bramblebeam/core/failover/in_vain.py
@@ -24,7 +24,7 @@
         self._until = float("-inf")
         self._count = 0
 
-    def note(self, members: Hashable, now: float) -> None:
+    def record_failure(self, members: Hashable, now: float) -> None:
         """Note that a try was in vain. `members`: what the directory tells of them."""
         if members != self._members:
             self.end()
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -232,7 +232,7 @@
 
     async def _give_way(self, reason: str) -> None:
         """Be in no hurry to try again; let others try first after several tries in vain."""
-        self._in_vain.note(self._members(), self._service.now())
+        self._in_vain.record_failure(self._members(), self._service.now())
         lease = self.lease.known
         if not self._in_vain.steps_aside or lease is None or lease.unsettled is not None:
             return
--- a/tests/test_failover_in_vain.py
+++ b/tests/test_failover_in_vain.py
@@ -20,7 +20,7 @@
 
 def fail(tries: TriesInVain, times: int, now: float = START) -> None:
     for _ in range(times):
-        tries.note(MEMBERS, now)
+        tries.record_failure(MEMBERS, now)
 
 
 def test_pauses_grow_to_a_bound() -> None:
@@ -37,7 +37,7 @@
     tries = TriesInVain()
     fail(tries, 5)
     assert not tries.must_rest(("db-c",), START)
-    tries.note(("db-c",), START)
+    tries.record_failure(("db-c",), START)
     assert not tries.steps_aside
     assert not tries.must_rest(("db-c",), START + FIRST_PAUSE + A_MOMENT)
 
