--- a/src/bramblebeam/core/failover/in_vain.py
+++ b/src/bramblebeam/core/failover/in_vain.py
@@ -27,13 +27,13 @@
     def record_failure(self, members: Hashable, now: float) -> None:
         """Note that a try was in vain. `members`: what the directory tells of them."""
         if members != self._members:
-            self.end()
+            self.reset()
         self._members = members
         self._until = now + self._pause
         self._pause = min(LONGEST_PAUSE, 2 * self._pause)
         self._count += 1
 
-    def end(self) -> None:
+    def reset(self) -> None:
         """Note that there is no trouble any more, or another one."""
         self._pause = FIRST_PAUSE
         self._until = float("-inf")
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -299,7 +299,7 @@
     async def _end_trouble(self) -> None:
         """Undo pauses and settle the order of a change that is over, if the lease is still ours."""
         self._ordered_at = None
-        self._in_vain.end()
+        self._in_vain.reset()
         lease = self.lease.known
         if lease is None or not self.lease.is_own:
             self._runner.forget()
--- a/tests/test_failover_in_vain.py
+++ b/tests/test_failover_in_vain.py
@@ -48,7 +48,7 @@
     assert not tries.steps_aside
     fail(tries, 1)
     assert tries.steps_aside
-    tries.end()
+    tries.reset()
     assert not tries.steps_aside
     assert not tries.must_rest(MEMBERS, START)
 
