--- a/src/bramblebeam/core/failover/in_vain.py
+++ b/src/bramblebeam/core/failover/in_vain.py
@@ -39,7 +39,7 @@
         self._until = float("-inf")
         self._count = 0
 
-    def must_rest(self, members: Hashable, now: float) -> bool:
+    def must_wait(self, members: Hashable, now: float) -> bool:
         """Whether nothing is to be tried now."""
         return members == self._members and now < self._until
 
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -106,7 +106,7 @@
                 await self.lease.flush()
                 await pause(self.wake, self._quiet_pause())
                 continue
-            if self._in_vain.must_rest(self._members(), self._service.now()):
+            if self._in_vain.must_wait(self._members(), self._service.now()):
                 await pause(self.wake, CYCLE_SECONDS)
                 continue
             if await self.lease.refresh(situation, self._wants_lease):
--- a/tests/test_failover_in_vain.py
+++ b/tests/test_failover_in_vain.py
@@ -26,20 +26,20 @@
 def test_pauses_grow_to_a_bound() -> None:
     tries = TriesInVain()
     fail(tries, 1)
-    assert tries.must_rest(MEMBERS, START + FIRST_PAUSE - A_MOMENT)
-    assert not tries.must_rest(MEMBERS, START + FIRST_PAUSE + A_MOMENT)
+    assert tries.must_wait(MEMBERS, START + FIRST_PAUSE - A_MOMENT)
+    assert not tries.must_wait(MEMBERS, START + FIRST_PAUSE + A_MOMENT)
     fail(tries, 10)
-    assert tries.must_rest(MEMBERS, START + LONGEST_PAUSE - A_MOMENT)
-    assert not tries.must_rest(MEMBERS, START + LONGEST_PAUSE + A_MOMENT)
+    assert tries.must_wait(MEMBERS, START + LONGEST_PAUSE - A_MOMENT)
+    assert not tries.must_wait(MEMBERS, START + LONGEST_PAUSE + A_MOMENT)
 
 
 def test_news_of_the_members_end_a_pause() -> None:
     tries = TriesInVain()
     fail(tries, 5)
-    assert not tries.must_rest(("db-c",), START)
+    assert not tries.must_wait(("db-c",), START)
     tries.record_failure(("db-c",), START)
     assert not tries.steps_aside
-    assert not tries.must_rest(("db-c",), START + FIRST_PAUSE + A_MOMENT)
+    assert not tries.must_wait(("db-c",), START + FIRST_PAUSE + A_MOMENT)
 
 
 def test_several_tries_in_vain_leave_the_change_to_others() -> None:
@@ -50,7 +50,7 @@
     assert tries.steps_aside
     tries.reset()
     assert not tries.steps_aside
-    assert not tries.must_rest(MEMBERS, START)
+    assert not tries.must_wait(MEMBERS, START)
 
 
 def test_each_other_node_gets_its_turn_within_the_longest_pause() -> None:
