--- a/src/bramblebeam/core/failover/in_vain.py
+++ b/src/bramblebeam/core/failover/in_vain.py
@@ -44,6 +44,6 @@
         return members == self._members and now < self._until
 
     @property
-    def steps_aside(self) -> bool:
+    def should_yield(self) -> bool:
         """Whether another node is to try next."""
         return self._count >= TRIES_IN_A_ROW
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -234,7 +234,7 @@
         """Be in no hurry to try again; let others try first after several tries in vain."""
         self._in_vain.record_failure(self._members(), self._service.now())
         lease = self.lease.known
-        if not self._in_vain.steps_aside or lease is None or lease.unsettled is not None:
+        if not self._in_vain.should_yield or lease is None or lease.unsettled is not None:
             return
         log_event(logger, FAILOVER_LEFT_TO_OTHERS, group=self._group, reason=reason)
         await self.lease.release()
--- a/tests/test_failover_in_vain.py
+++ b/tests/test_failover_in_vain.py
@@ -38,18 +38,18 @@
     fail(tries, 5)
     assert not tries.must_wait(("db-c",), START)
     tries.record_failure(("db-c",), START)
-    assert not tries.steps_aside
+    assert not tries.should_yield
     assert not tries.must_wait(("db-c",), START + FIRST_PAUSE + A_MOMENT)
 
 
 def test_several_tries_in_vain_leave_the_change_to_others() -> None:
     tries = TriesInVain()
     fail(tries, TRIES_IN_A_ROW - 1)
-    assert not tries.steps_aside
+    assert not tries.should_yield
     fail(tries, 1)
-    assert tries.steps_aside
+    assert tries.should_yield
     tries.reset()
-    assert not tries.steps_aside
+    assert not tries.should_yield
     assert not tries.must_wait(MEMBERS, START)
 
 
