--- a/src/bramblebeam/core/failover/in_vain.py
+++ b/src/bramblebeam/core/failover/in_vain.py
@@ -11,7 +11,7 @@
 FIRST_PAUSE = 0.1
 LONGEST_PAUSE = 1.5
 """Long enough for each other node to get its turn (`FailoverTiming.rank_step` for each rank)."""
-TRIES_IN_A_ROW = 3
+FAILURES_BEFORE_YIELD = 3
 """After so many tries in vain the lease is given up."""
 
 
@@ -46,4 +46,4 @@
     @property
     def should_yield(self) -> bool:
         """Whether another node is to try next."""
-        return self._count >= TRIES_IN_A_ROW
+        return self._count >= FAILURES_BEFORE_YIELD
--- a/tests/test_failover_in_vain.py
+++ b/tests/test_failover_in_vain.py
@@ -6,9 +6,9 @@
 
 from bramblebeam.core.failover.decision import FailoverTiming
 from bramblebeam.core.failover.in_vain import (
+    FAILURES_BEFORE_YIELD,
     FIRST_PAUSE,
     LONGEST_PAUSE,
-    TRIES_IN_A_ROW,
     TriesInVain,
 )
 from bramblebeam.services.failover.situation import RANKS
@@ -44,7 +44,7 @@
 
 def test_several_tries_in_vain_leave_the_change_to_others() -> None:
     tries = TriesInVain()
-    fail(tries, TRIES_IN_A_ROW - 1)
+    fail(tries, FAILURES_BEFORE_YIELD - 1)
     assert not tries.should_yield
     fail(tries, 1)
     assert tries.should_yield
