--- a/src/bramblebeam/core/failover/in_vain.py
+++ b/src/bramblebeam/core/failover/in_vain.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Hashable
 
-FIRST_PAUSE = 0.1
+INITIAL_DELAY = 0.1
 LONGEST_PAUSE = 1.5
 """Long enough for each other node to get its turn (`FailoverTiming.rank_step` for each rank)."""
 FAILURES_BEFORE_YIELD = 3
@@ -20,7 +20,7 @@
 
     def __init__(self) -> None:
         self._members: Hashable = None
-        self._pause = FIRST_PAUSE
+        self._pause = INITIAL_DELAY
         self._until = float("-inf")
         self._count = 0
 
@@ -35,7 +35,7 @@
 
     def reset(self) -> None:
         """Note that there is no trouble any more, or another one."""
-        self._pause = FIRST_PAUSE
+        self._pause = INITIAL_DELAY
         self._until = float("-inf")
         self._count = 0
 
--- a/tests/test_failover_in_vain.py
+++ b/tests/test_failover_in_vain.py
@@ -7,7 +7,7 @@
 from bramblebeam.core.failover.decision import FailoverTiming
 from bramblebeam.core.failover.in_vain import (
     FAILURES_BEFORE_YIELD,
-    FIRST_PAUSE,
+    INITIAL_DELAY,
     LONGEST_PAUSE,
     TriesInVain,
 )
@@ -26,8 +26,8 @@
 def test_pauses_grow_to_a_bound() -> None:
     tries = TriesInVain()
     fail(tries, 1)
-    assert tries.must_wait(MEMBERS, START + FIRST_PAUSE - A_MOMENT)
-    assert not tries.must_wait(MEMBERS, START + FIRST_PAUSE + A_MOMENT)
+    assert tries.must_wait(MEMBERS, START + INITIAL_DELAY - A_MOMENT)
+    assert not tries.must_wait(MEMBERS, START + INITIAL_DELAY + A_MOMENT)
     fail(tries, 10)
     assert tries.must_wait(MEMBERS, START + LONGEST_PAUSE - A_MOMENT)
     assert not tries.must_wait(MEMBERS, START + LONGEST_PAUSE + A_MOMENT)
@@ -39,7 +39,7 @@
     assert not tries.must_wait(("db-c",), START)
     tries.record_failure(("db-c",), START)
     assert not tries.should_yield
-    assert not tries.must_wait(("db-c",), START + FIRST_PAUSE + A_MOMENT)
+    assert not tries.must_wait(("db-c",), START + INITIAL_DELAY + A_MOMENT)
 
 
 def test_several_tries_in_vain_leave_the_change_to_others() -> None:
