--- a/src/bramblebeam/core/failover/in_vain.py
+++ b/src/bramblebeam/core/failover/in_vain.py
@@ -9,7 +9,7 @@
 from collections.abc import Hashable
 
 INITIAL_DELAY = 0.1
-LONGEST_PAUSE = 1.5
+MAX_DELAY = 1.5
 """Long enough for each other node to get its turn (`FailoverTiming.rank_step` for each rank)."""
 FAILURES_BEFORE_YIELD = 3
 """After so many tries in vain the lease is given up."""
@@ -30,7 +30,7 @@
             self.reset()
         self._members = members
         self._until = now + self._pause
-        self._pause = min(LONGEST_PAUSE, 2 * self._pause)
+        self._pause = min(MAX_DELAY, 2 * self._pause)
         self._count += 1
 
     def reset(self) -> None:
--- a/tests/test_failover_in_vain.py
+++ b/tests/test_failover_in_vain.py
@@ -8,7 +8,7 @@
 from bramblebeam.core.failover.in_vain import (
     FAILURES_BEFORE_YIELD,
     INITIAL_DELAY,
-    LONGEST_PAUSE,
+    MAX_DELAY,
     TriesInVain,
 )
 from bramblebeam.services.failover.situation import RANKS
@@ -29,8 +29,8 @@
     assert tries.must_wait(MEMBERS, START + INITIAL_DELAY - A_MOMENT)
     assert not tries.must_wait(MEMBERS, START + INITIAL_DELAY + A_MOMENT)
     fail(tries, 10)
-    assert tries.must_wait(MEMBERS, START + LONGEST_PAUSE - A_MOMENT)
-    assert not tries.must_wait(MEMBERS, START + LONGEST_PAUSE + A_MOMENT)
+    assert tries.must_wait(MEMBERS, START + MAX_DELAY - A_MOMENT)
+    assert not tries.must_wait(MEMBERS, START + MAX_DELAY + A_MOMENT)
 
 
 def test_news_of_the_members_end_a_pause() -> None:
@@ -54,4 +54,4 @@
 
 
 def test_each_other_node_gets_its_turn_within_the_longest_pause() -> None:
-    assert (RANKS - 1) * FailoverTiming().rank_step < LONGEST_PAUSE
+    assert (RANKS - 1) * FailoverTiming().rank_step < MAX_DELAY
