--- a/src/bramblebeam/core/failover/in_vain.py
+++ b/src/bramblebeam/core/failover/in_vain.py
@@ -15,7 +15,7 @@
 """After so many tries in vain the lease is given up."""
 
 
-class TriesInVain:
+class FailoverBackoff:
     """Counts the tries that came to nothing while the members stayed as they are."""
 
     def __init__(self) -> None:
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from bramblebeam.core.failover.decision import Action, Cause, FailoverTiming, Situation, decide
-from bramblebeam.core.failover.in_vain import TriesInVain
+from bramblebeam.core.failover.in_vain import FailoverBackoff
 from bramblebeam.core.failover.lease import Lease, OrderedChange
 from bramblebeam.core.identity import GroupId, InstanceId, NodeId, born_at, server_name
 from bramblebeam.core.revision import FIRST_ERA
@@ -75,7 +75,7 @@
         self._service = service
         self._group = group
         self._ordered_at: float | None = None
-        self._in_vain = TriesInVain()
+        self._in_vain = FailoverBackoff()
         self._lease_unknown = asyncio.Event()
         self._observer = GroupObserver(service.context, service.node, group, service.now)
         self._runner = ChangeRunner(
--- a/tests/test_failover_in_vain.py
+++ b/tests/test_failover_in_vain.py
@@ -9,7 +9,7 @@
     FAILURES_BEFORE_YIELD,
     INITIAL_DELAY,
     MAX_DELAY,
-    TriesInVain,
+    FailoverBackoff,
 )
 from bramblebeam.services.failover.situation import RANKS
 
@@ -18,13 +18,13 @@
 START = 100.0
 
 
-def fail(tries: TriesInVain, times: int, now: float = START) -> None:
+def fail(tries: FailoverBackoff, times: int, now: float = START) -> None:
     for _ in range(times):
         tries.record_failure(MEMBERS, now)
 
 
 def test_pauses_grow_to_a_bound() -> None:
-    tries = TriesInVain()
+    tries = FailoverBackoff()
     fail(tries, 1)
     assert tries.must_wait(MEMBERS, START + INITIAL_DELAY - A_MOMENT)
     assert not tries.must_wait(MEMBERS, START + INITIAL_DELAY + A_MOMENT)
@@ -34,7 +34,7 @@
 
 
 def test_news_of_the_members_end_a_pause() -> None:
-    tries = TriesInVain()
+    tries = FailoverBackoff()
     fail(tries, 5)
     assert not tries.must_wait(("db-c",), START)
     tries.record_failure(("db-c",), START)
@@ -43,7 +43,7 @@
 
 
 def test_several_tries_in_vain_leave_the_change_to_others() -> None:
-    tries = TriesInVain()
+    tries = FailoverBackoff()
     fail(tries, FAILURES_BEFORE_YIELD - 1)
     assert not tries.should_yield
     fail(tries, 1)
