--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -8,8 +8,8 @@
 from dataclasses import replace
 from typing import Protocol
 
+from bramblebeam.core.failover.backoff import FailoverBackoff
 from bramblebeam.core.failover.decision import Action, Cause, FailoverTiming, Situation, decide
-from bramblebeam.core.failover.in_vain import FailoverBackoff
 from bramblebeam.core.failover.lease import Lease, OrderedChange
 from bramblebeam.core.identity import GroupId, InstanceId, NodeId, born_at, server_name
 from bramblebeam.core.revision import FIRST_ERA
--- a/tests/test_failover_in_vain.py
+++ b/tests/test_failover_in_vain.py
@@ -4,13 +4,13 @@
 trying that could.
 """
 
-from bramblebeam.core.failover.decision import FailoverTiming
-from bramblebeam.core.failover.in_vain import (
+from bramblebeam.core.failover.backoff import (
     FAILURES_BEFORE_YIELD,
     INITIAL_DELAY,
     MAX_DELAY,
     FailoverBackoff,
 )
+from bramblebeam.core.failover.decision import FailoverTiming
 from bramblebeam.services.failover.situation import RANKS
 
 MEMBERS = ("db-b", "db-c")
