--- a/src/bramblebeam/core/failover/unwritten.py
+++ b/src/bramblebeam/core/failover/unwritten.py
@@ -28,7 +28,7 @@
     term: int
     newest_term: int
     was_replaced: bool
-    all_answer: bool
+    all_others_replied: bool
 
 
 def last_change(told: OrderedChange | None, seen: SeenOfChanges) -> OrderedChange | None:
@@ -38,7 +38,7 @@
     knows its term.
     """
     newest = max(seen.term, seen.newest_term)
-    if seen.was_replaced and not seen.all_answer:
+    if seen.was_replaced and not seen.all_others_replied:
         newest = max(newest, seen.term + 1)
     if newest <= (0 if told is None else told.term):
         return told
--- a/src/bramblebeam/services/failover/untold.py
+++ b/src/bramblebeam/services/failover/untold.py
@@ -85,5 +85,5 @@
             term=term,
             newest_term=leaders.highest_term,
             was_replaced=says_so and self._ended_term != term,
-            all_answer=others <= statuses.keys(),
+            all_others_replied=others <= statuses.keys(),
         )
