--- a/src/bramblebeam/core/failover/unwritten.py
+++ b/src/bramblebeam/core/failover/unwritten.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SeenOfChanges:
+class ObservedLeadership:
     """What a node knows of changes beside the lease.
 
     `leader`, `term`: the last leader that it found, and the newest term that it was found to lead.
@@ -31,7 +31,7 @@
     all_others_replied: bool
 
 
-def last_change(told: OrderedChange | None, seen: SeenOfChanges) -> OrderedChange | None:
+def last_change(told: OrderedChange | None, seen: ObservedLeadership) -> OrderedChange | None:
     """Return the last change that surely took place: the one told by the lease, or a later one.
 
     Of a later one the end of the target's log is not known: a member is fit to follow it only if it
--- a/src/bramblebeam/services/failover/untold.py
+++ b/src/bramblebeam/services/failover/untold.py
@@ -7,7 +7,7 @@
 
 from bramblebeam.core.failover.lease import OrderedChange
 from bramblebeam.core.failover.target import CandidateStatus
-from bramblebeam.core.failover.unwritten import SeenOfChanges, last_change
+from bramblebeam.core.failover.unwritten import ObservedLeadership, last_change
 from bramblebeam.core.identity import GroupId, InstanceId
 from bramblebeam.events import log_event
 from bramblebeam.events.catalogue import UNTOLD_CHANGE_FOUND
@@ -71,7 +71,7 @@
 
     def _seen(
         self, former: InstanceId | None, statuses: Mapping[InstanceId, CandidateStatus]
-    ) -> SeenOfChanges:
+    ) -> ObservedLeadership:
         leaders = self._leaders
         others = {entry.instance for entry in leaders.members()} - {former}
         term = leaders.last_term
@@ -80,7 +80,7 @@
             # It is a replica of the term that it led, so that it has not heard of its successor.
             term = term or statuses[former].term
             says_so = says_so or statuses[former].term <= term
-        return SeenOfChanges(
+        return ObservedLeadership(
             leader=leaders.last_leader,
             term=term,
             newest_term=leaders.highest_term,
