--- a/src/bramblebeam/core/failover/unwritten.py
+++ b/src/bramblebeam/core/failover/unwritten.py
@@ -31,7 +31,7 @@
     all_others_replied: bool
 
 
-def last_change(told: OrderedChange | None, seen: ObservedLeadership) -> OrderedChange | None:
+def infer_last_change(told: OrderedChange | None, seen: ObservedLeadership) -> OrderedChange | None:
     """Return the last change that surely took place: the one told by the lease, or a later one.
 
     Of a later one the end of the target's log is not known: a member is fit to follow it only if it
--- a/src/bramblebeam/services/failover/untold.py
+++ b/src/bramblebeam/services/failover/untold.py
@@ -7,7 +7,7 @@
 
 from bramblebeam.core.failover.lease import OrderedChange
 from bramblebeam.core.failover.target import CandidateStatus
-from bramblebeam.core.failover.unwritten import ObservedLeadership, last_change
+from bramblebeam.core.failover.unwritten import ObservedLeadership, infer_last_change
 from bramblebeam.core.identity import GroupId, InstanceId
 from bramblebeam.events import log_event
 from bramblebeam.events.catalogue import UNTOLD_CHANGE_FOUND
@@ -47,7 +47,7 @@
         """
         if not self._may_be:
             return told
-        return last_change(told, self._seen(former, statuses))
+        return infer_last_change(told, self._seen(former, statuses))
 
     def log_found(self, told: OrderedChange | None, found: OrderedChange | None) -> None:
         """Log that no member that answers follows a change that the lease does not tell."""
