--- a/src/bramblebeam/core/failover/target.py
+++ b/src/bramblebeam/core/failover/target.py
@@ -83,7 +83,7 @@
     return best.instance
 
 
-def may_lead_empty(
+def may_promote_without_log(
     target: InstanceId,
     members: Collection[DatabaseEntry],
     statuses: Mapping[InstanceId, CandidateStatus],
--- a/src/bramblebeam/services/failover/change.py
+++ b/src/bramblebeam/services/failover/change.py
@@ -10,7 +10,7 @@
     CandidateStatus,
     choose_target,
     covers_acknowledged,
-    may_lead_empty,
+    may_promote_without_log,
     next_term,
 )
 from bramblebeam.core.gateway.directory import DatabaseEntry
@@ -208,7 +208,7 @@
             known.append(last_change.cut)
         had_log = any(position.offset > 0 for position in known)
         waited_in_vain = self._has_waited(UNKNOWN_LEADER_SECONDS)
-        return may_lead_empty(target, members, statuses, had_log, waited_in_vain)
+        return may_promote_without_log(target, members, statuses, had_log, waited_in_vain)
 
     def _has_waited(self, seconds: float) -> bool:
         """Whether the group has had no leader for so long."""
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -12,7 +12,7 @@
     CandidateStatus,
     choose_target,
     covers_acknowledged,
-    may_lead_empty,
+    may_promote_without_log,
 )
 from bramblebeam.core.feed.messages import FollowReply
 from bramblebeam.core.gateway import lives as lives_module
@@ -349,7 +349,7 @@
 ) -> None:
     members = [entry(SECOND_AGAIN), entry(THIRD)]
     statuses = {instance: status((1, 0)) for instance in reached}
-    assert may_lead_empty(SECOND_AGAIN, members, statuses, had_log, waited) is may_lead
+    assert may_promote_without_log(SECOND_AGAIN, members, statuses, had_log, waited) is may_lead
 
 
 def test_an_old_log_under_the_name_of_the_last_target_is_checked_as_any_other() -> None:
