--- a/src/bramblebeam/core/failover/lease.py
+++ b/src/bramblebeam/core/failover/lease.py
@@ -61,7 +61,7 @@
         """Whether it tells nothing of who holds the lease now."""
         return self.era != self.token.era
 
-    def with_memory_of(self, former: "Lease") -> "Lease":
+    def with_later_changes_of(self, former: "Lease") -> "Lease":
         """Return the lease with what a former state of it tells of later changes."""
         last_change = _later(self.last_change, former.last_change)
         unsettled = _later(self.unsettled, former.unsettled)
--- a/src/bramblebeam/services/failover/group_lease.py
+++ b/src/bramblebeam/services/failover/group_lease.py
@@ -113,7 +113,7 @@
         memory = self._memory
         is_new_era = memory is not None and found.token.era > memory.token.era
         if memory is not None and (is_new_era or found.is_of_former_era):
-            found = found.with_memory_of(memory)
+            found = found.with_later_changes_of(memory)
         if found.is_of_former_era:
             found = replace(found, holder=UNKNOWN_HOLDER)
             if memory is None or memory.token != found.token:
