--- a/tests/test_failover_decision.py
+++ b/tests/test_failover_decision.py
@@ -62,7 +62,7 @@
 
 def test_the_holder_waits_out_the_suspicion_and_acts() -> None:
     assert decide(situation(OWN), TROUBLE + 0.1, TIMING) is Action.NONE
-    assert decide(situation(OWN), TROUBLE + TIMING.suspicion, TIMING) is Action.CHANGE
+    assert decide(situation(OWN), TROUBLE + TIMING.suspicion_timeout, TIMING) is Action.CHANGE
 
 
 def test_the_holder_acts_at_once_where_the_leader_leaves() -> None:
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("rank", [0, 3])
 def test_another_node_takes_over_later_by_its_rank(rank: int) -> None:
-    patience = TIMING.suspicion + rank * TIMING.rank_step + TIMING.challenge
+    patience = TIMING.suspicion_timeout + rank * TIMING.rank_step + TIMING.challenge
     other = situation(OTHER, rank=rank)
     assert decide(other, TROUBLE + patience - 0.01, TIMING) is Action.NONE
     assert decide(other, TROUBLE + patience, TIMING) is Action.TAKE_OVER
--- a/tests/test_failover_group_lease.py
+++ b/tests/test_failover_group_lease.py
@@ -79,9 +79,9 @@
 @pytest.mark.parametrize(
     ("cause", "seconds", "reads"),
     [
-        pytest.param(Cause.LOST, TIMING.suspicion, 0, id="not before its holder may act"),
+        pytest.param(Cause.LOST, TIMING.suspicion_timeout, 0, id="not before its holder may act"),
         pytest.param(Cause.LAPSED, TIMING.lapse, 0, id="a lapsed registration comes back"),
-        pytest.param(Cause.LOST, TIMING.suspicion + 2.0, 4, id="now and then"),
+        pytest.param(Cause.LOST, TIMING.suspicion_timeout + 2.0, 4, id="now and then"),
         pytest.param(Cause.LEAVING, LEASE_READ_INTERVAL, 1, id="a planned change"),
     ],
 )
@@ -95,7 +95,7 @@
 
 def test_it_is_read_at_once_before_it_is_taken_over() -> None:
     parts = Parts()
-    parts.watch(TIMING.suspicion + 2 * CYCLE, wants=False)
+    parts.watch(TIMING.suspicion_timeout + 2 * CYCLE, wants=False)
     before = len(parts.store.reads)
     assert parts.watch(CYCLE, wants=True) == [True]
     assert len(parts.store.reads) == before + 1
@@ -104,7 +104,7 @@
 def test_a_store_that_gives_no_answer_is_left_for_a_while() -> None:
     parts = Parts()
     parts.store.silent = True
-    told = parts.watch(TIMING.suspicion + 2.0, wants=True)
+    told = parts.watch(TIMING.suspicion_timeout + 2.0, wants=True)
     assert not any(told)
     assert len(parts.store.reads) == 4
 
