--- a/src/bramblebeam/core/failover/decision.py
+++ b/src/bramblebeam/core/failover/decision.py
@@ -46,7 +46,7 @@
     """
 
     suspicion_timeout: float = 0.15
-    lapse: float = 2.0
+    lapse_timeout: float = 2.0
     challenge: float = 0.8
     rank_step: float = 0.25
     observation: float = 0.8
@@ -116,7 +116,7 @@
     """Return how long the trouble must last before anything is done (seconds)."""
     if cause in (Cause.LEAVING, Cause.UNCONFIRMED, Cause.UNSETTLED):
         return 0.0
-    return timing.lapse if cause is Cause.LAPSED else timing.suspicion_timeout
+    return timing.lapse_timeout if cause is Cause.LAPSED else timing.suspicion_timeout
 
 
 def quiet_time(
--- a/tests/test_failover_decision.py
+++ b/tests/test_failover_decision.py
@@ -87,8 +87,8 @@
 def test_a_lapsed_registration_is_given_time_to_come_back() -> None:
     """A store that was out of order had let every registration lapse: nothing was to be changed."""
     lapsed = situation(OWN, cause=Cause.LAPSED, leader=InstanceId("a"))
-    assert decide(lapsed, TROUBLE + TIMING.lapse - 0.1, TIMING) is Action.NONE
-    assert decide(lapsed, TROUBLE + TIMING.lapse, TIMING) is Action.CHANGE
+    assert decide(lapsed, TROUBLE + TIMING.lapse_timeout - 0.1, TIMING) is Action.NONE
+    assert decide(lapsed, TROUBLE + TIMING.lapse_timeout, TIMING) is Action.CHANGE
 
 
 def test_a_released_lease_is_taken_over_without_waiting_for_its_holder() -> None:
--- a/tests/test_failover_group_lease.py
+++ b/tests/test_failover_group_lease.py
@@ -80,7 +80,7 @@
     ("cause", "seconds", "reads"),
     [
         pytest.param(Cause.LOST, TIMING.suspicion_timeout, 0, id="not before its holder may act"),
-        pytest.param(Cause.LAPSED, TIMING.lapse, 0, id="a lapsed registration comes back"),
+        pytest.param(Cause.LAPSED, TIMING.lapse_timeout, 0, id="a lapsed registration comes back"),
         pytest.param(Cause.LOST, TIMING.suspicion_timeout + 2.0, 4, id="now and then"),
         pytest.param(Cause.LEAVING, LEASE_READ_INTERVAL, 1, id="a planned change"),
     ],
