--- a/src/bramblebeam/core/failover/decision.py
+++ b/src/bramblebeam/core/failover/decision.py
@@ -47,7 +47,7 @@
 
     suspicion_timeout: float = 0.15
     lapse_timeout: float = 2.0
-    challenge: float = 0.8
+    takeover_delay: float = 0.8
     rank_step: float = 0.25
     observation: float = 0.8
     hold: float = 0.2
@@ -99,7 +99,7 @@
     is_released = lease is not None and not lease.holder
     patience = _threshold(situation.cause, timing) + situation.rank * timing.rank_step
     if not is_released:
-        patience += timing.challenge
+        patience += timing.takeover_delay
     if lasted < patience or now < situation.quiet_until:
         return Action.NONE
     return Action.TAKE_OVER
--- a/tests/test_failover_decision.py
+++ b/tests/test_failover_decision.py
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("rank", [0, 3])
 def test_another_node_takes_over_later_by_its_rank(rank: int) -> None:
-    patience = TIMING.suspicion_timeout + rank * TIMING.rank_step + TIMING.challenge
+    patience = TIMING.suspicion_timeout + rank * TIMING.rank_step + TIMING.takeover_delay
     other = situation(OTHER, rank=rank)
     assert decide(other, TROUBLE + patience - 0.01, TIMING) is Action.NONE
     assert decide(other, TROUBLE + patience, TIMING) is Action.TAKE_OVER
