--- a/src/bramblebeam/core/failover/decision.py
+++ b/src/bramblebeam/core/failover/decision.py
@@ -49,7 +49,7 @@
     lapse_timeout: float = 2.0
     takeover_delay: float = 0.8
     rank_step: float = 0.25
-    observation: float = 0.8
+    lease_observation: float = 0.8
     hold: float = 0.2
     attempt: float = 2.5
     resignation: float = 8.0
@@ -130,4 +130,4 @@
     is_released = not found.holder
     if is_released or (known is not None and known.token == found.token):
         return 0.0
-    return timing.observation if is_first_read else timing.attempt
+    return timing.lease_observation if is_first_read else timing.attempt
--- a/src/bramblebeam/services/failover/group_lease.py
+++ b/src/bramblebeam/services/failover/group_lease.py
@@ -102,7 +102,7 @@
 
     def _be_quiet(self) -> None:
         """Leave the last holder of a former era the time of an order that it may have begun."""
-        self.quiet_until = max(self.quiet_until, self._now() + self._timing.observation)
+        self.quiet_until = max(self.quiet_until, self._now() + self._timing.lease_observation)
 
     def _know(self, found: Lease) -> None:
         """Take the lease as the store has it.
--- a/tests/test_failover_decision.py
+++ b/tests/test_failover_decision.py
@@ -108,8 +108,8 @@
     old, new = Lease(GROUP, OTHER, at(7)), Lease(GROUP, OTHER, at(8))
     assert quiet_time(old, old, False, TIMING) == 0
     assert quiet_time(old, new, False, TIMING) == TIMING.attempt
-    assert quiet_time(old, new, True, TIMING) == TIMING.observation
-    assert quiet_time(None, new, True, TIMING) == TIMING.observation
+    assert quiet_time(old, new, True, TIMING) == TIMING.lease_observation
+    assert quiet_time(None, new, True, TIMING) == TIMING.lease_observation
 
 
 def test_the_longest_log_is_promoted_and_a_leaving_member_last() -> None:
--- a/tests/test_failover_old_lease.py
+++ b/tests/test_failover_old_lease.py
@@ -92,8 +92,8 @@
     ("lasts", "taken_over", "orders"),
     [
         pytest.param(0.0, False, 1, id="at-once"),
-        pytest.param(TIMING.observation - A_MOMENT, False, 1, id="before-another-may-act"),
-        pytest.param(TIMING.observation, False, 1, id="another-may-act"),
+        pytest.param(TIMING.lease_observation - A_MOMENT, False, 1, id="before-another-may-act"),
+        pytest.param(TIMING.lease_observation, False, 1, id="another-may-act"),
         pytest.param(4.0, False, 1, id="freeze"),
         pytest.param(4.0, True, 0, id="taken-over"),
     ],
@@ -134,4 +134,4 @@
 
 
 def test_an_order_has_left_before_another_node_may_take_the_lease_over() -> None:
-    assert TIMING.hold + PROMOTION_TIMEOUT <= TIMING.observation
+    assert TIMING.hold + PROMOTION_TIMEOUT <= TIMING.lease_observation
--- a/tests/test_leases_restored.py
+++ b/tests/test_leases_restored.py
@@ -162,7 +162,7 @@
         await keeper.lease.create_or_read()
         assert keeper.lease.is_own
         actions = {}
-        for seconds in (0.0, FailoverTiming().observation):
+        for seconds in (0.0, FailoverTiming().lease_observation):
             known, quiet = keeper.lease.known, keeper.lease.quiet_until
             since = FAR_FROM_TROUBLE - 10.0
             situation = Situation(keeper.node, 0, None, Cause.LOST, since, known, quiet)
