--- a/src/bramblebeam/core/failover/decision.py
+++ b/src/bramblebeam/core/failover/decision.py
@@ -50,7 +50,7 @@
     takeover_delay: float = 0.8
     rank_step: float = 0.25
     lease_observation: float = 0.8
-    hold: float = 0.2
+    order_window: float = 0.2
     attempt: float = 2.5
     resignation: float = 8.0
 
--- a/src/bramblebeam/services/failover/group_lease.py
+++ b/src/bramblebeam/services/failover/group_lease.py
@@ -234,7 +234,7 @@
         known = self.known
         if known is None or not self.is_own:
             return None
-        is_young = self._now() - self._written_at < self._timing.hold
+        is_young = self._now() - self._written_at < self._timing.order_window
         if is_young or self._fence_checked:
             return known
         return await self.write(known.last_change, known.unsettled)
--- a/tests/test_failover_old_lease.py
+++ b/tests/test_failover_old_lease.py
@@ -134,4 +134,4 @@
 
 
 def test_an_order_has_left_before_another_node_may_take_the_lease_over() -> None:
-    assert TIMING.hold + PROMOTION_TIMEOUT <= TIMING.lease_observation
+    assert TIMING.order_window + PROMOTION_TIMEOUT <= TIMING.lease_observation
