--- a/src/bramblebeam/core/failover/decision.py
+++ b/src/bramblebeam/core/failover/decision.py
@@ -51,7 +51,7 @@
     rank_step: float = 0.25
     lease_observation: float = 0.8
     order_window: float = 0.2
-    attempt: float = 2.5
+    attempt_timeout: float = 2.5
     resignation: float = 8.0
 
 
@@ -87,7 +87,7 @@
     """Return what the node does about the group's primary."""
     if situation.cause is None or situation.trouble_since is None:
         return Action.NONE
-    if situation.ordered_at is not None and now - situation.ordered_at < timing.attempt:
+    if situation.ordered_at is not None and now - situation.ordered_at < timing.attempt_timeout:
         return Action.NONE
     lasted = now - situation.trouble_since
     lease = situation.lease
@@ -130,4 +130,4 @@
     is_released = not found.holder
     if is_released or (known is not None and known.token == found.token):
         return 0.0
-    return timing.lease_observation if is_first_read else timing.attempt
+    return timing.lease_observation if is_first_read else timing.attempt_timeout
--- a/src/bramblebeam/services/failover/group_lease.py
+++ b/src/bramblebeam/services/failover/group_lease.py
@@ -30,7 +30,8 @@
 """One call to the store (seconds). It answers within milliseconds where it is well."""
 LEASE_READ_INTERVAL = 0.5
 """While a leader is missed, another node's lease is read so often (seconds). A holder that writes
-it and is lost then is replaced so much later at most; `FailoverTiming.attempt` is five times that.
+it and is lost then is replaced so much later at most; `FailoverTiming.attempt_timeout` is five
+times that.
 """
 NO_HOLDER = NodeId("")
 
@@ -267,7 +268,7 @@
         self._know(found)
         self.is_unwritten = False
         if not self.is_own:
-            self.quiet_until = self._now() + self._timing.attempt
+            self.quiet_until = self._now() + self._timing.attempt_timeout
 
     async def release(self) -> None:
         """Give the lease up before the node stops, so that nobody has to wait for it."""
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -34,7 +34,7 @@
 """News of the leader or of the databases ends a quiet wait at once."""
 FLUSH_INTERVAL = 0.5
 """A lease that could not be written is tried so often (seconds), by its holder alone: shorter than
-another node needs to take it over (`FailoverTiming.takeover_delay` and `observation`)."""
+another node needs to take it over (`FailoverTiming.takeover_delay` and `lease_observation`)."""
 FIRST_DELAY = 1.0
 """A watch begins at a random moment within so long after the group's first statement (seconds): a
 node that has just started finds the leader first, and not all groups ask the store at once."""
--- a/tests/test_failover_decision.py
+++ b/tests/test_failover_decision.py
@@ -73,7 +73,7 @@
 def test_a_change_under_way_is_not_repeated() -> None:
     ordered = situation(OWN, ordered_at=TROUBLE + 1)
     assert decide(ordered, TROUBLE + 2, TIMING) is Action.NONE
-    assert decide(ordered, TROUBLE + 1 + TIMING.attempt, TIMING) is Action.CHANGE
+    assert decide(ordered, TROUBLE + 1 + TIMING.attempt_timeout, TIMING) is Action.CHANGE
 
 
 @pytest.mark.parametrize("rank", [0, 3])
@@ -107,7 +107,7 @@
 def test_quiet_time_tells_old_leases_from_written_ones() -> None:
     old, new = Lease(GROUP, OTHER, at(7)), Lease(GROUP, OTHER, at(8))
     assert quiet_time(old, old, False, TIMING) == 0
-    assert quiet_time(old, new, False, TIMING) == TIMING.attempt
+    assert quiet_time(old, new, False, TIMING) == TIMING.attempt_timeout
     assert quiet_time(old, new, True, TIMING) == TIMING.lease_observation
     assert quiet_time(None, new, True, TIMING) == TIMING.lease_observation
 
