--- a/src/bramblebeam/core/failover/decision.py
+++ b/src/bramblebeam/core/failover/decision.py
@@ -52,7 +52,7 @@
     lease_observation: float = 0.8
     order_window: float = 0.2
     attempt_timeout: float = 2.5
-    resignation: float = 8.0
+    any_member_after: float = 8.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -273,7 +273,7 @@
         synchronous = settings is not None and settings.synchronous_replicas > 0
         if since is None or synchronous:
             return lease.last_change
-        is_long = self._service.now() - since > self._service.timing.resignation
+        is_long = self._service.now() - since > self._service.timing.any_member_after
         return None if is_long else lease.last_change
 
     async def _order(self, held: Lease, change: OrderedChange, is_repeated: bool) -> ChangeOutcome:
