--- a/src/bramblebeam/core/group/events.py
+++ b/src/bramblebeam/core/group/events.py
@@ -24,7 +24,7 @@
     """Effect: ask a member for its status within `timeout` seconds."""
 
     instance: InstanceId
-    asked_at: float
+    queried_at: float
     timeout: float
 
 
--- a/src/bramblebeam/lab/schedules/translate.py
+++ b/src/bramblebeam/lab/schedules/translate.py
@@ -36,7 +36,7 @@
 def answer_of(command: Any, accepted: bool, status: MemberStatus) -> Any:
     """Return the event that a command's result is for its watcher, or None for no event."""
     if isinstance(command, events.QueryStatus):
-        return events.StatusObserved(command.instance, status, command.asked_at)
+        return events.StatusObserved(command.instance, status, command.queried_at)
     outcome = CommandOutcome.DONE if accepted else CommandOutcome.REFUSED
     return _answered(command, outcome, status if accepted else None)
 
@@ -44,7 +44,7 @@
 def failure_of(command: Any, refused: bool) -> Any:
     """Return the event of a command without an answer; `refused`: nothing listens."""
     if isinstance(command, events.QueryStatus):
-        return events.StatusFailed(command.instance, command.asked_at, refused)
+        return events.StatusFailed(command.instance, command.queried_at, refused)
     outcome = CommandOutcome.REFUSED if refused else CommandOutcome.LOST
     return _answered(command, outcome, None)
 
--- a/src/bramblebeam/services/group/watch.py
+++ b/src/bramblebeam/services/group/watch.py
@@ -121,10 +121,10 @@
         result = await self._command(effect.instance, STATUS_QUERY, effect.timeout)
         status = self._status_of(result, effect.instance)
         if status is not None:
-            self._emit(events.StatusObserved(effect.instance, status, effect.asked_at))
+            self._emit(events.StatusObserved(effect.instance, status, effect.queried_at))
             return
         refused = result.is_error() and result.error.kind is FailureKind.NOT_LISTENING
-        self._emit(events.StatusFailed(effect.instance, effect.asked_at, refused))
+        self._emit(events.StatusFailed(effect.instance, effect.queried_at, refused))
 
     async def _promise(self, effect: events.Promise) -> None:
         sql = commands.promise(effect.term)
