--- a/src/bramblebeam/core/group/events.py
+++ b/src/bramblebeam/core/group/events.py
@@ -34,7 +34,7 @@
 
     instance: InstanceId
     status: MemberStatus
-    asked_at: float
+    queried_at: float
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -117,7 +117,7 @@
         match event:
             case StatusObserved():
                 self._queries.answered(event.instance)
-                self.view.observe(event.status, event.asked_at, now)
+                self.view.observe(event.status, event.queried_at, now)
             case StatusFailed():
                 self._queries.answered(event.instance)
                 self.view.fail(event.instance, event.asked_at, event.refused)
