--- a/src/bramblebeam/core/group/events.py
+++ b/src/bramblebeam/core/group/events.py
@@ -42,7 +42,7 @@
     """Event: a query got no answer. `refused`: no process listens at the member's address."""
 
     instance: InstanceId
-    asked_at: float
+    queried_at: float
     refused: bool
 
 
