--- a/src/bramblebeam/core/group/relocation.py
+++ b/src/bramblebeam/core/group/relocation.py
@@ -21,7 +21,7 @@
     members: MembersView
     configuration: ConfigurationView
 
-    def serves(self, zone: ZoneId) -> bool:
+    def is_served(self, zone: ZoneId) -> bool:
         """Whether the zone has a node that could own its instances and can be reached."""
         return bool(self.members.owners.get(zone)) and zone not in self.members.unreachable
 
@@ -36,7 +36,7 @@
             if watcher == self.node:
                 return True
             member = self.members.members.get(watcher)
-            if member is not None and self.serves(member.spec.zone):
+            if member is not None and self.is_served(member.spec.zone):
                 return False
         return False
 
@@ -62,7 +62,7 @@
     def target(self, view: Observations, around: Surroundings, now: float) -> InstanceId | None:
         """Return where the primary should move now, or None. An answer counts as an attempt."""
         primary = view.primary_observation()
-        if primary is None or around.serves(primary.spec.zone):
+        if primary is None or around.is_served(primary.spec.zone):
             self._unserved_since = None
         elif self._unserved_since is None:
             self._unserved_since = now
@@ -89,7 +89,7 @@
     primary = view.primary_observation()
     if primary is None or _may_stay(primary, around):
         return None
-    served = [member for member in view.members.values() if around.serves(member.spec.zone)]
+    served = [member for member in view.members.values() if around.is_served(member.spec.zone)]
     if len(served) < view.majority:
         return None
     candidates = [member for member in served if member is not primary and _fit(member, around)]
@@ -98,7 +98,7 @@
 
 
 def _may_stay(primary: MemberObservation, around: Surroundings) -> bool:
-    return _fit(primary, around) and around.serves(primary.spec.zone)
+    return _fit(primary, around) and around.is_served(primary.spec.zone)
 
 
 def _fit(member: MemberObservation, around: Surroundings) -> bool:
