--- a/src/bramblebeam/core/group/relocation.py
+++ b/src/bramblebeam/core/group/relocation.py
@@ -25,7 +25,7 @@
         """Whether the zone has a node that could own its instances and can be reached."""
         return bool(self.members.owners.get(zone)) and zone not in self.members.unreachable
 
-    def drained(self, instance: InstanceId) -> bool:
+    def is_drained(self, instance: InstanceId) -> bool:
         """Whether operators drain the instance by its row."""
         row = self.configuration.weights.get(instance)
         return row is not None and row.drain
@@ -103,7 +103,7 @@
 
 def _fit(member: MemberObservation, around: Surroundings) -> bool:
     status = member.status
-    if status is None or around.drained(member.spec.instance):
+    if status is None or around.is_drained(member.spec.instance):
         return False
     return not status.leaving
 
