--- a/src/bramblebeam/core/group/relocation.py
+++ b/src/bramblebeam/core/group/relocation.py
@@ -30,7 +30,7 @@
         row = self.configuration.weights.get(instance)
         return row is not None and row.drain
 
-    def leads(self, watchers: tuple[NodeId, ...]) -> bool:
+    def is_first_reachable(self, watchers: tuple[NodeId, ...]) -> bool:
         """Whether this node is the first of the group's watchers that can be reached."""
         for watcher in watchers:
             if watcher == self.node:
--- a/src/bramblebeam/services/group/service.py
+++ b/src/bramblebeam/services/group/service.py
@@ -218,7 +218,9 @@
     def _relocate(
         self, group: GroupId, watch: GroupWatch, around: Surroundings, now: float
     ) -> None:
-        if not watch.machine.managed or not around.leads(self._table.watchers_of(group)):
+        if not watch.machine.managed or not around.is_first_reachable(
+            self._table.watchers_of(group)
+        ):
             return
         relocation = self._relocations.setdefault(group, Relocation())
         target = relocation.target(watch.machine.view, around, now)
--- a/tests/test_group_relocation.py
+++ b/tests/test_group_relocation.py
@@ -120,7 +120,7 @@
 
 def test_the_first_watcher_that_can_be_reached_leads() -> None:
     watchers = (NodeId("n-a"), NodeId("n-b"), NodeId("n-c"))
-    assert not around("n-b").leads(watchers)
-    assert around("n-b", unreachable=("a",)).leads(watchers)
-    assert not around("n-c", unreachable=("a",)).leads(watchers)
-    assert not around("n-x").leads(watchers)
+    assert not around("n-b").is_first_reachable(watchers)
+    assert around("n-b", unreachable=("a",)).is_first_reachable(watchers)
+    assert not around("n-c", unreachable=("a",)).is_first_reachable(watchers)
+    assert not around("n-x").is_first_reachable(watchers)
