--- a/src/bramblebeam/core/group/relocation.py
+++ b/src/bramblebeam/core/group/relocation.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class RelocationContext:
     """What the views of a node tell about the places and rows of a group's members."""
 
     node: NodeId
@@ -59,7 +59,9 @@
         self._unserved_since: float | None = None
         self._acted_at = float("-inf")
 
-    def target(self, view: Observations, around: Surroundings, now: float) -> InstanceId | None:
+    def target(
+        self, view: Observations, around: RelocationContext, now: float
+    ) -> InstanceId | None:
         """Return where the primary should move now, or None. An answer counts as an attempt."""
         primary = view.primary_observation()
         if primary is None or around.is_served(primary.spec.zone):
@@ -73,7 +75,9 @@
             self._acted_at = now
         return target
 
-    def _patient(self, primary: MemberObservation | None, around: Surroundings, now: float) -> bool:
+    def _patient(
+        self, primary: MemberObservation | None, around: RelocationContext, now: float
+    ) -> bool:
         if self._unserved_since is None or primary is None or not _fit(primary, around):
             return True
         if primary.spec.zone in around.members.unreachable:
@@ -81,7 +85,7 @@
         return now - self._unserved_since >= UNSERVED_PATIENCE
 
 
-def relocation_target(view: Observations, around: Surroundings) -> InstanceId | None:
+def relocation_target(view: Observations, around: RelocationContext) -> InstanceId | None:
     """Return the member that the primary should move to, or None if it should stay.
 
     A node that sees less than a majority of the members' zones moves nothing: it is itself cut off.
@@ -97,11 +101,11 @@
     return None if best is None else best.spec.instance
 
 
-def _may_stay(primary: MemberObservation, around: Surroundings) -> bool:
+def _may_stay(primary: MemberObservation, around: RelocationContext) -> bool:
     return _fit(primary, around) and around.is_served(primary.spec.zone)
 
 
-def _fit(member: MemberObservation, around: Surroundings) -> bool:
+def _fit(member: MemberObservation, around: RelocationContext) -> bool:
     status = member.status
     if status is None or around.is_drained(member.spec.instance):
         return False
--- a/src/bramblebeam/services/group/service.py
+++ b/src/bramblebeam/services/group/service.py
@@ -23,7 +23,7 @@
     ReachabilityReply,
     ReachabilityRequest,
 )
-from bramblebeam.core.group.relocation import Relocation, Surroundings
+from bramblebeam.core.group.relocation import Relocation, RelocationContext
 from bramblebeam.core.group.timing import GroupTiming
 from bramblebeam.core.group.watchers import WatcherTable
 from bramblebeam.core.identity import Address, GroupId, InstanceSpec, NodeId
@@ -209,14 +209,14 @@
         while True:
             await asyncio.sleep(RELOCATION_INTERVAL)
             now = asyncio.get_running_loop().time()
-            around = Surroundings(
+            around = RelocationContext(
                 self._settings.node, self._table.members, self._table.configuration
             )
             for group, watch in list(self._watches.items()):
                 self._relocate(group, watch, around, now)
 
     def _relocate(
-        self, group: GroupId, watch: GroupWatch, around: Surroundings, now: float
+        self, group: GroupId, watch: GroupWatch, around: RelocationContext, now: float
     ) -> None:
         if not watch.machine.managed or not around.is_first_reachable(
             self._table.watchers_of(group)
--- a/tests/test_group_relocation.py
+++ b/tests/test_group_relocation.py
@@ -6,7 +6,7 @@
 from bramblebeam.core.configuration.view import ConfigurationView
 from bramblebeam.core.group.messages import MemberStatus
 from bramblebeam.core.group.observation import Observations
-from bramblebeam.core.group.relocation import Relocation, Surroundings, relocation_target
+from bramblebeam.core.group.relocation import Relocation, RelocationContext, relocation_target
 from bramblebeam.core.group.timing import GroupTiming
 from bramblebeam.core.identity import (
     Address,
@@ -48,7 +48,9 @@
     return view
 
 
-def around(node: str = "n-b", unreachable: tuple[str, ...] = (), drained: str = "") -> Surroundings:
+def around(
+    node: str = "n-b", unreachable: tuple[str, ...] = (), drained: str = ""
+) -> RelocationContext:
     members = {}
     for zone in ZONES:
         spec = NodeSpec(NodeId(f"n-{zone}"), ZoneId(zone), "r", PLACE, PLACE, PLACE)
@@ -60,7 +62,7 @@
         instance = InstanceId(drained)
         weights[instance] = WeightSpec(instance=instance, drain=True)
     configuration = ConfigurationView(weights=weights)
-    return Surroundings(NodeId(node), MembersView(members, owners, cut), configuration)
+    return RelocationContext(NodeId(node), MembersView(members, owners, cut), configuration)
 
 
 def test_a_primary_that_works_stays() -> None:
@@ -89,7 +91,7 @@
     assert relocation_target(observed(), around("n-b", unreachable=("a", "c"))) is None
 
 
-def without_nodes(zone: str) -> Surroundings:
+def without_nodes(zone: str) -> RelocationContext:
     found = around()
     owners = {name: nodes for name, nodes in found.members.owners.items() if name != zone}
     return replace(found, members=replace(found.members, owners=owners))
