--- a/src/bramblebeam/core/group/change.py
+++ b/src/bramblebeam/core/group/change.py
@@ -50,7 +50,7 @@
         """The number of promises that is needed."""
         return majority_of(len(self.order))
 
-    def take_promise(
+    def record_promise(
         self,
         instance: InstanceId,
         outcome: CommandOutcome,
--- a/src/bramblebeam/core/group/changes.py
+++ b/src/bramblebeam/core/group/changes.py
@@ -96,7 +96,7 @@
         if change is None or change.term != event.term:
             return
         if change.phase is ChangePhase.PROMISING:
-            change.take_promise(event.instance, event.outcome, event.status, now)
+            change.record_promise(event.instance, event.outcome, event.status, now)
 
     def take_promotion(self, event: PromoteAnswered, now: float) -> None:
         """Take the chosen member's answer. A lost one is settled by the next statuses."""
--- a/tests/test_group_choice.py
+++ b/tests/test_group_choice.py
@@ -21,7 +21,7 @@
         cause, ChangePhase.PROMISING, 0.0, 1.0, (OLD, SECOND, THIRD), old_primary=OLD, term=2
     )
     for instance, offset in promised:
-        change.take_promise(instance, CommandOutcome.DONE, status(instance, offset), 0.1)
+        change.record_promise(instance, CommandOutcome.DONE, status(instance, offset), 0.1)
     return change
 
 
