--- a/src/bramblebeam/core/group/change.py
+++ b/src/bramblebeam/core/group/change.py
@@ -41,7 +41,7 @@
     term: int = 0
     expected: frozenset[InstanceId] = frozenset()
     promises: dict[InstanceId, MemberStatus] = field(default_factory=dict)
-    without: set[InstanceId] = field(default_factory=set)
+    failed_promises: set[InstanceId] = field(default_factory=set)
     majority_at: float | None = None
     chosen: InstanceId | None = None
 
@@ -61,19 +61,19 @@
         if outcome is CommandOutcome.DONE and status is not None:
             self.promises[instance] = status
         else:
-            self.without.add(instance)
+            self.failed_promises.add(instance)
         if self.majority_at is None and len(self.promises) >= self.majority:
             self.majority_at = now
 
     def hopeless(self) -> bool:
         """Whether a majority cannot promise any more."""
-        return len(self.order) - len(self.without) < self.majority
+        return len(self.order) - len(self.failed_promises) < self.majority
 
     def ready(self, now: float, grace: float) -> bool:
         """Whether to promote now: a majority has promised, and the rest answered or had time."""
         if self.majority_at is None:
             return False
-        answered = self.promises.keys() | self.without
+        answered = self.promises.keys() | self.failed_promises
         return self.expected <= answered or now >= self.majority_at + grace
 
     def without_lost_primary(self) -> bool:
