--- a/src/bramblebeam/core/group/change.py
+++ b/src/bramblebeam/core/group/change.py
@@ -65,7 +65,7 @@
         if self.majority_at is None and len(self.promises) >= self.majority:
             self.majority_at = now
 
-    def hopeless(self) -> bool:
+    def cannot_reach_majority(self) -> bool:
         """Whether a majority cannot promise any more."""
         return len(self.order) - len(self.failed_promises) < self.majority
 
--- a/src/bramblebeam/core/group/changes.py
+++ b/src/bramblebeam/core/group/changes.py
@@ -116,7 +116,7 @@
             case ChangePhase.LEVELLING:
                 self._advance_levelling(change, now)
             case ChangePhase.PROMISING:
-                if change.hopeless():
+                if change.cannot_reach_majority():
                     self._give_up(change, "no majority promised", now)
                 elif change.ready(now, self._grace(change)):
                     self._promote(change, now)
