--- a/src/bramblebeam/core/group/change.py
+++ b/src/bramblebeam/core/group/change.py
@@ -76,7 +76,7 @@
         answered = self.promises.keys() | self.failed_promises
         return self.expected <= answered or now >= self.majority_at + grace
 
-    def without_lost_primary(self) -> bool:
+    def can_skip_lost_primary(self) -> bool:
         """Whether the choice can pass a lost primary over, or need not."""
         return self.cause not in LOST_PRIMARY or len(self._others()) >= self.majority
 
--- a/src/bramblebeam/core/group/changes.py
+++ b/src/bramblebeam/core/group/changes.py
@@ -125,7 +125,7 @@
 
     def _grace(self, change: Change) -> float:
         """Return how long after a majority's promises the other answers are waited for."""
-        passes_over = change.without_lost_primary()
+        passes_over = change.can_skip_lost_primary()
         return self._timing.promise_grace if passes_over else self._timing.lost_primary_grace
 
     def _new_change(
