--- a/src/bramblebeam/core/group/followers.py
+++ b/src/bramblebeam/core/group/followers.py
@@ -17,7 +17,7 @@
     def tend(self, rank: int, now: float) -> None:
         """Point members that are back, or that were left behind; the first watcher at once."""
         for name, member in self._view.members.items():
-            if not self._left_behind(member) or not member.fresh(now, self._timing.fresh):
+            if not self._left_behind(member) or not member.is_fresh(now, self._timing.fresh):
                 member.behind_since = None
                 continue
             if member.behind_since is None:
@@ -46,7 +46,7 @@
             status = member.status
             if status is None or status.promised_term <= self._view.term:
                 member.astray_since = None
-            elif member.fresh(now, self._timing.fresh):
+            elif member.is_fresh(now, self._timing.fresh):
                 since = now if member.astray_since is None else member.astray_since
                 member.astray_since = since
                 long = long or now - since >= bound
--- a/src/bramblebeam/core/group/observation.py
+++ b/src/bramblebeam/core/group/observation.py
@@ -30,7 +30,7 @@
     behind_since: float | None = None
     astray_since: float | None = None
 
-    def fresh(self, now: float, bound: float) -> bool:
+    def is_fresh(self, now: float, bound: float) -> bool:
         """Whether the last query was answered, not longer than `bound` seconds ago."""
         return self.status is not None and now - self.status_at <= bound
 
@@ -121,7 +121,9 @@
 
     def fresh_members(self, now: float) -> list[MemberObservation]:
         """Return the members whose status is fresh."""
-        return [member for member in self.members.values() if member.fresh(now, self.timing.fresh)]
+        return [
+            member for member in self.members.values() if member.is_fresh(now, self.timing.fresh)
+        ]
 
     def primary_observation(self) -> MemberObservation | None:
         """Return the observation of the primary, if one is known."""
--- a/src/bramblebeam/core/group/reachability.py
+++ b/src/bramblebeam/core/group/reachability.py
@@ -42,7 +42,7 @@
     def reply(self, asker: NodeId, instance: InstanceId, now: float) -> Send:
         """Return the answer to another watcher."""
         member = self._view.members.get(instance)
-        reached = member is not None and member.fresh(now, REACHABLE_WITHIN)
+        reached = member is not None and member.is_fresh(now, REACHABLE_WITHIN)
         return Send(asker, ReachabilityReply(self._group, instance, reached))
 
     def take(self, reply: ReachabilityReply, now: float) -> None:
--- a/src/bramblebeam/core/group/suspicion.py
+++ b/src/bramblebeam/core/group/suspicion.py
@@ -36,7 +36,7 @@
         return False
     status = primary.status
     return (
-        primary.fresh(now, view.timing.fresh)
+        primary.is_fresh(now, view.timing.fresh)
         and status.role is Role.PRIMARY
         and status.term == view.term
         and primary.contact() < view.timing.sign
