--- a/src/bramblebeam/core/group/observation.py
+++ b/src/bramblebeam/core/group/observation.py
@@ -38,7 +38,7 @@
         """Return for how many seconds queries have failed (0: the last one did not)."""
         return 0.0 if self.failing_since is None else now - self.failing_since
 
-    def contact(self) -> float:
+    def seconds_without_contact(self) -> float:
         """Return the seconds without contact to a primary, as the member last reported."""
         assert self.status is not None
         return self.status.primary_contact_ms / MILLISECONDS
--- a/src/bramblebeam/core/group/suspicion.py
+++ b/src/bramblebeam/core/group/suspicion.py
@@ -39,17 +39,17 @@
         primary.is_fresh(now, view.timing.fresh)
         and status.role is Role.PRIMARY
         and status.term == view.term
-        and primary.contact() < view.timing.sign
+        and primary.seconds_without_contact() < view.timing.sign
     )
 
 
 def _some_sign(view: Observations, fresh: list[MemberObservation]) -> bool:
-    return any(member.contact() >= view.timing.sign for member in fresh)
+    return any(member.seconds_without_contact() >= view.timing.sign for member in fresh)
 
 
 def _silent(view: Observations, member: MemberObservation, bound: float) -> bool:
     """Whether a member has not heard the primary of the present term for `bound` seconds."""
-    return member.status_at >= view.term_at and member.contact() >= bound
+    return member.status_at >= view.term_at and member.seconds_without_contact() >= bound
 
 
 def _without_primary(view: Observations, fresh: list[MemberObservation]) -> Cause | None:
@@ -69,7 +69,9 @@
     bound = timing.refused_bound if primary.refused else timing.contact_bound
     silent = [member for member in fresh if _silent(view, member, bound)]
     hearing = [
-        member for member in fresh if member is not primary and member.contact() < timing.sign
+        member
+        for member in fresh
+        if member is not primary and member.seconds_without_contact() < timing.sign
     ]
     evidence = len(silent)
     if not hearing and primary.unreachable_for(now) >= bound:
