--- a/src/bramblebeam/core/group/observation.py
+++ b/src/bramblebeam/core/group/observation.py
@@ -22,7 +22,7 @@
 
     spec: InstanceSpec
     status: MemberStatus | None = None
-    status_at: float = float("-inf")
+    status_queried_at: float = float("-inf")
     failing_since: float | None = None
     refused: bool = False
     query_open_until: float = float("-inf")
@@ -32,7 +32,7 @@
 
     def is_fresh(self, now: float, bound: float) -> bool:
         """Whether the last query was answered, not longer than `bound` seconds ago."""
-        return self.status is not None and now - self.status_at <= bound
+        return self.status is not None and now - self.status_queried_at <= bound
 
     def unreachable_for(self, now: float) -> float:
         """Return for how many seconds queries have failed (0: the last one did not)."""
@@ -82,10 +82,10 @@
     def observe(self, status: MemberStatus, asked_at: float, now: float) -> None:
         """Take a member's status."""
         member = self.members.get(status.instance)
-        if member is None or asked_at < member.status_at:
+        if member is None or asked_at < member.status_queried_at:
             return
         member.status = status
-        member.status_at = asked_at
+        member.status_queried_at = asked_at
         member.failing_since = None
         member.refused = False
         self._learn_term(status, now)
@@ -96,7 +96,7 @@
     def fail(self, instance: InstanceId, asked_at: float, refused: bool) -> None:
         """Take a query's failure. One asked before this watcher was paused says nothing."""
         member = self.members.get(instance)
-        if member is None or asked_at < self._awake_since or asked_at < member.status_at:
+        if member is None or asked_at < self._awake_since or asked_at < member.status_queried_at:
             return
         if member.failing_since is None:
             member.failing_since = asked_at
@@ -134,7 +134,7 @@
         return tuple(
             MemberReport(
                 member.status,
-                int((now - member.status_at) * MILLISECONDS),
+                int((now - member.status_queried_at) * MILLISECONDS),
                 member.failing_since is None,
             )
             for member in self.members.values()
--- a/src/bramblebeam/core/group/planned.py
+++ b/src/bramblebeam/core/group/planned.py
@@ -40,7 +40,7 @@
     """
     if primary.status is None or target.status is None:
         return False
-    if primary.status_at < since or target.status_at < since:
+    if primary.status_queried_at < since or target.status_queried_at < since:
         return False
     committed = primary.status.applied == primary.status.last
     return committed and target.status.last >= primary.status.last
