--- a/src/bramblebeam/core/group/observation.py
+++ b/src/bramblebeam/core/group/observation.py
@@ -25,7 +25,7 @@
     status_queried_at: float = float("-inf")
     failing_since: float | None = None
     refused: bool = False
-    query_open_until: float = float("-inf")
+    query_pending_until: float = float("-inf")
     followed_at: float = float("-inf")
     behind_since: float | None = None
     astray_since: float | None = None
--- a/src/bramblebeam/core/group/queries.py
+++ b/src/bramblebeam/core/group/queries.py
@@ -57,7 +57,7 @@
         """Allow the next query to this member."""
         member = self._view.members.get(instance)
         if member is not None:
-            member.query_open_until = float("-inf")
+            member.query_pending_until = float("-inf")
 
     def _in_turn(self) -> MemberObservation:
         """Return the member to ask in calm: the primary every other time, else the next one."""
@@ -74,7 +74,7 @@
         return self._timing.idle_alert_interval if long else self._timing.alert_interval
 
     def _query(self, member: MemberObservation, now: float) -> list[QueryStatus]:
-        if now < member.query_open_until:
+        if now < member.query_pending_until:
             return []
-        member.query_open_until = now + 2 * self._timing.query_timeout
+        member.query_pending_until = now + 2 * self._timing.query_timeout
         return [QueryStatus(member.spec.instance, now, self._timing.query_timeout)]
