--- a/src/bramblebeam/core/group/followers.py
+++ b/src/bramblebeam/core/group/followers.py
@@ -23,13 +23,13 @@
             if member.behind_since is None:
                 member.behind_since = now
             turn = member.behind_since + rank * self._timing.follow_interval
-            if now >= max(turn, member.followed_at + self._timing.follow_interval):
+            if now >= max(turn, member.follow_sent_at + self._timing.follow_interval):
                 self.point(name, now)
 
     def point(self, name: InstanceId, now: float) -> None:
         """Have a member follow the primary."""
         assert self._view.primary is not None
-        self._view.members[name].followed_at = now
+        self._view.members[name].follow_sent_at = now
         primary = self._view.members[self._view.primary].spec
         timeout = self._timing.follow_timeout
         self._outbox.append(Follow(name, self._view.term, primary, timeout))
--- a/src/bramblebeam/core/group/observation.py
+++ b/src/bramblebeam/core/group/observation.py
@@ -26,7 +26,7 @@
     failing_since: float | None = None
     refused: bool = False
     query_pending_until: float = float("-inf")
-    followed_at: float = float("-inf")
+    follow_sent_at: float = float("-inf")
     behind_since: float | None = None
     astray_since: float | None = None
 
