--- a/src/bramblebeam/core/group/followers.py
+++ b/src/bramblebeam/core/group/followers.py
@@ -18,11 +18,11 @@
         """Point members that are back, or that were left behind; the first watcher at once."""
         for name, member in self._view.members.items():
             if not self._left_behind(member) or not member.is_fresh(now, self._timing.fresh):
-                member.behind_since = None
+                member.not_following_since = None
                 continue
-            if member.behind_since is None:
-                member.behind_since = now
-            turn = member.behind_since + rank * self._timing.follow_interval
+            if member.not_following_since is None:
+                member.not_following_since = now
+            turn = member.not_following_since + rank * self._timing.follow_interval
             if now >= max(turn, member.follow_sent_at + self._timing.follow_interval):
                 self.point(name, now)
 
--- a/src/bramblebeam/core/group/observation.py
+++ b/src/bramblebeam/core/group/observation.py
@@ -27,7 +27,7 @@
     refused: bool = False
     query_pending_until: float = float("-inf")
     follow_sent_at: float = float("-inf")
-    behind_since: float | None = None
+    not_following_since: float | None = None
     astray_since: float | None = None
 
     def is_fresh(self, now: float, bound: float) -> bool:
