--- a/src/bramblebeam/core/group/followers.py
+++ b/src/bramblebeam/core/group/followers.py
@@ -45,17 +45,17 @@
         for member in self._view.members.values():
             status = member.status
             if status is None or status.promised_term <= self._view.term:
-                member.astray_since = None
+                member.blocked_since = None
             elif member.is_fresh(now, self._timing.fresh):
-                since = now if member.astray_since is None else member.astray_since
-                member.astray_since = since
+                since = now if member.blocked_since is None else member.blocked_since
+                member.blocked_since = since
                 long = long or now - since >= bound
         return long
 
     def forget_kept_out(self) -> None:
         """Count the time anew: a new term is on its way."""
         for member in self._view.members.values():
-            member.astray_since = None
+            member.blocked_since = None
 
     def _left_behind(self, member: MemberObservation) -> bool:
         status = member.status
--- a/src/bramblebeam/core/group/observation.py
+++ b/src/bramblebeam/core/group/observation.py
@@ -28,7 +28,7 @@
     query_pending_until: float = float("-inf")
     follow_sent_at: float = float("-inf")
     not_following_since: float | None = None
-    astray_since: float | None = None
+    blocked_since: float | None = None
 
     def is_fresh(self, now: float, bound: float) -> bool:
         """Whether the last query was answered, not longer than `bound` seconds ago."""
