--- a/src/bramblebeam/core/group/changes.py
+++ b/src/bramblebeam/core/group/changes.py
@@ -101,7 +101,7 @@
     def take_promotion(self, event: PromoteAnswered, now: float) -> None:
         """Take the chosen member's answer. A lost one is settled by the next statuses."""
         if event.outcome is CommandOutcome.DONE:
-            self._view.promoted(event.term, event.instance, now)
+            self._view.record_promotion(event.term, event.instance, now)
         change = self.change
         refused = event.outcome is CommandOutcome.REFUSED
         if change is not None and change.term == event.term and refused:
--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -137,7 +137,7 @@
             case Received(message=ReachabilityReply() as reply):
                 self._reachability.take(reply, now)
             case Received(message=PrimaryNotice(term=term, primary=primary)):
-                self.view.promoted(term, primary, now)
+                self.view.record_promotion(term, primary, now)
                 self._queries.alarm(now)
             case Wakeup():
                 pass
--- a/src/bramblebeam/core/group/observation.py
+++ b/src/bramblebeam/core/group/observation.py
@@ -109,7 +109,7 @@
             member.failing_since = None
             member.refused = False
 
-    def promoted(self, term: int, primary: InstanceId, now: float) -> None:
+    def record_promotion(self, term: int, primary: InstanceId, now: float) -> None:
         """Take the knowledge that `primary` was promoted at `term`."""
         if primary not in self.members:
             return
@@ -144,8 +144,8 @@
     def _learn_term(self, status: MemberStatus, now: float) -> None:
         """Follow the highest term that has a primary, by its own word or that of a follower."""
         if status.role is Role.PRIMARY:
-            self.promoted(status.term, status.instance, now)
+            self.record_promotion(status.term, status.instance, now)
             return
         believed = InstanceId(status.primary)
         if status.term > self.term:
-            self.promoted(status.term, believed, now)
+            self.record_promotion(status.term, believed, now)
