--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -120,7 +120,7 @@
                 self.view.observe(event.status, event.queried_at, now)
             case StatusFailed():
                 self._queries.answered(event.instance)
-                self.view.fail(event.instance, event.queried_at, event.refused)
+                self.view.record_failure(event.instance, event.queried_at, event.refused)
             case PromiseAnswered():
                 self._changes.take_promise(event, now)
             case PromoteAnswered():
--- a/src/bramblebeam/core/group/observation.py
+++ b/src/bramblebeam/core/group/observation.py
@@ -93,7 +93,7 @@
             self.highest_promised = status.promised_term
             self.promised_at = now
 
-    def fail(self, instance: InstanceId, asked_at: float, refused: bool) -> None:
+    def record_failure(self, instance: InstanceId, asked_at: float, refused: bool) -> None:
         """Take a query's failure. One asked before this watcher was paused says nothing."""
         member = self.members.get(instance)
         if member is None or asked_at < self._awake_since or asked_at < member.status_queried_at:
