--- a/src/bramblebeam/core/group/changes.py
+++ b/src/bramblebeam/core/group/changes.py
@@ -91,7 +91,7 @@
     def take_promise(self, event: PromiseAnswered, now: float) -> None:
         """Take a member's answer to a promise."""
         if event.status is not None:
-            self._view.observe(event.status, now, now)
+            self._view.record_status(event.status, now, now)
         change = self.change
         if change is None or change.term != event.term:
             return
--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -117,7 +117,7 @@
         match event:
             case StatusObserved():
                 self._queries.answered(event.instance)
-                self.view.observe(event.status, event.queried_at, now)
+                self.view.record_status(event.status, event.queried_at, now)
             case StatusFailed():
                 self._queries.answered(event.instance)
                 self.view.record_failure(event.instance, event.queried_at, event.refused)
--- a/src/bramblebeam/core/group/observation.py
+++ b/src/bramblebeam/core/group/observation.py
@@ -79,7 +79,7 @@
         if self.primary not in self.members:
             self.primary = None
 
-    def observe(self, status: MemberStatus, asked_at: float, now: float) -> None:
+    def record_status(self, status: MemberStatus, asked_at: float, now: float) -> None:
         """Take a member's status."""
         member = self.members.get(status.instance)
         if member is None or asked_at < member.status_queried_at:
--- a/tests/test_group_relocation.py
+++ b/tests/test_group_relocation.py
@@ -44,7 +44,7 @@
             promised_term=3,
             leaving=name == leaving,
         )
-        view.observe(status, 1.0, 1.0)
+        view.record_status(status, 1.0, 1.0)
     return view
 
 
