--- a/src/bramblebeam/core/group/observation.py
+++ b/src/bramblebeam/core/group/observation.py
@@ -51,7 +51,7 @@
         self.timing = timing
         self.members: dict[InstanceId, MemberObservation] = {}
         self.term = 0
-        self.term_at = float("-inf")
+        self.term_learned_at = float("-inf")
         self.primary: InstanceId | None = None
         self.highest_promised = 0
         self.promised_at = float("-inf")
@@ -114,7 +114,7 @@
         if primary not in self.members:
             return
         if term > self.term:
-            self.term_at = now
+            self.term_learned_at = now
             self.term = term
         if term == self.term:
             self.primary = primary
--- a/src/bramblebeam/core/group/suspicion.py
+++ b/src/bramblebeam/core/group/suspicion.py
@@ -49,7 +49,10 @@
 
 def _silent(view: Observations, member: MemberObservation, bound: float) -> bool:
     """Whether a member has not heard the primary of the present term for `bound` seconds."""
-    return member.status_queried_at >= view.term_at and member.seconds_without_contact() >= bound
+    return (
+        member.status_queried_at >= view.term_learned_at
+        and member.seconds_without_contact() >= bound
+    )
 
 
 def _without_primary(view: Observations, fresh: list[MemberObservation]) -> Cause | None:
--- a/src/bramblebeam/core/group/waiting.py
+++ b/src/bramblebeam/core/group/waiting.py
@@ -39,7 +39,7 @@
         if self.rank > 0:
             turn += self._jitter()
         patience = self._timing.patience + turn
-        at = max(since + turn, self._retry_at, view.term_at + patience)
+        at = max(since + turn, self._retry_at, view.term_learned_at + patience)
         others = view.highest_term != self.own_term
         return max(at, view.promised_at + patience) if others else at
 
