--- a/src/bramblebeam/core/group/observation.py
+++ b/src/bramblebeam/core/group/observation.py
@@ -54,7 +54,7 @@
         self.term_learned_at = float("-inf")
         self.primary: InstanceId | None = None
         self.highest_promised = 0
-        self.promised_at = float("-inf")
+        self.promise_learned_at = float("-inf")
         self._awake_since = float("-inf")
         self.replace_members(members)
 
@@ -91,7 +91,7 @@
         self._learn_term(status, now)
         if status.promised_term > self.highest_promised:
             self.highest_promised = status.promised_term
-            self.promised_at = now
+            self.promise_learned_at = now
 
     def record_failure(self, instance: InstanceId, asked_at: float, refused: bool) -> None:
         """Take a query's failure. One asked before this watcher was paused says nothing."""
--- a/src/bramblebeam/core/group/waiting.py
+++ b/src/bramblebeam/core/group/waiting.py
@@ -41,7 +41,7 @@
         patience = self._timing.patience + turn
         at = max(since + turn, self._retry_at, view.term_learned_at + patience)
         others = view.highest_term != self.own_term
-        return max(at, view.promised_at + patience) if others else at
+        return max(at, view.promise_learned_at + patience) if others else at
 
     def failed(self, cause: Cause, term: int, now: float) -> None:
         """Note that an attempt at `term` failed."""
