--- a/src/bramblebeam/core/group/suspicion.py
+++ b/src/bramblebeam/core/group/suspicion.py
@@ -39,12 +39,12 @@
         primary.is_fresh(now, view.timing.fresh)
         and status.role is Role.PRIMARY
         and status.term == view.term
-        and primary.seconds_without_contact() < view.timing.sign
+        and primary.seconds_without_contact() < view.timing.contact_warning
     )
 
 
 def _some_sign(view: Observations, fresh: list[MemberObservation]) -> bool:
-    return any(member.seconds_without_contact() >= view.timing.sign for member in fresh)
+    return any(member.seconds_without_contact() >= view.timing.contact_warning for member in fresh)
 
 
 def _silent(view: Observations, member: MemberObservation, bound: float) -> bool:
@@ -74,7 +74,7 @@
     hearing = [
         member
         for member in fresh
-        if member is not primary and member.seconds_without_contact() < timing.sign
+        if member is not primary and member.seconds_without_contact() < timing.contact_warning
     ]
     evidence = len(silent)
     if not hearing and primary.unreachable_for(now) >= bound:
--- a/src/bramblebeam/core/group/timing.py
+++ b/src/bramblebeam/core/group/timing.py
@@ -29,7 +29,7 @@
     idle_alert_interval: float = 0.5
     idle_alert_after: float = 10.0
     query_timeout: float = 0.4
-    sign: float = 0.15
+    contact_warning: float = 0.15
     contact_bound: float = 0.8
     refused_bound: float = 0.2
     unreachable_bound: float = 1.0
