--- a/src/bramblebeam/core/group/timing.py
+++ b/src/bramblebeam/core/group/timing.py
@@ -36,7 +36,7 @@
     rank_wait: float = 0.15
     jitter: float = 0.04
     fresh: float = 0.5
-    patience: float = 0.5
+    other_change_timeout: float = 0.5
     own_pause: float = 0.25
     promise_timeout: float = 0.5
     promise_grace: float = 0.03
--- a/src/bramblebeam/core/group/waiting.py
+++ b/src/bramblebeam/core/group/waiting.py
@@ -38,10 +38,10 @@
         turn = self.rank * self._timing.rank_wait
         if self.rank > 0:
             turn += self._jitter()
-        patience = self._timing.patience + turn
-        at = max(since + turn, self._retry_at, view.term_learned_at + patience)
+        wait = self._timing.other_change_timeout + turn
+        at = max(since + turn, self._retry_at, view.term_learned_at + wait)
         others = view.highest_term != self.own_term
-        return max(at, view.promise_learned_at + patience) if others else at
+        return max(at, view.promise_learned_at + wait) if others else at
 
     def failed(self, cause: Cause, term: int, now: float) -> None:
         """Note that an attempt at `term` failed."""
