--- a/src/bramblebeam/core/group/followers.py
+++ b/src/bramblebeam/core/group/followers.py
@@ -17,7 +17,9 @@
     def tend(self, rank: int, now: float) -> None:
         """Point members that are back, or that were left behind; the first watcher at once."""
         for name, member in self._view.members.items():
-            if not self._left_behind(member) or not member.is_fresh(now, self._timing.fresh):
+            if not self._left_behind(member) or not member.is_fresh(
+                now, self._timing.max_status_age
+            ):
                 member.not_following_since = None
                 continue
             if member.not_following_since is None:
@@ -46,7 +48,7 @@
             status = member.status
             if status is None or status.promised_term <= self._view.term:
                 member.blocked_since = None
-            elif member.is_fresh(now, self._timing.fresh):
+            elif member.is_fresh(now, self._timing.max_status_age):
                 since = now if member.blocked_since is None else member.blocked_since
                 member.blocked_since = since
                 long = long or now - since >= bound
--- a/src/bramblebeam/core/group/observation.py
+++ b/src/bramblebeam/core/group/observation.py
@@ -122,7 +122,9 @@
     def fresh_members(self, now: float) -> list[MemberObservation]:
         """Return the members whose status is fresh."""
         return [
-            member for member in self.members.values() if member.is_fresh(now, self.timing.fresh)
+            member
+            for member in self.members.values()
+            if member.is_fresh(now, self.timing.max_status_age)
         ]
 
     def primary_observation(self) -> MemberObservation | None:
--- a/src/bramblebeam/core/group/planned.py
+++ b/src/bramblebeam/core/group/planned.py
@@ -22,7 +22,7 @@
 def _objection_to_member(view: Observations, member: MemberObservation, now: float) -> str:
     name = member.spec.instance
     status = member.status
-    if status is None or not member.is_fresh(now, view.timing.fresh):
+    if status is None or not member.is_fresh(now, view.timing.max_status_age):
         return f"{name} is not reachable"
     if status.leaving:
         return f"{name} is leaving"
--- a/src/bramblebeam/core/group/suspicion.py
+++ b/src/bramblebeam/core/group/suspicion.py
@@ -36,7 +36,7 @@
         return False
     status = primary.status
     return (
-        primary.is_fresh(now, view.timing.fresh)
+        primary.is_fresh(now, view.timing.max_status_age)
         and status.role is Role.PRIMARY
         and status.term == view.term
         and primary.seconds_without_contact() < view.timing.contact_warning
--- a/src/bramblebeam/core/group/timing.py
+++ b/src/bramblebeam/core/group/timing.py
@@ -35,7 +35,7 @@
     unreachable_bound: float = 1.0
     rank_wait: float = 0.15
     jitter: float = 0.04
-    fresh: float = 0.5
+    max_status_age: float = 0.5
     other_change_timeout: float = 0.5
     own_pause: float = 0.25
     promise_timeout: float = 0.5
