--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -154,7 +154,7 @@
     def _notice_own_pause(self, now: float) -> None:
         """Distrust all clocks of failure when this wakeup comes much later than it was due."""
         expected = self._wakeup_expected
-        if expected is not None and now > expected + self.timing.own_pause:
+        if expected is not None and now > expected + self.timing.own_pause_threshold:
             self.view.forget_failures(now)
             self._waiting.suspected_since = None
 
--- a/src/bramblebeam/core/group/timing.py
+++ b/src/bramblebeam/core/group/timing.py
@@ -37,7 +37,7 @@
     jitter: float = 0.04
     max_status_age: float = 0.5
     other_change_timeout: float = 0.5
-    own_pause: float = 0.25
+    own_pause_threshold: float = 0.25
     promise_timeout: float = 0.5
     promise_grace: float = 0.03
     lost_primary_grace: float = 0.25
