--- a/src/bramblebeam/core/group/followers.py
+++ b/src/bramblebeam/core/group/followers.py
@@ -42,7 +42,7 @@
         Such a promise is what an abandoned attempt leaves behind; the member takes nothing from
         the primary until that one leads a higher term.
         """
-        bound = self._timing.realign_after * (1 + rank)
+        bound = self._timing.blocked_member_after * (1 + rank)
         long = False
         for member in self._view.members.values():
             status = member.status
--- a/src/bramblebeam/core/group/timing.py
+++ b/src/bramblebeam/core/group/timing.py
@@ -45,7 +45,7 @@
     follow_timeout: float = 1.0
     follow_interval: float = 0.5
     retry_wait: float = 0.2
-    realign_after: float = 2.0
+    blocked_member_after: float = 2.0
     reachability_after: float = 0.3
     reachability_interval: float = 0.2
     reachability_valid: float = 0.7
