--- a/src/bramblebeam/core/group/timing.py
+++ b/src/bramblebeam/core/group/timing.py
@@ -26,7 +26,7 @@
     first_interval: float = 0.2
     other_interval: float = 1.0
     alert_interval: float = 0.05
-    idle_alert_interval: float = 0.5
+    long_alert_interval: float = 0.5
     idle_alert_after: float = 10.0
     query_timeout: float = 0.4
     contact_warning: float = 0.15
