--- a/src/bramblebeam/core/group/queries.py
+++ b/src/bramblebeam/core/group/queries.py
@@ -70,7 +70,7 @@
 
     def _alert_interval(self, now: float) -> float:
         since = now if self._alert_since is None else self._alert_since
-        long = now - since > self._timing.idle_alert_after
+        long = now - since > self._timing.long_alert_after
         return self._timing.long_alert_interval if long else self._timing.alert_interval
 
     def _query(self, member: MemberObservation, now: float) -> list[QueryStatus]:
--- a/src/bramblebeam/core/group/timing.py
+++ b/src/bramblebeam/core/group/timing.py
@@ -27,7 +27,7 @@
     other_interval: float = 1.0
     alert_interval: float = 0.05
     long_alert_interval: float = 0.5
-    idle_alert_after: float = 10.0
+    long_alert_after: float = 10.0
     query_timeout: float = 0.4
     contact_warning: float = 0.15
     contact_bound: float = 0.8
