--- a/src/bramblebeam/core/group/changes.py
+++ b/src/bramblebeam/core/group/changes.py
@@ -135,7 +135,7 @@
             cause=cause,
             phase=ChangePhase.PAUSING,
             started=now,
-            deadline=now + self._timing.level_timeout,
+            deadline=now + self._timing.catch_up_timeout,
             order=tuple(self._view.members),
             target=target,
             request=request,
@@ -145,7 +145,7 @@
     def _pause_writes(self, change: Change, seconds: float) -> None:
         if change.old_primary is not None:
             milliseconds = int(seconds * MILLISECONDS)
-            timeout = self._timing.level_timeout
+            timeout = self._timing.catch_up_timeout
             self._outbox.append(PauseWrites(change.old_primary, milliseconds, timeout))
 
     def _advance_levelling(self, change: Change, now: float) -> None:
--- a/src/bramblebeam/core/group/timing.py
+++ b/src/bramblebeam/core/group/timing.py
@@ -49,6 +49,6 @@
     reachability_after: float = 0.3
     reachability_interval: float = 0.2
     reachability_valid: float = 0.7
-    level_timeout: float = 0.5
+    catch_up_timeout: float = 0.5
     write_pause: float = 1.5
     maximum_target_lag: float = 1.0
