--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -31,7 +31,7 @@
     ReachabilityRequest,
 )
 from bramblebeam.core.group.observation import Observations
-from bramblebeam.core.group.planned import objection
+from bramblebeam.core.group.planned import refusal_reason
 from bramblebeam.core.group.queries import QuerySchedule
 from bramblebeam.core.group.reachability import Reachability
 from bramblebeam.core.group.suspicion import Assessment, assess, primary_works
@@ -212,7 +212,7 @@
             return "the group changes its primary itself"
         if self._changes.change is not None:
             return UNDER_WAY
-        return objection(self.view, event.target, now)
+        return refusal_reason(self.view, event.target, now)
 
     def _phase(self) -> GroupPhase:
         if self._changes.change is not None:
--- a/src/bramblebeam/core/group/planned.py
+++ b/src/bramblebeam/core/group/planned.py
@@ -5,7 +5,7 @@
 from bramblebeam.core.identity import InstanceId
 
 
-def objection(view: Observations, target: InstanceId, now: float) -> str:
+def refusal_reason(view: Observations, target: InstanceId, now: float) -> str:
     """Return why a planned change to `target` must not begin now; empty if it may."""
     member = view.members.get(target)
     if member is None:
