--- a/src/bramblebeam/core/group/changes.py
+++ b/src/bramblebeam/core/group/changes.py
@@ -19,7 +19,7 @@
 from bramblebeam.core.group.followers import Followers
 from bramblebeam.core.group.messages import ChangeOutcome
 from bramblebeam.core.group.observation import MILLISECONDS, Observations
-from bramblebeam.core.group.planned import level
+from bramblebeam.core.group.planned import has_caught_up
 from bramblebeam.core.group.queries import QuerySchedule
 from bramblebeam.core.group.timing import GroupTiming
 from bramblebeam.core.group.waiting import Waiting
@@ -155,7 +155,7 @@
         target = self._view.members.get(change.target)
         if primary is None or target is None:
             self._abort(change, "the members changed", now)
-        elif level(primary, target, change.paused_at):
+        elif has_caught_up(primary, target, change.paused_at):
             self._ask_promises(change, now)
         else:
             names = [change.old_primary, change.target]
--- a/src/bramblebeam/core/group/planned.py
+++ b/src/bramblebeam/core/group/planned.py
@@ -33,7 +33,7 @@
     return ""
 
 
-def level(primary: MemberObservation, target: MemberObservation, since: float) -> bool:
+def has_caught_up(primary: MemberObservation, target: MemberObservation, since: float) -> bool:
     """Whether the target holds all that the primary does, both asked at or after `since`.
 
     The primary must have committed its last entry, so that no write's answer is cut off.
