--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -160,7 +160,7 @@
 
     def _looks_closely(self) -> bool:
         busy = self._changes.change is not None or self._request is not None
-        return busy or self._assessment.sign or self._waiting.interrupted is not None
+        return busy or self._assessment.needs_alert or self._waiting.interrupted is not None
 
     def _decide(self, now: float) -> None:
         """Start a change when there is a cause and this watcher's turn has come."""
--- a/src/bramblebeam/core/group/suspicion.py
+++ b/src/bramblebeam/core/group/suspicion.py
@@ -12,7 +12,7 @@
     """`cause`: why the primary is to be replaced, or None. `sign`: whether to look closer."""
 
     cause: Cause | None
-    sign: bool
+    needs_alert: bool
 
 
 def assess(view: Observations, reached_by_others: bool, now: float) -> Assessment:
