--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -80,7 +80,7 @@
         self._changes.advance(now)
         self._assessment = assess(self.view, self._reachability.by_others(now), now)
         if self._looks_closely():
-            self._queries.alarm(now)
+            self._queries.start_alert(now)
         self._begin_request(now)
         if self.managed and self._changes.change is None:
             self._decide(now)
@@ -132,13 +132,13 @@
             case GroupReconfigured():
                 self._reconfigure(event)
             case Received(sender=sender, message=ReachabilityRequest(instance=instance)):
-                self._queries.alarm(now)
+                self._queries.start_alert(now)
                 self._outbox.append(self._reachability.reply(sender, instance, now))
             case Received(message=ReachabilityReply() as reply):
                 self._reachability.take(reply, now)
             case Received(message=PrimaryNotice(term=term, primary=primary)):
                 self.view.record_promotion(term, primary, now)
-                self._queries.alarm(now)
+                self._queries.start_alert(now)
             case Wakeup():
                 pass
 
--- a/src/bramblebeam/core/group/queries.py
+++ b/src/bramblebeam/core/group/queries.py
@@ -30,7 +30,7 @@
         """When the next query is due (seconds)."""
         return self._next_at
 
-    def alarm(self, now: float) -> None:
+    def start_alert(self, now: float) -> None:
         """Look closely from now on."""
         if now >= self._alert_until:
             self._alert_since = now
