--- a/src/bramblebeam/core/group/queries.py
+++ b/src/bramblebeam/core/group/queries.py
@@ -37,7 +37,7 @@
             self._next_at = now
         self._alert_until = now + ALERT_SECONDS
 
-    def due(self, now: float) -> list[QueryStatus]:
+    def due_queries(self, now: float) -> list[QueryStatus]:
         """Return the queries that are due."""
         if now < self._next_at:
             return []
