--- a/src/bramblebeam/core/failover/in_vain.py
+++ b/src/bramblebeam/core/failover/backoff.py
@@ -8,42 +8,42 @@
 
 from collections.abc import Hashable
 
-FIRST_PAUSE = 0.1
-LONGEST_PAUSE = 1.5
+INITIAL_DELAY = 0.1
+MAX_DELAY = 1.5
 """Long enough for each other node to get its turn (`FailoverTiming.rank_step` for each rank)."""
-TRIES_IN_A_ROW = 3
+FAILURES_BEFORE_YIELD = 3
 """After so many tries in vain the lease is given up."""
 
 
-class TriesInVain:
+class FailoverBackoff:
     """Counts the tries that came to nothing while the members stayed as they are."""
 
     def __init__(self) -> None:
         self._members: Hashable = None
-        self._pause = FIRST_PAUSE
+        self._pause = INITIAL_DELAY
         self._until = float("-inf")
         self._count = 0
 
-    def note(self, members: Hashable, now: float) -> None:
+    def record_failure(self, members: Hashable, now: float) -> None:
         """Note that a try was in vain. `members`: what the directory tells of them."""
         if members != self._members:
-            self.end()
+            self.reset()
         self._members = members
         self._until = now + self._pause
-        self._pause = min(LONGEST_PAUSE, 2 * self._pause)
+        self._pause = min(MAX_DELAY, 2 * self._pause)
         self._count += 1
 
-    def end(self) -> None:
+    def reset(self) -> None:
         """Note that there is no trouble any more, or another one."""
-        self._pause = FIRST_PAUSE
+        self._pause = INITIAL_DELAY
         self._until = float("-inf")
         self._count = 0
 
-    def must_rest(self, members: Hashable, now: float) -> bool:
+    def must_wait(self, members: Hashable, now: float) -> bool:
         """Whether nothing is to be tried now."""
         return members == self._members and now < self._until
 
     @property
-    def steps_aside(self) -> bool:
+    def should_yield(self) -> bool:
         """Whether another node is to try next."""
-        return self._count >= TRIES_IN_A_ROW
+        return self._count >= FAILURES_BEFORE_YIELD
--- a/src/bramblebeam/core/failover/decision.py
+++ b/src/bramblebeam/core/failover/decision.py
@@ -45,14 +45,14 @@
     primary a group with asynchronous logs takes any member, also one whose log may be old.
     """
 
-    suspicion: float = 0.15
-    lapse: float = 2.0
-    challenge: float = 0.8
+    suspicion_timeout: float = 0.15
+    lapse_timeout: float = 2.0
+    takeover_delay: float = 0.8
     rank_step: float = 0.25
-    observation: float = 0.8
-    hold: float = 0.2
-    attempt: float = 2.5
-    resignation: float = 8.0
+    lease_observation: float = 0.8
+    order_window: float = 0.2
+    attempt_timeout: float = 2.5
+    any_member_after: float = 8.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
     """Return what the node does about the group's primary."""
     if situation.cause is None or situation.trouble_since is None:
         return Action.NONE
-    if situation.ordered_at is not None and now - situation.ordered_at < timing.attempt:
+    if situation.ordered_at is not None and now - situation.ordered_at < timing.attempt_timeout:
         return Action.NONE
     lasted = now - situation.trouble_since
     lease = situation.lease
@@ -99,7 +99,7 @@
     is_released = lease is not None and not lease.holder
     patience = _threshold(situation.cause, timing) + situation.rank * timing.rank_step
     if not is_released:
-        patience += timing.challenge
+        patience += timing.takeover_delay
     if lasted < patience or now < situation.quiet_until:
         return Action.NONE
     return Action.TAKE_OVER
@@ -116,7 +116,7 @@
     """Return how long the trouble must last before anything is done (seconds)."""
     if cause in (Cause.LEAVING, Cause.UNCONFIRMED, Cause.UNSETTLED):
         return 0.0
-    return timing.lapse if cause is Cause.LAPSED else timing.suspicion
+    return timing.lapse_timeout if cause is Cause.LAPSED else timing.suspicion_timeout
 
 
 def quiet_time(
@@ -130,4 +130,4 @@
     is_released = not found.holder
     if is_released or (known is not None and known.token == found.token):
         return 0.0
-    return timing.observation if is_first_read else timing.attempt
+    return timing.lease_observation if is_first_read else timing.attempt_timeout
--- a/src/bramblebeam/core/group/changes.py
+++ b/src/bramblebeam/core/group/changes.py
@@ -19,7 +19,7 @@
 from bramblebeam.core.group.followers import Followers
 from bramblebeam.core.group.messages import ChangeOutcome
 from bramblebeam.core.group.observation import MILLISECONDS, Observations
-from bramblebeam.core.group.planned import level
+from bramblebeam.core.group.planned import has_caught_up
 from bramblebeam.core.group.queries import QuerySchedule
 from bramblebeam.core.group.timing import GroupTiming
 from bramblebeam.core.group.waiting import Waiting
@@ -91,17 +91,17 @@
     def take_promise(self, event: PromiseAnswered, now: float) -> None:
         """Take a member's answer to a promise."""
         if event.status is not None:
-            self._view.observe(event.status, now, now)
+            self._view.record_status(event.status, now, now)
         change = self.change
         if change is None or change.term != event.term:
             return
         if change.phase is ChangePhase.PROMISING:
-            change.take_promise(event.instance, event.outcome, event.status, now)
+            change.record_promise(event.instance, event.outcome, event.status, now)
 
     def take_promotion(self, event: PromoteAnswered, now: float) -> None:
         """Take the chosen member's answer. A lost one is settled by the next statuses."""
         if event.outcome is CommandOutcome.DONE:
-            self._view.promoted(event.term, event.instance, now)
+            self._view.record_promotion(event.term, event.instance, now)
         change = self.change
         refused = event.outcome is CommandOutcome.REFUSED
         if change is not None and change.term == event.term and refused:
@@ -116,7 +116,7 @@
             case ChangePhase.LEVELLING:
                 self._advance_levelling(change, now)
             case ChangePhase.PROMISING:
-                if change.hopeless():
+                if change.cannot_reach_majority():
                     self._give_up(change, "no majority promised", now)
                 elif change.ready(now, self._grace(change)):
                     self._promote(change, now)
@@ -125,7 +125,7 @@
 
     def _grace(self, change: Change) -> float:
         """Return how long after a majority's promises the other answers are waited for."""
-        passes_over = change.without_lost_primary()
+        passes_over = change.can_skip_lost_primary()
         return self._timing.promise_grace if passes_over else self._timing.lost_primary_grace
 
     def _new_change(
@@ -135,7 +135,7 @@
             cause=cause,
             phase=ChangePhase.PAUSING,
             started=now,
-            deadline=now + self._timing.level_timeout,
+            deadline=now + self._timing.catch_up_timeout,
             order=tuple(self._view.members),
             target=target,
             request=request,
@@ -145,7 +145,7 @@
     def _pause_writes(self, change: Change, seconds: float) -> None:
         if change.old_primary is not None:
             milliseconds = int(seconds * MILLISECONDS)
-            timeout = self._timing.level_timeout
+            timeout = self._timing.catch_up_timeout
             self._outbox.append(PauseWrites(change.old_primary, milliseconds, timeout))
 
     def _advance_levelling(self, change: Change, now: float) -> None:
@@ -155,7 +155,7 @@
         target = self._view.members.get(change.target)
         if primary is None or target is None:
             self._abort(change, "the members changed", now)
-        elif level(primary, target, change.paused_at):
+        elif has_caught_up(primary, target, change.paused_at):
             self._ask_promises(change, now)
         else:
             names = [change.old_primary, change.target]
--- a/src/bramblebeam/core/group/events.py
+++ b/src/bramblebeam/core/group/events.py
@@ -24,7 +24,7 @@
     """Effect: ask a member for its status within `timeout` seconds."""
 
     instance: InstanceId
-    asked_at: float
+    queried_at: float
     timeout: float
 
 
@@ -34,7 +34,7 @@
 
     instance: InstanceId
     status: MemberStatus
-    asked_at: float
+    queried_at: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
     """Event: a query got no answer. `refused`: no process listens at the member's address."""
 
     instance: InstanceId
-    asked_at: float
+    queried_at: float
     refused: bool
 
 
--- a/src/bramblebeam/core/group/followers.py
+++ b/src/bramblebeam/core/group/followers.py
@@ -17,19 +17,21 @@
     def tend(self, rank: int, now: float) -> None:
         """Point members that are back, or that were left behind; the first watcher at once."""
         for name, member in self._view.members.items():
-            if not self._left_behind(member) or not member.fresh(now, self._timing.fresh):
-                member.behind_since = None
+            if not self._left_behind(member) or not member.is_fresh(
+                now, self._timing.max_status_age
+            ):
+                member.not_following_since = None
                 continue
-            if member.behind_since is None:
-                member.behind_since = now
-            turn = member.behind_since + rank * self._timing.follow_interval
-            if now >= max(turn, member.followed_at + self._timing.follow_interval):
+            if member.not_following_since is None:
+                member.not_following_since = now
+            turn = member.not_following_since + rank * self._timing.follow_interval
+            if now >= max(turn, member.follow_sent_at + self._timing.follow_interval):
                 self.point(name, now)
 
     def point(self, name: InstanceId, now: float) -> None:
         """Have a member follow the primary."""
         assert self._view.primary is not None
-        self._view.members[name].followed_at = now
+        self._view.members[name].follow_sent_at = now
         primary = self._view.members[self._view.primary].spec
         timeout = self._timing.follow_timeout
         self._outbox.append(Follow(name, self._view.term, primary, timeout))
@@ -40,22 +42,22 @@
         Such a promise is what an abandoned attempt leaves behind; the member takes nothing from
         the primary until that one leads a higher term.
         """
-        bound = self._timing.realign_after * (1 + rank)
+        bound = self._timing.blocked_member_after * (1 + rank)
         long = False
         for member in self._view.members.values():
             status = member.status
             if status is None or status.promised_term <= self._view.term:
-                member.astray_since = None
-            elif member.fresh(now, self._timing.fresh):
-                since = now if member.astray_since is None else member.astray_since
-                member.astray_since = since
+                member.blocked_since = None
+            elif member.is_fresh(now, self._timing.max_status_age):
+                since = now if member.blocked_since is None else member.blocked_since
+                member.blocked_since = since
                 long = long or now - since >= bound
         return long
 
     def forget_kept_out(self) -> None:
         """Count the time anew: a new term is on its way."""
         for member in self._view.members.values():
-            member.astray_since = None
+            member.blocked_since = None
 
     def _left_behind(self, member: MemberObservation) -> bool:
         status = member.status
--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -31,7 +31,7 @@
     ReachabilityRequest,
 )
 from bramblebeam.core.group.observation import Observations
-from bramblebeam.core.group.planned import objection
+from bramblebeam.core.group.planned import refusal_reason
 from bramblebeam.core.group.queries import QuerySchedule
 from bramblebeam.core.group.reachability import Reachability
 from bramblebeam.core.group.suspicion import Assessment, assess, primary_works
@@ -80,12 +80,12 @@
         self._changes.advance(now)
         self._assessment = assess(self.view, self._reachability.by_others(now), now)
         if self._looks_closely():
-            self._queries.alarm(now)
+            self._queries.start_alert(now)
         self._begin_request(now)
         if self.managed and self._changes.change is None:
             self._decide(now)
         self._outbox.extend(self._reachability.questions(self._watchers, now))
-        self._outbox.extend(self._queries.due(now))
+        self._outbox.extend(self._queries.due_queries(now))
         self._publish()
         self._wakeup_expected = self.next_wakeup()
         effects = self._outbox.copy()
@@ -117,10 +117,10 @@
         match event:
             case StatusObserved():
                 self._queries.answered(event.instance)
-                self.view.observe(event.status, event.asked_at, now)
+                self.view.record_status(event.status, event.queried_at, now)
             case StatusFailed():
                 self._queries.answered(event.instance)
-                self.view.fail(event.instance, event.asked_at, event.refused)
+                self.view.record_failure(event.instance, event.queried_at, event.refused)
             case PromiseAnswered():
                 self._changes.take_promise(event, now)
             case PromoteAnswered():
@@ -132,13 +132,13 @@
             case GroupReconfigured():
                 self._reconfigure(event)
             case Received(sender=sender, message=ReachabilityRequest(instance=instance)):
-                self._queries.alarm(now)
+                self._queries.start_alert(now)
                 self._outbox.append(self._reachability.reply(sender, instance, now))
             case Received(message=ReachabilityReply() as reply):
                 self._reachability.take(reply, now)
             case Received(message=PrimaryNotice(term=term, primary=primary)):
-                self.view.promoted(term, primary, now)
-                self._queries.alarm(now)
+                self.view.record_promotion(term, primary, now)
+                self._queries.start_alert(now)
             case Wakeup():
                 pass
 
@@ -154,13 +154,13 @@
     def _notice_own_pause(self, now: float) -> None:
         """Distrust all clocks of failure when this wakeup comes much later than it was due."""
         expected = self._wakeup_expected
-        if expected is not None and now > expected + self.timing.own_pause:
+        if expected is not None and now > expected + self.timing.own_pause_threshold:
             self.view.forget_failures(now)
             self._waiting.suspected_since = None
 
     def _looks_closely(self) -> bool:
         busy = self._changes.change is not None or self._request is not None
-        return busy or self._assessment.sign or self._waiting.interrupted is not None
+        return busy or self._assessment.needs_alert or self._waiting.interrupted is not None
 
     def _decide(self, now: float) -> None:
         """Start a change when there is a cause and this watcher's turn has come."""
@@ -212,7 +212,7 @@
             return "the group changes its primary itself"
         if self._changes.change is not None:
             return UNDER_WAY
-        return objection(self.view, event.target, now)
+        return refusal_reason(self.view, event.target, now)
 
     def _phase(self) -> GroupPhase:
         if self._changes.change is not None:
--- a/src/bramblebeam/core/group/observation.py
+++ b/src/bramblebeam/core/group/observation.py
@@ -22,23 +22,23 @@
 
     spec: InstanceSpec
     status: MemberStatus | None = None
-    status_at: float = float("-inf")
+    status_queried_at: float = float("-inf")
     failing_since: float | None = None
     refused: bool = False
-    query_open_until: float = float("-inf")
-    followed_at: float = float("-inf")
-    behind_since: float | None = None
-    astray_since: float | None = None
+    query_pending_until: float = float("-inf")
+    follow_sent_at: float = float("-inf")
+    not_following_since: float | None = None
+    blocked_since: float | None = None
 
-    def fresh(self, now: float, bound: float) -> bool:
+    def is_fresh(self, now: float, bound: float) -> bool:
         """Whether the last query was answered, not longer than `bound` seconds ago."""
-        return self.status is not None and now - self.status_at <= bound
+        return self.status is not None and now - self.status_queried_at <= bound
 
     def unreachable_for(self, now: float) -> float:
         """Return for how many seconds queries have failed (0: the last one did not)."""
         return 0.0 if self.failing_since is None else now - self.failing_since
 
-    def contact(self) -> float:
+    def seconds_without_contact(self) -> float:
         """Return the seconds without contact to a primary, as the member last reported."""
         assert self.status is not None
         return self.status.primary_contact_ms / MILLISECONDS
@@ -51,10 +51,10 @@
         self.timing = timing
         self.members: dict[InstanceId, MemberObservation] = {}
         self.term = 0
-        self.term_at = float("-inf")
+        self.term_learned_at = float("-inf")
         self.primary: InstanceId | None = None
         self.highest_promised = 0
-        self.promised_at = float("-inf")
+        self.promise_learned_at = float("-inf")
         self._awake_since = float("-inf")
         self.replace_members(members)
 
@@ -79,24 +79,24 @@
         if self.primary not in self.members:
             self.primary = None
 
-    def observe(self, status: MemberStatus, asked_at: float, now: float) -> None:
+    def record_status(self, status: MemberStatus, asked_at: float, now: float) -> None:
         """Take a member's status."""
         member = self.members.get(status.instance)
-        if member is None or asked_at < member.status_at:
+        if member is None or asked_at < member.status_queried_at:
             return
         member.status = status
-        member.status_at = asked_at
+        member.status_queried_at = asked_at
         member.failing_since = None
         member.refused = False
         self._learn_term(status, now)
         if status.promised_term > self.highest_promised:
             self.highest_promised = status.promised_term
-            self.promised_at = now
+            self.promise_learned_at = now
 
-    def fail(self, instance: InstanceId, asked_at: float, refused: bool) -> None:
+    def record_failure(self, instance: InstanceId, asked_at: float, refused: bool) -> None:
         """Take a query's failure. One asked before this watcher was paused says nothing."""
         member = self.members.get(instance)
-        if member is None or asked_at < self._awake_since or asked_at < member.status_at:
+        if member is None or asked_at < self._awake_since or asked_at < member.status_queried_at:
             return
         if member.failing_since is None:
             member.failing_since = asked_at
@@ -109,19 +109,23 @@
             member.failing_since = None
             member.refused = False
 
-    def promoted(self, term: int, primary: InstanceId, now: float) -> None:
+    def record_promotion(self, term: int, primary: InstanceId, now: float) -> None:
         """Take the knowledge that `primary` was promoted at `term`."""
         if primary not in self.members:
             return
         if term > self.term:
-            self.term_at = now
+            self.term_learned_at = now
             self.term = term
         if term == self.term:
             self.primary = primary
 
     def fresh_members(self, now: float) -> list[MemberObservation]:
         """Return the members whose status is fresh."""
-        return [member for member in self.members.values() if member.fresh(now, self.timing.fresh)]
+        return [
+            member
+            for member in self.members.values()
+            if member.is_fresh(now, self.timing.max_status_age)
+        ]
 
     def primary_observation(self) -> MemberObservation | None:
         """Return the observation of the primary, if one is known."""
@@ -132,7 +136,7 @@
         return tuple(
             MemberReport(
                 member.status,
-                int((now - member.status_at) * MILLISECONDS),
+                int((now - member.status_queried_at) * MILLISECONDS),
                 member.failing_since is None,
             )
             for member in self.members.values()
@@ -142,8 +146,8 @@
     def _learn_term(self, status: MemberStatus, now: float) -> None:
         """Follow the highest term that has a primary, by its own word or that of a follower."""
         if status.role is Role.PRIMARY:
-            self.promoted(status.term, status.instance, now)
+            self.record_promotion(status.term, status.instance, now)
             return
         believed = InstanceId(status.primary)
         if status.term > self.term:
-            self.promoted(status.term, believed, now)
+            self.record_promotion(status.term, believed, now)
--- a/src/bramblebeam/core/group/planned.py
+++ b/src/bramblebeam/core/group/planned.py
@@ -5,7 +5,7 @@
 from bramblebeam.core.identity import InstanceId
 
 
-def objection(view: Observations, target: InstanceId, now: float) -> str:
+def refusal_reason(view: Observations, target: InstanceId, now: float) -> str:
     """Return why a planned change to `target` must not begin now; empty if it may."""
     member = view.members.get(target)
     if member is None:
@@ -22,7 +22,7 @@
 def _objection_to_member(view: Observations, member: MemberObservation, now: float) -> str:
     name = member.spec.instance
     status = member.status
-    if status is None or not member.fresh(now, view.timing.fresh):
+    if status is None or not member.is_fresh(now, view.timing.max_status_age):
         return f"{name} is not reachable"
     if status.leaving:
         return f"{name} is leaving"
@@ -33,14 +33,14 @@
     return ""
 
 
-def level(primary: MemberObservation, target: MemberObservation, since: float) -> bool:
+def has_caught_up(primary: MemberObservation, target: MemberObservation, since: float) -> bool:
     """Whether the target holds all that the primary does, both asked at or after `since`.
 
     The primary must have committed its last entry, so that no write's answer is cut off.
     """
     if primary.status is None or target.status is None:
         return False
-    if primary.status_at < since or target.status_at < since:
+    if primary.status_queried_at < since or target.status_queried_at < since:
         return False
     committed = primary.status.applied == primary.status.last
     return committed and target.status.last >= primary.status.last
--- a/src/bramblebeam/core/group/queries.py
+++ b/src/bramblebeam/core/group/queries.py
@@ -30,14 +30,14 @@
         """When the next query is due (seconds)."""
         return self._next_at
 
-    def alarm(self, now: float) -> None:
+    def start_alert(self, now: float) -> None:
         """Look closely from now on."""
         if now >= self._alert_until:
             self._alert_since = now
             self._next_at = now
         self._alert_until = now + ALERT_SECONDS
 
-    def due(self, now: float) -> list[QueryStatus]:
+    def due_queries(self, now: float) -> list[QueryStatus]:
         """Return the queries that are due."""
         if now < self._next_at:
             return []
@@ -57,7 +57,7 @@
         """Allow the next query to this member."""
         member = self._view.members.get(instance)
         if member is not None:
-            member.query_open_until = float("-inf")
+            member.query_pending_until = float("-inf")
 
     def _in_turn(self) -> MemberObservation:
         """Return the member to ask in calm: the primary every other time, else the next one."""
@@ -70,11 +70,11 @@
 
     def _alert_interval(self, now: float) -> float:
         since = now if self._alert_since is None else self._alert_since
-        long = now - since > self._timing.idle_alert_after
-        return self._timing.idle_alert_interval if long else self._timing.alert_interval
+        long = now - since > self._timing.long_alert_after
+        return self._timing.long_alert_interval if long else self._timing.alert_interval
 
     def _query(self, member: MemberObservation, now: float) -> list[QueryStatus]:
-        if now < member.query_open_until:
+        if now < member.query_pending_until:
             return []
-        member.query_open_until = now + 2 * self._timing.query_timeout
+        member.query_pending_until = now + 2 * self._timing.query_timeout
         return [QueryStatus(member.spec.instance, now, self._timing.query_timeout)]
--- a/src/bramblebeam/core/group/relocation.py
+++ b/src/bramblebeam/core/group/relocation.py
@@ -14,29 +14,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class RelocationContext:
     """What the views of a node tell about the places and rows of a group's members."""
 
     node: NodeId
     members: MembersView
     configuration: ConfigurationView
 
-    def serves(self, zone: ZoneId) -> bool:
+    def is_served(self, zone: ZoneId) -> bool:
         """Whether the zone has a node that could own its instances and can be reached."""
         return bool(self.members.owners.get(zone)) and zone not in self.members.unreachable
 
-    def drained(self, instance: InstanceId) -> bool:
+    def is_drained(self, instance: InstanceId) -> bool:
         """Whether operators drain the instance by its row."""
         row = self.configuration.weights.get(instance)
         return row is not None and row.drain
 
-    def leads(self, watchers: tuple[NodeId, ...]) -> bool:
+    def is_first_reachable(self, watchers: tuple[NodeId, ...]) -> bool:
         """Whether this node is the first of the group's watchers that can be reached."""
         for watcher in watchers:
             if watcher == self.node:
                 return True
             member = self.members.members.get(watcher)
-            if member is not None and self.serves(member.spec.zone):
+            if member is not None and self.is_served(member.spec.zone):
                 return False
         return False
 
@@ -59,10 +59,12 @@
         self._unserved_since: float | None = None
         self._acted_at = float("-inf")
 
-    def target(self, view: Observations, around: Surroundings, now: float) -> InstanceId | None:
+    def target(
+        self, view: Observations, around: RelocationContext, now: float
+    ) -> InstanceId | None:
         """Return where the primary should move now, or None. An answer counts as an attempt."""
         primary = view.primary_observation()
-        if primary is None or around.serves(primary.spec.zone):
+        if primary is None or around.is_served(primary.spec.zone):
             self._unserved_since = None
         elif self._unserved_since is None:
             self._unserved_since = now
@@ -73,7 +75,9 @@
             self._acted_at = now
         return target
 
-    def _patient(self, primary: MemberObservation | None, around: Surroundings, now: float) -> bool:
+    def _patient(
+        self, primary: MemberObservation | None, around: RelocationContext, now: float
+    ) -> bool:
         if self._unserved_since is None or primary is None or not _fit(primary, around):
             return True
         if primary.spec.zone in around.members.unreachable:
@@ -81,7 +85,7 @@
         return now - self._unserved_since >= UNSERVED_PATIENCE
 
 
-def relocation_target(view: Observations, around: Surroundings) -> InstanceId | None:
+def relocation_target(view: Observations, around: RelocationContext) -> InstanceId | None:
     """Return the member that the primary should move to, or None if it should stay.
 
     A node that sees less than a majority of the members' zones moves nothing: it is itself cut off.
@@ -89,7 +93,7 @@
     primary = view.primary_observation()
     if primary is None or _may_stay(primary, around):
         return None
-    served = [member for member in view.members.values() if around.serves(member.spec.zone)]
+    served = [member for member in view.members.values() if around.is_served(member.spec.zone)]
     if len(served) < view.majority:
         return None
     candidates = [member for member in served if member is not primary and _fit(member, around)]
@@ -97,13 +101,13 @@
     return None if best is None else best.spec.instance
 
 
-def _may_stay(primary: MemberObservation, around: Surroundings) -> bool:
-    return _fit(primary, around) and around.serves(primary.spec.zone)
+def _may_stay(primary: MemberObservation, around: RelocationContext) -> bool:
+    return _fit(primary, around) and around.is_served(primary.spec.zone)
 
 
-def _fit(member: MemberObservation, around: Surroundings) -> bool:
+def _fit(member: MemberObservation, around: RelocationContext) -> bool:
     status = member.status
-    if status is None or around.drained(member.spec.instance):
+    if status is None or around.is_drained(member.spec.instance):
         return False
     return not status.leaving
 
--- a/src/bramblebeam/services/failover/group_lease.py
+++ b/src/bramblebeam/services/failover/group_lease.py
@@ -30,7 +30,8 @@
 """One call to the store (seconds). It answers within milliseconds where it is well."""
 LEASE_READ_INTERVAL = 0.5
 """While a leader is missed, another node's lease is read so often (seconds). A holder that writes
-it and is lost then is replaced so much later at most; `FailoverTiming.attempt` is five times that.
+it and is lost then is replaced so much later at most; `FailoverTiming.attempt_timeout` is five
+times that.
 """
 NO_HOLDER = NodeId("")
 
@@ -102,7 +103,7 @@
 
     def _be_quiet(self) -> None:
         """Leave the last holder of a former era the time of an order that it may have begun."""
-        self.quiet_until = max(self.quiet_until, self._now() + self._timing.observation)
+        self.quiet_until = max(self.quiet_until, self._now() + self._timing.lease_observation)
 
     def _know(self, found: Lease) -> None:
         """Take the lease as the store has it.
@@ -113,7 +114,7 @@
         memory = self._memory
         is_new_era = memory is not None and found.token.era > memory.token.era
         if memory is not None and (is_new_era or found.is_of_former_era):
-            found = found.with_memory_of(memory)
+            found = found.with_later_changes_of(memory)
         if found.is_of_former_era:
             found = replace(found, holder=UNKNOWN_HOLDER)
             if memory is None or memory.token != found.token:
@@ -234,7 +235,7 @@
         known = self.known
         if known is None or not self.is_own:
             return None
-        is_young = self._now() - self._written_at < self._timing.hold
+        is_young = self._now() - self._written_at < self._timing.order_window
         if is_young or self._fence_checked:
             return known
         return await self.write(known.last_change, known.unsettled)
@@ -267,7 +268,7 @@
         self._know(found)
         self.is_unwritten = False
         if not self.is_own:
-            self.quiet_until = self._now() + self._timing.attempt
+            self.quiet_until = self._now() + self._timing.attempt_timeout
 
     async def release(self) -> None:
         """Give the lease up before the node stops, so that nobody has to wait for it."""
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -8,8 +8,8 @@
 from dataclasses import replace
 from typing import Protocol
 
+from bramblebeam.core.failover.backoff import FailoverBackoff
 from bramblebeam.core.failover.decision import Action, Cause, FailoverTiming, Situation, decide
-from bramblebeam.core.failover.in_vain import TriesInVain
 from bramblebeam.core.failover.lease import Lease, OrderedChange
 from bramblebeam.core.identity import GroupId, InstanceId, NodeId, born_at, server_name
 from bramblebeam.core.revision import FIRST_ERA
@@ -34,7 +34,7 @@
 """News of the leader or of the databases ends a quiet wait at once."""
 FLUSH_INTERVAL = 0.5
 """A lease that could not be written is tried so often (seconds), by its holder alone: shorter than
-another node needs to take it over (`FailoverTiming.challenge` and `observation`)."""
+another node needs to take it over (`FailoverTiming.takeover_delay` and `lease_observation`)."""
 FIRST_DELAY = 1.0
 """A watch begins at a random moment within so long after the group's first statement (seconds): a
 node that has just started finds the leader first, and not all groups ask the store at once."""
@@ -75,7 +75,7 @@
         self._service = service
         self._group = group
         self._ordered_at: float | None = None
-        self._in_vain = TriesInVain()
+        self._in_vain = FailoverBackoff()
         self._lease_unknown = asyncio.Event()
         self._observer = GroupObserver(service.context, service.node, group, service.now)
         self._runner = ChangeRunner(
@@ -106,7 +106,7 @@
                 await self.lease.flush()
                 await pause(self.wake, self._quiet_pause())
                 continue
-            if self._in_vain.must_rest(self._members(), self._service.now()):
+            if self._in_vain.must_wait(self._members(), self._service.now()):
                 await pause(self.wake, CYCLE_SECONDS)
                 continue
             if await self.lease.refresh(situation, self._wants_lease):
@@ -232,9 +232,9 @@
 
     async def _give_way(self, reason: str) -> None:
         """Be in no hurry to try again; let others try first after several tries in vain."""
-        self._in_vain.note(self._members(), self._service.now())
+        self._in_vain.record_failure(self._members(), self._service.now())
         lease = self.lease.known
-        if not self._in_vain.steps_aside or lease is None or lease.unsettled is not None:
+        if not self._in_vain.should_yield or lease is None or lease.unsettled is not None:
             return
         log_event(logger, FAILOVER_LEFT_TO_OTHERS, group=self._group, reason=reason)
         await self.lease.release()
@@ -273,7 +273,7 @@
         synchronous = settings is not None and settings.synchronous_replicas > 0
         if since is None or synchronous:
             return lease.last_change
-        is_long = self._service.now() - since > self._service.timing.resignation
+        is_long = self._service.now() - since > self._service.timing.any_member_after
         return None if is_long else lease.last_change
 
     async def _order(self, held: Lease, change: OrderedChange, is_repeated: bool) -> ChangeOutcome:
@@ -299,7 +299,7 @@
     async def _end_trouble(self) -> None:
         """Undo pauses and settle the order of a change that is over, if the lease is still ours."""
         self._ordered_at = None
-        self._in_vain.end()
+        self._in_vain.reset()
         lease = self.lease.known
         if lease is None or not self.lease.is_own:
             self._runner.forget()
--- a/tests/test_failover_decision.py
+++ b/tests/test_failover_decision.py
@@ -62,7 +62,7 @@
 
 def test_the_holder_waits_out_the_suspicion_and_acts() -> None:
     assert decide(situation(OWN), TROUBLE + 0.1, TIMING) is Action.NONE
-    assert decide(situation(OWN), TROUBLE + TIMING.suspicion, TIMING) is Action.CHANGE
+    assert decide(situation(OWN), TROUBLE + TIMING.suspicion_timeout, TIMING) is Action.CHANGE
 
 
 def test_the_holder_acts_at_once_where_the_leader_leaves() -> None:
@@ -73,12 +73,12 @@
 def test_a_change_under_way_is_not_repeated() -> None:
     ordered = situation(OWN, ordered_at=TROUBLE + 1)
     assert decide(ordered, TROUBLE + 2, TIMING) is Action.NONE
-    assert decide(ordered, TROUBLE + 1 + TIMING.attempt, TIMING) is Action.CHANGE
+    assert decide(ordered, TROUBLE + 1 + TIMING.attempt_timeout, TIMING) is Action.CHANGE
 
 
 @pytest.mark.parametrize("rank", [0, 3])
 def test_another_node_takes_over_later_by_its_rank(rank: int) -> None:
-    patience = TIMING.suspicion + rank * TIMING.rank_step + TIMING.challenge
+    patience = TIMING.suspicion_timeout + rank * TIMING.rank_step + TIMING.takeover_delay
     other = situation(OTHER, rank=rank)
     assert decide(other, TROUBLE + patience - 0.01, TIMING) is Action.NONE
     assert decide(other, TROUBLE + patience, TIMING) is Action.TAKE_OVER
@@ -87,8 +87,8 @@
 def test_a_lapsed_registration_is_given_time_to_come_back() -> None:
     """A store that was out of order had let every registration lapse: nothing was to be changed."""
     lapsed = situation(OWN, cause=Cause.LAPSED, leader=InstanceId("a"))
-    assert decide(lapsed, TROUBLE + TIMING.lapse - 0.1, TIMING) is Action.NONE
-    assert decide(lapsed, TROUBLE + TIMING.lapse, TIMING) is Action.CHANGE
+    assert decide(lapsed, TROUBLE + TIMING.lapse_timeout - 0.1, TIMING) is Action.NONE
+    assert decide(lapsed, TROUBLE + TIMING.lapse_timeout, TIMING) is Action.CHANGE
 
 
 def test_a_released_lease_is_taken_over_without_waiting_for_its_holder() -> None:
@@ -107,9 +107,9 @@
 def test_quiet_time_tells_old_leases_from_written_ones() -> None:
     old, new = Lease(GROUP, OTHER, at(7)), Lease(GROUP, OTHER, at(8))
     assert quiet_time(old, old, False, TIMING) == 0
-    assert quiet_time(old, new, False, TIMING) == TIMING.attempt
-    assert quiet_time(old, new, True, TIMING) == TIMING.observation
-    assert quiet_time(None, new, True, TIMING) == TIMING.observation
+    assert quiet_time(old, new, False, TIMING) == TIMING.attempt_timeout
+    assert quiet_time(old, new, True, TIMING) == TIMING.lease_observation
+    assert quiet_time(None, new, True, TIMING) == TIMING.lease_observation
 
 
 def test_the_longest_log_is_promoted_and_a_leaving_member_last() -> None:
--- a/tests/test_failover_in_vain.py
+++ b/tests/test_failover_in_vain.py
@@ -4,13 +4,13 @@
 trying that could.
 """
 
-from bramblebeam.core.failover.decision import FailoverTiming
-from bramblebeam.core.failover.in_vain import (
-    FIRST_PAUSE,
-    LONGEST_PAUSE,
-    TRIES_IN_A_ROW,
-    TriesInVain,
+from bramblebeam.core.failover.backoff import (
+    FAILURES_BEFORE_YIELD,
+    INITIAL_DELAY,
+    MAX_DELAY,
+    FailoverBackoff,
 )
+from bramblebeam.core.failover.decision import FailoverTiming
 from bramblebeam.services.failover.situation import RANKS
 
 MEMBERS = ("db-b", "db-c")
@@ -18,40 +18,40 @@
 START = 100.0
 
 
-def fail(tries: TriesInVain, times: int, now: float = START) -> None:
+def fail(tries: FailoverBackoff, times: int, now: float = START) -> None:
     for _ in range(times):
-        tries.note(MEMBERS, now)
+        tries.record_failure(MEMBERS, now)
 
 
 def test_pauses_grow_to_a_bound() -> None:
-    tries = TriesInVain()
+    tries = FailoverBackoff()
     fail(tries, 1)
-    assert tries.must_rest(MEMBERS, START + FIRST_PAUSE - A_MOMENT)
-    assert not tries.must_rest(MEMBERS, START + FIRST_PAUSE + A_MOMENT)
+    assert tries.must_wait(MEMBERS, START + INITIAL_DELAY - A_MOMENT)
+    assert not tries.must_wait(MEMBERS, START + INITIAL_DELAY + A_MOMENT)
     fail(tries, 10)
-    assert tries.must_rest(MEMBERS, START + LONGEST_PAUSE - A_MOMENT)
-    assert not tries.must_rest(MEMBERS, START + LONGEST_PAUSE + A_MOMENT)
+    assert tries.must_wait(MEMBERS, START + MAX_DELAY - A_MOMENT)
+    assert not tries.must_wait(MEMBERS, START + MAX_DELAY + A_MOMENT)
 
 
 def test_news_of_the_members_end_a_pause() -> None:
-    tries = TriesInVain()
+    tries = FailoverBackoff()
     fail(tries, 5)
-    assert not tries.must_rest(("db-c",), START)
-    tries.note(("db-c",), START)
-    assert not tries.steps_aside
-    assert not tries.must_rest(("db-c",), START + FIRST_PAUSE + A_MOMENT)
+    assert not tries.must_wait(("db-c",), START)
+    tries.record_failure(("db-c",), START)
+    assert not tries.should_yield
+    assert not tries.must_wait(("db-c",), START + INITIAL_DELAY + A_MOMENT)
 
 
 def test_several_tries_in_vain_leave_the_change_to_others() -> None:
-    tries = TriesInVain()
-    fail(tries, TRIES_IN_A_ROW - 1)
-    assert not tries.steps_aside
+    tries = FailoverBackoff()
+    fail(tries, FAILURES_BEFORE_YIELD - 1)
+    assert not tries.should_yield
     fail(tries, 1)
-    assert tries.steps_aside
-    tries.end()
-    assert not tries.steps_aside
-    assert not tries.must_rest(MEMBERS, START)
+    assert tries.should_yield
+    tries.reset()
+    assert not tries.should_yield
+    assert not tries.must_wait(MEMBERS, START)
 
 
 def test_each_other_node_gets_its_turn_within_the_longest_pause() -> None:
-    assert (RANKS - 1) * FailoverTiming().rank_step < LONGEST_PAUSE
+    assert (RANKS - 1) * FailoverTiming().rank_step < MAX_DELAY
