--- a/src/bramblebeam/core/failover/lease.py
+++ b/src/bramblebeam/core/failover/lease.py
@@ -8,7 +8,7 @@
     InstanceId,
     NodeId,
     Position,
-    born_at,
+    incarnation_of,
     server_name,
 )
 from bramblebeam.core.revision import FIRST_ERA, Revision
@@ -30,7 +30,7 @@
         """Whether a leader is the target. It may have started again before it was promoted."""
         if leader is None or server_name(leader) != server_name(self.target):
             return False
-        return born_at(leader) >= born_at(self.target)
+        return incarnation_of(leader) >= incarnation_of(self.target)
 
 
 UNKNOWN_HOLDER = NodeId("?")
--- a/src/bramblebeam/core/gateway/lives.py
+++ b/src/bramblebeam/core/gateway/lives.py
@@ -1,6 +1,6 @@
 """Which start of each database is the newest: one that is older has ended."""
 
-from bramblebeam.core.identity import NOT_TOLD, InstanceId, ServerName, born_at, server_name
+from bramblebeam.core.identity import NOT_TOLD, InstanceId, ServerName, incarnation_of, server_name
 
 MAXIMUM_NAMES = 10_000
 """So many names are remembered, as many as a system has databases: beyond that the one that was
@@ -18,7 +18,7 @@
         """Note an instance; False: it has ended, as its database has started again since."""
         if self.is_former(instance):
             return False
-        name, born = server_name(instance), born_at(instance)
+        name, born = server_name(instance), incarnation_of(instance)
         newest = self._newest.get(name)
         if newest is not None and born > newest:
             self._restarted.add(name)
@@ -29,7 +29,7 @@
 
     def is_former(self, instance: InstanceId) -> bool:
         """Whether the database has started again since this instance of it."""
-        return born_at(instance) < self._newest.get(server_name(instance), NOT_TOLD)
+        return incarnation_of(instance) < self._newest.get(server_name(instance), NOT_TOLD)
 
     def has_restarted(self, instance: InstanceId) -> bool:
         """Whether an instance is known to have started under a name that was in use before."""
--- a/src/bramblebeam/core/identity.py
+++ b/src/bramblebeam/core/identity.py
@@ -42,7 +42,7 @@
     return ServerName(instance.partition(_BEFORE_START)[0])
 
 
-def born_at(instance: InstanceId) -> int:
+def incarnation_of(instance: InstanceId) -> int:
     """Return when an instance started (milliseconds of the epoch), or NOT_TOLD."""
     born = instance.partition(_BEFORE_START)[2]
     return int(born) if born else NOT_TOLD
--- a/src/bramblebeam/platform/leases.py
+++ b/src/bramblebeam/platform/leases.py
@@ -12,7 +12,7 @@
     Address,
     GroupId,
     NodeId,
-    born_at,
+    incarnation_of,
     instance_id,
     server_name,
 )
@@ -105,7 +105,7 @@
         return None
     cut = format_position(change.cut)
     spec = {_TARGET: server_name(change.target), _TERM: change.term, _CUT: cut}
-    born = born_at(change.target)
+    born = incarnation_of(change.target)
     return spec if born == NOT_TOLD else {**spec, _BORN: born}
 
 
--- a/src/bramblebeam/services/failover/change.py
+++ b/src/bramblebeam/services/failover/change.py
@@ -20,7 +20,7 @@
     GroupId,
     InstanceId,
     Position,
-    born_at,
+    incarnation_of,
     server_name,
 )
 from bramblebeam.core.role import Role
@@ -332,7 +332,7 @@
         """Return the later start of a database, if it is registered with one."""
         name = server_name(instance)
         registered = self._context.placement.instance_named(self._group, name)
-        return registered if born_at(registered) > born_at(instance) else instance
+        return registered if incarnation_of(registered) > incarnation_of(instance) else instance
 
     async def _end_former(
         self,
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -11,7 +11,7 @@
 from bramblebeam.core.failover.decision import Action, Cause, FailoverTiming, Situation, decide
 from bramblebeam.core.failover.in_vain import TriesInVain
 from bramblebeam.core.failover.lease import Lease, OrderedChange
-from bramblebeam.core.identity import GroupId, InstanceId, NodeId, born_at, server_name
+from bramblebeam.core.identity import GroupId, InstanceId, NodeId, incarnation_of, server_name
 from bramblebeam.core.revision import FIRST_ERA
 from bramblebeam.events import log_event
 from bramblebeam.events.catalogue import (
@@ -324,7 +324,7 @@
         registered = self._service.context.placement.instance_named(
             self._group, server_name(instance)
         )
-        return born_at(registered) > born_at(instance)
+        return incarnation_of(registered) > incarnation_of(instance)
 
     def _has_witness(self) -> bool:
         return self._service.context.leader(self._group).has_witness
--- a/src/bramblebeam/services/feed/peers.py
+++ b/src/bramblebeam/services/feed/peers.py
@@ -22,7 +22,7 @@
     NOT_TOLD,
     InstanceId,
     NodeId,
-    born_at,
+    incarnation_of,
     instance_id,
     server_name,
 )
@@ -179,9 +179,9 @@
             ToldDatabase(item.name, item.revision.number, _named(item.item)) for item in readable
         ),
         starts=tuple(
-            DatabaseStart(item.name, born_at(item.item.instance))
+            DatabaseStart(item.name, incarnation_of(item.item.instance))
             for item in readable
-            if item.item is not None and born_at(item.item.instance) != NOT_TOLD
+            if item.item is not None and incarnation_of(item.item.instance) != NOT_TOLD
         ),
     )
 
--- a/src/bramblebeam/services/feed/service.py
+++ b/src/bramblebeam/services/feed/service.py
@@ -12,7 +12,7 @@
 from bramblebeam.core.gateway.owners import NodePlace
 from bramblebeam.core.gateway.registry import Registry
 from bramblebeam.core.gateway.routes import RoutesChanged, RouteTable
-from bramblebeam.core.identity import NodeId, born_at, server_name
+from bramblebeam.core.identity import NodeId, incarnation_of, server_name
 from bramblebeam.core.membership.view import MembersChanged, MembersView
 from bramblebeam.core.revision import Revision, StoreEraBegan
 from bramblebeam.events import log_event
@@ -222,7 +222,7 @@
                 logger,
                 FORMER_LIFE_PASSED_OVER,
                 instance=server_name(entry.instance),
-                born=born_at(entry.instance),
+                born=incarnation_of(entry.instance),
                 revision=str(revision),
             )
             return False
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -24,7 +24,7 @@
     InstanceId,
     Position,
     ServerName,
-    born_at,
+    incarnation_of,
     server_name,
 )
 from bramblebeam.core.role import Role
@@ -353,7 +353,7 @@
     def _has_started_again(self, instance: InstanceId) -> bool:
         """Whether a database is registered with a later start than an instance of it."""
         registered = self._placement.instance_named(self.group, server_name(instance))
-        return born_at(registered) > born_at(instance)
+        return incarnation_of(registered) > incarnation_of(instance)
 
     def _newest_known_term(self) -> int:
         return max(self.highest_term, self.lease.term)
@@ -627,7 +627,7 @@
         is_reborn = (
             former is not None
             and server_name(former) == server_name(answer.instance)
-            and born_at(former) < born_at(answer.instance)
+            and incarnation_of(former) < incarnation_of(answer.instance)
         )
         if is_reborn and term <= self.last_term:
             return True
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -31,7 +31,7 @@
     Position,
     ServerName,
     ZoneId,
-    born_at,
+    incarnation_of,
     instance_id,
     server_name,
 )
@@ -74,7 +74,7 @@
 def test_an_instance_is_told_by_its_name_and_its_start(born: int) -> None:
     instance = instance_id("db-a@7", born)
     assert server_name(instance) == "db-a@7"
-    assert born_at(instance) == born
+    assert incarnation_of(instance) == born
     assert (instance == "db-a@7") is (born == NOT_TOLD)
 
 
