--- a/src/bramblebeam/core/gateway/lives.py
+++ b/src/bramblebeam/core/gateway/lives.py
@@ -1,6 +1,12 @@
 """Which start of each database is the newest: one that is older has ended."""
 
-from bramblebeam.core.identity import NOT_TOLD, InstanceId, ServerName, incarnation_of, server_name
+from bramblebeam.core.identity import (
+    UNKNOWN_INCARNATION,
+    InstanceId,
+    ServerName,
+    incarnation_of,
+    server_name,
+)
 
 MAXIMUM_NAMES = 10_000
 """So many names are remembered, as many as a system has databases: beyond that the one that was
@@ -29,7 +35,9 @@
 
     def is_former(self, instance: InstanceId) -> bool:
         """Whether the database has started again since this instance of it."""
-        return incarnation_of(instance) < self._newest.get(server_name(instance), NOT_TOLD)
+        return incarnation_of(instance) < self._newest.get(
+            server_name(instance), UNKNOWN_INCARNATION
+        )
 
     def has_restarted(self, instance: InstanceId) -> bool:
         """Whether an instance is known to have started under a name that was in use before."""
--- a/src/bramblebeam/core/gateway/member_memory.py
+++ b/src/bramblebeam/core/gateway/member_memory.py
@@ -8,7 +8,13 @@
 from collections.abc import Collection
 from typing import NamedTuple
 
-from bramblebeam.core.identity import NOT_TOLD, ZERO_POSITION, InstanceId, Position, incarnation_of
+from bramblebeam.core.identity import (
+    UNKNOWN_INCARNATION,
+    ZERO_POSITION,
+    InstanceId,
+    Position,
+    incarnation_of,
+)
 
 
 class Told(NamedTuple):
@@ -74,7 +80,7 @@
             return term > forgot_up_to
         told = self._told.get(instance)
         is_empty = told is not None and told.position.offset == 0 < proven.offset
-        return not (is_empty and incarnation_of(instance) != NOT_TOLD)
+        return not (is_empty and incarnation_of(instance) != UNKNOWN_INCARNATION)
 
     def has_caught_up(self, instance: InstanceId, received: Position) -> bool:
         """Whether a member has, or has again, what it was acknowledged to have received."""
--- a/src/bramblebeam/core/identity.py
+++ b/src/bramblebeam/core/identity.py
@@ -26,15 +26,15 @@
 """Name of one calling service, the unit that slots and limits are given to."""
 
 
-NOT_TOLD = 0
+UNKNOWN_INCARNATION = 0
 """The start of a server that does not tell it."""
 _BEFORE_START = " "
 """Parts a server's name from its start: names travel in lines of words and hold no blank."""
 
 
-def instance_id(name: str, born: int = NOT_TOLD) -> InstanceId:
+def instance_id(name: str, born: int = UNKNOWN_INCARNATION) -> InstanceId:
     """Return the instance of a server that started at `born` (milliseconds of the epoch)."""
-    return InstanceId(name if born == NOT_TOLD else f"{name}{_BEFORE_START}{born}")
+    return InstanceId(name if born == UNKNOWN_INCARNATION else f"{name}{_BEFORE_START}{born}")
 
 
 def server_name(instance: InstanceId) -> ServerName:
@@ -45,7 +45,7 @@
 def incarnation_of(instance: InstanceId) -> int:
     """Return when an instance started (milliseconds of the epoch), or NOT_TOLD."""
     born = instance.partition(_BEFORE_START)[2]
-    return int(born) if born else NOT_TOLD
+    return int(born) if born else UNKNOWN_INCARNATION
 
 
 class Address(NamedTuple):
--- a/src/bramblebeam/platform/database_entries.py
+++ b/src/bramblebeam/platform/database_entries.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from bramblebeam.core.gateway.directory import DatabaseEntry
-from bramblebeam.core.identity import NOT_TOLD, Address, GroupId, ZoneId, instance_id
+from bramblebeam.core.identity import UNKNOWN_INCARNATION, Address, GroupId, ZoneId, instance_id
 from bramblebeam.core.role import Role
 from bramblebeam.platform.objects import StoredObject
 
@@ -45,7 +45,7 @@
 
 def _born(content: dict[str, Any]) -> int:
     """Return when the database started; earlier deployments do not tell."""
-    return _whole(content, _BORN, least=1) if _BORN in content else NOT_TOLD
+    return _whole(content, _BORN, least=1) if _BORN in content else UNKNOWN_INCARNATION
 
 
 def _text(content: dict[str, Any], key: str) -> str:
--- a/src/bramblebeam/platform/leases.py
+++ b/src/bramblebeam/platform/leases.py
@@ -8,7 +8,7 @@
 
 from bramblebeam.core.failover.lease import Lease, OrderedChange
 from bramblebeam.core.identity import (
-    NOT_TOLD,
+    UNKNOWN_INCARNATION,
     Address,
     GroupId,
     NodeId,
@@ -106,7 +106,7 @@
     cut = format_position(change.cut)
     spec = {_TARGET: server_name(change.target), _TERM: change.term, _CUT: cut}
     born = incarnation_of(change.target)
-    return spec if born == NOT_TOLD else {**spec, _BORN: born}
+    return spec if born == UNKNOWN_INCARNATION else {**spec, _BORN: born}
 
 
 def _lease(group: GroupId, found: StoredObject) -> Lease:
@@ -130,7 +130,7 @@
         return None
     try:
         return OrderedChange(
-            instance_id(str(content[_TARGET]), int(content.get(_BORN, NOT_TOLD))),
+            instance_id(str(content[_TARGET]), int(content.get(_BORN, UNKNOWN_INCARNATION))),
             int(content[_TERM]),
             parse_position(str(content[_CUT])),
         )
--- a/src/bramblebeam/services/feed/peers.py
+++ b/src/bramblebeam/services/feed/peers.py
@@ -19,7 +19,7 @@
 from bramblebeam.core.gateway.directory import DatabaseEntry
 from bramblebeam.core.gateway.routes import RouteTable
 from bramblebeam.core.identity import (
-    NOT_TOLD,
+    UNKNOWN_INCARNATION,
     InstanceId,
     NodeId,
     incarnation_of,
@@ -112,7 +112,7 @@
         Versioned(
             told.name,
             _revision(reply, told),
-            _started(told.entry, starts.get(told.name, NOT_TOLD)),
+            _started(told.entry, starts.get(told.name, UNKNOWN_INCARNATION)),
             deleted=told.entry is None,
         )
         for told in reply.databases
@@ -181,7 +181,7 @@
         starts=tuple(
             DatabaseStart(item.name, incarnation_of(item.item.instance))
             for item in readable
-            if item.item is not None and incarnation_of(item.item.instance) != NOT_TOLD
+            if item.item is not None and incarnation_of(item.item.instance) != UNKNOWN_INCARNATION
         ),
     )
 
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -23,7 +23,7 @@
 from bramblebeam.core.gateway.routes import GroupSettings
 from bramblebeam.core.gateway.served_position import ServedPosition
 from bramblebeam.core.identity import (
-    NOT_TOLD,
+    UNKNOWN_INCARNATION,
     ZERO_POSITION,
     Address,
     GroupId,
@@ -70,12 +70,12 @@
 # An instance is a name and a start.
 
 
-@pytest.mark.parametrize("born", [NOT_TOLD, 1, BORN])
+@pytest.mark.parametrize("born", [UNKNOWN_INCARNATION, 1, BORN])
 def test_an_instance_is_told_by_its_name_and_its_start(born: int) -> None:
     instance = instance_id("db-a@7", born)
     assert server_name(instance) == "db-a@7"
     assert incarnation_of(instance) == born
-    assert (instance == "db-a@7") is (born == NOT_TOLD)
+    assert (instance == "db-a@7") is (born == UNKNOWN_INCARNATION)
 
 
 def test_the_store_tells_an_instance() -> None:
