--- a/src/bramblebeam/core/revision.py
+++ b/src/bramblebeam/core/revision.py
@@ -39,7 +39,7 @@
     era: int
 
 
-ERA_SILENCE_SECONDS = 10.0
+ERA_EXPIRY_SECONDS = 10.0
 """An era of which nobody told for so long, while others tell of a former one, is taken for a
 mistake. A peer or a connection that is behind learns of a restore within 4 s."""
 NO_REVISION = Revision(FIRST_ERA, 0)
--- a/src/bramblebeam/platform/eras.py
+++ b/src/bramblebeam/platform/eras.py
@@ -5,7 +5,7 @@
 import logging
 from collections.abc import Callable
 
-from bramblebeam.core.revision import ERA_SILENCE_SECONDS, FIRST_ERA, HIGHEST_ERA
+from bramblebeam.core.revision import ERA_EXPIRY_SECONDS, FIRST_ERA, HIGHEST_ERA
 from bramblebeam.events import log_event
 from bramblebeam.events.catalogue import STORE_ERA_UNUSABLE
 from bramblebeam.platform.http import HttpAnswer
@@ -40,7 +40,7 @@
         """Note the era of the answer to a call. Raises EraFormatError, logged."""
         try:
             era = era_of(answer)
-            if era < self.newest and self._now() - self._told_at < ERA_SILENCE_SECONDS:
+            if era < self.newest and self._now() - self._told_at < ERA_EXPIRY_SECONDS:
                 raise EraFormatError("the era is over")
         except EraFormatError:
             told = (answer.header(_ERA_HEADER) or "")[:_MAXIMUM_TOLD]
--- a/src/bramblebeam/services/feed/followed.py
+++ b/src/bramblebeam/services/feed/followed.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable
 from typing import Generic, TypeVar
 
-from bramblebeam.core.revision import ERA_SILENCE_SECONDS, NO_REVISION, Revision
+from bramblebeam.core.revision import ERA_EXPIRY_SECONDS, NO_REVISION, Revision
 from bramblebeam.events import log_event
 from bramblebeam.events.catalogue import ITEMS_PASSED_OVER, STORE_ERA_BEGAN, STORE_ERA_GIVEN_UP
 from bramblebeam.services.feed.ports import Batch, HistoryLostError, Versioned
@@ -66,7 +66,7 @@
         self._log_passed_over(last.values())
         if self._is_of_former_era(batch):
             # What the store confirmed long after the present era was told shows that it is none.
-            if told_at - batch.age - self._era_told_at < ERA_SILENCE_SECONDS:
+            if told_at - batch.age - self._era_told_at < ERA_EXPIRY_SECONDS:
                 return
             self._forget_era(whole)
         self._note_era(batch, told_at)
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -20,7 +20,7 @@
 from bramblebeam.core.gateway.directory import DatabaseEntry
 from bramblebeam.core.gateway.registry import Registry
 from bramblebeam.core.identity import Address, GroupId, InstanceId, NodeId, ZoneId
-from bramblebeam.core.revision import ERA_SILENCE_SECONDS, HIGHEST_ERA, NO_REVISION, Revision
+from bramblebeam.core.revision import ERA_EXPIRY_SECONDS, HIGHEST_ERA, NO_REVISION, Revision
 from bramblebeam.core.role import Role
 from bramblebeam.events.catalogue import (
     ITEMS_PASSED_OVER,
@@ -227,14 +227,14 @@
     assert followed.whole().items == (item("a", at(20, 2)),)
 
 
-@pytest.mark.parametrize("silence", [ERA_SILENCE_SECONDS - 1, ERA_SILENCE_SECONDS])
+@pytest.mark.parametrize("silence", [ERA_EXPIRY_SECONDS - 1, ERA_EXPIRY_SECONDS])
 def test_an_era_that_one_answer_made_up_counts_for_a_while_only(silence: float) -> None:
     news: list[Versioned[str]] = []
     followed = FollowedList[str](news.extend)
     followed.merge(Batch((item("a", at(3)),), at(4)), True, 0.0)
     followed.merge(Batch((item("a", at(9, 700)),), at(9, 700)), True, 1.0)
     later = Batch((item("a", at(5)), item("b", at(6))), at(6))
-    if silence < ERA_SILENCE_SECONDS:
+    if silence < ERA_EXPIRY_SECONDS:
         followed.merge(later, True, 1.0 + silence)
         assert followed.revision == at(9, 700)
         return
@@ -247,7 +247,7 @@
 def test_a_node_that_is_cut_off_from_the_store_makes_no_era_a_mistake() -> None:
     """It tells on what it had, and the store is down for all: nobody tells of the present era."""
     followed = known_at(at(4, 1))
-    last = ERA_SILENCE_SECONDS * 3
+    last = ERA_EXPIRY_SECONDS * 3
     followed.merge(Batch((item("a", at(9)),), at(9), age=last + 1.0), True, last)
     assert followed.revision == at(4, 1)
 
@@ -263,10 +263,10 @@
     now = 0.0
     eras = StoreEras(lambda: now)
     eras.take(HttpAnswer(200, b"", (("store-era", "700"),)), "list")
-    now = ERA_SILENCE_SECONDS - 1
+    now = ERA_EXPIRY_SECONDS - 1
     with pytest.raises(EraFormatError):
         eras.take(HttpAnswer(200, b"", (("store-era", "1"),)), "list")
-    now = ERA_SILENCE_SECONDS
+    now = ERA_EXPIRY_SECONDS
     eras.take(HttpAnswer(200, b"", (("store-era", "1"),)), "list")
     assert eras.newest == 1
 
