--- a/src/bramblebeam/core/routing/effects.py
+++ b/src/bramblebeam/core/routing/effects.py
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class SendRequest:
     """Send the request to a node; feed `Answered` or `AttemptFailed` (`timeout` in seconds)."""
 
     node: NodeId
@@ -114,7 +114,7 @@
     node: NodeId
 
 
-Effect = Ask | AskPosition | Hold | Refresh | Abandon | Finish
+Effect = SendRequest | AskPosition | Hold | Refresh | Abandon | Finish
 """What the driver of an execution carries out."""
 
 Event = Started | Answered | PositionAnswered | AttemptFailed | GroupUpdated
--- a/src/bramblebeam/core/routing/execution.py
+++ b/src/bramblebeam/core/routing/execution.py
@@ -35,7 +35,6 @@
 from bramblebeam.core.routing.effects import (
     Abandon,
     Answered,
-    Ask,
     AskPosition,
     AttemptFailed,
     Effect,
@@ -44,6 +43,7 @@
     Hold,
     PositionAnswered,
     Refresh,
+    SendRequest,
     Started,
     StatementRequest,
 )
@@ -212,7 +212,7 @@
             self._directory.highest_term(self._group),
         )
         self._attempt = Attempt(status.instance, node, status.term, status.role, request)
-        return [Ask(node, request, remaining + REPLY_MARGIN)]
+        return [SendRequest(node, request, remaining + REPLY_MARGIN)]
 
     # Answers.
 
@@ -328,7 +328,9 @@
         if self._directory.is_dead(attempt.node) or now - lost_at >= REPEAT_WINDOW:
             detail = "the answer was lost"
             return self._doubtful(attempt, Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST, detail))
-        return [Ask(attempt.node, repeated(attempt.request), REPEAT_WINDOW - (now - lost_at))]
+        return [
+            SendRequest(attempt.node, repeated(attempt.request), REPEAT_WINDOW - (now - lost_at))
+        ]
 
     # Ends.
 
--- a/src/bramblebeam/core/routing/pinned.py
+++ b/src/bramblebeam/core/routing/pinned.py
@@ -19,12 +19,12 @@
 from bramblebeam.core.routing.effects import (
     Abandon,
     Answered,
-    Ask,
     AttemptFailed,
     Effect,
     Finish,
     GroupUpdated,
     Hold,
+    SendRequest,
     Started,
     StatementRequest,
 )
@@ -89,7 +89,9 @@
             caller_request=self._statement.caller_request,
             session_name=self._session.roaming_name,
         )
-        return [Ask(transaction.node, self._request, limit.deadline_ms / 1_000 + REPLY_MARGIN)]
+        return [
+            SendRequest(transaction.node, self._request, limit.deadline_ms / 1_000 + REPLY_MARGIN)
+        ]
 
     def _answered(self, reply: ExecuteReply) -> list[Effect]:
         if self._request is None or reply.request != self._request.request:
@@ -171,7 +173,7 @@
         if lost_for >= REPEAT_WINDOW or self._directory.is_dead(transaction.node):
             detail = "the answer was lost"
             return self._lost(Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST, detail))
-        return [Ask(transaction.node, repeated(self._request), REPEAT_WINDOW - lost_for)]
+        return [SendRequest(transaction.node, repeated(self._request), REPEAT_WINDOW - lost_for)]
 
     def _finish(self, reply: ExecuteReply | None, refusal: Refusal | None) -> list[Effect]:
         return [Finish(reply, refusal, self._transaction.instance, self._transaction.node)]
--- a/src/bramblebeam/services/edge/driver.py
+++ b/src/bramblebeam/services/edge/driver.py
@@ -7,7 +7,6 @@
 from bramblebeam.core.routing.effects import (
     Abandon,
     Answered,
-    Ask,
     AskPosition,
     AttemptFailed,
     Effect,
@@ -16,6 +15,7 @@
     Hold,
     PositionAnswered,
     Refresh,
+    SendRequest,
     Started,
 )
 from bramblebeam.core.statement import AbandonRequest, ExecuteReply, PositionReply
@@ -52,13 +52,13 @@
         When cancelled, it tells the owner that was asked last to give the statement up.
         """
         loop = asyncio.get_running_loop()
-        asked: Ask | None = None
+        asked: SendRequest | None = None
         event: Any = Started()
         try:
             while True:
                 for effect in machine.handle(event, loop.time()):
                     match effect:
-                        case Ask():
+                        case SendRequest():
                             asked = effect
                             event = await self._ask(effect)
                         case Finish():
@@ -77,7 +77,7 @@
                 self._peers.post(asked.node, abandon)
             raise
 
-    async def _ask(self, effect: Ask) -> Any:
+    async def _ask(self, effect: SendRequest) -> Any:
         answer = await self._peers.request(effect.node, effect.request, effect.timeout)
         match answer:
             case ExecuteReply():
--- a/tests/test_edge_execution.py
+++ b/tests/test_edge_execution.py
@@ -24,13 +24,13 @@
 from bramblebeam.core.routing.directory import BEHIND_MEMORY, Directory
 from bramblebeam.core.routing.effects import (
     Answered,
-    Ask,
     AskPosition,
     AttemptFailed,
     Finish,
     GroupUpdated,
     Hold,
     PositionAnswered,
+    SendRequest,
     Started,
     StatementRequest,
 )
@@ -85,7 +85,7 @@
             self.primary = self.chance.choice(INSTANCES)
         self.applied[self.primary] = len(self.log)
 
-    def ask(self, ask: Ask) -> Any:
+    def ask(self, ask: SendRequest) -> Any:
         """Carry out a request; its message or answer may be lost, its owner may forget."""
         request = ask.request
         fate = self.chance.random()
@@ -101,7 +101,7 @@
             self.remembered[request.request] = reply
         return AttemptFailed(sent=True) if 0.3 < fate < 0.4 else Answered(reply)
 
-    def _run(self, ask: Ask) -> ExecuteReply:
+    def _run(self, ask: SendRequest) -> ExecuteReply:
         request, instance = ask.request, ask.request.instance
         now = self.status(instance)
         if request.kind is StatementKind.READ:
@@ -138,7 +138,7 @@
             match effect:
                 case Finish():
                     return effect, sent
-                case Ask():
+                case SendRequest():
                     world.step()
                     sent.append(effect.request.request)
                     event = world.ask(effect)
@@ -233,10 +233,10 @@
     directory.observe(status(P, Position(1, 5), Role.PRIMARY))
     machine = Execution(Session("s", SERVICE, GROUP), WRITE, directory, RetryBudget())
     (first,) = machine.handle(Started(), 0.0)
-    assert isinstance(first, Ask)
+    assert isinstance(first, SendRequest)
     directory.set_members(MembersView(owners={ZoneId("z"): (NodeId("n2"),)}))
     (again,) = machine.handle(AttemptFailed(sent=True), 0.1)
-    assert isinstance(again, Ask)
+    assert isinstance(again, SendRequest)
     assert (again.node, again.request.request) == (NODE, first.request.request)
     assert again.request.repeat
     (held,) = machine.handle(AttemptFailed(sent=False), 0.2)
--- a/tests/test_edge_transactions.py
+++ b/tests/test_edge_transactions.py
@@ -11,11 +11,11 @@
 from bramblebeam.core.routing.effects import (
     Abandon,
     Answered,
-    Ask,
     AskPosition,
     AttemptFailed,
     Finish,
     Hold,
+    SendRequest,
     Started,
     StatementRequest,
 )
@@ -37,7 +37,7 @@
 ROLLBACK = StatementRequest(StatementKind.ROLLBACK, "ROLLBACK")
 
 
-def begin(statement: StatementRequest) -> tuple[Session, Directory, PinnedExecution, Ask]:
+def begin(statement: StatementRequest) -> tuple[Session, Directory, PinnedExecution, SendRequest]:
     directory = Directory()
     directory.configure(configuration())
     directory.set_members(members())
@@ -45,7 +45,7 @@
     session.transaction = Transaction("t", GROUP, P, NODE, 1)
     machine = PinnedExecution(session, statement, directory)
     (ask,) = machine.handle(Started(), 0.0)
-    assert isinstance(ask, Ask)
+    assert isinstance(ask, SendRequest)
     return session, directory, machine, ask
 
 
@@ -57,7 +57,7 @@
 def test_commit_without_an_answer_is_asked_again_then_unknown() -> None:
     session, _, machine, ask = begin(COMMIT)
     (again,) = machine.handle(AttemptFailed(sent=True), 0.1)
-    assert isinstance(again, Ask) and again.request.repeat
+    assert isinstance(again, SendRequest) and again.request.repeat
     assert again.request.request == ask.request.request
     (held,) = machine.handle(AttemptFailed(sent=True), 0.2)
     assert isinstance(held, Hold)
