--- a/src/bramblebeam/core/routing/effects.py
+++ b/src/bramblebeam/core/routing/effects.py
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskPosition:
+class RequestPosition:
     """Have a position confirmed; feed `PositionAnswered` or `AttemptFailed`."""
 
     node: NodeId
@@ -114,7 +114,7 @@
     node: NodeId
 
 
-Effect = SendRequest | AskPosition | Hold | Refresh | Abandon | Finish
+Effect = SendRequest | RequestPosition | Hold | Refresh | Abandon | Finish
 """What the driver of an execution carries out."""
 
 Event = Started | Answered | PositionAnswered | AttemptFailed | GroupUpdated
--- a/src/bramblebeam/core/routing/execution.py
+++ b/src/bramblebeam/core/routing/execution.py
@@ -35,7 +35,6 @@
 from bramblebeam.core.routing.effects import (
     Abandon,
     Answered,
-    AskPosition,
     AttemptFailed,
     Effect,
     Finish,
@@ -43,6 +42,7 @@
     Hold,
     PositionAnswered,
     Refresh,
+    RequestPosition,
     SendRequest,
     Started,
     StatementRequest,
@@ -144,7 +144,7 @@
         timeout = max(0.01, min(POSITION_TIMEOUT, self._hold_until - now))
         name = self._session.name_for_floor(self._group)
         request = PositionRequest(primary.instance, (name,) if name else ())
-        return [AskPosition(node, request, timeout)]
+        return [RequestPosition(node, request, timeout)]
 
     def _position_answered(self, reply: PositionReply, now: float) -> list[Effect]:
         if reply.refusal is not None:
--- a/src/bramblebeam/services/edge/confirmations.py
+++ b/src/bramblebeam/services/edge/confirmations.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from bramblebeam.core.identity import InstanceId, NodeId
-from bramblebeam.core.routing.effects import AskPosition
+from bramblebeam.core.routing.effects import RequestPosition
 from bramblebeam.core.statement import PositionReply, PositionRequest
 from bramblebeam.services.edge.peers import Peers
 
@@ -38,7 +38,7 @@
         self._running: dict[_Key, asyncio.Task[Any]] = {}
         self._next: dict[_Key, _Question] = {}
 
-    async def confirm(self, asked: AskPosition) -> Any:
+    async def confirm(self, asked: RequestPosition) -> Any:
         """Return the answer, a `PositionReply` or a `PeerFailure`, to a question sent from now.
 
         The reply's `floors` are those of the sessions that `asked` names, if the owner gave any.
@@ -60,7 +60,7 @@
         self,
         key: _Key,
         question: _Question,
-        asked: AskPosition,
+        asked: RequestPosition,
         before: asyncio.Task[Any] | None,
     ) -> Any:
         if before is not None:
--- a/src/bramblebeam/services/edge/driver.py
+++ b/src/bramblebeam/services/edge/driver.py
@@ -7,7 +7,6 @@
 from bramblebeam.core.routing.effects import (
     Abandon,
     Answered,
-    AskPosition,
     AttemptFailed,
     Effect,
     Finish,
@@ -15,6 +14,7 @@
     Hold,
     PositionAnswered,
     Refresh,
+    RequestPosition,
     SendRequest,
     Started,
 )
@@ -67,7 +67,7 @@
                             self._tracker.refresh(group, FALLBACK_REFRESH_INTERVAL)
                         case Abandon(node, instance, abandoned):
                             self._peers.post(node, AbandonRequest(abandoned, instance))
-                        case AskPosition():
+                        case RequestPosition():
                             event = await self._ask_position(effect)
                         case Hold():
                             event = await self._hold(effect, machine.next_wakeup())
@@ -86,7 +86,7 @@
                 return AttemptFailed(sent, detail)
         return AttemptFailed(True, f"unexpected answer {type(answer).__name__}")
 
-    async def _ask_position(self, effect: AskPosition) -> Any:
+    async def _ask_position(self, effect: RequestPosition) -> Any:
         answer = await self._confirmations.confirm(effect)
         match answer:
             case PositionReply():
--- a/tests/test_edge_confirmations.py
+++ b/tests/test_edge_confirmations.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from bramblebeam.core.identity import InstanceId, NodeId, Position
-from bramblebeam.core.routing.effects import AskPosition
+from bramblebeam.core.routing.effects import RequestPosition
 from bramblebeam.core.statement import PositionReply, PositionRequest
 from bramblebeam.services.edge.confirmations import Confirmations
 
@@ -27,7 +27,7 @@
 
 
 def ask(confirmations: Confirmations, *names: str) -> Any:
-    return confirmations.confirm(AskPosition(NodeId("n"), PositionRequest(A, names), 1.0))
+    return confirmations.confirm(RequestPosition(NodeId("n"), PositionRequest(A, names), 1.0))
 
 
 async def test_statements_that_wait_together_share_a_question_and_get_their_own_floors() -> None:
--- a/tests/test_edge_execution.py
+++ b/tests/test_edge_execution.py
@@ -24,12 +24,12 @@
 from bramblebeam.core.routing.directory import BEHIND_MEMORY, Directory
 from bramblebeam.core.routing.effects import (
     Answered,
-    AskPosition,
     AttemptFailed,
     Finish,
     GroupUpdated,
     Hold,
     PositionAnswered,
+    RequestPosition,
     SendRequest,
     Started,
     StatementRequest,
@@ -119,7 +119,7 @@
         position = Position(self.term, len(self.log))
         return ExecuteReply(request.request, position=position, status=self.status(instance))
 
-    def confirm(self, ask: AskPosition) -> Any:
+    def confirm(self, ask: RequestPosition) -> Any:
         if self.chance.random() < 0.1:
             return AttemptFailed(sent=True)
         instance = ask.request.instance
@@ -143,7 +143,7 @@
                     sent.append(effect.request.request)
                     event = world.ask(effect)
                     world.step()
-                case AskPosition():
+                case RequestPosition():
                     world.step()
                     event = world.confirm(effect)
                 case Hold():
--- a/tests/test_edge_transactions.py
+++ b/tests/test_edge_transactions.py
@@ -11,10 +11,10 @@
 from bramblebeam.core.routing.effects import (
     Abandon,
     Answered,
-    AskPosition,
     AttemptFailed,
     Finish,
     Hold,
+    RequestPosition,
     SendRequest,
     Started,
     StatementRequest,
@@ -127,7 +127,7 @@
 async def test_position_confirmed_for_an_earlier_question_is_not_shared() -> None:
     peers = SlowPeers()
     confirmations = Confirmations(cast(Peers, peers))
-    question = AskPosition(NODE, PositionRequest(InstanceId("p")), 1.0)
+    question = RequestPosition(NODE, PositionRequest(InstanceId("p")), 1.0)
     first = asyncio.create_task(confirmations.confirm(question))
     asked_first = await peers.questions.get()
     later = [asyncio.create_task(confirmations.confirm(question)) for _ in range(3)]
