--- a/src/bramblebeam/core/routing/choice.py
+++ b/src/bramblebeam/core/routing/choice.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReadNeed:
+class ReadRequirement:
     """What a read that is routed at `now` (seconds) asks of an instance.
 
     `staleness_ms`: oldest answer (milliseconds).
@@ -29,7 +29,7 @@
 
 
 def sticky_replica(
-    directory: Directory, session: Session, need: ReadNeed, excluded: Collection[InstanceId]
+    directory: Directory, session: Session, need: ReadRequirement, excluded: Collection[InstanceId]
 ) -> InstanceStatus | None:
     """Return the replica the session reads from, if that one can still serve the read."""
     sticky = session.sticky.get(need.group)
@@ -50,7 +50,7 @@
 def choose_replica(
     directory: Directory,
     session: Session,
-    need: ReadNeed,
+    need: ReadRequirement,
     excluded: Collection[InstanceId],
     request: RequestId,
 ) -> InstanceStatus | None:
@@ -73,7 +73,7 @@
 
 
 def choose_unweighted(
-    directory: Directory, need: ReadNeed, excluded: Collection[InstanceId]
+    directory: Directory, need: ReadRequirement, excluded: Collection[InstanceId]
 ) -> InstanceStatus | None:
     """Return a replica whose row gives it no reads, for want of any other instance."""
     for status in _replicas(directory, need, weighted=False):
@@ -82,13 +82,13 @@
     return None
 
 
-def _is_near(directory: Directory, status: InstanceStatus, need: ReadNeed) -> bool:
+def _is_near(directory: Directory, status: InstanceStatus, need: ReadRequirement) -> bool:
     if status.applied >= need.floor:
         return True
     return status.lag_ms <= NEAR_LAG_MS and not directory.is_behind(status.instance, need.now)
 
 
-def is_usable(directory: Directory, status: InstanceStatus, need: ReadNeed) -> bool:
+def is_usable(directory: Directory, status: InstanceStatus, need: ReadRequirement) -> bool:
     """Whether the instance is a replica that may take reads, as far as the node knows."""
     if status.role is not Role.REPLICA or not status.reachable or status.leaving:
         return False
@@ -97,7 +97,7 @@
     return directory.accepts_work(status.instance)
 
 
-def _replicas(directory: Directory, need: ReadNeed, weighted: bool) -> list[InstanceStatus]:
+def _replicas(directory: Directory, need: ReadRequirement, weighted: bool) -> list[InstanceStatus]:
     """Return the usable replicas that the rows give reads to, or those that they give none."""
     found = []
     for member in directory.group_members(need.group):
--- a/src/bramblebeam/core/routing/execution.py
+++ b/src/bramblebeam/core/routing/execution.py
@@ -26,7 +26,7 @@
 )
 from bramblebeam.core.routing.budget import RetryBudget
 from bramblebeam.core.routing.choice import (
-    ReadNeed,
+    ReadRequirement,
     choose_replica,
     choose_unweighted,
     sticky_replica,
@@ -160,7 +160,7 @@
 
     def _next_read(self, now: float) -> list[Effect]:
         floor = self._session.floor(self._group)
-        need = ReadNeed(self._group, floor, self._limit.staleness_ms, now)
+        need = ReadRequirement(self._group, floor, self._limit.staleness_ms, now)
         status = sticky_replica(self._directory, self._session, need, self._excluded)
         if status is None:
             draw = self._session.next_request()
@@ -177,7 +177,7 @@
             return [refresh, *self._ask_for_read(status, wait_ms, now)]
         return self._back_off(now) if self._excluded else self._hold(now)
 
-    def _replica_wait_ms(self, status: InstanceStatus, need: ReadNeed, now: float) -> int:
+    def _replica_wait_ms(self, status: InstanceStatus, need: ReadRequirement, now: float) -> int:
         """Return how long to wait for a replica: for a slot, or also for the floor (ms)."""
         if status.applied >= need.floor:
             return self._limit.queue_wait_ms
--- a/tests/test_edge_execution.py
+++ b/tests/test_edge_execution.py
@@ -20,7 +20,7 @@
 from bramblebeam.core.membership.view import Member, MemberState, MembersView
 from bramblebeam.core.role import Role
 from bramblebeam.core.routing.budget import CAPACITY, RetryBudget
-from bramblebeam.core.routing.choice import ReadNeed, choose_replica
+from bramblebeam.core.routing.choice import ReadRequirement, choose_replica
 from bramblebeam.core.routing.directory import BEHIND_MEMORY, Directory
 from bramblebeam.core.routing.effects import (
     Answered,
@@ -255,7 +255,7 @@
         role = Role.PRIMARY if instance == P else Role.REPLICA
         directory.observe(status(instance, Position(1, 5), role))
     counts = dict.fromkeys(INSTANCES, 0)
-    need = ReadNeed(GROUP, ZERO_POSITION, 5_000, 0.0)
+    need = ReadRequirement(GROUP, ZERO_POSITION, 5_000, 0.0)
     for number in range(2_000):
         session = Session(f"s{number}", SERVICE, GROUP)
         chosen = choose_replica(directory, session, need, (), RequestId(f"s{number}", 1))
@@ -270,7 +270,7 @@
     directory = new_directory()
     directory.observe(status(R1, Position(1, 5), **changes))
     directory.observe(status(R2, Position(1, 5)))
-    need = ReadNeed(GROUP, ZERO_POSITION, 5_000, 0.0)
+    need = ReadRequirement(GROUP, ZERO_POSITION, 5_000, 0.0)
     for number in range(50):
         session = Session(f"s{number}", SERVICE, GROUP)
         chosen = choose_replica(directory, session, need, (), RequestId(f"s{number}", 1))
@@ -285,7 +285,7 @@
     directory.kept_waiting(R1, 10.0)
 
     def chosen(floor: Position, now: float) -> set[InstanceId]:
-        need = ReadNeed(GROUP, floor, 5_000, now)
+        need = ReadRequirement(GROUP, floor, 5_000, now)
         draws = [RequestId("s", number) for number in range(50)]
         session = Session("s", SERVICE, GROUP)
         replicas = [choose_replica(directory, session, need, (), draw) for draw in draws]
