--- a/src/bramblebeam/core/routing/directory.py
+++ b/src/bramblebeam/core/routing/directory.py
@@ -21,7 +21,7 @@
 DEFAULT_READ_WEIGHT = 100
 
 
-BEHIND_MEMORY = 2.0
+BEHIND_SECONDS = 2.0
 """So long a replica that kept a read waiting in vain counts as behind (seconds)."""
 
 
@@ -84,7 +84,7 @@
 
         Its lag does not tell: between two writes a replica has nothing left to apply.
         """
-        self._behind_until[instance] = now + BEHIND_MEMORY
+        self._behind_until[instance] = now + BEHIND_SECONDS
 
     def is_behind(self, instance: InstanceId, now: float) -> bool:
         """Whether a read waited in vain for the instance lately."""
--- a/tests/test_edge_execution.py
+++ b/tests/test_edge_execution.py
@@ -21,7 +21,7 @@
 from bramblebeam.core.role import Role
 from bramblebeam.core.routing.budget import CAPACITY, RetryBudget
 from bramblebeam.core.routing.choice import ReadRequirement, choose_replica
-from bramblebeam.core.routing.directory import BEHIND_MEMORY, Directory
+from bramblebeam.core.routing.directory import BEHIND_SECONDS, Directory
 from bramblebeam.core.routing.effects import (
     Answered,
     AttemptFailed,
@@ -293,7 +293,7 @@
 
     assert chosen(Position(1, 9), 10.1) == {R2}
     assert chosen(Position(1, 5), 10.1) == {R1, R2}, "it has applied what this read needs"
-    assert chosen(Position(1, 9), 10.0 + BEHIND_MEMORY) == {R1, R2}
+    assert chosen(Position(1, 9), 10.0 + BEHIND_SECONDS) == {R1, R2}
 
 
 def test_late_status_of_a_replaced_primary_does_not_bring_it_back() -> None:
