--- a/src/bramblebeam/core/routing/directory.py
+++ b/src/bramblebeam/core/routing/directory.py
@@ -79,7 +79,7 @@
         if known is not None and position > known.applied:
             self._statuses[instance] = replace(known, applied=position)
 
-    def kept_waiting(self, instance: InstanceId, now: float) -> None:
+    def record_floor_timeout(self, instance: InstanceId, now: float) -> None:
         """Note that a read waited in vain for the instance to catch up (`now` in seconds).
 
         Its lag does not tell: between two writes a replica has nothing left to apply.
--- a/src/bramblebeam/core/routing/execution.py
+++ b/src/bramblebeam/core/routing/execution.py
@@ -289,7 +289,7 @@
         if not is_behind and not self._retry.take(now):
             return self._finish(None, refusal)
         if is_behind:
-            self._directory.kept_waiting(attempt.instance, now)
+            self._directory.record_floor_timeout(attempt.instance, now)
         self._attempt = None
         self._excluded.add(attempt.instance)
         self._session.sticky.pop(self._group, None)
--- a/tests/test_edge_execution.py
+++ b/tests/test_edge_execution.py
@@ -282,7 +282,7 @@
     directory.observe(status(P, Position(1, 9), Role.PRIMARY))
     directory.observe(status(R1, Position(1, 5)))
     directory.observe(status(R2, Position(1, 5)))
-    directory.kept_waiting(R1, 10.0)
+    directory.record_floor_timeout(R1, 10.0)
 
     def chosen(floor: Position, now: float) -> set[InstanceId]:
         need = ReadRequirement(GROUP, floor, 5_000, now)
