--- a/src/bramblebeam/core/routing/directory.py
+++ b/src/bramblebeam/core/routing/directory.py
@@ -73,7 +73,7 @@
             self._primaries[status.group] = status.instance
         return term_rose or known is None or _standing(known) != _standing(status)
 
-    def note_applied(self, instance: InstanceId, position: Position) -> None:
+    def record_applied(self, instance: InstanceId, position: Position) -> None:
         """Note a lower bound of what an instance has applied, as told by its answer to a read."""
         known = self._statuses.get(instance)
         if known is not None and position > known.applied:
--- a/src/bramblebeam/core/routing/execution.py
+++ b/src/bramblebeam/core/routing/execution.py
@@ -232,7 +232,7 @@
         if kind is StatementKind.READ:
             if attempt.role is Role.REPLICA:
                 session.read(self._group, reply.position)
-            self._directory.note_applied(attempt.instance, reply.position)
+            self._directory.record_applied(attempt.instance, reply.position)
             return self._finish(reply, None)
         term = answer_term(reply, attempt.request)
         if term < self._directory.highest_term(self._group):
