--- a/src/bramblebeam/core/routing/directory.py
+++ b/src/bramblebeam/core/routing/directory.py
@@ -104,7 +104,7 @@
         self._primaries.pop(group, None)
         return True
 
-    def unreachable(self, instance: InstanceId) -> None:
+    def forget_status(self, instance: InstanceId) -> None:
         """Forget an instance's status after its owner could not be asked."""
         self._statuses.pop(instance, None)
 
--- a/src/bramblebeam/core/routing/execution.py
+++ b/src/bramblebeam/core/routing/execution.py
@@ -305,12 +305,12 @@
         if not sent and attempt.lost_at is None:
             refusal = Refusal(Verdict.NOT_RUN, Reason.UNREACHABLE, detail)
             self._last_refusal = refusal
-            self._directory.unreachable(attempt.instance)
+            self._directory.forget_status(attempt.instance)
             if self._statement.kind is StatementKind.READ:
                 return self._elsewhere(attempt, refusal, now)
             return self._moved(attempt, refusal, now)
         if self._statement.kind is StatementKind.READ:
-            self._directory.unreachable(attempt.instance)
+            self._directory.forget_status(attempt.instance)
             lost = Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST, detail)
             self._last_refusal = lost
             return self._elsewhere(attempt, lost, now)
--- a/src/bramblebeam/services/edge/groups.py
+++ b/src/bramblebeam/services/edge/groups.py
@@ -116,5 +116,5 @@
             case SubscribeReply(status=InstanceStatus() as status):
                 self._directory.observe(status)
             case PeerFailure(sent=False):
-                self._directory.unreachable(instance)
+                self._directory.forget_status(instance)
         self.wake(group)
