--- a/src/bramblebeam/core/routing/attempt.py
+++ b/src/bramblebeam/core/routing/attempt.py
@@ -24,7 +24,7 @@
 
 NO_STALENESS_BOUND = -1
 
-MOVED = frozenset(
+TRANSIENT_REASONS = frozenset(
     {
         Reason.NO_PRIMARY,
         Reason.STALE_TERM,
@@ -36,7 +36,7 @@
     }
 )
 """Reasons that another instance, another owner or a moment's wait can cure."""
-ELSEWHERE = MOVED | {Reason.QUEUE_FULL, Reason.QUEUE_TIMEOUT, Reason.REPLICA_BEHIND}
+ELSEWHERE = TRANSIENT_REASONS | {Reason.QUEUE_FULL, Reason.QUEUE_TIMEOUT, Reason.REPLICA_BEHIND}
 """Reasons for which a read tries another instance."""
 
 
--- a/src/bramblebeam/core/routing/execution.py
+++ b/src/bramblebeam/core/routing/execution.py
@@ -13,12 +13,12 @@
 from bramblebeam.core.routing.attempt import (
     ELSEWHERE,
     FLOOR_WAIT_MS,
-    MOVED,
     POSITION_TIMEOUT,
     RECHECK_INTERVAL,
     REPEAT_INTERVAL,
     REPEAT_WINDOW,
     REPLY_MARGIN,
+    TRANSIENT_REASONS,
     Attempt,
     answer_term,
     new_request,
@@ -264,7 +264,7 @@
             return self._finish(None, refusal)
         if is_read and refusal.reason in ELSEWHERE:
             return self._elsewhere(attempt, refusal, now)
-        if refusal.reason in MOVED:
+        if refusal.reason in TRANSIENT_REASONS:
             return self._moved(attempt, refusal, now)
         return self._finish(None, refusal)
 
