--- a/src/bramblebeam/core/routing/attempt.py
+++ b/src/bramblebeam/core/routing/attempt.py
@@ -36,7 +36,11 @@
     }
 )
 """Reasons that another instance, another owner or a moment's wait can cure."""
-ELSEWHERE = TRANSIENT_REASONS | {Reason.QUEUE_FULL, Reason.QUEUE_TIMEOUT, Reason.REPLICA_BEHIND}
+READ_RETRY_REASONS = TRANSIENT_REASONS | {
+    Reason.QUEUE_FULL,
+    Reason.QUEUE_TIMEOUT,
+    Reason.REPLICA_BEHIND,
+}
 """Reasons for which a read tries another instance."""
 
 
--- a/src/bramblebeam/core/routing/execution.py
+++ b/src/bramblebeam/core/routing/execution.py
@@ -11,9 +11,9 @@
 from bramblebeam.core.machine import Wakeup
 from bramblebeam.core.role import Role
 from bramblebeam.core.routing.attempt import (
-    ELSEWHERE,
     FLOOR_WAIT_MS,
     POSITION_TIMEOUT,
+    READ_RETRY_REASONS,
     RECHECK_INTERVAL,
     REPEAT_INTERVAL,
     REPEAT_WINDOW,
@@ -262,7 +262,7 @@
             return self._doubtful(attempt, refusal)
         if refusal.reason is Reason.BACKEND_ERROR:
             return self._finish(None, refusal)
-        if is_read and refusal.reason in ELSEWHERE:
+        if is_read and refusal.reason in READ_RETRY_REASONS:
             return self._elsewhere(attempt, refusal, now)
         if refusal.reason in TRANSIENT_REASONS:
             return self._moved(attempt, refusal, now)
