--- a/src/bramblebeam/core/routing/execution.py
+++ b/src/bramblebeam/core/routing/execution.py
@@ -280,7 +280,7 @@
         """The primary cannot serve now: hold for news of the group."""
         if not self._retry.take(now):
             return self._finish(None, refusal)
-        self._retry.refused_by(attempt)
+        self._retry.record_refusal(attempt)
         return self._back_off(now)
 
     def _elsewhere(self, attempt: Attempt, refusal: Refusal, now: float) -> list[Effect]:
--- a/src/bramblebeam/core/routing/retry.py
+++ b/src/bramblebeam/core/routing/retry.py
@@ -32,7 +32,7 @@
             return True
         return self._budget.take(now)
 
-    def refused_by(self, attempt: Attempt) -> None:
+    def record_refusal(self, attempt: Attempt) -> None:
         """Remember the primary that refused."""
         self._refused_by = attempt
 
