--- a/src/bramblebeam/core/overload/budget.py
+++ b/src/bramblebeam/core/overload/budget.py
@@ -28,7 +28,7 @@
 
     def first(self) -> None:
         """Note a first attempt, which earns a part of a second one."""
-        self._budget.request()
+        self._budget.record_request()
 
     def take(self, wait: float, now: float) -> bool:
         """Take one second attempt; False: there is none. `wait`: until it begins (seconds)."""
--- a/src/bramblebeam/core/routing/budget.py
+++ b/src/bramblebeam/core/routing/budget.py
@@ -33,7 +33,7 @@
         self._tokens = limits.capacity
         self._filled_at = 0.0
 
-    def request(self) -> None:
+    def record_request(self) -> None:
         """Note a first attempt."""
         self._tokens = min(self._limits.capacity, self._tokens + self._limits.share)
 
--- a/src/bramblebeam/core/routing/execution.py
+++ b/src/bramblebeam/core/routing/execution.py
@@ -106,7 +106,7 @@
         raise TypeError(f"{type(event).__name__} is no event of an execution")
 
     def _start(self, now: float) -> list[Effect]:
-        self._budget.request()
+        self._budget.record_request()
         self._deadline = now + self._limit.deadline_ms / 1_000
         self._hold_until = min(self._deadline, now + self._limit.queue_wait_ms / 1_000)
         if self._directory.group(self._group) is None:
