--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -73,7 +73,7 @@
         self._hints: tuple[Seed, ...] = ()
         self._join_attempts = 0
         self._gone = False
-        self._hurried_until = now + timing.hurry_seconds
+        self._hurried_until = now + timing.fast_sync_seconds
         self._timers = {
             "probe": now + random.random() * timing.probe_period,
             "digest": now + random.random() * self._digest_period(now),
@@ -181,7 +181,7 @@
 
     def _compare_often(self, now: float) -> None:
         """Begin to compare tables often: there may be much that this node does not know."""
-        self._hurried_until = now + self._local.timing.hurry_seconds
+        self._hurried_until = now + self._local.timing.fast_sync_seconds
         self._timers["digest"] = min(self._timers["digest"], now + self._digest_period(now))
         self._timers["link"] = min(self._timers["link"], now + self._link_period(now))
 
--- a/src/bramblebeam/core/membership/timing.py
+++ b/src/bramblebeam/core/membership/timing.py
@@ -27,7 +27,7 @@
     """One random member of the own zone is compared with each period."""
     settle_seconds: float = 3.0
     """Tables that differ are synchronized only where both have been quiet for so long."""
-    hurry_seconds: float = 0.0
+    fast_sync_seconds: float = 0.0
     """For so long after its start, and after a member that was lost is back, a node compares tables
     more often, and exchanges what differs although news may still be on their way: where all nodes
     start at once, or a cut has healed, gossip alone takes several times as long."""
