--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -190,7 +190,7 @@
 
     def _digest_period(self, now: float) -> float:
         timing = self._local.timing
-        return timing.hurried_digest_period if self._is_hurried(now) else timing.digest_period
+        return timing.fast_digest_period if self._is_hurried(now) else timing.digest_period
 
     def _link_period(self, now: float) -> float:
         timing = self._local.timing
--- a/src/bramblebeam/core/membership/timing.py
+++ b/src/bramblebeam/core/membership/timing.py
@@ -31,7 +31,7 @@
     """For so long after its start, and after a member that was lost is back, a node compares tables
     more often, and exchanges what differs although news may still be on their way: where all nodes
     start at once, or a cut has healed, gossip alone takes several times as long."""
-    hurried_digest_period: float = 0.25
+    fast_digest_period: float = 0.25
     hurried_link_period: float = 0.3
     """`digest_period` and `link_period` meanwhile."""
     link_period: float = 2.0
