--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -194,7 +194,7 @@
 
     def _link_period(self, now: float) -> float:
         timing = self._local.timing
-        return timing.hurried_link_period if self._is_hurried(now) else timing.link_period
+        return timing.fast_link_period if self._is_hurried(now) else timing.link_period
 
     def _compare_in_zone(self, now: float) -> float:
         peers = self._local.zone_peers()
--- a/src/bramblebeam/core/membership/timing.py
+++ b/src/bramblebeam/core/membership/timing.py
@@ -32,7 +32,7 @@
     more often, and exchanges what differs although news may still be on their way: where all nodes
     start at once, or a cut has healed, gossip alone takes several times as long."""
     fast_digest_period: float = 0.25
-    hurried_link_period: float = 0.3
+    fast_link_period: float = 0.3
     """`digest_period` and `link_period` meanwhile."""
     link_period: float = 2.0
     """A zone's contact compares its table with the other zone's once each period."""
