--- a/src/bramblebeam/core/membership/links.py
+++ b/src/bramblebeam/core/membership/links.py
@@ -80,7 +80,7 @@
         present = self._local.table.present(zone)
         return self._local.random.choice(present) if present else None
 
-    def asked(self, zone: ZoneId) -> bool:
+    def record_comparison(self, zone: ZoneId) -> bool:
         """Count a comparison begun; return whether the zone just became unreachable."""
         count = self._unanswered.get(zone, 0) + 1
         self._unanswered[zone] = count
--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -208,7 +208,7 @@
             if peer is None:
                 continue
             self._synchronizer.compare_with(peer)
-            if self._links.asked(zone):
+            if self._links.record_comparison(zone):
                 self._view_changed(now)
         return self._jittered(now, self._link_period(now))
 
