--- a/src/bramblebeam/core/membership/links.py
+++ b/src/bramblebeam/core/membership/links.py
@@ -88,7 +88,7 @@
             return False
         return self._set(zone, reachable=False)
 
-    def answered(self, zone: ZoneId) -> bool:
+    def record_reply(self, zone: ZoneId) -> bool:
         """A member of the zone answered; return whether the zone just became reachable."""
         self._unanswered[zone] = 0
         return self._set(zone, reachable=True)
--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -309,7 +309,7 @@
     def _take_digest_reply(self, sender: NodeId, reply: DigestReply, now: float) -> None:
         member = self._local.table.members.get(sender)
         from_outside = member is not None and member.spec.zone != self._local.zone
-        if member is not None and from_outside and self._links.answered(member.spec.zone):
+        if member is not None and from_outside and self._links.record_reply(member.spec.zone):
             self._view_changed(now)
         self._merge_links(sender, reply.links, now)
         self._synchronizer.take_digest_reply(sender, reply, now, self._is_hurried(now))
