--- a/src/bramblebeam/core/membership/links.py
+++ b/src/bramblebeam/core/membership/links.py
@@ -29,7 +29,7 @@
         self._relays: dict[ZoneId, tuple[tuple[NodeId, ...], tuple[NodeId, ...]]] = {}
 
     @property
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Whether records wait to be sent to other zones."""
         return len(self._news) > 0
 
--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -352,7 +352,7 @@
     @property
     def _has_news(self) -> bool:
         local = self._local
-        return bool(len(local.updates) or len(local.links) or self._links.has_news)
+        return bool(len(local.updates) or len(local.links) or self._links.has_updates)
 
     def _other_seeds(self) -> list[Seed]:
         own = self._local.spec.node
