--- a/src/bramblebeam/core/membership/links.py
+++ b/src/bramblebeam/core/membership/links.py
@@ -102,7 +102,7 @@
         self._local.pass_on_link(link)
         return True
 
-    def add_news(self, update: MemberUpdate) -> None:
+    def queue_update(self, update: MemberUpdate) -> None:
         """Queue a record of the own zone for the other zones, at relays.
 
         Suspicion stays inside a zone. Records of third zones go by their own relays, and by
--- a/src/bramblebeam/core/membership/records.py
+++ b/src/bramblebeam/core/membership/records.py
@@ -139,7 +139,7 @@
     def _spread(self, update: MemberUpdate, refutes: bool = False) -> None:
         self._local.pass_on(update, refutes)
         if self._local.is_zone_member(update.node):
-            self._links.add_news(update)
+            self._links.queue_update(update)
         self.changed = True
 
 
