--- a/src/bramblebeam/core/membership/links.py
+++ b/src/bramblebeam/core/membership/links.py
@@ -111,7 +111,7 @@
         if update.state is not MemberState.SUSPECT and self.is_relay:
             self._news.add(update.node, update, estimated_bytes(update), 1)
 
-    def send_news(self) -> None:
+    def send_updates(self) -> None:
         """Send one datagram of news to each zone that this node is the contact for."""
         updates = self._news.take(MAXIMUM_DATAGRAM_BYTES - DATAGRAM_OVERHEAD_BYTES)
         if not updates:
--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -237,7 +237,7 @@
             links = self._local.links.take(LINK_BUDGET_BYTES)
             if updates or links:
                 self._local.send(peer, Gossip(updates, links))
-        self._links.send_news()
+        self._links.send_updates()
         return now + self._local.timing.gossip_period if self._has_news else NEVER
 
     def _publish(self, _now: float) -> float:
