--- a/src/bramblebeam/core/membership/links.py
+++ b/src/bramblebeam/core/membership/links.py
@@ -72,7 +72,7 @@
         others = [zone for zone in zones if zone != self._local.zone]
         return [zone for zone in others if owner_of(f"zone-link/{zone}", relays) == own]
 
-    def pick(self, zone: ZoneId) -> NodeId | None:
+    def choose_contact(self, zone: ZoneId) -> NodeId | None:
         """Return a member of another zone to turn to."""
         relays = self.relays(zone)
         if relays and self._local.random.random() < RELAY_SHARE:
@@ -117,7 +117,7 @@
         if not updates:
             return
         for zone in self.linked_zones():
-            peer = self.pick(zone)
+            peer = self.choose_contact(zone)
             if peer is not None:
                 self._local.send(peer, Gossip(updates))
 
--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -204,7 +204,7 @@
 
     def _compare_zones(self, now: float) -> float:
         for zone in self._links.linked_zones():
-            peer = self._links.pick(zone)
+            peer = self._links.choose_contact(zone)
             if peer is None:
                 continue
             self._synchronizer.compare_with(peer)
