--- a/src/bramblebeam/core/membership/records.py
+++ b/src/bramblebeam/core/membership/records.py
@@ -56,7 +56,7 @@
             else:
                 self._apply(update, now, pass_on)
 
-    def answered(self, node: NodeId, now: float) -> None:
+    def record_reply(self, node: NodeId, now: float) -> None:
         """A member gave a sign of life: take it in, where it was questioned."""
         questioned = self._questioned.pop(node, None)
         if questioned is not None:
