--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -175,7 +175,7 @@
 
     def _start_probe(self, now: float) -> float:
         self._advance_prober(now)
-        self._records.bury_silent(now)
+        self._records.declare_unresponsive_dead(now)
         self._prober.start_probe(now)
         return now + self._local.timing.probe_period
 
--- a/src/bramblebeam/core/membership/records.py
+++ b/src/bramblebeam/core/membership/records.py
@@ -62,7 +62,7 @@
         if questioned is not None:
             self._apply(questioned.update, now, pass_on=True)
 
-    def bury_silent(self, now: float) -> None:
+    def declare_unresponsive_dead(self, now: float) -> None:
         """Take questioned members that did not answer in time for dead."""
         silent = [q for q in self._questioned.values() if now >= q.expires_at]
         for questioned in silent:
