--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -138,7 +138,7 @@
         elif isinstance(event, LeaveStarted):
             self._records.set_own_state(MemberState.LEAVING, now)
         elif isinstance(event, LeaveFinished):
-            self._records.say_farewell(now)
+            self._records.announce_leave(now)
             self._gone = True
         self._follow_changes(now)
         effects = self._local.effects
--- a/src/bramblebeam/core/membership/records.py
+++ b/src/bramblebeam/core/membership/records.py
@@ -81,7 +81,7 @@
         self._local.table.apply(self._local.own, now)
         self._spread(self._local.own)
 
-    def say_farewell(self, now: float) -> None:
+    def announce_leave(self, now: float) -> None:
         """Tell some of the zone's members at once that this node is gone."""
         self.set_own_state(MemberState.DEAD, now)
         dead = MemberUpdate(self._local.spec.node, self._local.incarnation, MemberState.DEAD)
