--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -149,8 +149,8 @@
         if self._records.changed:
             self._records.changed = False
             self._view_changed(now)
-        if self._records.was_cut_off:
-            self._records.was_cut_off = False
+        if self._records.reconnected:
+            self._records.reconnected = False
             self._compare_often(now)
         if self._has_news and self._timers["gossip"] == NEVER:
             self._timers["gossip"] = now + self._local.timing.gossip_period
--- a/src/bramblebeam/core/membership/records.py
+++ b/src/bramblebeam/core/membership/records.py
@@ -30,7 +30,7 @@
         """Whether this node has had the whole table of a peer."""
         self.changed = False
         """Whether the table changed since the driver last reset this."""
-        self.was_cut_off = False
+        self.reconnected = False
         """Whether a member taken for dead is back, or this node was taken for dead, since then."""
         self._questioned: dict[NodeId, _Questioned] = {}
         self._local = local
@@ -95,7 +95,7 @@
             return
         self.changed = True
         if before is not None and _is_back(update, before.state):
-            self.was_cut_off = True
+            self.reconnected = True
         if pass_on:
             self._spread(update, refutes=before is not None and _refutes(update, before.state))
         self._prober.member_changed(update.node, now)
@@ -109,7 +109,7 @@
         is_former_life = update.spec is not None and update.spec != local.spec
         if is_newer or (is_former_life and update.incarnation == local.incarnation):
             local.incarnation = update.incarnation + 1
-            self.was_cut_off = self.was_cut_off or update.state is MemberState.DEAD
+            self.reconnected = self.reconnected or update.state is MemberState.DEAD
             local.table.apply(local.own, now)
             self._spread(local.own, refutes=True)
 
