--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -160,7 +160,7 @@
     def _wake(self, now: float) -> None:
         due = self.next_wakeup()
         if due is not None and now - due > self._local.timing.pause_bound:
-            self._prober.forgive_pause(now, now - due)
+            self._prober.extend_deadlines(now, now - due)
         for name, action in self._actions.items():
             if now >= self._timers[name]:
                 self._timers[name] = action(now)
--- a/src/bramblebeam/core/membership/probing.py
+++ b/src/bramblebeam/core/membership/probing.py
@@ -73,7 +73,7 @@
                 found += self._expired(node)
         return found
 
-    def forgive_pause(self, now: float, pause: float) -> None:
+    def extend_deadlines(self, now: float, pause: float) -> None:
         """The own node was paused: answers may wait unread, so nobody is to blame for them."""
         if self._probe is not None:
             self._probe.fails_at = now + self._local.timing.probe_period
