--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -262,7 +262,7 @@
     def _answer_ping(self, event: DatagramReceived, now: float) -> None:
         ping: Ping = event.message
         self._records.merge(ping.updates, event.sender, now)
-        ack = self._prober.take_ping(event.sender, ping)
+        ack = self._prober.handle_ping(event.sender, ping)
         if ack is not None:
             self._local.send_to(event.source, ack)
 
--- a/src/bramblebeam/core/membership/probing.py
+++ b/src/bramblebeam/core/membership/probing.py
@@ -94,7 +94,7 @@
         """Probe a new member soon: at a random place of the round."""
         self._round.insert(self._local.random.randrange(len(self._round) + 1), node)
 
-    def take_ping(self, sender: NodeId, ping: Ping) -> Ack | None:
+    def handle_ping(self, sender: NodeId, ping: Ping) -> Ack | None:
         """Answer a ping that is for this node."""
         if ping.target != self._local.spec.node:
             return None
