--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -269,7 +269,7 @@
     def _answer_indirect_ping(self, event: DatagramReceived, now: float) -> None:
         message: IndirectPing = event.message
         self._records.merge(message.updates, event.sender, now)
-        self._prober.take_indirect_ping(event.source, message, now)
+        self._prober.handle_indirect_ping(event.source, message, now)
 
     def _answer_join(self, event: DatagramReceived, _now: float) -> None:
         request: JoinRequest = event.message
--- a/src/bramblebeam/core/membership/probing.py
+++ b/src/bramblebeam/core/membership/probing.py
@@ -100,7 +100,7 @@
             return None
         return Ack(ping.sequence, self._local.piggyback(self._about(sender)))
 
-    def take_indirect_ping(self, source: Address, message: IndirectPing, now: float) -> None:
+    def handle_indirect_ping(self, source: Address, message: IndirectPing, now: float) -> None:
         """Ping a third node for the one at `source`."""
         sequence = self._take_sequence()
         expires_at = now + RELAYED_PROBE_SECONDS
