--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -289,7 +289,7 @@
     def _take_ack(self, sender: NodeId, ack: Ack, now: float) -> None:
         self._records.merge(ack.updates, sender, now)
         self._records.record_reply(sender, now)
-        self._prober.take_ack(ack)
+        self._prober.handle_ack(ack)
 
     def _take_gossip(self, sender: NodeId, gossip: Gossip, now: float) -> None:
         self._records.merge(gossip.updates, sender, now)
--- a/src/bramblebeam/core/membership/probing.py
+++ b/src/bramblebeam/core/membership/probing.py
@@ -108,7 +108,7 @@
         self._relayed[sequence] = _RelayedProbe(source, message.sequence, expires_at)
         self._local.send(message.target, Ping(sequence, message.target))
 
-    def take_ack(self, ack: Ack) -> None:
+    def handle_ack(self, ack: Ack) -> None:
         """End the probe that this answers, or pass the answer on to who asked for it."""
         relayed = self._relayed.pop(ack.sequence, None)
         if relayed is not None:
