--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -171,7 +171,7 @@
         self._records.merge(found, None, now)
         for update in found:
             if update.state is MemberState.SUSPECT:
-                self._prober.challenge(update.node)
+                self._prober.request_refutation(update.node)
 
     def _start_probe(self, now: float) -> float:
         self._advance_prober(now)
--- a/src/bramblebeam/core/membership/probing.py
+++ b/src/bramblebeam/core/membership/probing.py
@@ -125,9 +125,9 @@
         dead = [node for node in self._local.table.dead() if self._local.is_zone_member(node)]
         size = len(self._local.table.present(self._local.zone))
         if dead and self._local.random.random() * size < len(dead):
-            self.challenge(self._local.random.choice(dead))
+            self.request_refutation(self._local.random.choice(dead))
 
-    def challenge(self, node: NodeId) -> None:
+    def request_refutation(self, node: NodeId) -> None:
         """Tell a member what is said of it, so that it can refute it."""
         first = [*self._about(node), self._local.own]
         self._local.send(node, Ping(self._take_sequence(), node, self._local.piggyback(first)))
