--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -283,7 +283,7 @@
         local.send_to(event.source, JoinReply(contacts))
 
     def _answer_digest(self, event: DatagramReceived, now: float) -> None:
-        reply = self._synchronizer.take_digest_request(event.sender, event.message, now)
+        reply = self._synchronizer.handle_digest_request(event.sender, event.message, now)
         self._local.send_to(event.source, reply)
 
     def _take_ack(self, sender: NodeId, ack: Ack, now: float) -> None:
--- a/src/bramblebeam/core/membership/synchronization.py
+++ b/src/bramblebeam/core/membership/synchronization.py
@@ -29,7 +29,7 @@
         """Ask a member whether its table is the same."""
         self._local.send(node, DigestRequest(self._local.table.total))
 
-    def take_digest_request(
+    def handle_digest_request(
         self, sender: NodeId, request: DigestRequest, now: float
     ) -> DigestReply:
         """Answer with the digests where the tables differ."""
