--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -312,7 +312,7 @@
         if member is not None and from_outside and self._links.record_reply(member.spec.zone):
             self._view_changed(now)
         self._merge_links(sender, reply.links, now)
-        self._synchronizer.take_digest_reply(sender, reply, now, self._is_hurried(now))
+        self._synchronizer.handle_digest_reply(sender, reply, now, self._is_hurried(now))
 
     def _take_sync_request(self, sender: NodeId, request: SyncRequest, _now: float) -> None:
         self._synchronizer.take_request(sender, request)
--- a/src/bramblebeam/core/membership/synchronization.py
+++ b/src/bramblebeam/core/membership/synchronization.py
@@ -38,7 +38,7 @@
             return DigestReply(links=links)
         return DigestReply(self._digests(now), links)
 
-    def take_digest_reply(
+    def handle_digest_reply(
         self, sender: NodeId, reply: DigestReply, now: float, is_hurried: bool = False
     ) -> None:
         """Ask for what differs, where neither side has news still on their way.
