--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -315,7 +315,7 @@
         self._synchronizer.handle_digest_reply(sender, reply, now, self._is_hurried(now))
 
     def _take_sync_request(self, sender: NodeId, request: SyncRequest, _now: float) -> None:
-        self._synchronizer.take_request(sender, request)
+        self._synchronizer.handle_request(sender, request)
 
     def _take_sync_offer(self, sender: NodeId, offer: SyncOffer, now: float) -> None:
         self._merge_links(sender, offer.links, now)
--- a/src/bramblebeam/core/membership/synchronization.py
+++ b/src/bramblebeam/core/membership/synchronization.py
@@ -54,7 +54,7 @@
         """Ask a member for all that differs."""
         self._local.stream(node, SyncRequest(self._digests(now)))
 
-    def take_request(self, sender: NodeId, request: SyncRequest) -> None:
+    def handle_request(self, sender: NodeId, request: SyncRequest) -> None:
         """Offer the versions held in the zones that differ."""
         zones = self._local.table.differing(request.zones)
         versions = self._local.table.versions(zones)
