--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -319,7 +319,7 @@
 
     def _take_sync_offer(self, sender: NodeId, offer: SyncOffer, now: float) -> None:
         self._merge_links(sender, offer.links, now)
-        lacking = self._synchronizer.take_offer(sender, offer)
+        lacking = self._synchronizer.handle_offer(sender, offer)
         if not lacking:
             self._become_synchronized()
 
--- a/src/bramblebeam/core/membership/synchronization.py
+++ b/src/bramblebeam/core/membership/synchronization.py
@@ -60,7 +60,7 @@
         versions = self._local.table.versions(zones)
         self._local.stream(sender, SyncOffer(tuple(zones), versions, self._own_zone_links(sender)))
 
-    def take_offer(self, sender: NodeId, offer: SyncOffer) -> bool:
+    def handle_offer(self, sender: NodeId, offer: SyncOffer) -> bool:
         """Send what the other lacks and ask for what this node lacks; return whether it does."""
         theirs = {version.node: version for version in offer.versions}
         wanted = tuple(v.node for v in offer.versions if self._lacks(v))
