--- a/src/bramblebeam/core/membership/machine.py
+++ b/src/bramblebeam/core/membership/machine.py
@@ -327,7 +327,7 @@
         self._records.merge(delta.updates, sender, now, pass_on=self._records.synchronized)
         if self._join_attempts > 0:
             self._become_synchronized()
-        self._synchronizer.take_wanted(sender, delta.wanted)
+        self._synchronizer.send_wanted(sender, delta.wanted)
 
     def _become_synchronized(self) -> None:
         if not self._records.synchronized:
--- a/src/bramblebeam/core/membership/synchronization.py
+++ b/src/bramblebeam/core/membership/synchronization.py
@@ -69,7 +69,7 @@
             self._local.stream(sender, SyncDelta(updates, wanted))
         return bool(wanted)
 
-    def take_wanted(self, sender: NodeId, wanted: Iterable[NodeId]) -> None:
+    def send_wanted(self, sender: NodeId, wanted: Iterable[NodeId]) -> None:
         """Send the records asked for."""
         found = (self._local.table.update_for(node) for node in wanted)
         updates = tuple(update for update in found if update is not None)
