--- a/src/bramblebeam/core/routing/budget.py
+++ b/src/bramblebeam/core/routing/budget.py
@@ -16,7 +16,7 @@
     """
 
     share: float
-    floor: float
+    minimum_rate: float
     capacity: float
 
 
@@ -41,7 +41,7 @@
         """Take one retry at time `now` (seconds). False: the budget is spent."""
         elapsed = max(0.0, now - self._filled_at)
         self._filled_at = now
-        earned = elapsed * self._limits.floor
+        earned = elapsed * self._limits.minimum_rate
         self._tokens = min(self._limits.capacity, self._tokens + earned)
         if self._tokens < 1.0:
             return False
