--- a/src/bramblebeam/core/__init__.py
+++ b/src/bramblebeam/core/__init__.py
@@ -1,4 +1,4 @@
-"""Pure decision logic: typed events and the time in, new state and typed effects out.
+"""Pure decision logic: state machines that map typed events and the time to typed effects.
 
-Nothing in this package reads a clock, opens a socket, draws a random number or starts a task.
+Code in this package performs no I/O, reads no clock, starts no task and creates no random source.
 """
--- a/src/bramblebeam/core/identity.py
+++ b/src/bramblebeam/core/identity.py
@@ -1,71 +1,73 @@
-"""Names and addresses that every package shares."""
+"""Identifiers, addresses and log positions shared by all packages."""
 
 from typing import NamedTuple, NewType
 
 NodeId = NewType("NodeId", str)
-"""Name of one bramblebeam node, unique in the system, stable over restarts."""
+"""Name of a bramblebeam node: unique in the deployment and stable across restarts."""
 
 InstanceId = NewType("InstanceId", str)
-"""One back-end database server, unique in the system.
+"""One incarnation of a back-end database server, unique in the deployment.
 
-Where servers tell when they started, a server that starts again under its name is another instance:
-it holds and knows nothing of before. Its name and its start are one value, so that nothing which is
-kept by instance can outlive it. See `instance_id`.
+Where servers report their start time, a restarted server is a different instance, because a restart
+loses its state. The id combines name and start time, so that state keyed by instance never carries
+over to a later incarnation. See `instance_id`.
 """
 
 ServerName = NewType("ServerName", str)
-"""Name of a back-end database server, as it is addressed. It may start again under it."""
+"""Name by which a back-end database server is addressed; unchanged by restarts."""
 
 GroupId = NewType("GroupId", str)
-"""Name of one database group (a primary and its replicas)."""
+"""Name of a database group (a primary and its replicas)."""
 
 ZoneId = NewType("ZoneId", str)
-"""Name of one zone. Zones fail as a whole; links between zones can be cut."""
+"""Name of a zone. A zone can fail as a whole, and the network between zones can partition."""
 
 ServiceId = NewType("ServiceId", str)
-"""Name of one calling service, the unit that slots and limits are given to."""
+"""Name of a calling service, the unit to which slots and limits are assigned."""
 
 
 UNKNOWN_INCARNATION = 0
-"""The start of a server that does not tell it."""
-_BEFORE_START = " "
-"""Parts a server's name from its start: names travel in lines of words and hold no blank."""
+"""Incarnation of a server that does not report its start time."""
+_INCARNATION_SEPARATOR = " "
+"""Separates name and start time; names contain no blanks, which delimit the words of a line."""
 
 
-def instance_id(name: str, born: int = UNKNOWN_INCARNATION) -> InstanceId:
-    """Return the instance of a server that started at `born` (milliseconds of the epoch)."""
-    return InstanceId(name if born == UNKNOWN_INCARNATION else f"{name}{_BEFORE_START}{born}")
+def instance_id(name: str, started_at: int = UNKNOWN_INCARNATION) -> InstanceId:
+    """Return the id of the incarnation that started at `started_at` (milliseconds since epoch)."""
+    return InstanceId(
+        name if started_at == UNKNOWN_INCARNATION else f"{name}{_INCARNATION_SEPARATOR}{started_at}"
+    )
 
 
 def server_name(instance: InstanceId) -> ServerName:
-    """Return the name by which an instance is addressed."""
-    return ServerName(instance.partition(_BEFORE_START)[0])
+    """Return the name of the server that an instance is an incarnation of."""
+    return ServerName(instance.partition(_INCARNATION_SEPARATOR)[0])
 
 
 def incarnation_of(instance: InstanceId) -> int:
-    """Return when an instance started (milliseconds of the epoch), or NOT_TOLD."""
-    born = instance.partition(_BEFORE_START)[2]
-    return int(born) if born else UNKNOWN_INCARNATION
+    """Return the start time (milliseconds since the epoch), or UNKNOWN_INCARNATION."""
+    started_at = instance.partition(_INCARNATION_SEPARATOR)[2]
+    return int(started_at) if started_at else UNKNOWN_INCARNATION
 
 
 class Address(NamedTuple):
-    """A TCP or UDP endpoint by IP number."""
+    """A TCP or UDP endpoint; `host` is an IP address."""
 
     host: str
     port: int
 
 
 class Position(NamedTuple):
-    """A place in a database group's history; ordered by term, then by offset.
+    """A position in a database group's log, ordered by term, then by offset.
 
-    `offset` counts the entries of the group's log from 1. The zero position is before any entry.
+    `offset` counts the log's entries from 1. ZERO_POSITION precedes every entry.
     """
 
     term: int
     offset: int
 
     def __str__(self) -> str:
-        """Return the position as logs show it."""
+        """Return the form used in logs: `term.offset`."""
         return f"{self.term}.{self.offset}"
 
 
@@ -73,7 +75,7 @@
 
 
 class InstanceSpec(NamedTuple):
-    """One database server of a group, as listed in the settings."""
+    """A database server of a group, as configured."""
 
     instance: InstanceId
     group: GroupId
@@ -82,7 +84,7 @@
 
 
 class NodeSpec(NamedTuple):
-    """One bramblebeam node as its peers know it."""
+    """Identity, location and addresses of a bramblebeam node."""
 
     node: NodeId
     zone: ZoneId
--- a/src/bramblebeam/core/machine.py
+++ b/src/bramblebeam/core/machine.py
@@ -1,8 +1,8 @@
-"""The shape of every state machine in `core`.
+"""The interface of the state machines in `core`, and the events and effects they share.
 
-A machine is driven by its asyncio service, by the simulator and by tests in the same way:
+The asyncio services, the simulator and the tests drive a machine in the same way:
 `handle(event, now)` returns effects, which the driver carries out in order; `next_wakeup()`
-tells when the driver must call `handle(Wakeup(), now)`. Times are seconds of a monotonic clock.
+returns when the driver must call `handle(Wakeup(), now)`. Times are seconds of a monotonic clock.
 """
 
 from dataclasses import dataclass
@@ -13,12 +13,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Wakeup:
-    """The time named by `next_wakeup` has come (or passed)."""
+    """The time returned by `next_wakeup` was reached."""
 
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """A message came from a peer. Delivery may be late, repeated, crossed or never."""
+    """A message from a peer. Messages may be delayed, duplicated, reordered or lost."""
 
     sender: NodeId
     message: Any
@@ -26,17 +26,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message to a peer, without a promise that it arrives."""
+    """Send a message to a peer; delivery is not guaranteed."""
 
     to: NodeId
     message: Any
 
 
 class Machine(Protocol):
-    """A pure state machine."""
+    """A state machine without I/O, clock or tasks."""
 
     def handle(self, event: Any, now: float) -> list[Any]:
-        """Take one event at time `now` (seconds); return the effects to carry out, in order."""
+        """Process an event at time `now` (seconds); return the effects to carry out, in order."""
 
     def next_wakeup(self) -> float | None:
-        """Return when `Wakeup` is due (seconds, same clock as `now`), or None."""
+        """Return when to deliver `Wakeup` (seconds, same clock as `now`), or None."""
--- a/src/bramblebeam/core/membership/__init__.py
+++ b/src/bramblebeam/core/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership: failure detection in a zone, relays between zones, the table and its view."""
+"""Cluster membership: SWIM failure detection within zones, relays and anti-entropy between them."""
--- a/src/bramblebeam/core/membership/dissemination.py
+++ b/src/bramblebeam/core/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Records that a node still passes on, each a bounded number of times."""
+"""Queue of records to disseminate, each a bounded number of times."""
 
 from collections.abc import Hashable
 from typing import Generic, TypeVar
@@ -10,11 +10,11 @@
 
 UPDATE_BYTES = 12
 SPEC_BYTES = 40
-"""Encoded sizes without the texts, upper estimates."""
+"""Upper bounds of the encoded sizes in bytes, without strings."""
 
 
 def estimated_bytes(update: MemberUpdate) -> int:
-    """Return an upper estimate of a record's encoded size in bytes."""
+    """Return an upper bound of a record's encoded size in bytes."""
     size = UPDATE_BYTES + len(update.node)
     spec = update.spec
     if spec is None:
@@ -25,32 +25,32 @@
 
 
 class UpdateQueue(Generic[K, V]):
-    """The newest value by key with the number of times it is still to be passed on."""
+    """The newest value of each key and its remaining number of transmissions."""
 
     def __init__(self) -> None:
-        self._waiting: dict[K, tuple[V, int, int]] = {}
+        self._queued: dict[K, tuple[V, int, int]] = {}
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._queued)
 
     def add(self, key: K, value: V, size: int, transmissions: int) -> None:
-        """Queue `value` in place of an older one; `size` in bytes."""
-        self._waiting.pop(key, None)
-        self._waiting[key] = (value, size, transmissions)
+        """Queue `value`, replacing an older one of the same key; `size` in bytes."""
+        self._queued.pop(key, None)
+        self._queued[key] = (value, size, transmissions)
 
     def take(self, maximum_bytes: int) -> tuple[V, ...]:
-        """Return values that fit, the one not sent for longest first, and count them as sent."""
+        """Return values that fit, least recently sent first, and count them as transmitted."""
         chosen: list[K] = []
-        left = maximum_bytes
-        for key, (_value, size, _transmissions) in self._waiting.items():
-            if size > left:
+        remaining = maximum_bytes
+        for key, (_value, size, _transmissions) in self._queued.items():
+            if size > remaining:
                 break
-            left -= size
+            remaining -= size
             chosen.append(key)
-        return tuple(self._count(key) for key in chosen)
+        return tuple(self._count_transmission(key) for key in chosen)
 
-    def _count(self, key: K) -> V:
-        value, size, transmissions = self._waiting.pop(key)
+    def _count_transmission(self, key: K) -> V:
+        value, size, transmissions = self._queued.pop(key)
         if transmissions > 1:
-            self._waiting[key] = (value, size, transmissions - 1)
+            self._queued[key] = (value, size, transmissions - 1)
         return value
--- a/src/bramblebeam/core/membership/events.py
+++ b/src/bramblebeam/core/membership/events.py
@@ -1,4 +1,4 @@
-"""Events and effects of the membership machine, besides those of `core.machine`."""
+"""Events and effects of the membership machine, in addition to those of `core.machine`."""
 
 from collections.abc import MutableSequence, Sequence
 from dataclasses import dataclass
@@ -12,27 +12,27 @@
 
 
 class RandomSource(Protocol):
-    """The part of `random.Random` that the machine draws from."""
+    """The methods of `random.Random` that the machine uses."""
 
     def random(self) -> float:
-        """Return a number from 0 up to 1."""
+        """Return a number in [0, 1)."""
 
     def choice(self, seq: Sequence[T]) -> T:
-        """Return one item."""
+        """Return a random item."""
 
     def sample(self, population: Sequence[T], k: int) -> list[T]:
-        """Return `k` different items."""
+        """Return `k` distinct items."""
 
     def shuffle(self, x: MutableSequence[Any]) -> None:
         """Shuffle in place."""
 
     def randrange(self, start: int) -> int:
-        """Return a whole number from 0 below `start`."""
+        """Return an integer in [0, start)."""
 
 
 @dataclass(frozen=True, slots=True)
 class DatagramReceived:
-    """A datagram came; what answers it goes to its `source`."""
+    """A datagram was received; replies go to its `source`."""
 
     sender: NodeId
     source: Address
@@ -41,24 +41,24 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveStarted:
-    """The node stops as planned: it is to get no new ownership."""
+    """The node starts a planned stop: it must not acquire further ownership."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaveFinished:
-    """The node ends now: tell peers that it is gone."""
+    """The node terminates now: announce its leave to peers."""
 
 
 @dataclass(frozen=True, slots=True)
 class SeedsHinted:
-    """Nodes that may be alive, from a list that lags. Replaces earlier hints."""
+    """Nodes that may be alive, from a possibly outdated list. Replaces earlier hints."""
 
     seeds: tuple[Seed, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class SendDatagram:
-    """Send one datagram, without a promise that it arrives."""
+    """Send a datagram; delivery is not guaranteed."""
 
     to: Address
     message: Any
@@ -66,6 +66,6 @@
 
 @dataclass(frozen=True, slots=True)
 class Publish:
-    """The view changed."""
+    """Publish a changed view."""
 
     view: MembersView
--- a/src/bramblebeam/core/membership/links.py
+++ b/src/bramblebeam/core/membership/links.py
@@ -1,4 +1,4 @@
-"""Between zones: a few relays a zone compare tables and pass news on; cut zones are noticed."""
+"""Links between zones: relays compare tables, forward updates and detect partitions."""
 
 from bramblebeam.core.identity import NodeId, ZoneId
 from bramblebeam.core.membership.dissemination import UpdateQueue, estimated_bytes
@@ -13,43 +13,43 @@
 from bramblebeam.core.ownership.rendezvous import owner_of, ranked_owners
 
 RELAY_SHARE = 0.75
-"""How often a contact turns to a relay of the other zone; else to any member of it, since after
-a long cut the relays it knows may all be gone."""
+"""Probability that a zone's contact chooses a relay of the other zone; otherwise it chooses any
+member, since after a long partition all the relays it knows may be gone."""
 
 
 class ZoneLinks:
-    """The own zone's links to the other zones, and this node's part in them."""
+    """State of the local zone's links to other zones, and the links that this node maintains."""
 
     def __init__(self, local: LocalState) -> None:
         self._local = local
-        self._known: dict[ZoneId, LinkUpdate] = {}
+        self._links: dict[ZoneId, LinkUpdate] = {}
         self._unanswered: dict[ZoneId, int] = {}
-        self._news: UpdateQueue[NodeId, MemberUpdate] = UpdateQueue()
-        self._linked: tuple[tuple[NodeId, ...], list[ZoneId], list[ZoneId]] | None = None
-        self._relays: dict[ZoneId, tuple[tuple[NodeId, ...], tuple[NodeId, ...]]] = {}
+        self._queued: UpdateQueue[NodeId, MemberUpdate] = UpdateQueue()
+        self._linked_cache: tuple[tuple[NodeId, ...], list[ZoneId], list[ZoneId]] | None = None
+        self._relay_cache: dict[ZoneId, tuple[tuple[NodeId, ...], tuple[NodeId, ...]]] = {}
 
     @property
     def has_updates(self) -> bool:
-        """Whether records wait to be sent to other zones."""
-        return len(self._news) > 0
+        """Whether updates are queued for other zones."""
+        return len(self._queued) > 0
 
     def unreachable(self) -> frozenset[ZoneId]:
-        """Return the zones that this zone's relays do not reach."""
-        return frozenset(zone for zone, link in self._known.items() if not link.reachable)
+        """Return the zones that the local zone's relays cannot reach."""
+        return frozenset(zone for zone, link in self._links.items() if not link.reachable)
 
     def all(self) -> tuple[LinkUpdate, ...]:
-        """Return the state of every link known."""
-        return tuple(self._known.values())
+        """Return the state of every known link."""
+        return tuple(self._links.values())
 
     def relays(self, zone: ZoneId) -> tuple[NodeId, ...]:
         """Return a zone's relays, best first."""
         owners = self._local.table.owners(zone)
-        cached = self._relays.get(zone)
+        cached = self._relay_cache.get(zone)
         if cached is not None and cached[0] is owners:
             return cached[1]
         ranked = ranked_owners(f"zone-relay/{zone}", owners)
         chosen = tuple(ranked[: self._local.timing.relays])
-        self._relays[zone] = (owners, chosen)
+        self._relay_cache[zone] = (owners, chosen)
         return chosen
 
     @property
@@ -58,14 +58,14 @@
         return self._local.spec.node in self.relays(self._local.zone)
 
     def linked_zones(self) -> list[ZoneId]:
-        """Return the zones that this node is its zone's contact for."""
+        """Return the zones for which this node is the local zone's contact."""
         if not self.is_relay:
             return []
         relays = self.relays(self._local.zone)
         zones = self._local.table.zones()
-        if self._linked is None or self._linked[:2] != (relays, zones):
-            self._linked = (relays, zones, self._choose_linked(relays, zones))
-        return self._linked[2]
+        if self._linked_cache is None or self._linked_cache[:2] != (relays, zones):
+            self._linked_cache = (relays, zones, self._choose_linked(relays, zones))
+        return self._linked_cache[2]
 
     def _choose_linked(self, relays: tuple[NodeId, ...], zones: list[ZoneId]) -> list[ZoneId]:
         own = self._local.spec.node
@@ -73,7 +73,7 @@
         return [zone for zone in others if owner_of(f"zone-link/{zone}", relays) == own]
 
     def choose_contact(self, zone: ZoneId) -> NodeId | None:
-        """Return a member of another zone to turn to."""
+        """Return a member of another zone to communicate with, or None."""
         relays = self.relays(zone)
         if relays and self._local.random.random() < RELAY_SHARE:
             return self._local.random.choice(relays)
@@ -81,39 +81,39 @@
         return self._local.random.choice(present) if present else None
 
     def record_comparison(self, zone: ZoneId) -> bool:
-        """Count a comparison begun; return whether the zone just became unreachable."""
+        """Record a started table comparison; return whether the zone became unreachable by it."""
         count = self._unanswered.get(zone, 0) + 1
         self._unanswered[zone] = count
         if count <= self._local.timing.link_failures:
             return False
-        return self._set(zone, reachable=False)
+        return self._set_reachable(zone, reachable=False)
 
     def record_reply(self, zone: ZoneId) -> bool:
-        """A member of the zone answered; return whether the zone just became reachable."""
+        """Record a reply from the zone; return whether the zone became reachable by it."""
         self._unanswered[zone] = 0
-        return self._set(zone, reachable=True)
+        return self._set_reachable(zone, reachable=True)
 
     def merge(self, link: LinkUpdate) -> bool:
-        """Take a link's state from a member of the own zone; return whether it is news."""
-        known = self._known.get(link.zone)
-        if known is not None and _rank(link) <= _rank(known):
+        """Apply a link state from a member of the local zone; return whether it was newer."""
+        previous = self._links.get(link.zone)
+        if previous is not None and _precedence(link) <= _precedence(previous):
             return False
-        self._known[link.zone] = link
+        self._links[link.zone] = link
         self._local.pass_on_link(link)
         return True
 
     def queue_update(self, update: MemberUpdate) -> None:
-        """Queue a record of the own zone for the other zones, at relays.
+        """Queue an update of a local-zone member for the other zones if this node is a relay.
 
-        Suspicion stays inside a zone. Records of third zones go by their own relays, and by
-        comparison where a link is cut.
+        Suspicions are not sent to other zones. Updates of third zones are sent by their own relays
+        or, where a link is cut, by table comparison.
         """
         if update.state is not MemberState.SUSPECT and self.is_relay:
-            self._news.add(update.node, update, estimated_bytes(update), 1)
+            self._queued.add(update.node, update, estimated_bytes(update), 1)
 
     def send_updates(self) -> None:
-        """Send one datagram of news to each zone that this node is the contact for."""
-        updates = self._news.take(MAXIMUM_DATAGRAM_BYTES - DATAGRAM_OVERHEAD_BYTES)
+        """Send a datagram of queued updates to each zone for which this node is the contact."""
+        updates = self._queued.take(MAXIMUM_DATAGRAM_BYTES - DATAGRAM_OVERHEAD_BYTES)
         if not updates:
             return
         for zone in self.linked_zones():
@@ -121,15 +121,15 @@
             if peer is not None:
                 self._local.send(peer, Gossip(updates))
 
-    def _set(self, zone: ZoneId, reachable: bool) -> bool:
-        known = self._known.get(zone)
-        if known is None and reachable:
+    def _set_reachable(self, zone: ZoneId, reachable: bool) -> bool:
+        previous = self._links.get(zone)
+        if previous is None and reachable:
             return False
-        if known is not None and known.reachable == reachable:
+        if previous is not None and previous.reachable == reachable:
             return False
-        sequence = known.sequence + 1 if known is not None else 1
+        sequence = previous.sequence + 1 if previous is not None else 1
         return self.merge(LinkUpdate(zone, sequence, reachable))
 
 
-def _rank(link: LinkUpdate) -> tuple[int, bool]:
+def _precedence(link: LinkUpdate) -> tuple[int, bool]:
     return link.sequence, not link.reachable
--- a/src/bramblebeam/core/membership/local.py
+++ b/src/bramblebeam/core/membership/local.py
@@ -1,4 +1,4 @@
-"""What the parts of the membership machine share: the own record, the table and the outbox."""
+"""State shared by the components of the membership machine: own record, table and effects."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 class LocalState:
-    """State shared by the parts of one node's membership machine."""
+    """State shared by the components of a node's membership machine."""
 
     def __init__(
         self,
@@ -42,20 +42,20 @@
 
     @property
     def own(self) -> MemberUpdate:
-        """The own record as it travels."""
+        """This node's record, as sent to peers."""
         return MemberUpdate(self.spec.node, self.incarnation, self.state, self.spec)
 
     @property
     def zone(self) -> ZoneId:
-        """The own zone."""
+        """This node's zone."""
         return self.spec.zone
 
     def zone_peers(self) -> list[NodeId]:
-        """Return the own zone's other members that are not dead."""
+        """Return the other members of the local zone that are not dead."""
         return [node for node in self.table.present(self.zone) if node != self.spec.node]
 
     def is_zone_member(self, node: NodeId) -> bool:
-        """Whether `node` is known as a member of the own zone."""
+        """Whether `node` is a known member of the local zone."""
         member = self.table.members.get(node)
         return member is not None and member.spec.zone == self.zone
 
@@ -70,11 +70,14 @@
         self.effects.append(SendDatagram(to, message))
 
     def stream(self, to: NodeId, message: Any) -> None:
-        """Send over the stream to a known member: for messages too large for a datagram."""
+        """Send over a stream to a known member; for messages too large for a datagram."""
         self.effects.append(Send(to, message))
 
     def pass_on(self, update: MemberUpdate, refutes: bool = False) -> None:
-        """Queue a record for the own zone; one that refutes a doubt must reach all in time."""
+        """Queue an update for the local zone.
+
+        Refutations are sent more often: they must reach all members before the suspicion expires.
+        """
         size = len(self.table.present(self.zone))
         timing = self.timing
         urgent = timing.urgent_transmissions(size)
@@ -82,12 +85,12 @@
         self.updates.add(update.node, update, estimated_bytes(update), transmissions)
 
     def pass_on_link(self, link: LinkUpdate) -> None:
-        """Queue the state of a link to another zone for the own zone."""
+        """Queue the state of a link to another zone for the local zone."""
         size = len(self.table.present(self.zone))
         self.links.add(link.zone, link, LINK_BYTES, self.timing.urgent_transmissions(size))
 
     def piggyback(self, first: Iterable[MemberUpdate] = ()) -> tuple[MemberUpdate, ...]:
-        """Return records for one datagram: `first`, then queued ones as far as they fit."""
+        """Return updates for a datagram: `first`, then as many queued ones as fit."""
         chosen = tuple(first)
         used = DATAGRAM_OVERHEAD_BYTES + sum(estimated_bytes(update) for update in chosen)
         return chosen + self.updates.take(MAXIMUM_DATAGRAM_BYTES - used)
--- a/src/bramblebeam/core/membership/messages.py
+++ b/src/bramblebeam/core/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the membership protocol. Datagrams stay below `MAXIMUM_DATAGRAM_BYTES`."""
+"""Messages of the membership protocol. Datagrams do not exceed `MAXIMUM_DATAGRAM_BYTES`."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 
 class MemberUpdate(NamedTuple):
-    """One member's record. `spec` is None only for a DEAD member."""
+    """A member's record. `spec` is None only for a DEAD member."""
 
     node: NodeId
     incarnation: int
@@ -19,7 +19,7 @@
 
 
 class LinkUpdate(NamedTuple):
-    """Whether this zone's relays reach `zone`; the higher sequence wins."""
+    """Whether the sender's zone's relays reach `zone`; a higher sequence supersedes a lower one."""
 
     zone: ZoneId
     sequence: int
@@ -27,7 +27,7 @@
 
 
 class ZoneDigest(NamedTuple):
-    """Digest of one zone's records. `settled`: it has not changed for a while at the sender."""
+    """Digest of a zone's records. `settled`: unchanged at the sender for `settle_seconds`."""
 
     zone: ZoneId
     digest: int
@@ -35,7 +35,7 @@
 
 
 class MemberVersion(NamedTuple):
-    """Which record of a member a node holds."""
+    """Version of a member's record that a node holds."""
 
     node: NodeId
     incarnation: int
@@ -43,7 +43,7 @@
 
 
 class Seed(NamedTuple):
-    """A node to join through."""
+    """A node through which others join the cluster."""
 
     node: NodeId
     address: Address
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Ask `target` for a sign of life; another node at its address stays silent."""
+    """Probe `target`; a different node at its address does not reply."""
 
     sequence: int
     target: NodeId
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """A sign of life, for the `Ping` or `IndirectPing` of this sequence."""
+    """Reply to the `Ping` or `IndirectPing` with this sequence."""
 
     sequence: int
     updates: tuple[MemberUpdate, ...] = ()
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IndirectPing:
-    """Ask a third node to ping `target` and to pass its answer on."""
+    """Ask a third node to ping `target` and to forward its reply."""
 
     sequence: int
     target: NodeId
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Gossip:
-    """Records that changed. `links` are taken only from members of the own zone."""
+    """Changed records. `links` are accepted only from members of the receiver's zone."""
 
     updates: tuple[MemberUpdate, ...] = ()
     links: tuple[LinkUpdate, ...] = ()
@@ -85,30 +85,30 @@
 
 @dataclass(frozen=True, slots=True)
 class JoinRequest:
-    """A starting node asks a seed for members of its zone."""
+    """Request of a starting node to a seed for members of its zone."""
 
     zone: ZoneId
 
 
 @dataclass(frozen=True, slots=True)
 class JoinReply:
-    """Members to synchronize with: of the asker's zone, or the seed itself where it knows none."""
+    """Members to synchronize with: some of the requester's zone, and the seed itself."""
 
     contacts: tuple[MemberUpdate, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class DigestRequest:
-    """Compare tables: the exclusive or of all zones' digests."""
+    """Start a table comparison. `total`: exclusive or of all zones' digests."""
 
     total: int
 
 
 @dataclass(frozen=True, slots=True)
 class DigestReply:
-    """The other's digest by zone; empty where the totals are equal.
+    """The sender's digests by zone; empty if the totals are equal.
 
-    `links`: for a member of the own zone, the state of every link known.
+    `links`: the state of every known link, if the receiver is in the sender's zone.
     """
 
     zones: tuple[ZoneDigest, ...] = ()
@@ -117,14 +117,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncRequest:
-    """Over a stream: ask for what differs. Zones left out count as empty."""
+    """Request the versions of differing zones, over a stream. Omitted zones count as empty."""
 
     zones: tuple[ZoneDigest, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class SyncOffer:
-    """The versions held of every member of the zones that differ."""
+    """The sender's versions of all members of the differing zones."""
 
     zones: tuple[ZoneId, ...]
     versions: tuple[MemberVersion, ...]
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncDelta:
-    """Records that the receiver lacks; `wanted`: those that the sender lacks."""
+    """Records that the receiver lacks; `wanted`: members whose records the sender lacks."""
 
     updates: tuple[MemberUpdate, ...] = ()
     wanted: tuple[NodeId, ...] = ()
--- a/src/bramblebeam/core/membership/probing.py
+++ b/src/bramblebeam/core/membership/probing.py
@@ -1,4 +1,4 @@
-"""Failure detection in the own zone: direct probes, indirect probes, suspicion."""
+"""SWIM failure detection within the local zone: direct probes, indirect probes, suspicion."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 from bramblebeam.core.membership.messages import Ack, IndirectPing, MemberUpdate, Ping
 from bramblebeam.core.membership.view import MemberState
 
-RELAYED_PROBE_SECONDS = 2.0
+RELAYED_PROBE_TIMEOUT = 2.0
 NEVER = float("inf")
 
 
@@ -27,7 +27,7 @@
 
 
 class Prober:
-    """Probes the zone's members in a shuffled round; suspects those that do not answer."""
+    """Probes the zone's members in shuffled rounds and suspects those that do not reply."""
 
     def __init__(self, local: LocalState) -> None:
         self._local = local
@@ -36,91 +36,93 @@
         self._probe: _Probe | None = None
         self._relayed: dict[int, _RelayedProbe] = {}
         self._deadlines: dict[NodeId, float] = {}
-        """When a suspected member counts as dead."""
+        """When each suspected member is declared dead."""
 
     def next_wakeup(self) -> float:
-        """Return when `advance` is due."""
-        due = min(self._deadlines.values(), default=NEVER)
+        """Return when to call `advance` (seconds)."""
+        earliest = min(self._deadlines.values(), default=NEVER)
         if self._probe is not None:
-            due = min(due, self._probe.indirect_at, self._probe.fails_at)
-        return due
+            earliest = min(earliest, self._probe.indirect_at, self._probe.fails_at)
+        return earliest
 
     def start_probe(self, now: float) -> None:
-        """Begin a probe period: ping the next member of the round."""
+        """Start a probe period: ping the next member of the round."""
         target = self._next_target()
         if target is None:
             self._probe = None
             return
         timing = self._local.timing
-        sequence = self._take_sequence()
+        sequence = self._next_sequence()
         fails_at = now + timing.probe_period
         self._probe = _Probe(target, sequence, now + timing.probe_timeout, fails_at)
-        self._local.send(target, Ping(sequence, target, self._local.piggyback(self._about(target))))
+        self._local.send(
+            target, Ping(sequence, target, self._local.piggyback(self._refutable_record(target)))
+        )
 
     def advance(self, now: float) -> list[MemberUpdate]:
-        """Carry out what is due; return the members found suspect or dead by it."""
-        found: list[MemberUpdate] = []
+        """Process expired timeouts; return updates of the members that became suspect or dead."""
+        updates: list[MemberUpdate] = []
         probe = self._probe
         if probe is not None and now >= probe.fails_at:
             self._probe = None
-            found += self._failed(probe.target, now)
+            updates += self._probe_failed(probe.target, now)
         elif probe is not None and now >= probe.indirect_at:
             probe.indirect_at = NEVER
             self._probe_indirectly(probe)
         for node, deadline in list(self._deadlines.items()):
             if now >= deadline:
                 del self._deadlines[node]
-                found += self._expired(node)
-        return found
+                updates += self._suspicion_expired(node)
+        return updates
 
     def extend_deadlines(self, now: float, pause: float) -> None:
-        """The own node was paused: answers may wait unread, so nobody is to blame for them."""
+        """Extend all deadlines after a pause of this node, as replies may still be unread."""
         if self._probe is not None:
             self._probe.fails_at = now + self._local.timing.probe_period
         self._deadlines = {node: at + pause for node, at in self._deadlines.items()}
 
     def member_changed(self, node: NodeId, now: float) -> None:
-        """Follow a change of a member's record: start or end its suspicion."""
+        """Start or end the suspicion of a member whose record changed."""
         member = self._local.table.members[node]
         if member.spec.zone != self._local.zone:
             return
         if member.state is MemberState.SUSPECT:
             self._deadlines.pop(node, None)
-            self._suspect(node, now)
+            self._start_suspicion(node, now)
         else:
             self._deadlines.pop(node, None)
 
     def member_added(self, node: NodeId) -> None:
-        """Probe a new member soon: at a random place of the round."""
+        """Insert a new member at a random position of the current round."""
         self._round.insert(self._local.random.randrange(len(self._round) + 1), node)
 
     def handle_ping(self, sender: NodeId, ping: Ping) -> Ack | None:
-        """Answer a ping that is for this node."""
+        """Return the reply to a ping, or None if its target is another node."""
         if ping.target != self._local.spec.node:
             return None
-        return Ack(ping.sequence, self._local.piggyback(self._about(sender)))
+        return Ack(ping.sequence, self._local.piggyback(self._refutable_record(sender)))
 
     def handle_indirect_ping(self, source: Address, message: IndirectPing, now: float) -> None:
-        """Ping a third node for the one at `source`."""
-        sequence = self._take_sequence()
-        expires_at = now + RELAYED_PROBE_SECONDS
+        """Ping the target on behalf of the node at `source`."""
+        sequence = self._next_sequence()
+        expires_at = now + RELAYED_PROBE_TIMEOUT
         self._relayed = {s: r for s, r in self._relayed.items() if r.expires_at > now}
         self._relayed[sequence] = _RelayedProbe(source, message.sequence, expires_at)
         self._local.send(message.target, Ping(sequence, message.target))
 
     def handle_ack(self, ack: Ack) -> None:
-        """End the probe that this answers, or pass the answer on to who asked for it."""
+        """Complete the probe with this sequence, or forward the reply of an indirect probe."""
         relayed = self._relayed.pop(ack.sequence, None)
         if relayed is not None:
             self._local.send_to(relayed.requester, Ack(relayed.sequence))
         elif self._probe is not None and self._probe.sequence == ack.sequence:
-            self._end_silent_suspicion(self._probe.target)
+            self._clear_leaving_suspicion(self._probe.target)
             self._probe = None
 
     def ping_dead(self) -> None:
-        """Ask one dead member of the zone whether it is back.
+        """Ping a random dead member of the zone, which may be back.
 
-        The zone's members together ask each dead one about once a period.
+        Together the zone's members ping each dead member about once per period.
         """
         dead = [node for node in self._local.table.dead() if self._local.is_zone_member(node)]
         size = len(self._local.table.present(self._local.zone))
@@ -128,11 +130,11 @@
             self.request_refutation(self._local.random.choice(dead))
 
     def request_refutation(self, node: NodeId) -> None:
-        """Tell a member what is said of it, so that it can refute it."""
-        first = [*self._about(node), self._local.own]
-        self._local.send(node, Ping(self._take_sequence(), node, self._local.piggyback(first)))
+        """Ping a member with the record held of it, so that it can refute a suspicion or death."""
+        first = [*self._refutable_record(node), self._local.own]
+        self._local.send(node, Ping(self._next_sequence(), node, self._local.piggyback(first)))
 
-    def _about(self, node: NodeId) -> list[MemberUpdate]:
+    def _refutable_record(self, node: NodeId) -> list[MemberUpdate]:
         member = self._local.table.members.get(node)
         if member is None or member.state not in (MemberState.SUSPECT, MemberState.DEAD):
             return []
@@ -154,31 +156,31 @@
         for peer in self._local.random.sample(peers, count):
             self._local.send(peer, IndirectPing(probe.sequence, probe.target))
 
-    def _failed(self, node: NodeId, now: float) -> list[MemberUpdate]:
+    def _probe_failed(self, node: NodeId, now: float) -> list[MemberUpdate]:
         member = self._local.table.members.get(node)
         if member is None or member.state is MemberState.DEAD:
             return []
         if member.state is MemberState.LEAVING:
-            self._suspect(node, now)
+            self._start_suspicion(node, now)
             return []
         return [MemberUpdate(node, member.incarnation, MemberState.SUSPECT, member.spec)]
 
-    def _expired(self, node: NodeId) -> list[MemberUpdate]:
+    def _suspicion_expired(self, node: NodeId) -> list[MemberUpdate]:
         member = self._local.table.members.get(node)
         if member is None or member.state is MemberState.DEAD:
             return []
         return [MemberUpdate(node, member.incarnation, MemberState.DEAD)]
 
-    def _suspect(self, node: NodeId, now: float) -> None:
+    def _start_suspicion(self, node: NodeId, now: float) -> None:
         size = len(self._local.table.present(self._local.zone))
         self._deadlines.setdefault(node, now + self._local.timing.suspicion(size))
 
-    def _end_silent_suspicion(self, node: NodeId) -> None:
-        """A leaving member is suspected without a change of its state; an answer clears it."""
+    def _clear_leaving_suspicion(self, node: NodeId) -> None:
+        """End the suspicion of a leaving member, which was not visible as a change of its state."""
         member = self._local.table.members.get(node)
         if member is not None and member.state is MemberState.LEAVING:
             self._deadlines.pop(node, None)
 
-    def _take_sequence(self) -> int:
+    def _next_sequence(self) -> int:
         self._sequence += 1
         return self._sequence
--- a/src/bramblebeam/core/membership/records.py
+++ b/src/bramblebeam/core/membership/records.py
@@ -1,4 +1,4 @@
-"""Merging of member records: the own one is defended, the others' are taken and passed on."""
+"""Merging of member records: refutes outdated ones of this node, applies and spreads others."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -10,29 +10,29 @@
 from bramblebeam.core.membership.probing import Prober
 from bramblebeam.core.membership.view import MemberState
 
-FAREWELL_PEERS = 5
-QUESTION_SECONDS = 2.0
+LEAVE_ANNOUNCEMENT_PEERS = 5
+VERIFICATION_TIMEOUT = 2.0
 
 
 @dataclass(frozen=True, slots=True)
-class _Questioned:
-    """A member of the own zone that only another zone knows of, and the time for its answer."""
+class _Verification:
+    """A member of the local zone known only to another zone, and the deadline of its reply."""
 
     update: MemberUpdate
     expires_at: float
 
 
 class Records:
-    """The way of every record into the table."""
+    """Applies member records to the table and disseminates them."""
 
     def __init__(self, local: LocalState, prober: Prober, links: ZoneLinks) -> None:
         self.synchronized = False
-        """Whether this node has had the whole table of a peer."""
+        """Whether this node has received the complete table of a peer."""
         self.changed = False
-        """Whether the table changed since the driver last reset this."""
+        """Whether the table changed; reset by the machine."""
         self.reconnected = False
-        """Whether a member taken for dead is back, or this node was taken for dead, since then."""
-        self._questioned: dict[NodeId, _Questioned] = {}
+        """Whether a dead member came back, or this node was declared dead; reset by the machine."""
+        self._verifications: dict[NodeId, _Verification] = {}
         self._local = local
         self._prober = prober
         self._links = links
@@ -44,49 +44,49 @@
         now: float,
         pass_on: bool = True,
     ) -> None:
-        """Take records from `sender` (None: found by this node itself).
+        """Merge records from `sender` (None: determined by this node itself).
 
-        `pass_on` False: they are news to this node only, as a whole table at the start is.
+        `pass_on` False: do not disseminate them, as only this node lacked them (initial table).
         """
         for update in updates:
             if update.node == self._local.spec.node:
                 self._refute(update, now)
             elif self._is_stale_zone_member(update, sender):
-                self._question(update, now)
+                self._verify(update, now)
             else:
                 self._apply(update, now, pass_on)
 
     def record_reply(self, node: NodeId, now: float) -> None:
-        """A member gave a sign of life: take it in, where it was questioned."""
-        questioned = self._questioned.pop(node, None)
-        if questioned is not None:
-            self._apply(questioned.update, now, pass_on=True)
+        """Apply the record of a member under verification, because it replied."""
+        verification = self._verifications.pop(node, None)
+        if verification is not None:
+            self._apply(verification.update, now, pass_on=True)
 
     def declare_unresponsive_dead(self, now: float) -> None:
-        """Take questioned members that did not answer in time for dead."""
-        silent = [q for q in self._questioned.values() if now >= q.expires_at]
-        for questioned in silent:
-            node = questioned.update.node
-            del self._questioned[node]
+        """Declare dead the members under verification that did not reply in time."""
+        expired = [q for q in self._verifications.values() if now >= q.expires_at]
+        for verification in expired:
+            node = verification.update.node
+            del self._verifications[node]
             if node not in self._local.table.members:
-                self._bury(questioned.update, now)
+                self._declare_dead(verification.update, now)
 
     def announce(self) -> None:
-        """Tell of this node, once it knows whom to tell."""
+        """Disseminate this node's record; called once peers are known."""
         self._spread(self._local.own)
 
     def set_own_state(self, state: MemberState, now: float) -> None:
-        """Change the own state and tell it."""
+        """Change this node's state and disseminate it."""
         self._local.state = state
         self._local.table.apply(self._local.own, now)
         self._spread(self._local.own)
 
     def announce_leave(self, now: float) -> None:
-        """Tell some of the zone's members at once that this node is gone."""
+        """Send this node's death to some of the zone's members immediately."""
         self.set_own_state(MemberState.DEAD, now)
         dead = MemberUpdate(self._local.spec.node, self._local.incarnation, MemberState.DEAD)
         peers = self._local.zone_peers()
-        for peer in self._local.random.sample(peers, min(len(peers), FAREWELL_PEERS)):
+        for peer in self._local.random.sample(peers, min(len(peers), LEAVE_ANNOUNCEMENT_PEERS)):
             self._local.send(peer, Gossip((dead,)))
 
     def _apply(self, update: MemberUpdate, now: float, pass_on: bool) -> None:
@@ -103,18 +103,18 @@
             self._prober.member_added(update.node)
 
     def _refute(self, update: MemberUpdate, now: float) -> None:
-        """Answer what is said of this node, or of its former life, by a higher incarnation."""
+        """Refute a record of this node or of its earlier run with a higher incarnation."""
         local = self._local
         is_newer = (update.incarnation, update.state) > (local.incarnation, local.state)
-        is_former_life = update.spec is not None and update.spec != local.spec
-        if is_newer or (is_former_life and update.incarnation == local.incarnation):
+        is_earlier_run = update.spec is not None and update.spec != local.spec
+        if is_newer or (is_earlier_run and update.incarnation == local.incarnation):
             local.incarnation = update.incarnation + 1
             self.reconnected = self.reconnected or update.state is MemberState.DEAD
             local.table.apply(local.own, now)
             self._spread(local.own, refutes=True)
 
     def _is_stale_zone_member(self, update: MemberUpdate, sender: NodeId | None) -> bool:
-        """Another zone tells of a member of this zone that this zone does not know (any more)."""
+        """Whether another zone reports a local-zone member that is unknown or was removed here."""
         if not self.synchronized or sender is None or update.spec is None:
             return False
         if update.spec.zone != self._local.zone or update.node in self._local.table.members:
@@ -122,15 +122,15 @@
         member = self._local.table.members.get(sender)
         return member is not None and member.spec.zone != self._local.zone
 
-    def _question(self, update: MemberUpdate, now: float) -> None:
-        """Ask the member itself; its answer decides."""
-        if update.node in self._questioned or update.spec is None:
+    def _verify(self, update: MemberUpdate, now: float) -> None:
+        """Ping the member itself; whether it replies decides whether its record is applied."""
+        if update.node in self._verifications or update.spec is None:
             return
-        self._questioned[update.node] = _Questioned(update, now + QUESTION_SECONDS)
+        self._verifications[update.node] = _Verification(update, now + VERIFICATION_TIMEOUT)
         ping = Ping(0, update.node, (self._local.own,))
         self._local.send_to(update.spec.peer_address, ping)
 
-    def _bury(self, update: MemberUpdate, now: float) -> None:
+    def _declare_dead(self, update: MemberUpdate, now: float) -> None:
         dead = MemberUpdate(update.node, update.incarnation, MemberState.DEAD)
         self._local.table.apply(update, now)
         self._local.table.apply(dead, now)
@@ -148,5 +148,5 @@
 
 
 def _refutes(update: MemberUpdate, before: MemberState) -> bool:
-    doubted = before in (MemberState.SUSPECT, MemberState.DEAD)
-    return doubted and update.state in (MemberState.ALIVE, MemberState.LEAVING)
+    was_suspected_or_dead = before in (MemberState.SUSPECT, MemberState.DEAD)
+    return was_suspected_or_dead and update.state in (MemberState.ALIVE, MemberState.LEAVING)
--- a/src/bramblebeam/core/membership/synchronization.py
+++ b/src/bramblebeam/core/membership/synchronization.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: digests are compared often, and what differs is exchanged over a stream."""
+"""Anti-entropy: tables are compared by digests, and differences are exchanged over streams."""
 
 from collections.abc import Iterable
 
@@ -19,49 +19,50 @@
 
 
 class Synchronizer:
-    """Answers and asks the questions that make two tables equal."""
+    """Sends and handles the messages that reconcile the tables of two nodes."""
 
     def __init__(self, local: LocalState, links: ZoneLinks) -> None:
         self._local = local
         self._links = links
 
     def compare_with(self, node: NodeId) -> None:
-        """Ask a member whether its table is the same."""
+        """Start a table comparison with a member."""
         self._local.send(node, DigestRequest(self._local.table.total))
 
     def handle_digest_request(
         self, sender: NodeId, request: DigestRequest, now: float
     ) -> DigestReply:
-        """Answer with the digests where the tables differ."""
+        """Return the reply, which holds this node's digests if the tables differ."""
         links = self._own_zone_links(sender)
         if request.total == self._local.table.total:
             return DigestReply(links=links)
         return DigestReply(self._digests(now), links)
 
     def handle_digest_reply(
-        self, sender: NodeId, reply: DigestReply, now: float, is_hurried: bool = False
+        self, sender: NodeId, reply: DigestReply, now: float, is_fast: bool = False
     ) -> None:
-        """Ask for what differs, where neither side has news still on their way.
+        """Request the differing records of zones that are settled on both sides.
 
-        A node that `is_hurried` lacks too much to wait for them.
+        Differences in unsettled zones may be resolved by updates that are still in flight. With
+        `is_fast` they are requested too, because the node lacks too much to wait.
         """
         if not reply.zones:
             return
-        if is_hurried or self._settled_difference(reply.zones, now):
+        if is_fast or self._settled_difference(reply.zones, now):
             self.request_from(sender, now)
 
     def request_from(self, node: NodeId, now: float) -> None:
-        """Ask a member for all that differs."""
+        """Request all differing records from a member."""
         self._local.stream(node, SyncRequest(self._digests(now)))
 
     def handle_request(self, sender: NodeId, request: SyncRequest) -> None:
-        """Offer the versions held in the zones that differ."""
+        """Send this node's versions of the members of differing zones."""
         zones = self._local.table.differing(request.zones)
         versions = self._local.table.versions(zones)
         self._local.stream(sender, SyncOffer(tuple(zones), versions, self._own_zone_links(sender)))
 
     def handle_offer(self, sender: NodeId, offer: SyncOffer) -> bool:
-        """Send what the other lacks and ask for what this node lacks; return whether it does."""
+        """Send records the peer lacks and request missing ones; return whether any are missing."""
         theirs = {version.node: version for version in offer.versions}
         wanted = tuple(v.node for v in offer.versions if self._lacks(v))
         updates = tuple(self._newer(offer.zones, theirs))
@@ -70,7 +71,7 @@
         return bool(wanted)
 
     def send_wanted(self, sender: NodeId, wanted: Iterable[NodeId]) -> None:
-        """Send the records asked for."""
+        """Send the requested records."""
         found = (self._local.table.update_for(node) for node in wanted)
         updates = tuple(update for update in found if update is not None)
         if updates:
@@ -80,10 +81,12 @@
         return self._local.table.digests(now, self._local.timing.settle_seconds)
 
     def _settled_difference(self, theirs: tuple[ZoneDigest, ...], now: float) -> bool:
-        here = {digest.zone: digest.settled for digest in self._digests(now)}
-        there = {digest.zone: digest.settled for digest in theirs}
+        local_settled = {digest.zone: digest.settled for digest in self._digests(now)}
+        remote_settled = {digest.zone: digest.settled for digest in theirs}
         differing = self._local.table.differing(theirs)
-        return any(here.get(zone, True) and there.get(zone, True) for zone in differing)
+        return any(
+            local_settled.get(zone, True) and remote_settled.get(zone, True) for zone in differing
+        )
 
     def _lacks(self, version: MemberVersion) -> bool:
         known = self._local.table.members.get(version.node)
--- a/src/bramblebeam/core/membership/table.py
+++ b/src/bramblebeam/core/membership/table.py
@@ -1,4 +1,4 @@
-"""The member table: merging of records, digests by zone, and the view."""
+"""The member table: merges records, maintains digests by zone and creates views."""
 
 from collections.abc import Iterable
 
@@ -12,12 +12,12 @@
 
 
 class MemberTable:
-    """Every member known, merged by (incarnation, state): the higher pair wins."""
+    """All known members. Records are merged by (incarnation, state): the higher pair wins."""
 
     def __init__(self) -> None:
         self.members: dict[NodeId, Member] = {}
         self.total = 0
-        """Exclusive or of every zone's digest."""
+        """Exclusive or of all zones' digests."""
         self._present: dict[ZoneId, set[NodeId]] = {}
         self._digests: dict[ZoneId, int] = {}
         self._changed_at: dict[ZoneId, float] = {}
@@ -26,7 +26,7 @@
         self._owners: dict[ZoneId, tuple[NodeId, ...]] = {}
 
     def apply(self, update: MemberUpdate, now: float) -> bool:
-        """Take a record; return whether it is news. An unknown member's death is not."""
+        """Merge a record; return whether it was applied. Deaths of unknown members are ignored."""
         known = self.members.get(update.node)
         if known is None:
             if update.spec is None or update.state is MemberState.DEAD:
@@ -41,14 +41,14 @@
         return True
 
     def forget_dead(self, before: float) -> bool:
-        """Drop members that are dead since `before` or longer; return whether there were any."""
+        """Remove members dead since `before` or earlier; return whether there were any."""
         old = [node for node, since in self._dead_since.items() if since <= before]
         for node in old:
             self._remove(self.members.pop(node))
         return bool(old)
 
     def update_for(self, node: NodeId) -> MemberUpdate | None:
-        """Return a member's record as it travels."""
+        """Return a member's record in the form sent to peers, or None."""
         member = self.members.get(node)
         if member is None:
             return None
@@ -78,18 +78,18 @@
         return [zone for zone, nodes in self._present.items() if nodes]
 
     def dead(self) -> Iterable[NodeId]:
-        """Return the members that are dead and not yet forgotten."""
+        """Return the dead members that are not yet removed."""
         return self._dead_since.keys()
 
     def digests(self, now: float, settle: float) -> tuple[ZoneDigest, ...]:
-        """Return the digest of each zone; `settled` after `settle` seconds without a change."""
+        """Return the digest of each zone; `settled`: unchanged for `settle` seconds."""
         return tuple(
             ZoneDigest(zone, self._digests[zone], now - self._changed_at[zone] >= settle)
             for zone in self.zones()
         )
 
     def differing(self, other: Iterable[ZoneDigest]) -> list[ZoneId]:
-        """Return the zones where `other` (all of its zones) differs from this table."""
+        """Return the zones in which the table with the digests `other` differs from this one."""
         theirs = {digest.zone: digest.digest for digest in other}
         zones = {*theirs, *self.zones()}
         return [z for z in sorted(zones) if theirs.get(z, 0) != self._digests.get(z, 0)]
@@ -104,7 +104,7 @@
         )
 
     def view(self, unreachable: frozenset[ZoneId]) -> MembersView:
-        """Return an immutable copy."""
+        """Return an immutable view of the table."""
         owners = {zone: self.owners(zone) for zone in self.zones()}
         return MembersView(dict(self.members), owners, unreachable)
 
@@ -116,7 +116,7 @@
             self._dead_since[node] = now
         else:
             self._present.setdefault(zone, set()).add(node)
-            self._mix(zone, member)
+            self._toggle_digest(zone, member)
         self._changed_at[zone] = now
         self._clear_cache(zone)
 
@@ -127,13 +127,13 @@
             del self._dead_since[node]
             return
         self._present[zone].discard(node)
-        self._mix(zone, member)
+        self._toggle_digest(zone, member)
         self._clear_cache(zone)
 
-    def _mix(self, zone: ZoneId, member: Member) -> None:
-        mark = _hash(member)
-        self.total ^= mark
-        self._digests[zone] = self._digests.get(zone, 0) ^ mark
+    def _toggle_digest(self, zone: ZoneId, member: Member) -> None:
+        digest_part = _hash(member)
+        self.total ^= digest_part
+        self._digests[zone] = self._digests.get(zone, 0) ^ digest_part
 
     def _clear_cache(self, zone: ZoneId) -> None:
         self._present_sorted.pop(zone, None)
--- a/src/bramblebeam/core/membership/view.py
+++ b/src/bramblebeam/core/membership/view.py
@@ -1,4 +1,4 @@
-"""The immutable view of the members that other services read."""
+"""The immutable view of the cluster's members for other services."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,18 +8,18 @@
 
 
 class MemberState(IntEnum):
-    """A member's state, in the order of severity at equal incarnation."""
+    """A member's state; at equal incarnation the higher value takes precedence."""
 
     ALIVE = 1
     SUSPECT = 2
     LEAVING = 3
-    """It stops as planned: it gets no new ownership, and hands over what it has."""
+    """In a planned stop: it acquires no further ownership and hands over its current one."""
     DEAD = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One member. `incarnation` grows at each restart and at each refutation."""
+    """A member. `incarnation` increases with each restart and each refutation."""
 
     spec: NodeSpec
     incarnation: int
@@ -28,9 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MembersView:
-    """All members known. `owners` names, by zone, the nodes that may own something (sorted).
+    """All known members.
 
-    `unreachable`: zones that this zone's relays cannot reach now; their members are as last known.
+    `owners`: by zone, the nodes that are eligible as owners, sorted. `unreachable`: zones that the
+    local zone's relays cannot currently reach; their members are shown as last known.
     """
 
     members: Mapping[NodeId, Member] = field(default_factory=dict)
--- a/src/bramblebeam/core/revision.py
+++ b/src/bramblebeam/core/revision.py
@@ -1,46 +1,46 @@
-"""The order of what the platform's store was told, over all its eras."""
+"""Revisions of the platform's store, totally ordered across its restores from backup."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
 
 FIRST_ERA = 0
-"""That of a store which never came back from a copy of itself, or does not tell."""
+"""Era of a store that was never restored from a backup, or that reports no era."""
 HIGHEST_ERA = 8_191
-"""A higher one is taken for a mistake: a store restored daily reaches it after 22 years."""
+"""Higher eras are rejected as erroneous: with daily restores this one is reached after 22 years."""
 _NUMBER_BITS = 40
-"""A count of 400 changes a second needs so many for 87 years; with the era they stay below 2**53,
-up to which every reader of numbers is exact."""
+"""Enough for 87 years at 400 changes a second. Together with the era the number stays below 2**53,
+up to which doubles represent integers exactly."""
 
 
 class Revision(NamedTuple):
-    """One change of the store: ordered by the era, then by the store's count of changes.
+    """Identifies a change of the store; ordered by era, then by the store's change counter.
 
-    A store that comes back from a copy counts on from the copy, so that numbers are given out
-    again. Its era rises then: what is written later is later in this order, too.
+    A store that is restored from a backup continues counting from the backup and so assigns some
+    numbers again. Each restore increments the era, so that later changes still compare as later.
     """
 
     era: int
     number: int
 
     def __str__(self) -> str:
-        """Return the revision as logs show it."""
+        """Return the form used in logs: `era.number`."""
         return f"{self.era}.{self.number}"
 
     @property
     def as_number(self) -> int:
-        """One number with the same order; in the first era it is the store's own."""
+        """The revision as an order-preserving integer; in the first era equal to `number`."""
         return self.era << _NUMBER_BITS | self.number
 
 
 @dataclass(frozen=True, slots=True)
 class StoreEraBegan:
-    """Published when the store was found to have come back from a copy."""
+    """Published when a restore of the store from a backup is detected."""
 
     era: int
 
 
 ERA_EXPIRY_SECONDS = 10.0
-"""An era of which nobody told for so long, while others tell of a former one, is taken for a
-mistake. A peer or a connection that is behind learns of a restore within 4 s."""
+"""An era that no source has reported for this long, while others report an earlier one, is
+considered erroneous. A lagging peer or connection learns of a restore within 4 s."""
 NO_REVISION = Revision(FIRST_ERA, 0)
-"""Before any change: what is told later counts whatever it says."""
+"""Precedes every change: any later report supersedes it."""
--- a/src/bramblebeam/core/routing/__init__.py
+++ b/src/bramblebeam/core/routing/__init__.py
@@ -1,1 +1,1 @@
-"""What a statement is, which back end it goes to, and what follows from an answer or its loss."""
+"""Statement classification, choice of the back end, and handling of replies and their loss."""
--- a/src/bramblebeam/core/routing/attempt.py
+++ b/src/bramblebeam/core/routing/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a statement at one owner, and the times that bound attempts."""
+"""Attempts to run a statement, and their timeouts and intervals."""
 
 from dataclasses import dataclass, replace
 
@@ -10,17 +10,17 @@
 from bramblebeam.core.verdict import Reason
 
 FLOOR_WAIT_MS = 300
-"""How long the owners of replicas may wait for the floor in all, before the primary is asked."""
+"""Total time that a read may wait for replicas to reach its floor before it uses the primary."""
 POSITION_TIMEOUT = 1.0
-"""Seconds to wait for a confirmed position before asking again."""
+"""Seconds to wait for a confirmed position before requesting it again."""
 RECHECK_INTERVAL = 0.1
-"""Seconds after which a held statement looks again although nothing was heard."""
+"""Seconds after which a held statement rechecks the group without having been notified."""
 REPEAT_INTERVAL = 0.05
-"""Seconds between questions for a lost answer."""
+"""Seconds between requests for a lost reply."""
 REPEAT_WINDOW = 1.5
-"""Seconds for which a lost answer is asked for before the verdict is UNKNOWN."""
+"""Seconds for which a lost reply is requested before the verdict is UNKNOWN."""
 REPLY_MARGIN = 0.5
-"""Seconds beyond the owner's own deadline that its answer may take."""
+"""Seconds by which a reply may exceed the deadline given to the owner."""
 
 NO_STALENESS_BOUND = -1
 
@@ -35,18 +35,18 @@
         Reason.STOPPING,
     }
 )
-"""Reasons that another instance, another owner or a moment's wait can cure."""
+"""Reasons that another instance, another owner or a short wait can resolve."""
 READ_RETRY_REASONS = TRANSIENT_REASONS | {
     Reason.QUEUE_FULL,
     Reason.QUEUE_TIMEOUT,
     Reason.REPLICA_BEHIND,
 }
-"""Reasons for which a read tries another instance."""
+"""Reasons for which a read is attempted on another instance."""
 
 
 @dataclass(slots=True)
 class Attempt:
-    """A request sent to an owner. `lost_at`: when its answer was lost (seconds), or None."""
+    """A request sent to an owner. `lost_at`: when its reply was lost (seconds), or None."""
 
     instance: InstanceId
     node: NodeId
@@ -65,9 +65,9 @@
     staleness_ms: int,
     highest_term: int,
 ) -> ExecuteRequest:
-    """Return the request of a new attempt outside a transaction, under an id never used before.
+    """Return the request of a new attempt outside a transaction, with a new request id.
 
-    `wait_ms`, `deadline_ms`, `staleness_ms`: as in the request. `highest_term`: of the group.
+    `wait_ms`, `deadline_ms`, `staleness_ms`: see `ExecuteRequest`. `highest_term`: the group's.
     """
     floor = session.floor(session.group)
     is_read = statement.kind is StatementKind.READ
@@ -91,7 +91,7 @@
 
 
 def answer_term(reply: ExecuteReply, request: ExecuteRequest) -> int:
-    """Return the term that a primary's answer was given in, or a lower bound of it."""
+    """Return the term in which a primary replied, or a lower bound of it."""
     if reply.position.term:
         return reply.position.term
     if reply.status is not None:
@@ -100,5 +100,5 @@
 
 
 def repeated(request: ExecuteRequest) -> ExecuteRequest:
-    """Return the request as a question for an answer that was lost."""
+    """Return a copy of the request that asks for its lost reply."""
     return replace(request, repeat=True)
--- a/src/bramblebeam/core/routing/choice.py
+++ b/src/bramblebeam/core/routing/choice.py
@@ -1,4 +1,4 @@
-"""Chooses the instance for one attempt of a read, from what the node last heard of each."""
+"""Selects the instance for an attempt of a read from the last reported statuses."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
@@ -12,14 +12,15 @@
 from bramblebeam.core.statement import InstanceStatus, RequestId
 
 NEAR_LAG_MS = 250
-"""A replica with this lag or less is asked to wait for the floor rather than passed over."""
+"""A replica below the floor is still used, and waits for it, if its lag does not exceed this."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadRequirement:
-    """What a read that is routed at `now` (seconds) asks of an instance.
+    """What a read requires of an instance.
 
-    `staleness_ms`: oldest answer (milliseconds).
+    `staleness_ms`: maximum lag (milliseconds; negative: no bound). `now`: time of the routing
+    (seconds).
     """
 
     group: GroupId
@@ -31,7 +32,7 @@
 def sticky_replica(
     directory: Directory, session: Session, need: ReadRequirement, excluded: Collection[InstanceId]
 ) -> InstanceStatus | None:
-    """Return the replica the session reads from, if that one can still serve the read."""
+    """Return the replica that the session is bound to, if it can still serve the read."""
     sticky = session.sticky.get(need.group)
     if sticky is None:
         return None
@@ -42,7 +43,7 @@
     status = directory.status(sticky.instance)
     if status is None or sticky.instance in excluded:
         return None
-    if is_usable(directory, status, need) and _is_near(directory, status, need):
+    if is_usable(directory, status, need) and _can_reach_floor(directory, status, need):
         return status
     return None
 
@@ -54,18 +55,18 @@
     excluded: Collection[InstanceId],
     request: RequestId,
 ) -> InstanceStatus | None:
-    """Return the replica to ask, or None where none can serve the read.
+    """Return the replica for a read, or None if none can serve it.
 
-    A replica qualifies that satisfies the floor, or is so little behind that it soon will, unless a
-    read waited for it in vain lately. Among those the rows' weights decide, and the session stays
-    with the choice.
+    A replica qualifies if it has reached the floor, or if its lag is small and no read recently
+    timed out waiting for it. The choice among these is weighted by the configured read weights,
+    and binds the session to the replica.
     """
-    near = [
+    candidates = [
         status
         for status in _replicas(directory, need, weighted=True)
-        if status.instance not in excluded and _is_near(directory, status, need)
+        if status.instance not in excluded and _can_reach_floor(directory, status, need)
     ]
-    chosen = _weighted(directory, near, request)
+    chosen = _select_by_weight(directory, candidates, request)
     if chosen is not None:
         version = directory.configuration.version
         session.sticky[need.group] = StickyReplica(chosen.instance, version)
@@ -75,21 +76,21 @@
 def choose_unweighted(
     directory: Directory, need: ReadRequirement, excluded: Collection[InstanceId]
 ) -> InstanceStatus | None:
-    """Return a replica whose row gives it no reads, for want of any other instance."""
+    """Return a replica of read weight 0, for use when no other instance is available."""
     for status in _replicas(directory, need, weighted=False):
         if status.instance not in excluded:
             return status
     return None
 
 
-def _is_near(directory: Directory, status: InstanceStatus, need: ReadRequirement) -> bool:
+def _can_reach_floor(directory: Directory, status: InstanceStatus, need: ReadRequirement) -> bool:
     if status.applied >= need.floor:
         return True
     return status.lag_ms <= NEAR_LAG_MS and not directory.is_behind(status.instance, need.now)
 
 
 def is_usable(directory: Directory, status: InstanceStatus, need: ReadRequirement) -> bool:
-    """Whether the instance is a replica that may take reads, as far as the node knows."""
+    """Whether the instance is a replica that may serve the read, by its last reported status."""
     if status.role is not Role.REPLICA or not status.reachable or status.leaving:
         return False
     if 0 <= need.staleness_ms < status.lag_ms:
@@ -98,7 +99,7 @@
 
 
 def _replicas(directory: Directory, need: ReadRequirement, weighted: bool) -> list[InstanceStatus]:
-    """Return the usable replicas that the rows give reads to, or those that they give none."""
+    """Return the usable replicas with a positive read weight, or those with read weight 0."""
     found = []
     for member in directory.group_members(need.group):
         status = directory.status(member.instance)
@@ -109,10 +110,10 @@
     return found
 
 
-def _weighted(
+def _select_by_weight(
     directory: Directory, candidates: list[InstanceStatus], request: RequestId
 ) -> InstanceStatus | None:
-    """Draw by weight; the draw is a hash of the request's id, even over many requests."""
+    """Select by weight, using a hash of the request id, which is uniform over many requests."""
     weights = [directory.read_weight(status.instance) for status in candidates]
     total = sum(weights)
     if not total:
--- a/src/bramblebeam/core/routing/classify.py
+++ b/src/bramblebeam/core/routing/classify.py
@@ -1,6 +1,6 @@
-"""Statement classification. What is not surely a read is a write.
+"""Statement classification. A statement that is not proven to be a read counts as a write.
 
-One parse by sqlglot a statement shape; the answers are cached.
+sqlglot parses each statement shape once; the results are cached.
 """
 
 import logging
@@ -26,7 +26,7 @@
 
 
 class Action(IntEnum):
-    """What the edge does with a statement."""
+    """How the edge handles a statement."""
 
     READ = 1
     WRITE = 2
@@ -35,7 +35,7 @@
     ROLLBACK = 5
     SET = 6
     SELECT_LOCAL = 7
-    """A SELECT of session variables and functions only, answered by the edge."""
+    """A SELECT of only session variables and functions; the edge answers it itself."""
     SHOW_WARNINGS = 8
     USE = 9
     KILL = 10
@@ -47,9 +47,9 @@
 class StatementClass:
     """The class of a statement shape.
 
-    `returns_rows`: a write that also reads, so that it must see the session's own writes.
-    `implicit_commit`: it ends an open transaction. `needs_connection`: it uses state of the
-    back-end connection and runs only inside a transaction. `detail`: why it is refused.
+    `returns_rows`: a write that also reads, so that it must reflect the session's own writes.
+    `implicit_commit`: commits an open transaction. `needs_connection`: uses state of the back-end
+    connection, so that it runs only in a transaction. `detail`: why it is refused.
     """
 
     action: Action
@@ -61,9 +61,9 @@
 
 _FUNCTION_CALL = re.compile(r"(\.\s*)?(`[^`]*`|[A-Za-z_][\w$]*)\s*\(")
 _USER_VARIABLE = re.compile(r"(?<!@)@(?!@)[\w.$'\"`]")
-_FIRST_WORD = re.compile(r"[(\s]*([A-Za-z]+)")
+_FIRST_KEYWORD = re.compile(r"[(\s]*([A-Za-z]+)")
 
-_SIMPLE = {
+_CLASS_BY_KEYWORD = {
     "": StatementClass(Action.EMPTY),
     "begin": StatementClass(Action.BEGIN),
     "set": StatementClass(Action.SET),
@@ -74,7 +74,7 @@
 _WRITE_WITH_ROWS = StatementClass(Action.WRITE, returns_rows=True)
 _IMPLICIT_COMMIT = StatementClass(Action.WRITE, implicit_commit=True)
 _READ = StatementClass(Action.READ)
-_IMPLICIT_COMMIT_WORDS = frozenset(
+_IMPLICIT_COMMIT_KEYWORDS = frozenset(
     {
         "alter",
         "analyze",
@@ -89,8 +89,8 @@
         "truncate",
     }
 )
-_QUERY_WORDS = frozenset({"select", "with", "explain", "describe", "desc", "table", "values"})
-_REFUSED_WORDS = {
+_QUERY_KEYWORDS = frozenset({"select", "with", "explain", "describe", "desc", "table", "values"})
+_REFUSED_KEYWORDS = {
     "lock": "LOCK TABLES needs a connection of its own",
     "unlock": "UNLOCK TABLES needs a connection of its own",
     "prepare": "use the protocol's prepared statements",
@@ -106,7 +106,7 @@
 
 
 class Classifier:
-    """Classifies statements, remembering the class of each shape."""
+    """Classifies statements and caches the class of each shape."""
 
     def __init__(self) -> None:
         self._cache: dict[str, StatementClass] = {}
@@ -114,42 +114,42 @@
     def classify(self, sql: str) -> StatementClass:
         """Return the statement's class."""
         shape = shape_of(sql)
-        known = self._cache.get(shape)
-        if known is None:
-            known = classify_shape(shape)
+        cached = self._cache.get(shape)
+        if cached is None:
+            cached = classify_shape(shape)
             if len(self._cache) >= CACHE_CAPACITY:
                 self._cache.clear()
-            self._cache[shape] = known
-        return known
+            self._cache[shape] = cached
+        return cached
 
 
 def classify_shape(shape: str) -> StatementClass:
     """Return the class of a statement shape."""
     if ";" in shape:
         return _refuse("one statement at a time")
-    match = _FIRST_WORD.match(shape)
-    word = match[1].lower() if match else ""
-    if word in _REFUSED_WORDS:
-        return _refuse(_REFUSED_WORDS[word])
+    match = _FIRST_KEYWORD.match(shape)
+    keyword = match[1].lower() if match else ""
+    if keyword in _REFUSED_KEYWORDS:
+        return _refuse(_REFUSED_KEYWORDS[keyword])
     lowered = shape.lower()
-    refused = _refused_state(lowered)
-    if refused:
-        return _refuse(refused)
+    refusal = _connection_state_refusal(lowered)
+    if refusal:
+        return _refuse(refusal)
     if not match and shape:
         return _WRITE_WITH_ROWS
-    return _classify_word(word, lowered, shape)
+    return _classify_keyword(keyword, lowered, shape)
 
 
-def _classify_word(word: str, lowered: str, shape: str) -> StatementClass:
-    if word in _SIMPLE:
-        return _SIMPLE[word]
-    if word in _IMPLICIT_COMMIT_WORDS:
+def _classify_keyword(keyword: str, lowered: str, shape: str) -> StatementClass:
+    if keyword in _CLASS_BY_KEYWORD:
+        return _CLASS_BY_KEYWORD[keyword]
+    if keyword in _IMPLICIT_COMMIT_KEYWORDS:
         return _IMPLICIT_COMMIT
-    if word in _QUERY_WORDS:
+    if keyword in _QUERY_KEYWORDS:
         return _classify_query(shape)
-    special = _SPECIAL_WORDS.get(word)
-    if special is not None:
-        return special(lowered)
+    classifier = _KEYWORD_CLASSIFIERS.get(keyword)
+    if classifier is not None:
+        return classifier(lowered)
     return StatementClass(Action.WRITE, needs_connection=_needs_connection(lowered))
 
 
@@ -177,7 +177,7 @@
     return _READ
 
 
-_SPECIAL_WORDS = {
+_KEYWORD_CLASSIFIERS = {
     "start": _classify_start,
     "commit": _classify_commit,
     "rollback": _classify_rollback,
@@ -189,8 +189,8 @@
     return StatementClass(Action.REFUSE, detail=detail)
 
 
-def _refused_state(lowered: str) -> str:
-    """Say which state of a connection the statement would leave behind, or nothing."""
+def _connection_state_refusal(lowered: str) -> str:
+    """Return why the statement is refused if it would leave state on the connection, or empty."""
     if re.match(r"(create|drop)\s+temporary\b", lowered):
         return "temporary tables need a connection of their own"
     names = {match[2] for match in _FUNCTION_CALL.finditer(lowered)}
@@ -213,18 +213,18 @@
     try:
         statements = sqlglot.parse(shape, read="mysql")
     except (SqlglotError, RecursionError):
-        return _unsure(lowered)
+        return _unproven_read(lowered)
     if len(statements) != 1 or statements[0] is None:
-        return _unsure(lowered)
+        return _unproven_read(lowered)
     root = statements[0]
     if isinstance(root, exp.Select) and is_local_select(root):
         return StatementClass(Action.SELECT_LOCAL)
     if _is_query(root) and _only_reads(root, lowered):
         return _READ
-    return _unsure(lowered)
+    return _unproven_read(lowered)
 
 
-def _unsure(lowered: str) -> StatementClass:
+def _unproven_read(lowered: str) -> StatementClass:
     return StatementClass(
         Action.WRITE, returns_rows=True, needs_connection=_needs_connection(lowered)
     )
@@ -266,7 +266,7 @@
 
 
 def is_local_select(root: exp.Select) -> bool:
-    """Whether the SELECT asks only for session variables and functions, without a table."""
+    """Whether the SELECT reads only session variables and functions, without a table."""
     allowed = {"expressions", "limit", "kind", "hint"}
     if any(value for name, value in root.args.items() if name not in allowed):
         return False
@@ -282,7 +282,7 @@
 
 
 def local_function(item: exp.Expr) -> str:
-    """Return the name of a call without arguments in lower case, or empty."""
+    """Return the lower-case name of a function called without arguments, or empty."""
     if isinstance(item, exp.Anonymous):
         return "" if item.expressions else str(item.this).lower()
     if isinstance(item, exp.CurrentVersion):
--- a/src/bramblebeam/core/routing/directory.py
+++ b/src/bramblebeam/core/routing/directory.py
@@ -1,4 +1,4 @@
-"""What a node knows of groups, their members' states and the nodes that own them."""
+"""A node's knowledge of groups, of their members' statuses and of the nodes that own them."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -22,13 +22,13 @@
 
 
 BEHIND_SECONDS = 2.0
-"""So long a replica that kept a read waiting in vain counts as behind (seconds)."""
+"""For how long a replica counts as behind after a read timed out waiting for it (seconds)."""
 
 
 class Directory:
-    """The latest views and statuses, with the highest term seen of each group.
+    """The latest views and statuses, and the highest term observed of each group.
 
-    A term is never forgotten: an answer of a lower one must not pass as a primary's.
+    Terms are never discarded: a reply at a lower term must not be accepted as a primary's.
     """
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
         self._behind_until: dict[InstanceId, float] = {}
 
     def configure(self, view: ConfigurationView) -> None:
-        """Take the rows in force. An older version than the present one is ignored."""
+        """Apply the configuration; versions older than the current one are ignored."""
         if view.version < self.configuration.version:
             return
         before, self.configuration = self.configuration, view
@@ -58,12 +58,12 @@
         self._owners.clear()
 
     def set_members(self, view: MembersView) -> None:
-        """Take the members of the system."""
+        """Replace the view of the cluster's members."""
         self.members = view
         self._owners.clear()
 
     def observe(self, status: InstanceStatus) -> bool:
-        """Take a status. True: term, role or availability of the instance differs from before."""
+        """Apply a status; return whether the instance's term, role or availability changed."""
         known = self._statuses.get(status.instance)
         if known is not None and _is_older(status, known):
             return False
@@ -71,23 +71,23 @@
         term_rose = self.observe_term(status.group, status.term)
         if status.role is Role.PRIMARY and status.term == self.highest_term(status.group):
             self._primaries[status.group] = status.instance
-        return term_rose or known is None or _standing(known) != _standing(status)
+        return term_rose or known is None or _availability(known) != _availability(status)
 
     def record_applied(self, instance: InstanceId, position: Position) -> None:
-        """Note a lower bound of what an instance has applied, as told by its answer to a read."""
+        """Record a lower bound of the applied position, from the instance's reply to a read."""
         known = self._statuses.get(instance)
         if known is not None and position > known.applied:
             self._statuses[instance] = replace(known, applied=position)
 
     def record_floor_timeout(self, instance: InstanceId, now: float) -> None:
-        """Note that a read waited in vain for the instance to catch up (`now` in seconds).
+        """Record that a read timed out waiting for the instance to catch up (`now` in seconds).
 
-        Its lag does not tell: between two writes a replica has nothing left to apply.
+        Lag does not show this: between writes a replica has nothing left to apply.
         """
         self._behind_until[instance] = now + BEHIND_SECONDS
 
     def is_behind(self, instance: InstanceId, now: float) -> bool:
-        """Whether a read waited in vain for the instance lately."""
+        """Whether a read recently timed out waiting for the instance to catch up."""
         until = self._behind_until.get(instance)
         if until is None:
             return False
@@ -97,7 +97,7 @@
         return False
 
     def observe_term(self, group: GroupId, term: int) -> bool:
-        """Note a term of the group. True: it is the highest so far."""
+        """Record a term of the group; return whether it is the highest so far."""
         if term <= self._terms.get(group, 0):
             return False
         self._terms[group] = term
@@ -105,11 +105,11 @@
         return True
 
     def forget_status(self, instance: InstanceId) -> None:
-        """Forget an instance's status after its owner could not be asked."""
+        """Discard an instance's status because its owner could not be queried."""
         self._statuses.pop(instance, None)
 
     def group(self, group: GroupId) -> GroupSpec | None:
-        """Return the group's row."""
+        """Return the group's configuration, or None."""
         return self.configuration.groups.get(group)
 
     def group_members(self, group: GroupId) -> tuple[MemberSpec, ...]:
@@ -118,15 +118,15 @@
         return spec.members if spec is not None else ()
 
     def highest_term(self, group: GroupId) -> int:
-        """Return the highest term seen of the group, 0 for none."""
+        """Return the highest observed term of the group, or 0."""
         return self._terms.get(group, 0)
 
     def status(self, instance: InstanceId) -> InstanceStatus | None:
-        """Return the last known status."""
+        """Return the instance's last known status, or None."""
         return self._statuses.get(instance)
 
     def primary(self, group: GroupId) -> InstanceStatus | None:
-        """Return the status of the primary at the highest term, where it is reachable."""
+        """Return the status of the primary at the highest term if it is reachable, or None."""
         instance = self._primaries.get(group)
         if instance is None:
             return None
@@ -138,7 +138,7 @@
         return status
 
     def owner(self, instance: InstanceId) -> NodeId | None:
-        """Return the node that owns the instance by the members known, None without one."""
+        """Return the node that owns the instance according to the members' view, or None."""
         if instance in self._owners:
             return self._owners[instance]
         candidates: Iterable[NodeId] = ()
@@ -150,17 +150,17 @@
         return owner
 
     def is_dead(self, node: NodeId) -> bool:
-        """Whether the members' view holds the node for dead."""
+        """Whether the node is dead according to the members' view."""
         member = self.members.members.get(node)
         return member is not None and member.state is MemberState.DEAD
 
     def read_weight(self, instance: InstanceId) -> int:
-        """Return the instance's read weight by its row."""
+        """Return the instance's configured read weight, or the default."""
         row = self.configuration.weights.get(instance)
         return DEFAULT_READ_WEIGHT if row is None else row.read_weight
 
     def accepts_work(self, instance: InstanceId) -> bool:
-        """Whether the instance is neither leaving nor being drained by its row."""
+        """Whether the instance is neither leaving nor configured to drain."""
         row = self.configuration.weights.get(instance)
         if row is not None and row.drain:
             return False
@@ -168,7 +168,7 @@
         return status is None or not status.leaving
 
     def limit(self, service: ServiceId, group: GroupId) -> LimitSpec:
-        """Return what the service may use of the group; the defaults without a row."""
+        """Return the service's limits on the group; the defaults if none are configured."""
         key = (service, group)
         known = self._limits.get(key)
         if known is None:
@@ -183,16 +183,16 @@
 
 
 def _is_older(status: InstanceStatus, known: InstanceStatus) -> bool:
-    """Whether a status was overtaken by one that came before it.
+    """Whether `status` is older than the known one, although it arrived later.
 
-    A former owner's last word, that it cannot reach the instance, says nothing of the present
-    owner. Epochs grow until the back end restarts.
+    A former owner's final report that the instance is unreachable does not apply to the current
+    owner. Epochs increase until the back end restarts.
     """
     if status.epoch != known.epoch or status.owner != known.owner:
-        is_last_word = not status.reachable and status.epoch < known.epoch
-        return is_last_word or status.term < known.term
+        is_final_report = not status.reachable and status.epoch < known.epoch
+        return is_final_report or status.term < known.term
     return (status.term, status.applied) < (known.term, known.applied)
 
 
-def _standing(status: InstanceStatus) -> tuple[int, Role, bool, bool]:
+def _availability(status: InstanceStatus) -> tuple[int, Role, bool, bool]:
     return (status.term, status.role, status.leaving, status.reachable)
--- a/src/bramblebeam/core/routing/effects.py
+++ b/src/bramblebeam/core/routing/effects.py
@@ -1,4 +1,4 @@
-"""Events into and effects out of the machine that carries one statement to its final answer."""
+"""Events and effects of the state machines that execute a statement."""
 
 from dataclasses import dataclass
 
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StatementRequest:
-    """One statement of a caller, classified.
+    """A classified statement of a caller.
 
-    `sees_writes`: it returns data, so that it must see what its session wrote.
+    `sees_writes`: it returns data, which must reflect the session's own writes.
     """
 
     kind: StatementKind
@@ -29,26 +29,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The statement arrived."""
+    """The execution starts."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The owner answered the attempt."""
+    """The owner replied to the attempt."""
 
     reply: ExecuteReply
 
 
 @dataclass(frozen=True, slots=True)
 class PositionAnswered:
-    """The primary's owner answered with a confirmed position or a refusal."""
+    """The primary's owner replied with a confirmed position or a refusal."""
 
     reply: PositionReply
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptFailed:
-    """No answer came. `sent` False: the owner surely did not get the message."""
+    """No reply was received. `sent` False: the owner certainly did not receive the request."""
 
     sent: bool
     detail: str = ""
@@ -56,12 +56,12 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupUpdated:
-    """Something became known about the group while the statement was held."""
+    """The group's state changed while the statement was held."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendRequest:
-    """Send the request to a node; feed `Answered` or `AttemptFailed` (`timeout` in seconds)."""
+    """Send the request to a node; respond with `Answered` or `AttemptFailed` (`timeout` in s)."""
 
     node: NodeId
     request: ExecuteRequest
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestPosition:
-    """Have a position confirmed; feed `PositionAnswered` or `AttemptFailed`."""
+    """Request a confirmed position; respond with `PositionAnswered` or `AttemptFailed`."""
 
     node: NodeId
     request: PositionRequest
@@ -79,9 +79,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Hold:
-    """Wait for news of the group, or for `next_wakeup`; feed `GroupUpdated` or `Wakeup`.
+    """Wait for a change of the group or for `next_wakeup`; respond with `GroupUpdated` or `Wakeup`.
 
-    `refresh`: ask the owners of the group's members for their statuses meanwhile.
+    `refresh`: meanwhile query the owners of the group's members for their statuses.
     """
 
     group: GroupId
@@ -90,14 +90,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Refresh:
-    """Ask the owners of the group's members for their statuses; nothing waits for them."""
+    """Query the owners of the group's members for statuses without waiting for replies."""
 
     group: GroupId
 
 
 @dataclass(frozen=True, slots=True)
 class Abandon:
-    """Tell the owner that the session's transaction is given up."""
+    """Notify the owner that the session's transaction is abandoned."""
 
     node: NodeId
     instance: InstanceId
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finish:
-    """The final answer: the reply, or a refusal with its verdict."""
+    """The final outcome: the reply or a refusal."""
 
     reply: ExecuteReply | None
     refusal: Refusal | None
@@ -115,7 +115,7 @@
 
 
 Effect = SendRequest | RequestPosition | Hold | Refresh | Abandon | Finish
-"""What the driver of an execution carries out."""
+"""Effects that the driver of an execution carries out."""
 
 Event = Started | Answered | PositionAnswered | AttemptFailed | GroupUpdated
-"""What happens to an execution, besides `Wakeup`."""
+"""Events that an execution handles, besides `Wakeup`."""
--- a/src/bramblebeam/core/routing/execution.py
+++ b/src/bramblebeam/core/routing/execution.py
@@ -1,8 +1,8 @@
-"""Carries one statement from its arrival to its final answer.
+"""Executes one statement outside a transaction, from its arrival to its final outcome.
 
-A pure machine: each event gives at most a few effects, of which the last is one the driver waits
-for. Attempts that surely did not run are repeated within the queue wait and the retry budget;
-a lost answer is asked for again under the same request id; all else is final.
+A state machine: each event returns at most a few effects, and the driver waits for the last one.
+Attempts that certainly did not run are retried within the queue wait and the retry budget; a lost
+reply is requested again under the same request id; every other outcome is final.
 """
 
 from typing import Any
@@ -60,7 +60,7 @@
 
 
 class Execution:
-    """One statement of a session outside a transaction, or the BEGIN of one."""
+    """Executes a statement of a session outside a transaction, or a BEGIN."""
 
     def __init__(
         self,
@@ -86,24 +86,24 @@
         self._floor_wait_until: float | None = None
 
     def next_wakeup(self) -> float | None:
-        """Return when `Wakeup` is due (seconds), or None."""
+        """Return when to deliver `Wakeup` (seconds), or None."""
         return self._wakeup
 
     def handle(self, event: Any, now: float) -> list[Effect]:
-        """Take one event at time `now` (seconds); return the effects in order."""
+        """Process an event at time `now` (seconds); return the effects in order."""
         self._wakeup = None
         match event:
             case Answered(reply):
-                return self._answered(reply, now)
+                return self._handle_reply(reply, now)
             case Started():
                 return self._start(now)
             case PositionAnswered(reply):
-                return self._position_answered(reply, now)
+                return self._handle_position(reply, now)
             case AttemptFailed(sent, detail):
                 return self._failed(sent, detail, now)
             case GroupUpdated() | Wakeup():
                 return self._resume(now)
-        raise TypeError(f"{type(event).__name__} is no event of an execution")
+        raise TypeError(f"an execution does not handle {type(event).__name__}")
 
     def _start(self, now: float) -> list[Effect]:
         self._budget.record_request()
@@ -111,32 +111,32 @@
         self._hold_until = min(self._deadline, now + self._limit.queue_wait_ms / 1_000)
         if self._directory.group(self._group) is None:
             return self._refuse(Reason.NO_CONFIGURATION)
-        return self._next(now)
+        return self._route(now)
 
     def _resume(self, now: float) -> list[Effect]:
         if self._attempt is not None:
-            return self._ask_again(now)
+            return self._request_lost_reply(now)
         if not self._retry.is_open(now):
             return self._hold(now)
         self._excluded.clear()
-        return self._next(now)
+        return self._route(now)
 
-    def _next(self, now: float) -> list[Effect]:
+    def _route(self, now: float) -> list[Effect]:
         if now >= self._deadline:
             return self._give_up()
-        if self._must_confirm():
-            return self._confirm(now)
+        if self._needs_confirmation():
+            return self._request_position(now)
         if self._statement.kind is StatementKind.READ:
-            return self._next_read(now)
-        return self._next_write(now)
+            return self._route_read(now)
+        return self._route_write(now)
 
-    # The floor.
+    # Confirmation of the floor.
 
-    def _must_confirm(self) -> bool:
-        needs = self._statement.sees_writes and self._session.must_confirm(self._group)
-        return needs and self._confirmed is None
+    def _needs_confirmation(self) -> bool:
+        is_required = self._statement.sees_writes and self._session.must_confirm(self._group)
+        return is_required and self._confirmed is None
 
-    def _confirm(self, now: float) -> list[Effect]:
+    def _request_position(self, now: float) -> list[Effect]:
         primary = self._directory.primary(self._group)
         node = None if primary is None else self._directory.owner(primary.instance)
         if primary is None or node is None:
@@ -146,7 +146,7 @@
         request = PositionRequest(primary.instance, (name,) if name else ())
         return [RequestPosition(node, request, timeout)]
 
-    def _position_answered(self, reply: PositionReply, now: float) -> list[Effect]:
+    def _handle_position(self, reply: PositionReply, now: float) -> list[Effect]:
         if reply.refusal is not None:
             self._last_refusal = reply.refusal
             return self._back_off(now)
@@ -154,52 +154,54 @@
         floor = reply.floors[0] if reply.floors else reply.position
         self._session.confirmed(self._group, floor)
         self._confirmed = floor
-        return self._next(now)
+        return self._route(now)
 
     # Attempts.
 
-    def _next_read(self, now: float) -> list[Effect]:
+    def _route_read(self, now: float) -> list[Effect]:
         floor = self._session.floor(self._group)
         need = ReadRequirement(self._group, floor, self._limit.staleness_ms, now)
         status = sticky_replica(self._directory, self._session, need, self._excluded)
         if status is None:
-            draw = self._session.next_request()
-            status = choose_replica(self._directory, self._session, need, self._excluded, draw)
+            request_id = self._session.next_request()
+            status = choose_replica(
+                self._directory, self._session, need, self._excluded, request_id
+            )
         if status is not None:
-            return self._ask_for_read(status, self._replica_wait_ms(status, need, now), now)
+            return self._send_read(status, self._replica_wait_ms(status, need, now), now)
         refresh = Refresh(self._group)
         status = self._directory.primary(self._group)
         if status is not None and status.instance not in self._excluded:
-            return [refresh, *self._ask_for_read(status, self._limit.queue_wait_ms, now)]
+            return [refresh, *self._send_read(status, self._limit.queue_wait_ms, now)]
         status = choose_unweighted(self._directory, need, self._excluded)
         if status is not None:
             wait_ms = self._replica_wait_ms(status, need, now)
-            return [refresh, *self._ask_for_read(status, wait_ms, now)]
+            return [refresh, *self._send_read(status, wait_ms, now)]
         return self._back_off(now) if self._excluded else self._hold(now)
 
     def _replica_wait_ms(self, status: InstanceStatus, need: ReadRequirement, now: float) -> int:
-        """Return how long to wait for a replica: for a slot, or also for the floor (ms)."""
+        """Return how long the replica's owner may wait for a slot or the floor (milliseconds)."""
         if status.applied >= need.floor:
             return self._limit.queue_wait_ms
         if self._floor_wait_until is None:
             self._floor_wait_until = now + FLOOR_WAIT_MS / 1_000
         return max(0, int((self._floor_wait_until - now) * 1_000))
 
-    def _ask_for_read(self, status: InstanceStatus, wait_ms: int, now: float) -> list[Effect]:
+    def _send_read(self, status: InstanceStatus, wait_ms: int, now: float) -> list[Effect]:
         node = self._directory.owner(status.instance)
         if node is None:
             self._excluded.add(status.instance)
-            return self._next_read(now)
-        return self._ask(status, node, wait_ms, now)
+            return self._route_read(now)
+        return self._send(status, node, wait_ms, now)
 
-    def _next_write(self, now: float) -> list[Effect]:
+    def _route_write(self, now: float) -> list[Effect]:
         primary = self._directory.primary(self._group)
         node = None if primary is None else self._directory.owner(primary.instance)
         if primary is None or node is None:
             return self._hold(now)
-        return self._ask(primary, node, self._limit.queue_wait_ms, now)
+        return self._send(primary, node, self._limit.queue_wait_ms, now)
 
-    def _ask(self, status: InstanceStatus, node: NodeId, wait_ms: int, now: float) -> list[Effect]:
+    def _send(self, status: InstanceStatus, node: NodeId, wait_ms: int, now: float) -> list[Effect]:
         remaining = self._deadline - now
         remaining_ms = max(1, int(remaining * 1_000))
         request = new_request(
@@ -214,16 +216,16 @@
         self._attempt = Attempt(status.instance, node, status.term, status.role, request)
         return [SendRequest(node, request, remaining + REPLY_MARGIN)]
 
-    # Answers.
+    # Replies.
 
-    def _answered(self, reply: ExecuteReply, now: float) -> list[Effect]:
+    def _handle_reply(self, reply: ExecuteReply, now: float) -> list[Effect]:
         attempt = self._attempt
         if attempt is None or reply.request != attempt.request.request:
             return []
         if reply.status is not None:
             self._directory.observe(reply.status)
         if reply.refusal is not None:
-            return self._refused(attempt, reply.refusal, now)
+            return self._handle_refusal(attempt, reply.refusal, now)
         return self._succeeded(attempt, reply)
 
     def _succeeded(self, attempt: Attempt, reply: ExecuteReply) -> list[Effect]:
@@ -237,7 +239,7 @@
         term = answer_term(reply, attempt.request)
         if term < self._directory.highest_term(self._group):
             session.doubted(self._group)
-            return self._overtaken(attempt)
+            return self._discard_stale(attempt)
         if kind is StatementKind.BEGIN:
             session.transaction = Transaction(
                 attempt.request.transaction, self._group, attempt.instance, attempt.node, term
@@ -246,8 +248,8 @@
         session.wrote(self._group, reply.position)
         return self._finish(reply, None)
 
-    def _overtaken(self, attempt: Attempt) -> list[Effect]:
-        """The answer came from a primary that was replaced: nothing of it may be relayed."""
+    def _discard_stale(self, attempt: Attempt) -> list[Effect]:
+        """Discard the reply of a primary that was replaced: it must not reach the caller."""
         detail = "the primary was replaced while the statement ran"
         if self._statement.kind is StatementKind.BEGIN:
             abandon = Abandon(attempt.node, attempt.instance, self._session.identifier)
@@ -255,20 +257,20 @@
             return [abandon, *self._finish(None, refusal)]
         return self._finish(None, Refusal(Verdict.UNKNOWN, Reason.STALE_TERM, detail))
 
-    def _refused(self, attempt: Attempt, refusal: Refusal, now: float) -> list[Effect]:
+    def _handle_refusal(self, attempt: Attempt, refusal: Refusal, now: float) -> list[Effect]:
         is_read = self._statement.kind is StatementKind.READ
         self._last_refusal = refusal
         if refusal.verdict is not Verdict.NOT_RUN and not is_read:
-            return self._doubtful(attempt, refusal)
+            return self._finish_uncertain(attempt, refusal)
         if refusal.reason is Reason.BACKEND_ERROR:
             return self._finish(None, refusal)
         if is_read and refusal.reason in READ_RETRY_REASONS:
-            return self._elsewhere(attempt, refusal, now)
+            return self._retry_elsewhere(attempt, refusal, now)
         if refusal.reason in TRANSIENT_REASONS:
-            return self._moved(attempt, refusal, now)
+            return self._hold_for_primary(attempt, refusal, now)
         return self._finish(None, refusal)
 
-    def _doubtful(self, attempt: Attempt, refusal: Refusal) -> list[Effect]:
+    def _finish_uncertain(self, attempt: Attempt, refusal: Refusal) -> list[Effect]:
         self._session.doubted(self._group)
         if self._statement.kind is not StatementKind.BEGIN:
             return self._finish(None, refusal)
@@ -276,15 +278,15 @@
         not_run = Refusal(Verdict.NOT_RUN, Reason.TRANSACTION_LOST, refusal.detail)
         return [abandon, *self._finish(None, not_run)]
 
-    def _moved(self, attempt: Attempt, refusal: Refusal, now: float) -> list[Effect]:
-        """The primary cannot serve now: hold for news of the group."""
+    def _hold_for_primary(self, attempt: Attempt, refusal: Refusal, now: float) -> list[Effect]:
+        """Hold until the group changes, because its primary cannot serve the statement now."""
         if not self._retry.take(now):
             return self._finish(None, refusal)
         self._retry.record_refusal(attempt)
         return self._back_off(now)
 
-    def _elsewhere(self, attempt: Attempt, refusal: Refusal, now: float) -> list[Effect]:
-        """Read from another instance. One that is only behind costs no retry budget."""
+    def _retry_elsewhere(self, attempt: Attempt, refusal: Refusal, now: float) -> list[Effect]:
+        """Read from another instance; uses no retry budget if the replica was only behind."""
         is_behind = refusal.reason is Reason.REPLICA_BEHIND
         if not is_behind and not self._retry.take(now):
             return self._finish(None, refusal)
@@ -293,9 +295,9 @@
         self._attempt = None
         self._excluded.add(attempt.instance)
         self._session.sticky.pop(self._group, None)
-        return self._next(now)
+        return self._route(now)
 
-    # Lost answers.
+    # Lost replies.
 
     def _failed(self, sent: bool, detail: str, now: float) -> list[Effect]:
         attempt = self._attempt
@@ -307,35 +309,37 @@
             self._last_refusal = refusal
             self._directory.forget_status(attempt.instance)
             if self._statement.kind is StatementKind.READ:
-                return self._elsewhere(attempt, refusal, now)
-            return self._moved(attempt, refusal, now)
+                return self._retry_elsewhere(attempt, refusal, now)
+            return self._hold_for_primary(attempt, refusal, now)
         if self._statement.kind is StatementKind.READ:
             self._directory.forget_status(attempt.instance)
             lost = Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST, detail)
             self._last_refusal = lost
-            return self._elsewhere(attempt, lost, now)
+            return self._retry_elsewhere(attempt, lost, now)
         if attempt.lost_at is None:
             attempt.lost_at = now
-            return self._ask_again(now)
+            return self._request_lost_reply(now)
         self._wakeup = now + REPEAT_INTERVAL
         return [Hold(self._group, refresh=False)]
 
-    def _ask_again(self, now: float) -> list[Effect]:
-        """Ask the same node for the same request's answer; no other one can know it."""
+    def _request_lost_reply(self, now: float) -> list[Effect]:
+        """Request the lost reply from the same node; no other node can have it."""
         attempt = self._attempt
         assert attempt is not None
         lost_at = now if attempt.lost_at is None else attempt.lost_at
         if self._directory.is_dead(attempt.node) or now - lost_at >= REPEAT_WINDOW:
             detail = "the answer was lost"
-            return self._doubtful(attempt, Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST, detail))
+            return self._finish_uncertain(
+                attempt, Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST, detail)
+            )
         return [
             SendRequest(attempt.node, repeated(attempt.request), REPEAT_WINDOW - (now - lost_at))
         ]
 
-    # Ends.
+    # Holding and finishing.
 
     def _back_off(self, now: float) -> list[Effect]:
-        """Hold, and do not ask the same primary again at once."""
+        """Hold, and do not query the same primary again immediately."""
         self._retry.back_off(now)
         return self._hold(now)
 
@@ -347,7 +351,7 @@
         return [Hold(self._group)]
 
     def _give_up(self) -> list[Effect]:
-        """Refuse for the last known reason, or for want of a primary."""
+        """Refuse for the last known reason, or because there is no primary."""
         refusal = self._last_refusal
         if refusal is not None and refusal.reason is not Reason.UNREACHABLE:
             return self._finish(None, refusal)
--- a/src/bramblebeam/core/routing/functions.py
+++ b/src/bramblebeam/core/routing/functions.py
@@ -1,4 +1,4 @@
-"""MySQL functions that surely change nothing, and words that may stand before a parenthesis."""
+"""MySQL functions by the state that they use, and keywords that may precede a parenthesis."""
 
 
 def _words(text: str) -> frozenset[str]:
@@ -46,7 +46,7 @@
 )
 
 CONNECTION_FUNCTIONS = frozenset({"last_insert_id", "row_count", "found_rows"})
-"""Functions whose value belongs to the back-end connection of the statement before."""
+"""Functions whose value depends on the previous statement of the back-end connection."""
 
 LOCK_FUNCTIONS = frozenset({"get_lock", "release_lock", "release_all_locks"})
-"""Functions whose effect would outlive the statement on a shared back-end connection."""
+"""Functions whose locks would outlive the statement on a shared back-end connection."""
--- a/src/bramblebeam/core/routing/pinned.py
+++ b/src/bramblebeam/core/routing/pinned.py
@@ -1,7 +1,7 @@
-"""Carries one statement inside a transaction, on the connection the transaction is pinned to.
+"""Executes one statement in a transaction, on the connection that the transaction is pinned to.
 
-Nothing moves to another instance. A transaction whose connection is lost before its COMMIT was
-sent surely does not happen; a COMMIT without an answer is in doubt.
+Statements are never moved to another instance. A transaction whose connection is lost before its
+COMMIT was sent is certainly rolled back; a COMMIT without a reply has an uncertain outcome.
 """
 
 from typing import Any
@@ -34,7 +34,7 @@
 
 
 class PinnedExecution:
-    """One statement of an open transaction, its COMMIT or its ROLLBACK.
+    """Executes a statement of an open transaction, its COMMIT or its ROLLBACK.
 
     Raises ValueError for a session without a transaction.
     """
@@ -51,22 +51,22 @@
         self._wakeup: float | None = None
 
     def next_wakeup(self) -> float | None:
-        """Return when `Wakeup` is due (seconds), or None."""
+        """Return when to deliver `Wakeup` (seconds), or None."""
         return self._wakeup
 
     def handle(self, event: Any, now: float) -> list[Effect]:
-        """Take one event at time `now` (seconds); return the effects in order."""
+        """Process an event at time `now` (seconds); return the effects in order."""
         self._wakeup = None
         match event:
             case Started():
                 return self._start()
             case Answered(reply):
-                return self._answered(reply)
+                return self._handle_reply(reply)
             case AttemptFailed(sent, detail):
                 return self._failed(sent, detail, now)
             case Wakeup() | GroupUpdated():
-                return self._ask_again(now)
-        raise TypeError(f"{type(event).__name__} is no event of a pinned execution")
+                return self._request_lost_reply(now)
+        raise TypeError(f"a pinned execution does not handle {type(event).__name__}")
 
     @property
     def _commits(self) -> bool:
@@ -93,26 +93,26 @@
             SendRequest(transaction.node, self._request, limit.deadline_ms / 1_000 + REPLY_MARGIN)
         ]
 
-    def _answered(self, reply: ExecuteReply) -> list[Effect]:
+    def _handle_reply(self, reply: ExecuteReply) -> list[Effect]:
         if self._request is None or reply.request != self._request.request:
             return []
         if reply.status is not None:
             self._directory.observe(reply.status)
         if reply.refusal is not None:
-            return self._refused(reply, reply.refusal)
+            return self._handle_refusal(reply, reply.refusal)
         if self._commits:
-            return self._committed(reply)
+            return self._handle_commit(reply)
         if not reply.in_transaction:
             self._session.transaction = None
         return self._finish(reply, None)
 
-    def _committed(self, reply: ExecuteReply) -> list[Effect]:
+    def _handle_commit(self, reply: ExecuteReply) -> list[Effect]:
         self._session.transaction = None
         group = self._transaction.group
         term = self._term_of(reply)
         if reply.position != ZERO_POSITION and term < self._directory.highest_term(group):
             detail = "the primary was replaced while the transaction committed"
-            return self._doubt(Refusal(Verdict.UNKNOWN, Reason.STALE_TERM, detail))
+            return self._finish_uncertain(Refusal(Verdict.UNKNOWN, Reason.STALE_TERM, detail))
         if reply.position != ZERO_POSITION or self._statement.implicit_commit:
             self._session.wrote(group, reply.position)
         return self._finish(reply, None)
@@ -121,23 +121,23 @@
         assert self._request is not None
         return answer_term(reply, self._request)
 
-    def _refused(self, reply: ExecuteReply, refusal: Refusal) -> list[Effect]:
-        in_doubt = refusal.verdict is not Verdict.NOT_RUN
-        if refusal.reason is Reason.BACKEND_ERROR and not in_doubt:
+    def _handle_refusal(self, reply: ExecuteReply, refusal: Refusal) -> list[Effect]:
+        is_uncertain = refusal.verdict is not Verdict.NOT_RUN
+        if refusal.reason is Reason.BACKEND_ERROR and not is_uncertain:
             if not reply.in_transaction:
                 self._session.transaction = None
             return self._finish(None, refusal)
-        return self._lost(refusal)
+        return self._finish_lost(refusal)
 
-    def _lost(self, refusal: Refusal) -> list[Effect]:
-        """The transaction is gone; only a COMMIT that may have been carried out is in doubt."""
+    def _finish_lost(self, refusal: Refusal) -> list[Effect]:
+        """End a lost transaction; only a COMMIT that may have run has an uncertain outcome."""
         if self._commits and refusal.verdict is not Verdict.NOT_RUN:
-            return self._doubt(refusal)
+            return self._finish_uncertain(refusal)
         self._session.transaction = None
         transaction = self._transaction
         abandon = Abandon(transaction.node, transaction.instance, self._session.identifier)
         if self._statement.kind is StatementKind.ROLLBACK:
-            return [abandon, *self._finish(self._rolled_back(), None)]
+            return [abandon, *self._finish(self._rollback_reply(), None)]
         detail = refusal.detail or refusal.reason.name.lower()
         lost = Refusal(
             Verdict.NOT_RUN,
@@ -147,32 +147,32 @@
         )
         return [abandon, *self._finish(None, lost)]
 
-    def _doubt(self, refusal: Refusal) -> list[Effect]:
+    def _finish_uncertain(self, refusal: Refusal) -> list[Effect]:
         self._session.transaction = None
         self._session.doubted(self._transaction.group)
         return self._finish(None, refusal)
 
-    def _rolled_back(self) -> ExecuteReply:
-        """A transaction that cannot commit any more is rolled back, whoever does it."""
+    def _rollback_reply(self) -> ExecuteReply:
+        """Return a success reply: a transaction that can no longer commit is rolled back."""
         assert self._request is not None
         return ExecuteReply(self._request.request)
 
     def _failed(self, sent: bool, detail: str, now: float) -> list[Effect]:
         if not sent and self._lost_at is None:
-            return self._lost(Refusal(Verdict.NOT_RUN, Reason.CONNECTION_LOST, detail))
+            return self._finish_lost(Refusal(Verdict.NOT_RUN, Reason.CONNECTION_LOST, detail))
         if self._lost_at is None:
             self._lost_at = now
-            return self._ask_again(now)
+            return self._request_lost_reply(now)
         self._wakeup = now + REPEAT_INTERVAL
         return [Hold(self._transaction.group, refresh=False)]
 
-    def _ask_again(self, now: float) -> list[Effect]:
+    def _request_lost_reply(self, now: float) -> list[Effect]:
         assert self._request is not None
         lost_for = 0.0 if self._lost_at is None else now - self._lost_at
         transaction = self._transaction
         if lost_for >= REPEAT_WINDOW or self._directory.is_dead(transaction.node):
             detail = "the answer was lost"
-            return self._lost(Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST, detail))
+            return self._finish_lost(Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST, detail))
         return [SendRequest(transaction.node, repeated(self._request), REPEAT_WINDOW - lost_for)]
 
     def _finish(self, reply: ExecuteReply | None, refusal: Refusal | None) -> list[Effect]:
--- a/src/bramblebeam/core/routing/retry.py
+++ b/src/bramblebeam/core/routing/retry.py
@@ -1,4 +1,4 @@
-"""When a statement that surely did not run may be asked again."""
+"""Controls when a statement that certainly did not run may be retried."""
 
 from bramblebeam.core.identity import GroupId
 from bramblebeam.core.routing.attempt import RECHECK_INTERVAL, Attempt
@@ -9,7 +9,7 @@
 
 
 class RetryGate:
-    """The retries of one statement: within the node's budget, and not the same primary at once."""
+    """Limits a statement's retries to the node's budget and delays those at the same primary."""
 
     __slots__ = ("_budget", "_directory", "_group", "_not_before", "_refused_by", "_term")
 
@@ -22,9 +22,9 @@
         self._not_before = 0.0
 
     def take(self, now: float) -> bool:
-        """Take a retry from the budget at time `now` (seconds).
+        """Take a retry at time `now` (seconds); return False if the budget is exhausted.
 
-        The first one, and the first after a change of term, are free.
+        The first retry and the first one after a change of term do not use the budget.
         """
         term = self._directory.highest_term(self._group)
         if term != self._term:
@@ -33,15 +33,15 @@
         return self._budget.take(now)
 
     def record_refusal(self, attempt: Attempt) -> None:
-        """Remember the primary that refused."""
+        """Record the primary that refused."""
         self._refused_by = attempt
 
     def back_off(self, now: float) -> None:
-        """Ask again after the interval at the earliest, unless the primary changes."""
+        """Delay the next attempt by RECHECK_INTERVAL unless the primary changes earlier."""
         self._not_before = now + RECHECK_INTERVAL
 
     def is_open(self, now: float) -> bool:
-        """Whether the statement may ask now."""
+        """Whether the statement may be attempted now."""
         return now >= self._not_before or self._primary_changed()
 
     def _primary_changed(self) -> bool:
--- a/src/bramblebeam/core/routing/shape.py
+++ b/src/bramblebeam/core/routing/shape.py
@@ -1,4 +1,4 @@
-"""The shape of a statement: its text without literals and comments, the key of cached parses."""
+"""Statement shapes: texts without literals and comments, which key the classification cache."""
 
 import re
 
@@ -24,9 +24,9 @@
 
 
 def request_hint(sql: str) -> str | None:
-    """Return what a comment `/* bramblebeam_request=ID */` holds as id, or None.
+    """Return the ID from a comment `/* bramblebeam_request=ID */`, or None.
 
-    Text inside a literal is no comment: data must not name a request.
+    Literals are skipped, so that data cannot set a request id.
     """
     if _HINT_NAME not in sql:
         return None
@@ -38,7 +38,7 @@
 
 
 def is_request_id(text: str) -> bool:
-    """Whether a request's id has 1 to 128 letters, digits or signs of `_.:+/@-`."""
+    """Whether a request id consists of 1 to 128 letters, digits or characters of `_.:+/@-`."""
     return _REQUEST_ID.fullmatch(text) is not None
 
 
--- a/src/bramblebeam/core/statement.py
+++ b/src/bramblebeam/core/statement.py
@@ -1,6 +1,6 @@
-"""Messages of the statement path: an edge to the owner of a back end's connections, and back.
+"""Messages between an edge and the node that owns a back end's connections.
 
-Nested records are named tuples: they travel as plain arrays.
+Nested records are named tuples, which the codec encodes as plain arrays.
 """
 
 from dataclasses import dataclass
@@ -20,26 +20,26 @@
 
 
 class StatementKind(IntEnum):
-    """What a statement needs of the back end."""
+    """How the back end has to run a statement."""
 
     READ = 1
-    """Changes nothing; may run on a replica and may be repeated."""
+    """Modifies nothing; may run on a replica and may be repeated."""
     WRITE = 2
-    """Anything that is not surely a read; runs on the primary only, never repeated blindly."""
+    """Anything not proven to be a read; runs on the primary only and is never repeated blindly."""
     BEGIN = 3
     COMMIT = 4
     ROLLBACK = 5
 
 
 class RequestId(NamedTuple):
-    """Names one request for as long as it may be asked again: (edge's session, its sequence)."""
+    """Identifies a request for as long as it may be resent: the edge's session and its sequence."""
 
     session: str
     sequence: int
 
 
 class ColumnSpec(NamedTuple):
-    """One column of a result: its name and MySQL type code."""
+    """Name and MySQL type code of a result column."""
 
     name: str
     type_code: int
@@ -47,10 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStatus:
-    """Live state of one back end, as its owner last saw it.
+    """State of a back end as last observed by its owner.
 
-    `applied` is what a read there sees at least; `last` the end of its log. `lag_ms` is how far
-    the applied state is behind the primary in time (milliseconds, an upper bound).
+    `applied`: the position that a read there reflects at least. `last`: the end of its log.
+    `lag_ms`: upper bound of how far the applied state lags the primary (milliseconds).
     """
 
     instance: InstanceId
@@ -68,20 +68,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ExecuteRequest:
-    """Run one statement on one back end.
+    """Run a statement on a back end.
 
     `floor`: a read runs only where the applied position is at or past it.
-    `staleness_ms`: a read runs only where the lag is within it (-1: no bound).
+    `staleness_ms`: a read runs only where the lag does not exceed it (-1: no bound).
     `wait_ms`: how long the owner may wait for a slot or for the floor to be reached.
-    `deadline_ms`: time left for the whole request, counted from arrival (milliseconds).
-    `transaction`: empty, or the edge's name of the transaction the statement belongs to; the
-    statements of one transaction run on one connection that no other session uses meanwhile.
-    `minimum_term`: the highest term the edge knows of; a back end at a lower term must not answer.
-    `caller_request`: empty, or the caller's own request id, kept in the database.
-    `repeat`: the request was sent to this owner before and its answer was lost. An owner that does
-    not remember the id must not run it, and answers with verdict UNKNOWN.
-    `session_name`: the name by which the caller's session roams, empty for none. None: the edge
-    does not tell.
+    `deadline_ms`: time left for the whole request, from its arrival (milliseconds).
+    `transaction`: the edge's name of the transaction that the statement belongs to, or empty. A
+    transaction's statements run on one connection, which no other session uses meanwhile.
+    `minimum_term`: the highest term the edge knows of; a back end at a lower term must not reply.
+    `caller_request`: the caller's own request id, which is stored in the database, or empty.
+    `repeat`: the request was sent to this owner before and the reply was lost. An owner that no
+    longer has the request id must not run it and replies with verdict UNKNOWN.
+    `session_name`: name of the caller's roaming session, empty for none. None: not reported by
+    the edge.
     """
 
     request: RequestId
@@ -103,10 +103,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ExecuteReply:
-    """The whole answer of a statement, or its refusal, or the head of a streamed result.
+    """The complete result of a statement, its refusal, or the head of a streamed result.
 
-    A write's `position` is its commit's. For a read, `position` is a lower bound of what was read.
-    Where `more` is set, the rest of the rows are fetched by `FetchRequest` under the same id.
+    `position`: a write's commit position; for a read, a lower bound of the state it reflects.
+    `more`: the remaining rows have to be fetched with `FetchRequest` under the same request id.
     """
 
     request: RequestId
@@ -123,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchRequest:
-    """Ask for the next rows of a streamed result (`cancel`: give it up and free the slot)."""
+    """Fetch the next rows of a streamed result; `cancel`: discard the rest and release the slot."""
 
     request: RequestId
     instance: InstanceId
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AbandonRequest:
-    """The caller is gone: cancel what runs for this session and roll its transaction back."""
+    """Cancel the session's running statements and roll back its transaction: the caller is gone."""
 
     session: str
     instance: InstanceId
@@ -140,10 +140,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PositionRequest:
-    """Ask an instance's owner for a position to use as a session's floor.
+    """Request a position from an instance's owner to use as the floor of sessions.
 
-    The owner asks the primary to confirm under a majority of the group for its term. `sessions`:
-    names of sessions, each of which needs no more than its own acknowledged writes covered.
+    The owner has the primary confirm its term with a majority of the group. `sessions`: names of
+    sessions, each of which only needs a floor that covers its own acknowledged writes.
     """
 
     instance: InstanceId
@@ -152,10 +152,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PositionReply:
-    """The confirmed position, or why there is none.
+    """The confirmed position, or the refusal.
 
-    `floors`: for each session of the question a position that covers its writes, in order; empty
-    from an owner that knows none.
+    `floors`: for each requested session, in order, a position that covers its writes; empty from
+    an owner that knows none.
     """
 
     instance: InstanceId
@@ -166,9 +166,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscribeRequest:
-    """Ask an instance's owner to push `InstanceStatus` on each change of term, role or leaving.
+    """Subscribe to `InstanceStatus` pushes on each change of term, role or `leaving`.
 
-    Renewed by the edge every few seconds while it uses the instance; lapses by itself.
+    The edge renews the subscription every few seconds while it uses the instance; otherwise it
+    expires.
     """
 
     instance: InstanceId
@@ -176,7 +177,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscribeReply:
-    """The instance's status now; `owned` tells whether the asked node owns it."""
+    """The instance's current status; `owned`: whether the queried node owns the instance."""
 
     instance: InstanceId
     owned: bool
--- a/src/bramblebeam/core/tenants.py
+++ b/src/bramblebeam/core/tenants.py
@@ -1,6 +1,6 @@
-"""Tenants: who may use the databases, by which keys, and how much.
+"""Tenants, their API keys and their rate limits.
 
-A key is known by its digest only: it can't be told by a log, by a metric or by another node.
+Only digests of keys are kept, so that keys cannot leak through logs, metrics or other nodes.
 """
 
 import hashlib
@@ -8,32 +8,32 @@
 from typing import NamedTuple, NewType
 
 TenantId = NewType("TenantId", str)
-"""Name of one tenant, as databases and operators know it."""
+"""Name of a tenant, as used by databases and operators."""
 
 KeyDigest = NewType("KeyDigest", str)
-"""What a key is known by inside: a one-way digest of it."""
+"""One-way digest that represents an API key."""
 
 NO_TENANT = TenantId("gateway")
-"""Whose connections are where the configuration knows no tenants, or a route is open to anybody."""
+"""Tenant of connections where no tenants are configured or the route is public."""
 
 _DIGEST_BYTES = 16
 _SHOWN_DIGITS = 8
 
 
 def digest_of(key: str) -> KeyDigest:
-    """Return the digest of a key. Keys are long and random, so that no salt is needed."""
+    """Return the digest of a key; unsalted, since keys are long and random."""
     return KeyDigest(hashlib.blake2b(key.encode(), digest_size=_DIGEST_BYTES).hexdigest())
 
 
 def short_digest(key: KeyDigest) -> str:
-    """Return enough of a digest to tell sessions apart in a log."""
+    """Return a prefix of a digest, long enough to distinguish sessions in logs."""
     return key[:_SHOWN_DIGITS]
 
 
 class RateLimit(NamedTuple):
-    """How many operations a tenant may begin, over all nodes together.
+    """A tenant's limit on started operations, summed over all nodes.
 
-    `rate`: operations a second. `burst`: operations that may begin at once after a rest.
+    `rate`: operations a second. `burst`: operations that may start at once after an idle period.
     """
 
     rate: float
@@ -41,7 +41,7 @@
 
 
 class Tenant(NamedTuple):
-    """One tenant. Without keys nobody is let in for it. `limit` None: it has none."""
+    """A tenant. Without keys it admits no caller. `limit` None: unlimited."""
 
     name: TenantId
     keys: tuple[KeyDigest, ...]
@@ -49,9 +49,10 @@
 
 
 class TenantTable:
-    """Every tenant of a configuration, found by name or by the digest of a key.
+    """The tenants of a configuration, indexed by name and by key digest.
 
-    Raises ValueError where a name or a key stands twice; the text never holds the key.
+    Raises ValueError for a duplicate name or a key shared by tenants; the message never contains
+    the key.
     """
 
     def __init__(self, tenants: Iterable[Tenant] = ()) -> None:
@@ -63,13 +64,13 @@
 
     def _add(self, tenant: Tenant) -> None:
         if tenant.name in self.by_name:
-            raise ValueError(f"tenant {tenant.name}: the name stands twice")
+            raise ValueError(f"tenant {tenant.name}: duplicate name")
         self.by_name[tenant.name] = tenant
         self.has_limits = self.has_limits or tenant.limit is not None
         for key in tenant.keys:
             other = self._by_key.setdefault(key, tenant)
             if other is not tenant:
-                raise ValueError(f"tenant {tenant.name}: it shares a key with {other.name}")
+                raise ValueError(f"tenant {tenant.name}: shares a key with tenant {other.name}")
 
     def __eq__(self, other: object) -> bool:
         return isinstance(other, TenantTable) and self.by_name == other.by_name
@@ -81,11 +82,11 @@
         return self._by_key.get(key)
 
     def may_have_limit(self, tenant: TenantId) -> bool:
-        """Whether a tenant has a limit, or is not known here: other tables may have one for it."""
+        """Whether a tenant has a limit or is not listed here: another table may limit it."""
         found = self.by_name.get(tenant)
         return tenant != NO_TENANT if found is None else found.limit is not None
 
     def limit(self, tenant: TenantId) -> RateLimit | None:
-        """Return a tenant's limit; None: it has none, or there is no such tenant."""
+        """Return a tenant's limit, or None if it is unlimited or unknown."""
         found = self.by_name.get(tenant)
         return None if found is None else found.limit
--- a/src/bramblebeam/core/verdict.py
+++ b/src/bramblebeam/core/verdict.py
@@ -1,22 +1,22 @@
-"""Verdicts: whether a request that got no ordinary answer may have run."""
+"""Verdicts on whether a refused or failed request may have run, and the reasons."""
 
 from enum import IntEnum
 from typing import NamedTuple
 
 
 class Verdict(IntEnum):
-    """What is known of a request that failed."""
+    """What is known about the execution of a failed request."""
 
     NOT_RUN = 1
-    """It did not happen and cannot happen any more. It may be repeated."""
+    """It did not run and can no longer run. It may be repeated."""
     RAN = 2
-    """It happened; its result may be lost. It must not be repeated."""
+    """It ran; its result may be lost. It must not be repeated."""
     UNKNOWN = 3
-    """It may have happened. Only a request that is harmless to repeat may be repeated."""
+    """It may have run. It may be repeated only if it is idempotent."""
 
 
 class Reason(IntEnum):
-    """Why a request was refused or failed. Each has one MySQL error code (see docs/errors.md)."""
+    """Why a request was refused or failed. Each maps to a MySQL error code (see docs/errors.md)."""
 
     QUEUE_FULL = 1
     QUEUE_TIMEOUT = 2
@@ -43,10 +43,10 @@
 
 
 class Refusal(NamedTuple):
-    """The final word on a request that has no ordinary answer.
+    """The final outcome of a request that was refused or failed.
 
-    `retry_after_ms` is when the caller may come back (milliseconds; 0: at once).
-    `code` and `sqlstate` are set only for BACKEND_ERROR: the back end's own words.
+    `retry_after_ms`: when the caller may retry (milliseconds; 0: immediately).
+    `code` and `sqlstate`: the back end's error; set only for BACKEND_ERROR.
     """
 
     verdict: Verdict
@@ -58,5 +58,5 @@
 
     @property
     def may_retry(self) -> bool:
-        """Whether any request, also one that may not run twice, may be sent again."""
+        """Whether the request may be resent even if it must not run twice."""
         return self.verdict is Verdict.NOT_RUN
--- a/src/bramblebeam/platform/eras.py
+++ b/src/bramblebeam/platform/eras.py
@@ -27,7 +27,7 @@
 class StoreEras:
     """The newest era that any answer to this node told; one that tells an older one comes late.
 
-    If all tell an older one for ERA_SILENCE_SECONDS the newest was none: a single bad answer must
+    If all tell an older one for ERA_EXPIRY_SECONDS the newest was none: a single bad answer must
     not make the store unusable. `now`: the steady clock (seconds).
     """
 
--- a/tests/membership_network.py
+++ b/tests/membership_network.py
@@ -1,4 +1,4 @@
-"""Networks of membership machines for the tests, and what their nodes agree on."""
+"""Simulated networks of membership machines, and predicates on their views."""
 
 from bramblebeam.core.identity import NodeId
 from bramblebeam.core.membership.timing import MembershipTiming
@@ -19,7 +19,7 @@
     loss: float = 0.0,
     timing: MembershipTiming | None = None,
 ) -> VirtualNetwork:
-    """Return a network whose nodes know each other from the start."""
+    """Return a network whose nodes initially know each other."""
     network = VirtualNetwork(seed, timing, loss)
     specs = [
         make_spec(f"{zone}{n}", zone, REGION_OF[zone], ord(zone) * 1000 + n)
@@ -39,10 +39,10 @@
     }
 
 
-def agreed(network: VirtualNetwork) -> bool:
-    """Every living node sees exactly the living nodes, as alive."""
-    living = {node.spec.node: MemberState.ALIVE for node in network.living()}
-    return all(states(node) == living for node in network.living())
+def has_converged(network: VirtualNetwork) -> bool:
+    """Whether each running node sees exactly the running nodes, as alive."""
+    running = {node.spec.node: MemberState.ALIVE for node in network.living()}
+    return all(states(node) == running for node in network.living())
 
 
 def dead_everywhere(network: VirtualNetwork, name: str) -> bool:
--- a/tests/revisions.py
+++ b/tests/revisions.py
@@ -1,8 +1,8 @@
-"""Revisions of the store in tests."""
+"""Constructor of store revisions for tests."""
 
 from bramblebeam.core.revision import Revision
 
 
 def at(number: int, era: int = 0) -> Revision:
-    """Return a change of the store by its number, in the first era where nothing else is said."""
+    """Return the revision with this number, by default in the first era."""
     return Revision(era, number)
--- a/tests/test_edge_classify.py
+++ b/tests/test_edge_classify.py
@@ -1,4 +1,4 @@
-"""Statement classes: what is not surely a read is a write."""
+"""Statement classification, request hints and causal tokens."""
 
 import pytest
 from hypothesis import given
@@ -52,13 +52,13 @@
 
 
 @pytest.mark.parametrize(("sql", "action"), CASES.items())
-def test_class_of(sql: str, action: Action) -> None:
+def test_classification(sql: str, action: Action) -> None:
     classifier = Classifier()
     assert classifier.classify(sql).action is action
     assert classifier.classify(sql.lower()).action is action
 
 
-def test_functions_of_the_connection_need_a_transaction() -> None:
+def test_connection_functions_need_a_transaction() -> None:
     classifier = Classifier()
     assert classifier.classify("INSERT INTO t SELECT LAST_INSERT_ID()").needs_connection
     assert classifier.classify("SELECT @x FROM t").needs_connection
@@ -66,13 +66,13 @@
 
 
 @given(st.text(max_size=30))
-def test_a_literal_never_changes_the_shape(text: str) -> None:
+def test_literal_does_not_change_shape(text: str) -> None:
     quoted = "'" + text.replace("\\", "\\\\").replace("'", "''") + "'"
     assert shape_of(f"SELECT a FROM t WHERE b = {quoted}") == "SELECT a FROM t WHERE b = ?"
 
 
 @given(st.text(max_size=60))
-def test_no_text_breaks_the_classifier(text: str) -> None:
+def test_arbitrary_text_is_classified(text: str) -> None:
     assert Classifier().classify(text).action in Action
     assert Classifier().classify("SELECT " + text).action in Action
 
@@ -82,7 +82,7 @@
     assert request_hint("UPDATE t SET a = 1") is None
 
 
-def test_a_literal_names_no_request() -> None:
+def test_request_hint_in_literal_is_ignored() -> None:
     assert request_hint("UPDATE t SET a = '/* bramblebeam_request=x */'") is None
     assert request_hint('UPDATE t SET a = "/* bramblebeam_request=x */"') is None
     assert request_hint("UPDATE t SET a = '\\'/* bramblebeam_request=x */'") is None
@@ -91,12 +91,12 @@
 @pytest.mark.parametrize(
     ("text", "valid"), [("a" * 128, True), ("a" * 129, False), ("a b", False), ("", False)]
 )
-def test_request_id_is_checked(text: str, valid: bool) -> None:
+def test_request_id_validation(text: str, valid: bool) -> None:
     assert is_request_id(text) is valid
 
 
 @given(st.dictionaries(st.text(min_size=1, max_size=9), st.integers(1, 10**9), max_size=5))
-def test_token_survives_its_text_form(groups: dict[str, int]) -> None:
+def test_token_round_trip(groups: dict[str, int]) -> None:
     token = CausalToken({GroupId(name): Position(3, at) for name, at in groups.items()})
     decoded = decode_token(token.encode()).ok
     assert {group: decoded.position(group) for group in decoded} == {
@@ -107,11 +107,11 @@
 @pytest.mark.parametrize(
     "text", ["x", "a=1", "a=1.x", "a=-1.2", "=1.2", "a=1.2;b=1.2", "a" * 5_000]
 )
-def test_malformed_token_is_refused(text: str) -> None:
+def test_malformed_token_is_rejected(text: str) -> None:
     assert decode_token(text).is_error()
 
 
-def test_positions_only_grow() -> None:
+def test_token_positions_do_not_decrease() -> None:
     token = CausalToken()
     token.advance(GroupId("g"), Position(2, 5))
     token.advance(GroupId("g"), Position(1, 9))
--- a/tests/test_edge_execution.py
+++ b/tests/test_edge_execution.py
@@ -1,4 +1,4 @@
-"""Statements' machines in virtual time, against a group that fails by a seeded plan."""
+"""Statement execution in virtual time against a simulated group with seeded faults."""
 
 import random
 from collections import Counter
@@ -59,15 +59,15 @@
 
 
 @dataclass
-class World:
-    """A group with one log. Its log, terms and memory of requests are the truth."""
+class SimulatedGroup:
+    """A simulated group; its log, terms and executed requests are the reference for checks."""
 
-    chance: random.Random
+    rng: random.Random
     term: int = 1
     primary: InstanceId = P
     log: list[RequestId] = field(default_factory=list)
     applied: dict[InstanceId, int] = field(default_factory=lambda: dict.fromkeys(INSTANCES, 0))
-    remembered: dict[RequestId, ExecuteReply] = field(default_factory=dict)
+    replies: dict[RequestId, ExecuteReply] = field(default_factory=dict)
     executed: dict[RequestId, int] = field(default_factory=dict)
     now: float = 0.0
 
@@ -76,33 +76,33 @@
         return status(instance, Position(self.term, self.applied[instance]), role)
 
     def step(self) -> None:
-        self.now += self.chance.uniform(0.001, 0.02)
-        replica = self.chance.choice(INSTANCES)
-        if self.chance.random() < 0.7:
+        self.now += self.rng.uniform(0.001, 0.02)
+        replica = self.rng.choice(INSTANCES)
+        if self.rng.random() < 0.7:
             self.applied[replica] = len(self.log)
-        if self.chance.random() < 0.03:
+        if self.rng.random() < 0.03:
             self.term += 1
-            self.primary = self.chance.choice(INSTANCES)
+            self.primary = self.rng.choice(INSTANCES)
         self.applied[self.primary] = len(self.log)
 
-    def ask(self, ask: SendRequest) -> Any:
-        """Carry out a request; its message or answer may be lost, its owner may forget."""
-        request = ask.request
-        fate = self.chance.random()
-        if fate < 0.05:
+    def execute(self, effect: SendRequest) -> Any:
+        """Run a request; it or its reply may be lost, and stored replies may be evicted."""
+        request = effect.request
+        draw = self.rng.random()
+        if draw < 0.05:
             return AttemptFailed(sent=False)
-        if request.repeat and fate < 0.3:
-            self.remembered.pop(request.request, None)
-        reply = self.remembered.get(request.request)
+        if request.repeat and draw < 0.3:
+            self.replies.pop(request.request, None)
+        reply = self.replies.get(request.request)
         if reply is None and request.repeat:
             reply = ExecuteReply(request.request, Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST))
         if reply is None:
-            reply = self._run(ask)
-            self.remembered[request.request] = reply
-        return AttemptFailed(sent=True) if 0.3 < fate < 0.4 else Answered(reply)
+            reply = self._run(effect)
+            self.replies[request.request] = reply
+        return AttemptFailed(sent=True) if 0.3 < draw < 0.4 else Answered(reply)
 
-    def _run(self, ask: SendRequest) -> ExecuteReply:
-        request, instance = ask.request, ask.request.instance
+    def _run(self, effect: SendRequest) -> ExecuteReply:
+        request, instance = effect.request, effect.request.instance
         now = self.status(instance)
         if request.kind is StatementKind.READ:
             if self.applied[instance] < request.floor.offset:
@@ -119,53 +119,55 @@
         position = Position(self.term, len(self.log))
         return ExecuteReply(request.request, position=position, status=self.status(instance))
 
-    def confirm(self, ask: RequestPosition) -> Any:
-        if self.chance.random() < 0.1:
+    def confirm(self, effect: RequestPosition) -> Any:
+        if self.rng.random() < 0.1:
             return AttemptFailed(sent=True)
-        instance = ask.request.instance
+        instance = effect.request.instance
         if instance != self.primary:
             refusal = Refusal(Verdict.NOT_RUN, Reason.STALE_TERM)
             return PositionAnswered(PositionReply(instance, refusal=refusal))
         return PositionAnswered(PositionReply(instance, Position(self.term, len(self.log))))
 
 
-def carry(world: World, machine: Execution, directory: Directory) -> tuple[Finish, list[RequestId]]:
-    """Drive a statement to its end; return it with the requests that were sent."""
+def run_statement(
+    group: SimulatedGroup, machine: Execution, directory: Directory
+) -> tuple[Finish, list[RequestId]]:
+    """Run a statement to its end; return the outcome and the ids of the requests sent."""
     sent: list[RequestId] = []
     event: Any = Started()
     for _ in range(10_000):
-        for effect in machine.handle(event, world.now):
+        for effect in machine.handle(event, group.now):
             match effect:
                 case Finish():
                     return effect, sent
                 case SendRequest():
-                    world.step()
+                    group.step()
                     sent.append(effect.request.request)
-                    event = world.ask(effect)
-                    world.step()
+                    event = group.execute(effect)
+                    group.step()
                 case RequestPosition():
-                    world.step()
-                    event = world.confirm(effect)
+                    group.step()
+                    event = group.confirm(effect)
                 case Hold():
-                    event = _held(world, machine, directory)
-    raise AssertionError("the statement never ended")
+                    event = _wait(group, machine, directory)
+    raise AssertionError("the statement did not finish")
 
 
-def _held(world: World, machine: Execution, directory: Directory) -> Any:
-    world.step()
-    if world.chance.random() < 0.5:
+def _wait(group: SimulatedGroup, machine: Execution, directory: Directory) -> Any:
+    group.step()
+    if group.rng.random() < 0.5:
         for instance in INSTANCES:
-            directory.observe(world.status(instance))
+            directory.observe(group.status(instance))
         return GroupUpdated()
     wakeup = machine.next_wakeup()
     assert wakeup is not None
-    world.now = max(world.now, wakeup)
+    group.now = max(group.now, wakeup)
     return Wakeup()
 
 
-def violations(seed: int) -> Counter[str]:
-    """Run sessions that roam over three nodes; count what must never happen, and what did."""
-    world = World(random.Random(seed))
+def count_violations(seed: int) -> Counter[str]:
+    """Run sessions that roam over three nodes; count operations and broken invariants."""
+    group = SimulatedGroup(random.Random(seed))
     nodes = [new_directory() for _ in range(3)]
     acknowledged: dict[str, int] = {}
     budget = RetryBudget()
@@ -176,12 +178,12 @@
     ]
     counts: Counter[str] = Counter()
     for _ in range(250):
-        session, directory = world.chance.choice(sessions)
-        statement = READ if world.chance.random() < 0.6 else WRITE
+        session, directory = group.rng.choice(sessions)
+        statement = READ if group.rng.random() < 0.6 else WRITE
         required = acknowledged.get(session.roaming_name, 0)
         machine = Execution(session, statement, directory, budget)
-        finish, sent = carry(world, machine, directory)
-        runs = sum(world.executed.get(request, 0) for request in set(sent))
+        finish, sent = run_statement(group, machine, directory)
+        runs = sum(group.executed.get(request, 0) for request in set(sent))
         if statement is READ and finish.reply is not None:
             counts["reads"] += 1
             counts["missed own write"] += finish.reply.position.offset < required
@@ -207,28 +209,28 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_invariants_hold_under_seeded_faults(seed: int) -> None:
-    counts = violations(seed)
+    counts = count_violations(seed)
     assert {name: counts[name] for name in INVARIANTS} == dict.fromkeys(INVARIANTS, 0)
     assert counts["reads"] > 50
     assert counts["writes"] > 20
 
 
-def test_roaming_without_a_confirmed_floor_would_be_seen(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_missing_floor_confirmation_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Session, "must_confirm", lambda session, group: False)
-    assert sum(violations(seed)["missed own write"] for seed in range(5)) > 0
+    assert sum(count_violations(seed)["missed own write"] for seed in range(5)) > 0
 
 
-def test_repeating_a_write_blindly_would_be_seen(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_blind_repeat_of_write_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     failed = Execution._failed
 
-    def forgetful(machine: Execution, sent: bool, detail: str, now: float) -> Any:
+    def treat_as_not_sent(machine: Execution, sent: bool, detail: str, now: float) -> Any:
         return failed(machine, False, detail, now)
 
-    monkeypatch.setattr(Execution, "_failed", forgetful)
-    assert sum(violations(seed)["ran twice"] for seed in range(5)) > 0
+    monkeypatch.setattr(Execution, "_failed", treat_as_not_sent)
+    assert sum(count_violations(seed)["ran twice"] for seed in range(5)) > 0
 
 
-def test_lost_answer_is_asked_of_the_former_owner_until_it_is_dead() -> None:
+def test_lost_reply_is_requested_from_former_owner_until_it_is_dead() -> None:
     directory = new_directory()
     directory.observe(status(P, Position(1, 5), Role.PRIMARY))
     machine = Execution(Session("s", SERVICE, GROUP), WRITE, directory, RetryBudget())
@@ -266,7 +268,7 @@
 
 
 @pytest.mark.parametrize("changes", [{"lag_ms": 6_000}, {"leaving": True}, {"reachable": False}])
-def test_unfit_replica_gets_no_reads(changes: dict[str, Any]) -> None:
+def test_unusable_replica_gets_no_reads(changes: dict[str, Any]) -> None:
     directory = new_directory()
     directory.observe(status(R1, Position(1, 5), **changes))
     directory.observe(status(R2, Position(1, 5)))
@@ -277,7 +279,7 @@
         assert chosen is not None and chosen.instance == R2
 
 
-def test_replica_that_kept_a_read_waiting_is_passed_over_for_a_while() -> None:
+def test_replica_is_skipped_for_a_while_after_floor_timeout() -> None:
     directory = new_directory()
     directory.observe(status(P, Position(1, 9), Role.PRIMARY))
     directory.observe(status(R1, Position(1, 5)))
@@ -292,11 +294,11 @@
         return {replica.instance for replica in replicas if replica is not None}
 
     assert chosen(Position(1, 9), 10.1) == {R2}
-    assert chosen(Position(1, 5), 10.1) == {R1, R2}, "it has applied what this read needs"
+    assert chosen(Position(1, 5), 10.1) == {R1, R2}, "R1 has applied the floor of this read"
     assert chosen(Position(1, 9), 10.0 + BEHIND_SECONDS) == {R1, R2}
 
 
-def test_late_status_of_a_replaced_primary_does_not_bring_it_back() -> None:
+def test_late_status_of_replaced_primary_is_ignored() -> None:
     directory = new_directory()
     directory.observe(status(P, Position(1, 9), Role.PRIMARY))
     directory.observe(status(R1, Position(2, 10), Role.PRIMARY))
@@ -314,7 +316,7 @@
     directory.observe(status(P, Position(1, 9), Role.PRIMARY, epoch=7, reachable=False))
     assert directory.primary(GROUP) is None
     directory.observe(status(P, Position(1, 9), Role.PRIMARY, epoch=2))
-    assert directory.primary(GROUP) is not None, "the back end restarted and counts anew"
+    assert directory.primary(GROUP) is not None, "epochs restart when the back end restarts"
 
 
 def test_owner_follows_the_members() -> None:
@@ -324,7 +326,7 @@
     assert directory.owner(P) is None
 
 
-def test_retry_budget_is_spent_and_earned_back() -> None:
+def test_retry_budget_is_drained_and_refilled() -> None:
     budget = RetryBudget()
     assert all(budget.take(0.0) for _ in range(int(CAPACITY)))
     assert not budget.take(0.0)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The membership machine in virtual time: joins, deaths, pauses, cuts, refutation, convergence."""
+"""The membership machine in virtual time: joins, failures, pauses, partitions and convergence."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from bramblebeam.core.membership.view import MemberState
 from bramblebeam.lab.simulator.virtual_members import VirtualNetwork, VirtualNode, make_spec
 from bramblebeam.platform.node import QUICK_TIMING
-from membership_network import REGION_OF, agreed, build, dead_everywhere, states
+from membership_network import REGION_OF, build, dead_everywhere, has_converged, states
 
 
 def in_zone(network: VirtualNetwork, zone: str) -> list[VirtualNode]:
@@ -22,20 +22,20 @@
     seeds = [Seed(spec.node, spec.peer_address) for spec in specs[:2]]
     for spec in specs:
         network.add(spec, seeds=seeds)
-    assert network.run_until(lambda: agreed(network), 60)
+    assert network.run_until(lambda: has_converged(network), 60)
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_dead_node_is_noticed_everywhere(seed: int) -> None:
+def test_dead_node_is_detected_everywhere(seed: int) -> None:
     network = build(seed, {"a": 20, "b": 5, "c": 5})
     network.run(5)
     network.kill(NodeId("a7"))
     assert network.run_until(lambda: dead_everywhere(network, "a7"), 10)
-    assert agreed(network)
+    assert has_converged(network)
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_lossy_network_kills_nobody(seed: int) -> None:
+def test_packet_loss_causes_no_false_deaths(seed: int) -> None:
     network = build(seed, {"a": 20, "b": 5}, loss=0.10)
     deaths = 0
     for _step in range(60):
@@ -59,22 +59,22 @@
             for node in network.living()
             for member in node.view.members.values()
         )
-    assert agreed(network)
+    assert has_converged(network)
 
 
-def test_long_pause_is_a_death_that_ends_with_a_higher_incarnation() -> None:
+def test_node_rejoins_with_higher_incarnation_after_long_pause() -> None:
     network = build(2, {"a": 10, "b": 3})
     network.run(3)
     network.pause(NodeId("a3"), 30)
     others = [node for node in network.living() if node.spec.node != "a3"]
-    gone = [NodeId("a3")]
-    assert network.run_until(lambda: all(g not in states(o) for o in others for g in gone), 15)
+    absent = [NodeId("a3")]
+    assert network.run_until(lambda: all(g not in states(o) for o in others for g in absent), 15)
     network.run(20)
-    assert network.run_until(lambda: agreed(network), 15)
+    assert network.run_until(lambda: has_converged(network), 15)
     assert others[0].view.members[NodeId("a3")].incarnation > 1
 
 
-def test_paused_node_suspects_nobody_when_it_wakes() -> None:
+def test_paused_node_suspects_no_member_on_wakeup() -> None:
     network = build(3, {"a": 10})
     network.run(3)
     network.pause(NodeId("a0"), 1.3)
@@ -83,7 +83,7 @@
     assert suspects == []
 
 
-def test_restarted_node_with_a_lower_incarnation_and_a_new_address() -> None:
+def test_node_restarts_with_lower_incarnation_and_new_address() -> None:
     network = build(4, {"a": 10, "b": 3})
     network.run(2)
     spec = make_spec("a4", "a", "west", 999_999)
@@ -91,14 +91,14 @@
     network.add(spec, seeds=[Seed(seed.node, seed.peer_address)], incarnation=0)
     assert network.run_until(
         lambda: (
-            agreed(network)
+            has_converged(network)
             and all(node.view.members[spec.node].spec == spec for node in network.living())
         ),
         20,
     )
 
 
-def test_leaving_node_loses_ownership_at_once_and_is_gone_after_its_farewell() -> None:
+def test_leaving_node_loses_ownership_and_is_dead_after_its_leave_announcement() -> None:
     network = build(5, {"a": 10, "b": 3})
     network.run(2)
     leaving = NodeId("a4")
@@ -112,7 +112,7 @@
     assert network.run_until(lambda: dead_everywhere(network, "a4"), 3)
 
 
-def test_leaving_node_that_dies_first_is_noticed() -> None:
+def test_failure_of_leaving_node_is_detected() -> None:
     network = build(6, {"a": 10})
     network.run(2)
     network.tell(NodeId("a4"), LeaveStarted())
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_cut_zone_keeps_its_members_and_heals(seed: int) -> None:
+def test_partitioned_zone_keeps_its_members_and_heals(seed: int) -> None:
     network = build(seed, {"a": 8, "b": 8, "c": 8})
     network.run(5)
     network.cut(lambda x, y: (x.zone == "a") != (y.zone == "a"))
@@ -135,7 +135,7 @@
         ),
         20,
     )
-    assert agreed(network)
+    assert has_converged(network)
     network.kill(NodeId("a5"))
     network.kill(NodeId("b5"))
     assert network.run_until(
@@ -144,12 +144,12 @@
     network.run(30)
     assert all(NodeId("a5") in states(n) for n in in_zone(network, "b"))
     network.heal()
-    assert network.run_until(lambda: agreed(network), 40)
+    assert network.run_until(lambda: has_converged(network), 40)
     assert network.run_until(lambda: all(not n.view.unreachable for n in network.living()), 20)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_death_forgotten_in_a_cut_zone_does_not_come_back(seed: int) -> None:
+def test_removed_dead_member_does_not_reappear_after_partition(seed: int) -> None:
     network = build(seed, {"a": 6, "b": 4})
     network.run(5)
     network.cut(lambda x, y: x.zone != y.zone)
@@ -160,11 +160,11 @@
     for _step in range(100):
         network.run(0.5)
         assert all(NodeId("a5") not in states(n) for n in in_zone(network, "a"))
-    assert agreed(network)
+    assert has_converged(network)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_zone_split_in_two_heals(seed: int) -> None:
+def test_partition_within_zone_heals(seed: int) -> None:
     network = build(seed, {"a": 12, "b": 4})
     half = {NodeId(f"a{n}") for n in range(6)}
     network.run(5)
@@ -172,15 +172,16 @@
     network.run(20)
     assert len(network.nodes[NodeId("a0")].view.owners[ZoneId("a")]) == 6
     network.heal()
-    assert network.run_until(lambda: agreed(network), 90)
+    assert network.run_until(lambda: has_converged(network), 90)
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_nodes_that_were_each_cut_off_are_met_again_within_seconds(seed: int) -> None:
-    """Found on a grown day: 25 nodes were cut off for 12 s, and each served alone for 15 s more.
+def test_isolated_nodes_rejoin_within_seconds(seed: int) -> None:
+    """Guards against slow convergence after a partition of many single nodes.
 
-    Probing lost members often brought that to 5 to 20 s over these seeds, as what they had missed
-    came by gossip alone.
+    In one run 25 nodes were cut off for 12 s, and each served alone for 15 s more. More frequent
+    probes of dead members reduced that to 5 to 20 s over these seeds, as missed updates arrived
+    only by gossip.
     """
     network = build(seed, {zone: 12 for zone in "abcd"}, timing=QUICK_TIMING)
     first = seed % 4
@@ -189,13 +190,16 @@
     network.cut(lambda x, y: x.node in alone or y.node in alone)
     network.run(12)
     network.heal()
-    assert network.run_until(lambda: agreed(network), 4)
+    assert network.run_until(lambda: has_converged(network), 4)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_many_nodes_that_start_at_once_know_each_other_within_seconds(seed: int) -> None:
-    """Found on a day of 195 nodes that all lost power: each took others for a group's owners for
-    longer than 6 s, as it knew a part of the members only."""
+def test_simultaneous_start_converges_within_seconds(seed: int) -> None:
+    """Guards against slow convergence after a simultaneous start of all nodes.
+
+    In a run in which all 195 nodes lost power, nodes chose wrong owners of groups for more than
+    6 s after the restart, because each knew only some of the members.
+    """
     network = VirtualNetwork(seed, QUICK_TIMING)
     specs = [
         make_spec(f"{zone}{n}", zone, REGION_OF[zone], ord(zone) * 1000 + n)
@@ -207,10 +211,10 @@
     for spec in specs:
         network.add(spec, seeds=seeds)
         network.run(0.005)
-    assert network.run_until(lambda: agreed(network), 2.5)
+    assert network.run_until(lambda: has_converged(network), 2.5)
 
 
-def test_zone_replaced_as_a_whole_is_seen_by_all() -> None:
+def test_replacement_of_whole_zone_converges() -> None:
     network = build(7, {"a": 6, "b": 6})
     network.run(3)
     for n in range(6):
@@ -220,11 +224,11 @@
     for n in range(6):
         spec = make_spec(f"a-new{n}", "a", "west", 500_000 + n)
         network.add(spec, seeds=[Seed(seed.node, seed.peer_address)])
-    assert network.run_until(lambda: agreed(network), 90)
+    assert network.run_until(lambda: has_converged(network), 90)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_news_goes_around_a_link_that_is_cut(seed: int) -> None:
+def test_updates_bypass_a_cut_link(seed: int) -> None:
     network = build(seed, {"a": 5, "b": 5, "c": 5})
     network.run(5)
     network.cut(lambda x, y: {x.zone, y.zone} == {"a", "c"})
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -1,4 +1,4 @@
-"""Tenants and their keys: from the store's table to the connection that a statement runs on."""
+"""Tenants and API keys, from the store's table to the connection that runs a statement."""
 
 import asyncio
 import json
@@ -38,7 +38,7 @@
 
 
 async def started(world: World, key: str, database: str = "session") -> LineClient:
-    """Return a session that is open at the first node, waiting until the key is known."""
+    """Open a session at the first node, retrying until the node knows the key."""
     return await started_at(world, 0, key, database)
 
 
@@ -51,7 +51,7 @@
         await asyncio.sleep(0.02)
 
 
-# The table.
+# The tenant table.
 
 
 @pytest.mark.parametrize(
@@ -61,13 +61,15 @@
         pytest.param(["acme"], "tenants[0]", id="no object"),
         pytest.param([{"api_keys": [SECRET]}], "tenants[0].name", id="no name"),
         pytest.param([{"name": "", "api_keys": []}], "tenants[0].name", id="empty name"),
-        pytest.param([listed("two words", SECRET)], "tenants[0].name", id="a name of two words"),
-        pytest.param([{"name": "acme"}], "tenants[0].api_keys", id="no keys told"),
-        pytest.param([listed("acme", SECRET, SECRET)], "api_keys", id="a key twice"),
+        pytest.param([listed("two words", SECRET)], "tenants[0].name", id="name with a blank"),
+        pytest.param([{"name": "acme"}], "tenants[0].api_keys", id="no keys"),
+        pytest.param([listed("acme", SECRET, SECRET)], "api_keys", id="duplicate key"),
         pytest.param(
-            [listed("acme", SECRET), listed("bolt", SECRET)], "bolt", id="a key of two tenants"
+            [listed("acme", SECRET), listed("bolt", SECRET)],
+            "bolt",
+            id="key shared by tenants",
         ),
-        pytest.param([listed("acme"), listed("acme")], "acme", id="a name twice"),
+        pytest.param([listed("acme"), listed("acme")], "acme", id="duplicate name"),
         pytest.param([listed("acme", SECRET, rate=-1)], "tenants[0].rate_per_s", id="rate below 0"),
         pytest.param(
             [{**listed("acme", SECRET), "rate_per_s": SECRET}],
@@ -80,14 +82,16 @@
             id="burst missing",
         ),
         pytest.param(
-            [listed("acme", rate=float("nan"))], "tenants[0].rate_per_s", id="rate is not a number"
+            [listed("acme", rate=float("nan"))],
+            "tenants[0].rate_per_s",
+            id="rate is not a number",
         ),
         pytest.param(
-            [listed("acme", burst=float("inf"))], "tenants[0].burst_size", id="burst without end"
+            [listed("acme", burst=float("inf"))], "tenants[0].burst_size", id="infinite burst"
         ),
     ],
 )
-def test_a_tenant_that_cannot_be_taken_is_named_without_its_key(tenants: Any, place: str) -> None:
+def test_error_names_invalid_tenant_without_its_key(tenants: Any, place: str) -> None:
     with pytest.raises(ValueError, match=place.replace("[", r"\[")) as caught:
         parse_tenants(tenants)
     assert SECRET not in repr(caught.value)
@@ -97,13 +101,13 @@
     ("tenants", "expected"),
     [
         pytest.param(None, None, id="a table without tenants"),
-        pytest.param([], {}, id="nobody"),
+        pytest.param([], {}, id="no tenants"),
         pytest.param([listed("acme")], {ACME: RateLimit(1e6, 1e6)}, id="without keys"),
         pytest.param([listed("acme", rate=0)], {ACME: RateLimit(0, 1e6)}, id="limit of zero"),
         pytest.param([{"name": "acme", "api_keys": []}], {ACME: None}, id="without a limit"),
     ],
 )
-def test_tenants_that_can_be_taken(tenants: Any, expected: Any) -> None:
+def test_valid_tenants(tenants: Any, expected: Any) -> None:
     found = parse_tenants(tenants)
     limits = None
     if found is not None:
@@ -124,34 +128,40 @@
     [
         pytest.param(RouteTable(), "parcels", SECRET, Reason.NO_CONFIGURATION, id="no table yet"),
         pytest.param(table(None), "parcels", "anything", NO_TENANT, id="no tenants"),
-        pytest.param(table(TENANTS), "parcels", SECRET, ACME, id="held"),
-        pytest.param(table(TENANTS), "parcels", OTHER_SECRET, Reason.UNKNOWN_KEY, id="unknown"),
-        pytest.param(table(TENANTS), "parcels", "", Reason.UNKNOWN_KEY, id="none given"),
+        pytest.param(table(TENANTS), "parcels", SECRET, ACME, id="known key"),
+        pytest.param(table(TENANTS), "parcels", OTHER_SECRET, Reason.UNKNOWN_KEY, id="unknown key"),
+        pytest.param(table(TENANTS), "parcels", "", Reason.UNKNOWN_KEY, id="empty key"),
         pytest.param(table(TENANTS), "parcels", "x" * 10_000, Reason.UNKNOWN_KEY, id="10 kB"),
-        pytest.param(table(TENANTS), "parcels", "\x00\x1b", Reason.UNKNOWN_KEY, id="control signs"),
+        pytest.param(
+            table(TENANTS), "parcels", "\x00\x1b", Reason.UNKNOWN_KEY, id="control characters"
+        ),
         pytest.param(table(TENANTS), "nothing", SECRET, Reason.UNKNOWN_DATABASE, id="no database"),
         pytest.param(
-            table(TENANTS), "nothing", OTHER_SECRET, Reason.UNKNOWN_KEY, id="neither of both"
+            table(TENANTS),
+            "nothing",
+            OTHER_SECRET,
+            Reason.UNKNOWN_KEY,
+            id="unknown key, no database",
         ),
         pytest.param(table(TENANTS, frozenset({"parcels"})), "parcels", "", NO_TENANT, id="public"),
         pytest.param(
-            table(TENANTS, frozenset({"parcels"})), "parcels", SECRET, ACME, id="public, held"
+            table(TENANTS, frozenset({"parcels"})), "parcels", SECRET, ACME, id="public, known key"
         ),
     ],
 )
-def test_who_is_let_in(configured: RouteTable, database: str, key: str, expected: Any) -> None:
+def test_access(configured: RouteTable, database: str, key: str, expected: Any) -> None:
     access = configured.access(database, digest_of(key))
     assert (access.reason if isinstance(access, Refusal) else access.tenant) == expected
 
 
-def test_a_table_travels_from_node_to_node_with_its_tenants() -> None:
-    """Found in a trial: what nodes do not tell each other is known to the store's readers only."""
+def test_forwarded_table_contains_its_tenants() -> None:
+    """Without the tenants in the table that nodes forward, only the store's readers know them."""
     content = configuration(7, {}, 32)
     content["routes"][0]["public"] = True
     found = parse_table({**content, "tenants": [listed("acme", SECRET), listed("bolt")]})
     codec = Codec(GATEWAY_NODE_MESSAGES)
-    told = told_routes((Versioned("main", at(3), found),)).routes
-    received = codec.decode(codec.encode(FollowReply(True, True, 3, 0.0, told)))
+    reported = told_routes((Versioned("main", at(3), found),)).routes
+    received = codec.decode(codec.encode(FollowReply(True, True, 3, 0.0, reported)))
     (item,) = route_items(received)
     assert item.item == found
     assert SECRET not in repr(received)
@@ -160,11 +170,14 @@
 # Sessions.
 
 
-async def test_a_statement_names_its_tenant_to_the_database() -> None:
+async def test_statement_runs_as_its_tenant() -> None:
     async with running_world() as world:
         world.group.tenants = {ACME, BOLT}
         tell(world, 2, [listed(ACME, SECRET), listed(BOLT, OTHER_SECRET)])
-        clients = {ACME: await started(world, SECRET), BOLT: await started(world, OTHER_SECRET)}
+        clients = {
+            ACME: await started(world, SECRET),
+            BOLT: await started(world, OTHER_SECRET),
+        }
         sent: dict[str, str] = {}
         for number in range(40):
             for tenant, client in clients.items():
@@ -181,14 +194,14 @@
 @pytest.mark.parametrize(
     "tenants",
     [
-        pytest.param([listed(ACME, OTHER_SECRET)], id="its key is taken away"),
-        pytest.param([listed(ACME)], id="all keys of the tenant are"),
-        pytest.param([listed(BOLT, OTHER_SECRET)], id="the tenant is gone"),
-        pytest.param([], id="all tenants are gone"),
+        pytest.param([listed(ACME, OTHER_SECRET)], id="key removed"),
+        pytest.param([listed(ACME)], id="all keys of the tenant removed"),
+        pytest.param([listed(BOLT, OTHER_SECRET)], id="tenant removed"),
+        pytest.param([], id="all tenants removed"),
     ],
 )
-@pytest.mark.parametrize("opened", ["", "BEGIN"], ids=["at rest", "in a transaction"])
-async def test_an_open_session_ends_with_its_key(tenants: list[Any], opened: str) -> None:
+@pytest.mark.parametrize("opened", ["", "BEGIN"], ids=["idle", "in transaction"])
+async def test_open_session_ends_when_its_key_is_removed(tenants: list[Any], opened: str) -> None:
     async with running_world() as world:
         tell(world, 2, [listed(ACME, SECRET)])
         client = await started(world, SECRET)
@@ -205,7 +218,7 @@
         assert world.group.primary.read("parcel") == ""
 
 
-async def test_a_key_that_goes_to_another_tenant_works_for_that_one() -> None:
+async def test_key_moved_to_another_tenant_works_for_that_tenant() -> None:
     async with running_world() as world:
         tell(world, 2, [listed(ACME, SECRET), listed(BOLT)])
         client = await started(world, SECRET)
@@ -221,14 +234,14 @@
         assert [run.tenant for run in world.group.runs] == [ACME, BOLT]
 
 
-async def test_a_node_without_a_table_does_not_call_a_key_unknown() -> None:
+async def test_node_without_table_does_not_reject_key_as_unknown() -> None:
     async with running_world(configured=False) as world:
         client = await LineClient.connect(world.nodes[0].callers.port)
         answer = await client.start("session", SECRET)
         assert answer.code == "BUSY"
 
 
-async def test_a_table_with_a_bad_tenant_leaves_the_last_one_in_force(
+async def test_invalid_table_leaves_previous_one_in_force(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
@@ -246,25 +259,27 @@
 # Keys stay secret.
 
 
-async def test_no_key_is_logged_counted_or_told(caplog: pytest.LogCaptureFixture) -> None:
+async def test_keys_do_not_appear_in_logs_metrics_or_replies(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     caplog.set_level(logging.DEBUG)
     async with running_world() as world:
         tell(world, 2, [listed(ACME, SECRET)])
         client = await started(world, SECRET)
         refused = await client.run("EXEC nothing 1")
-        wrong = await LineClient.connect(world.nodes[0].callers.port)
-        unknown = await wrong.start("session", OTHER_SECRET)
+        other_client = await LineClient.connect(world.nodes[0].callers.port)
+        unknown_key = await other_client.start("session", OTHER_SECRET)
         tell(world, 3, [listed(ACME, SECRET, SECRET)])
         await until(lambda: any(_number(record) == 1519 for record in caplog.records))
         await until(lambda: any(_number(record) == 1125 for record in caplog.records))
         metrics = world.nodes[0].gateway.context.metrics.text().decode()
     lines = [JsonFormatter().format(record) for record in caplog.records]
-    for text in (*lines, metrics, refused.text, unknown.text):
+    for text in (*lines, metrics, refused.text, unknown_key.text):
         assert SECRET not in text
         assert OTHER_SECRET not in text
 
 
-def test_a_flood_of_wrong_keys_makes_one_line_a_second(caplog: pytest.LogCaptureFixture) -> None:
+def test_many_unknown_keys_log_one_line_per_second(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
     refused = RefusedKeys()
     for step in range(40):
