--- a/tests/test_tenant_view.py
+++ b/tests/test_tenant_view.py
@@ -7,12 +7,14 @@
 from bramblebeam.platform.node import TENANTS_PATH, _figures
 from node_answers import ABSENT, asked
 from platform_standins.world import running_world, until
-from test_tenants import ACME, BOLT, OTHER_SECRET, SECRET, listed, started, tell
+from test_tenants import ACME, BOLT, OTHER_SECRET, SECRET, listed, put_configuration, started
 
 
 async def test_a_node_shows_the_tenants_that_it_counts_with_their_shares() -> None:
     async with running_world() as world:
-        tell(world, 2, [listed(ACME, SECRET, rate=20, burst=10), listed(BOLT, OTHER_SECRET)])
+        put_configuration(
+            world, 2, [listed(ACME, SECRET, rate=20, burst=10), listed(BOLT, OTHER_SECRET)]
+        )
         client = await started(world, SECRET)
         for number in range(3):
             assert (await client.run(f"WRITE k{number} v")).code == ""
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -32,7 +32,9 @@
     return {"name": name, "api_keys": list(keys), "rate_per_s": rate, "burst_size": burst}
 
 
-def tell(world: World, version: int, tenants: list[dict[str, Any]], **routes: Any) -> None:
+def put_configuration(
+    world: World, version: int, tenants: list[dict[str, Any]], **routes: Any
+) -> None:
     content = configuration(version, routes, world.connections)
     world.platform.put("config", "main", {**content, "tenants": tenants})
 
@@ -173,7 +175,7 @@
 async def test_statement_runs_as_its_tenant() -> None:
     async with running_world() as world:
         world.group.tenants = {ACME, BOLT}
-        tell(world, 2, [listed(ACME, SECRET), listed(BOLT, OTHER_SECRET)])
+        put_configuration(world, 2, [listed(ACME, SECRET), listed(BOLT, OTHER_SECRET)])
         clients = {
             ACME: await started(world, SECRET),
             BOLT: await started(world, OTHER_SECRET),
@@ -203,12 +205,12 @@
 @pytest.mark.parametrize("opened", ["", "BEGIN"], ids=["idle", "in transaction"])
 async def test_open_session_ends_when_its_key_is_removed(tenants: list[Any], opened: str) -> None:
     async with running_world() as world:
-        tell(world, 2, [listed(ACME, SECRET)])
+        put_configuration(world, 2, [listed(ACME, SECRET)])
         client = await started(world, SECRET)
         if opened:
             await client.run(opened)
             assert (await client.run("WRITE parcel lost")).code == ""
-        tell(world, 3, tenants)
+        put_configuration(world, 3, tenants)
         context = world.nodes[0].gateway.context
         await until(lambda: context.table.version == 3)
         answer = await client.run("COMMIT" if opened else "READ parcel")
@@ -220,11 +222,11 @@
 
 async def test_key_moved_to_another_tenant_works_for_that_tenant() -> None:
     async with running_world() as world:
-        tell(world, 2, [listed(ACME, SECRET), listed(BOLT)])
+        put_configuration(world, 2, [listed(ACME, SECRET), listed(BOLT)])
         client = await started(world, SECRET)
         await client.run("BEGIN")
         await client.run("READ parcel")
-        tell(world, 3, [listed(ACME), listed(BOLT, SECRET)])
+        put_configuration(world, 3, [listed(ACME), listed(BOLT, SECRET)])
         context = world.nodes[0].gateway.context
         await until(lambda: context.table.version == 3)
         answer = await client.run("READ parcel")
@@ -246,12 +248,12 @@
 ) -> None:
     caplog.set_level(logging.INFO)
     async with running_world() as world:
-        tell(world, 2, [listed(ACME, SECRET)])
+        put_configuration(world, 2, [listed(ACME, SECRET)])
         client = await started(world, SECRET)
-        tell(world, 3, [listed(ACME, SECRET, rate=-5)])
+        put_configuration(world, 3, [listed(ACME, SECRET, rate=-5)])
         await until(lambda: any(_number(record) == 1519 for record in caplog.records))
         assert (await client.run("READ parcel")).code == ""
-        tell(world, 4, [listed(ACME, OTHER_SECRET)])
+        put_configuration(world, 4, [listed(ACME, OTHER_SECRET)])
         await until(lambda: world.nodes[0].gateway.context.table.version == 4)
         assert (await client.run("READ parcel")).code == "NOAUTH"
 
@@ -264,12 +266,12 @@
 ) -> None:
     caplog.set_level(logging.DEBUG)
     async with running_world() as world:
-        tell(world, 2, [listed(ACME, SECRET)])
+        put_configuration(world, 2, [listed(ACME, SECRET)])
         client = await started(world, SECRET)
         refused = await client.run("EXEC nothing 1")
         other_client = await LineClient.connect(world.nodes[0].callers.port)
         unknown_key = await other_client.start("session", OTHER_SECRET)
-        tell(world, 3, [listed(ACME, SECRET, SECRET)])
+        put_configuration(world, 3, [listed(ACME, SECRET, SECRET)])
         await until(lambda: any(_number(record) == 1519 for record in caplog.records))
         await until(lambda: any(_number(record) == 1125 for record in caplog.records))
         metrics = world.nodes[0].gateway.context.metrics.text().decode()
