--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -21,7 +21,7 @@
 from member_views import nodes_in, view_of
 from platform_standins.world import running_world, until
 from quota_search import allowed, most_in_any_span
-from test_tenants import ACME, BOLT, OTHER_SECRET, SECRET, listed, put_configuration, started
+from test_tenants import ACME, BOLT, OTHER_SECRET, SECRET, put_configuration, started, tenant_entry
 
 LIMIT = RateLimit(20.0, 20.0)
 
@@ -292,7 +292,7 @@
         put_configuration(
             world,
             2,
-            [listed(ACME, SECRET, rate=0.001, burst=3), listed(BOLT, OTHER_SECRET)],
+            [tenant_entry(ACME, SECRET, rate=0.001, burst=3), tenant_entry(BOLT, OTHER_SECRET)],
         )
         hot, other = await started(world, SECRET), await started(world, OTHER_SECRET)
         answers = [await hot.run(f"WRITE k{number} v") for number in range(12)]
@@ -309,7 +309,7 @@
 
 async def test_a_transaction_is_one_operation() -> None:
     async with running_world() as world:
-        put_configuration(world, 2, [listed(ACME, SECRET, rate=0.001, burst=2)])
+        put_configuration(world, 2, [tenant_entry(ACME, SECRET, rate=0.001, burst=2)])
         client = await started(world, SECRET)
         await client.run("BEGIN")
         for number in range(10):
@@ -319,14 +319,14 @@
 
 async def test_a_limit_raised_or_lowered_holds_for_open_sessions() -> None:
     async with running_world() as world:
-        put_configuration(world, 2, [listed(ACME, SECRET, rate=0, burst=0)])
+        put_configuration(world, 2, [tenant_entry(ACME, SECRET, rate=0, burst=0)])
         client = await started(world, SECRET)
         answer = await client.run("READ k")
         assert answer.code == "BUSY"
         assert "limit is zero" in answer.text
         context = world.nodes[0].gateway.context
         for version, rate, code in ((3, 1e6, ""), (4, 0, "BUSY")):
-            put_configuration(world, version, [listed(ACME, SECRET, rate=rate, burst=rate)])
+            put_configuration(world, version, [tenant_entry(ACME, SECRET, rate=rate, burst=rate)])
             await until(lambda expected=version: context.table.version == expected)
             await asyncio.sleep(0.05)
             assert (await client.run("READ k")).code == code
--- a/tests/test_tenant_serving.py
+++ b/tests/test_tenant_serving.py
@@ -32,7 +32,7 @@
 from member_views import Nodes, nodes_in, view_of
 from platform_standins.world import joined_world, until
 from test_gateway_context import NoPeers
-from test_tenants import ACME, SECRET, listed, put_configuration, started_at
+from test_tenants import ACME, SECRET, put_configuration, started_at, tenant_entry
 
 GROUP = GroupId("deliveries")
 CONNECTIONS = 32
@@ -166,7 +166,7 @@
 
 async def test_a_limit_holds_over_all_nodes_together() -> None:
     async with joined_world(4, CONNECTIONS) as world:
-        put_configuration(world, 2, [listed(ACME, SECRET, rate=0.001, burst=3)])
+        put_configuration(world, 2, [tenant_entry(ACME, SECRET, rate=0.001, burst=3)])
         contexts = [node.gateway.context for node in world.nodes]
         await until(lambda: all(context.table.version == 2 for context in contexts))
         await until(lambda: all(len(context.owners.nodes) == 4 for context in contexts))
@@ -180,7 +180,7 @@
 
 async def test_a_statement_that_was_passed_on_is_not_counted_twice() -> None:
     async with joined_world(1, CONNECTIONS) as world:
-        put_configuration(world, 2, [listed(ACME, SECRET, rate=0.0, burst=0.0)])
+        put_configuration(world, 2, [tenant_entry(ACME, SECRET, rate=0.0, burst=0.0)])
         context = world.nodes[0].gateway.context
         await until(lambda: context.table.version == 2)
         host = StatementHost(context)
--- a/tests/test_tenant_view.py
+++ b/tests/test_tenant_view.py
@@ -7,13 +7,15 @@
 from bramblebeam.platform.node import TENANTS_PATH, _figures
 from node_answers import ABSENT, asked
 from platform_standins.world import running_world, until
-from test_tenants import ACME, BOLT, OTHER_SECRET, SECRET, listed, put_configuration, started
+from test_tenants import ACME, BOLT, OTHER_SECRET, SECRET, put_configuration, started, tenant_entry
 
 
 async def test_a_node_shows_the_tenants_that_it_counts_with_their_shares() -> None:
     async with running_world() as world:
         put_configuration(
-            world, 2, [listed(ACME, SECRET, rate=20, burst=10), listed(BOLT, OTHER_SECRET)]
+            world,
+            2,
+            [tenant_entry(ACME, SECRET, rate=20, burst=10), tenant_entry(BOLT, OTHER_SECRET)],
         )
         client = await started(world, SECRET)
         for number in range(3):
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -28,7 +28,7 @@
 ACME, BOLT = TenantId("acme"), TenantId("bolt")
 
 
-def listed(name: str, *keys: str, rate: float = 1e6, burst: float = 1e6) -> dict[str, Any]:
+def tenant_entry(name: str, *keys: str, rate: float = 1e6, burst: float = 1e6) -> dict[str, Any]:
     return {"name": name, "api_keys": list(keys), "rate_per_s": rate, "burst_size": burst}
 
 
@@ -63,18 +63,22 @@
         pytest.param(["acme"], "tenants[0]", id="no object"),
         pytest.param([{"api_keys": [SECRET]}], "tenants[0].name", id="no name"),
         pytest.param([{"name": "", "api_keys": []}], "tenants[0].name", id="empty name"),
-        pytest.param([listed("two words", SECRET)], "tenants[0].name", id="name with a blank"),
+        pytest.param(
+            [tenant_entry("two words", SECRET)], "tenants[0].name", id="name with a blank"
+        ),
         pytest.param([{"name": "acme"}], "tenants[0].api_keys", id="no keys"),
-        pytest.param([listed("acme", SECRET, SECRET)], "api_keys", id="duplicate key"),
+        pytest.param([tenant_entry("acme", SECRET, SECRET)], "api_keys", id="duplicate key"),
         pytest.param(
-            [listed("acme", SECRET), listed("bolt", SECRET)],
+            [tenant_entry("acme", SECRET), tenant_entry("bolt", SECRET)],
             "bolt",
             id="key shared by tenants",
         ),
-        pytest.param([listed("acme"), listed("acme")], "acme", id="duplicate name"),
-        pytest.param([listed("acme", SECRET, rate=-1)], "tenants[0].rate_per_s", id="rate below 0"),
+        pytest.param([tenant_entry("acme"), tenant_entry("acme")], "acme", id="duplicate name"),
+        pytest.param(
+            [tenant_entry("acme", SECRET, rate=-1)], "tenants[0].rate_per_s", id="rate below 0"
+        ),
         pytest.param(
-            [{**listed("acme", SECRET), "rate_per_s": SECRET}],
+            [{**tenant_entry("acme", SECRET), "rate_per_s": SECRET}],
             "tenants[0].rate_per_s",
             id="rate is no number",
         ),
@@ -84,12 +88,12 @@
             id="burst missing",
         ),
         pytest.param(
-            [listed("acme", rate=float("nan"))],
+            [tenant_entry("acme", rate=float("nan"))],
             "tenants[0].rate_per_s",
             id="rate is not a number",
         ),
         pytest.param(
-            [listed("acme", burst=float("inf"))], "tenants[0].burst_size", id="infinite burst"
+            [tenant_entry("acme", burst=float("inf"))], "tenants[0].burst_size", id="infinite burst"
         ),
     ],
 )
@@ -104,8 +108,8 @@
     [
         pytest.param(None, None, id="a table without tenants"),
         pytest.param([], {}, id="no tenants"),
-        pytest.param([listed("acme")], {ACME: RateLimit(1e6, 1e6)}, id="without keys"),
-        pytest.param([listed("acme", rate=0)], {ACME: RateLimit(0, 1e6)}, id="limit of zero"),
+        pytest.param([tenant_entry("acme")], {ACME: RateLimit(1e6, 1e6)}, id="without keys"),
+        pytest.param([tenant_entry("acme", rate=0)], {ACME: RateLimit(0, 1e6)}, id="limit of zero"),
         pytest.param([{"name": "acme", "api_keys": []}], {ACME: None}, id="without a limit"),
     ],
 )
@@ -160,7 +164,9 @@
     """Without the tenants in the table that nodes forward, only the store's readers know them."""
     content = configuration(7, {}, 32)
     content["routes"][0]["public"] = True
-    found = parse_table({**content, "tenants": [listed("acme", SECRET), listed("bolt")]})
+    found = parse_table(
+        {**content, "tenants": [tenant_entry("acme", SECRET), tenant_entry("bolt")]}
+    )
     codec = Codec(GATEWAY_NODE_MESSAGES)
     reported = told_routes((Versioned("main", at(3), found),)).routes
     received = codec.decode(codec.encode(FollowReply(True, True, 3, 0.0, reported)))
@@ -175,7 +181,7 @@
 async def test_statement_runs_as_its_tenant() -> None:
     async with running_world() as world:
         world.group.tenants = {ACME, BOLT}
-        put_configuration(world, 2, [listed(ACME, SECRET), listed(BOLT, OTHER_SECRET)])
+        put_configuration(world, 2, [tenant_entry(ACME, SECRET), tenant_entry(BOLT, OTHER_SECRET)])
         clients = {
             ACME: await started(world, SECRET),
             BOLT: await started(world, OTHER_SECRET),
@@ -196,16 +202,16 @@
 @pytest.mark.parametrize(
     "tenants",
     [
-        pytest.param([listed(ACME, OTHER_SECRET)], id="key removed"),
-        pytest.param([listed(ACME)], id="all keys of the tenant removed"),
-        pytest.param([listed(BOLT, OTHER_SECRET)], id="tenant removed"),
+        pytest.param([tenant_entry(ACME, OTHER_SECRET)], id="key removed"),
+        pytest.param([tenant_entry(ACME)], id="all keys of the tenant removed"),
+        pytest.param([tenant_entry(BOLT, OTHER_SECRET)], id="tenant removed"),
         pytest.param([], id="all tenants removed"),
     ],
 )
 @pytest.mark.parametrize("opened", ["", "BEGIN"], ids=["idle", "in transaction"])
 async def test_open_session_ends_when_its_key_is_removed(tenants: list[Any], opened: str) -> None:
     async with running_world() as world:
-        put_configuration(world, 2, [listed(ACME, SECRET)])
+        put_configuration(world, 2, [tenant_entry(ACME, SECRET)])
         client = await started(world, SECRET)
         if opened:
             await client.run(opened)
@@ -222,11 +228,11 @@
 
 async def test_key_moved_to_another_tenant_works_for_that_tenant() -> None:
     async with running_world() as world:
-        put_configuration(world, 2, [listed(ACME, SECRET), listed(BOLT)])
+        put_configuration(world, 2, [tenant_entry(ACME, SECRET), tenant_entry(BOLT)])
         client = await started(world, SECRET)
         await client.run("BEGIN")
         await client.run("READ parcel")
-        put_configuration(world, 3, [listed(ACME), listed(BOLT, SECRET)])
+        put_configuration(world, 3, [tenant_entry(ACME), tenant_entry(BOLT, SECRET)])
         context = world.nodes[0].gateway.context
         await until(lambda: context.table.version == 3)
         answer = await client.run("READ parcel")
@@ -248,12 +254,12 @@
 ) -> None:
     caplog.set_level(logging.INFO)
     async with running_world() as world:
-        put_configuration(world, 2, [listed(ACME, SECRET)])
+        put_configuration(world, 2, [tenant_entry(ACME, SECRET)])
         client = await started(world, SECRET)
-        put_configuration(world, 3, [listed(ACME, SECRET, rate=-5)])
+        put_configuration(world, 3, [tenant_entry(ACME, SECRET, rate=-5)])
         await until(lambda: any(_number(record) == 1519 for record in caplog.records))
         assert (await client.run("READ parcel")).code == ""
-        put_configuration(world, 4, [listed(ACME, OTHER_SECRET)])
+        put_configuration(world, 4, [tenant_entry(ACME, OTHER_SECRET)])
         await until(lambda: world.nodes[0].gateway.context.table.version == 4)
         assert (await client.run("READ parcel")).code == "NOAUTH"
 
@@ -266,12 +272,12 @@
 ) -> None:
     caplog.set_level(logging.DEBUG)
     async with running_world() as world:
-        put_configuration(world, 2, [listed(ACME, SECRET)])
+        put_configuration(world, 2, [tenant_entry(ACME, SECRET)])
         client = await started(world, SECRET)
         refused = await client.run("EXEC nothing 1")
         other_client = await LineClient.connect(world.nodes[0].callers.port)
         unknown_key = await other_client.start("session", OTHER_SECRET)
-        put_configuration(world, 3, [listed(ACME, SECRET, SECRET)])
+        put_configuration(world, 3, [tenant_entry(ACME, SECRET, SECRET)])
         await until(lambda: any(_number(record) == 1519 for record in caplog.records))
         await until(lambda: any(_number(record) == 1125 for record in caplog.records))
         metrics = world.nodes[0].gateway.context.metrics.text().decode()
