--- a/tests/test_limits_over_nodes.py
+++ b/tests/test_limits_over_nodes.py
@@ -22,7 +22,7 @@
 from quota_search import SPAN, allowed, most_in_any_span
 from test_quota import LIMIT
 from test_tenant_serving import NODES
-from test_tenants import ACME, SECRET, put_configuration, started, tenant_entry
+from test_tenants import ACME, SECRET, open_session, put_configuration, tenant_entry
 
 HOT = TenantId("hot")
 STEP_SECONDS = 0.01
@@ -203,7 +203,7 @@
     async with running_world() as world:
         brief = {"route_type": "bounded", "max_staleness_ms": 60_000, "timeout_ms": 1_500}
         put_configuration(world, 2, [tenant_entry(ACME, SECRET)], brief=brief)
-        client = await started(world, SECRET, "brief")
+        client = await open_session(world, SECRET, "brief")
         records = world.nodes[0].gateway.context.metrics.tenants
         async with asyncio.timeout(FAR_TOO_LONG):
             answer, _ = await asyncio.gather(client.run("READ k"), replicas_are_busy(world))
@@ -219,7 +219,7 @@
 async def test_each_further_attempt_that_may_run_is_counted_too() -> None:
     async with running_world() as world:
         put_configuration(world, 2, [tenant_entry(ACME, SECRET)])
-        client = await started(world, SECRET, "bounded")
+        client = await open_session(world, SECRET, "bounded")
         records = world.nodes[0].gateway.context.metrics.tenants
         for member in world.group.members.values():
             member.fault.mute_reads = 1
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -21,7 +21,15 @@
 from member_views import nodes_in, view_of
 from platform_standins.world import running_world, until
 from quota_search import allowed, most_in_any_span
-from test_tenants import ACME, BOLT, OTHER_SECRET, SECRET, put_configuration, started, tenant_entry
+from test_tenants import (
+    ACME,
+    BOLT,
+    OTHER_SECRET,
+    SECRET,
+    open_session,
+    put_configuration,
+    tenant_entry,
+)
 
 LIMIT = RateLimit(20.0, 20.0)
 
@@ -294,7 +302,7 @@
             2,
             [tenant_entry(ACME, SECRET, rate=0.001, burst=3), tenant_entry(BOLT, OTHER_SECRET)],
         )
-        hot, other = await started(world, SECRET), await started(world, OTHER_SECRET)
+        hot, other = await open_session(world, SECRET), await open_session(world, OTHER_SECRET)
         answers = [await hot.run(f"WRITE k{number} v") for number in range(12)]
         refused = [answer for answer in answers if answer.code]
         assert {answer.code for answer in refused} == {"BUSY"}
@@ -310,7 +318,7 @@
 async def test_a_transaction_is_one_operation() -> None:
     async with running_world() as world:
         put_configuration(world, 2, [tenant_entry(ACME, SECRET, rate=0.001, burst=2)])
-        client = await started(world, SECRET)
+        client = await open_session(world, SECRET)
         await client.run("BEGIN")
         for number in range(10):
             assert (await client.run(f"WRITE k{number} v")).code == ""
@@ -320,7 +328,7 @@
 async def test_a_limit_raised_or_lowered_holds_for_open_sessions() -> None:
     async with running_world() as world:
         put_configuration(world, 2, [tenant_entry(ACME, SECRET, rate=0, burst=0)])
-        client = await started(world, SECRET)
+        client = await open_session(world, SECRET)
         answer = await client.run("READ k")
         assert answer.code == "BUSY"
         assert "limit is zero" in answer.text
--- a/tests/test_tenant_view.py
+++ b/tests/test_tenant_view.py
@@ -7,7 +7,15 @@
 from bramblebeam.platform.node import TENANTS_PATH, _figures
 from node_answers import ABSENT, asked
 from platform_standins.world import running_world, until
-from test_tenants import ACME, BOLT, OTHER_SECRET, SECRET, put_configuration, started, tenant_entry
+from test_tenants import (
+    ACME,
+    BOLT,
+    OTHER_SECRET,
+    SECRET,
+    open_session,
+    put_configuration,
+    tenant_entry,
+)
 
 
 async def test_a_node_shows_the_tenants_that_it_counts_with_their_shares() -> None:
@@ -17,7 +25,7 @@
             2,
             [tenant_entry(ACME, SECRET, rate=20, burst=10), tenant_entry(BOLT, OTHER_SECRET)],
         )
-        client = await started(world, SECRET)
+        client = await open_session(world, SECRET)
         for number in range(3):
             assert (await client.run(f"WRITE k{number} v")).code == ""
         gateway = world.nodes[0].gateway
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -39,7 +39,7 @@
     world.platform.put("config", "main", {**content, "tenants": tenants})
 
 
-async def started(world: World, key: str, database: str = "session") -> LineClient:
+async def open_session(world: World, key: str, database: str = "session") -> LineClient:
     """Open a session at the first node, retrying until the node knows the key."""
     return await started_at(world, 0, key, database)
 
@@ -183,8 +183,8 @@
         world.group.tenants = {ACME, BOLT}
         put_configuration(world, 2, [tenant_entry(ACME, SECRET), tenant_entry(BOLT, OTHER_SECRET)])
         clients = {
-            ACME: await started(world, SECRET),
-            BOLT: await started(world, OTHER_SECRET),
+            ACME: await open_session(world, SECRET),
+            BOLT: await open_session(world, OTHER_SECRET),
         }
         sent: dict[str, str] = {}
         for number in range(40):
@@ -212,7 +212,7 @@
 async def test_open_session_ends_when_its_key_is_removed(tenants: list[Any], opened: str) -> None:
     async with running_world() as world:
         put_configuration(world, 2, [tenant_entry(ACME, SECRET)])
-        client = await started(world, SECRET)
+        client = await open_session(world, SECRET)
         if opened:
             await client.run(opened)
             assert (await client.run("WRITE parcel lost")).code == ""
@@ -229,7 +229,7 @@
 async def test_key_moved_to_another_tenant_works_for_that_tenant() -> None:
     async with running_world() as world:
         put_configuration(world, 2, [tenant_entry(ACME, SECRET), tenant_entry(BOLT)])
-        client = await started(world, SECRET)
+        client = await open_session(world, SECRET)
         await client.run("BEGIN")
         await client.run("READ parcel")
         put_configuration(world, 3, [tenant_entry(ACME), tenant_entry(BOLT, SECRET)])
@@ -255,7 +255,7 @@
     caplog.set_level(logging.INFO)
     async with running_world() as world:
         put_configuration(world, 2, [tenant_entry(ACME, SECRET)])
-        client = await started(world, SECRET)
+        client = await open_session(world, SECRET)
         put_configuration(world, 3, [tenant_entry(ACME, SECRET, rate=-5)])
         await until(lambda: any(_number(record) == 1519 for record in caplog.records))
         assert (await client.run("READ parcel")).code == ""
@@ -273,7 +273,7 @@
     caplog.set_level(logging.DEBUG)
     async with running_world() as world:
         put_configuration(world, 2, [tenant_entry(ACME, SECRET)])
-        client = await started(world, SECRET)
+        client = await open_session(world, SECRET)
         refused = await client.run("EXEC nothing 1")
         other_client = await LineClient.connect(world.nodes[0].callers.port)
         unknown_key = await other_client.start("session", OTHER_SECRET)
