--- a/tests/test_tenant_serving.py
+++ b/tests/test_tenant_serving.py
@@ -32,7 +32,7 @@
 from member_views import Nodes, nodes_in, view_of
 from platform_standins.world import joined_world, until
 from test_gateway_context import NoPeers
-from test_tenants import ACME, SECRET, put_configuration, started_at, tenant_entry
+from test_tenants import ACME, SECRET, open_session_at, put_configuration, tenant_entry
 
 GROUP = GroupId("deliveries")
 CONNECTIONS = 32
@@ -170,7 +170,7 @@
         contexts = [node.gateway.context for node in world.nodes]
         await until(lambda: all(context.table.version == 2 for context in contexts))
         await until(lambda: all(len(context.owners.nodes) == 4 for context in contexts))
-        clients = [await started_at(world, node, SECRET) for node in range(4)]
+        clients = [await open_session_at(world, node, SECRET) for node in range(4)]
         answers = [await client.run(f"WRITE k{turn} v") for turn in range(5) for client in clients]
         served = [answer for answer in answers if not answer.code]
         assert {answer.code for answer in answers} == {"", "BUSY"}
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -41,10 +41,12 @@
 
 async def open_session(world: World, key: str, database: str = "session") -> LineClient:
     """Open a session at the first node, retrying until the node knows the key."""
-    return await started_at(world, 0, key, database)
+    return await open_session_at(world, 0, key, database)
 
 
-async def started_at(world: World, node: int, key: str, database: str = "session") -> LineClient:
+async def open_session_at(
+    world: World, node: int, key: str, database: str = "session"
+) -> LineClient:
     while True:
         client = await LineClient.connect(world.nodes[node].callers.port)
         if (await client.start(database, key)).state == "I":
