--- a/src/bramblebeam/core/failover/lease.py
+++ b/src/bramblebeam/core/failover/lease.py
@@ -1,17 +1,8 @@
 """The lease on a group's changes of primary, kept in the platform's store."""
 
-from dataclasses import dataclass, replace
-
-from bramblebeam.core.identity import (
-    ZERO_POSITION,
-    GroupId,
-    InstanceId,
-    NodeId,
-    Position,
-    born_at,
-    server_name,
-)
-from bramblebeam.core.revision import FIRST_ERA, Revision
+from bramblebeam.core.identity import (GroupId, InstanceId, NodeId, Position, ZERO_POSITION, incarnation_of, server_name)
+from bramblebeam.core.revision import (FIRST_ERA, Revision)
+from dataclasses import (dataclass, replace)
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +21,7 @@
         """Whether a leader is the target. It may have started again before it was promoted."""
         if leader is None or server_name(leader) != server_name(self.target):
             return False
-        return born_at(leader) >= born_at(self.target)
+        return incarnation_of(leader) >= incarnation_of(self.target)
 
 
 UNKNOWN_HOLDER = NodeId("?")
--- a/src/bramblebeam/services/edge/driver.py
+++ b/src/bramblebeam/services/edge/driver.py
@@ -7,8 +7,6 @@
 from bramblebeam.core.routing.effects import (
     Abandon,
     Answered,
-    Ask,
-    AskPosition,
     AttemptFailed,
     Effect,
     Finish,
@@ -16,6 +14,8 @@
     Hold,
     PositionAnswered,
     Refresh,
+    RequestPosition,
+    SendRequest,
     Started,
 )
 from bramblebeam.core.statement import AbandonRequest, ExecuteReply, PositionReply
@@ -52,13 +52,13 @@
         When cancelled, it tells the owner that was asked last to give the statement up.
         """
         loop = asyncio.get_running_loop()
-        asked: Ask | None = None
+        asked: SendRequest | None = None
         event: Any = Started()
         try:
             while True:
                 for effect in machine.handle(event, loop.time()):
                     match effect:
-                        case Ask():
+                        case SendRequest():
                             asked = effect
                             event = await self._ask(effect)
                         case Finish():
@@ -67,7 +67,7 @@
                             self._tracker.refresh(group, FALLBACK_REFRESH_INTERVAL)
                         case Abandon(node, instance, abandoned):
                             self._peers.post(node, AbandonRequest(abandoned, instance))
-                        case AskPosition():
+                        case RequestPosition():
                             event = await self._ask_position(effect)
                         case Hold():
                             event = await self._hold(effect, machine.next_wakeup())
@@ -77,7 +77,7 @@
                 self._peers.post(asked.node, abandon)
             raise
 
-    async def _ask(self, effect: Ask) -> Any:
+    async def _ask(self, effect: SendRequest) -> Any:
         answer = await self._peers.request(effect.node, effect.request, effect.timeout)
         match answer:
             case ExecuteReply():
@@ -86,7 +86,7 @@
                 return AttemptFailed(sent, detail)
         return AttemptFailed(True, f"unexpected answer {type(answer).__name__}")
 
-    async def _ask_position(self, effect: AskPosition) -> Any:
+    async def _ask_position(self, effect: RequestPosition) -> Any:
         answer = await self._confirmations.confirm(effect)
         match answer:
             case PositionReply():
--- a/src/bramblebeam/services/failover/change.py
+++ b/src/bramblebeam/services/failover/change.py
@@ -1,41 +1,20 @@
 """One change of primary: positions, the former leader's end, target, order."""
 
 from __future__ import annotations
-
 import asyncio
-from dataclasses import dataclass
-
-from bramblebeam.core.failover.lease import Lease, OrderedChange
-from bramblebeam.core.failover.target import (
-    CandidateStatus,
-    choose_target,
-    covers_acknowledged,
-    may_promote_without_log,
-    next_term,
-)
-from bramblebeam.core.gateway.directory import DatabaseEntry
-from bramblebeam.core.gateway.leader_lease import WAIT_SECONDS
-from bramblebeam.core.identity import (
-    ZERO_POSITION,
-    GroupId,
-    InstanceId,
-    Position,
-    born_at,
-    server_name,
-)
-from bramblebeam.core.role import Role
-from bramblebeam.services.failover.cut_off import (
-    LEASES_RAN_OUT,
-    NEVER,
-    CutOff,
-    LeaderCutOff,
-    StepDownPeers,
-)
-from bramblebeam.services.failover.member_orders import MemberOrders, MemberUnreachableError
-from bramblebeam.services.failover.paused_members import PausedMembers, Statuses
-from bramblebeam.services.failover.ports import Order, Promoter
-from bramblebeam.services.failover.untold import UntoldChanges
-from bramblebeam.services.gateway.context import GatewayContext
+from bramblebeam.core.failover.lease import (Lease, OrderedChange)
+from bramblebeam.core.failover.target import (CandidateStatus, choose_target, covers_acknowledged, may_promote_without_log, next_term)
+from bramblebeam.core.gateway.directory import (DatabaseEntry)
+from bramblebeam.core.gateway.leader_lease import (WAIT_SECONDS)
+from bramblebeam.core.identity import (GroupId, InstanceId, Position, ZERO_POSITION, incarnation_of, server_name)
+from bramblebeam.core.role import (Role)
+from bramblebeam.services.failover.cut_off import (CutOff, LEASES_RAN_OUT, LeaderCutOff, NEVER, StepDownPeers)
+from bramblebeam.services.failover.member_orders import (MemberOrders, MemberUnreachableError)
+from bramblebeam.services.failover.paused_members import (PausedMembers, Statuses)
+from bramblebeam.services.failover.ports import (Order, Promoter)
+from bramblebeam.services.failover.untold import (UntoldChanges)
+from bramblebeam.services.gateway.context import (GatewayContext)
+from dataclasses import (dataclass)
 
 PROMOTION_TIMEOUT = 0.6
 CATCH_UP_SECONDS = 0.5
@@ -332,7 +311,7 @@
         """Return the later start of a database, if it is registered with one."""
         name = server_name(instance)
         registered = self._context.placement.instance_named(self._group, name)
-        return registered if born_at(registered) > born_at(instance) else instance
+        return registered if incarnation_of(registered) > incarnation_of(instance) else instance
 
     async def _end_former(
         self,
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -1,31 +1,25 @@
 """One group's watch: observes its primary, decides, and changes it."""
 
 from __future__ import annotations
-
 import asyncio
 import logging
 import random
-from dataclasses import replace
-from typing import Protocol
-
-from bramblebeam.core.failover.backoff import FailoverBackoff
-from bramblebeam.core.failover.decision import Action, Cause, FailoverTiming, Situation, decide
-from bramblebeam.core.failover.lease import Lease, OrderedChange
-from bramblebeam.core.identity import GroupId, InstanceId, NodeId, born_at, server_name
-from bramblebeam.core.revision import FIRST_ERA
-from bramblebeam.events import log_event
-from bramblebeam.events.catalogue import (
-    FAILOVER_COMPLETED,
-    FAILOVER_LEFT_TO_OTHERS,
-    FAILOVER_STARTED,
-)
-from bramblebeam.services.failover.change import ChangeOutcome, ChangeRunner
-from bramblebeam.services.failover.cut_off import StepDownPeers
-from bramblebeam.services.failover.group_lease import GroupLease
-from bramblebeam.services.failover.ports import LeaseStore, Order, Promoter
-from bramblebeam.services.failover.situation import GroupObserver
-from bramblebeam.services.gateway.context import GatewayContext
-from bramblebeam.services.waiting import pause
+from bramblebeam.core.failover.backoff import (FailoverBackoff)
+from bramblebeam.core.failover.decision import (Action, Cause, FailoverTiming, Situation, decide)
+from bramblebeam.core.failover.lease import (Lease, OrderedChange)
+from bramblebeam.core.identity import (GroupId, InstanceId, NodeId, incarnation_of, server_name)
+from bramblebeam.core.revision import (FIRST_ERA)
+from bramblebeam.events import (log_event)
+from bramblebeam.events.catalogue import (FAILOVER_COMPLETED, FAILOVER_LEFT_TO_OTHERS, FAILOVER_STARTED)
+from bramblebeam.services.failover.change import (ChangeOutcome, ChangeRunner)
+from bramblebeam.services.failover.cut_off import (StepDownPeers)
+from bramblebeam.services.failover.group_lease import (GroupLease)
+from bramblebeam.services.failover.ports import (LeaseStore, Order, Promoter)
+from bramblebeam.services.failover.situation import (GroupObserver)
+from bramblebeam.services.gateway.context import (GatewayContext)
+from bramblebeam.services.waiting import (pause)
+from dataclasses import (replace)
+from typing import (Protocol)
 
 logger = logging.getLogger(__name__)
 
@@ -324,7 +318,7 @@
         registered = self._service.context.placement.instance_named(
             self._group, server_name(instance)
         )
-        return born_at(registered) > born_at(instance)
+        return incarnation_of(registered) > incarnation_of(instance)
 
     def _has_witness(self) -> bool:
         return self._service.context.leader(self._group).has_witness
--- a/src/bramblebeam/services/feed/peers.py
+++ b/src/bramblebeam/services/feed/peers.py
@@ -1,43 +1,20 @@
 """Lists told by other nodes, and the answers to nodes that ask this one."""
 
 from __future__ import annotations
-
 import asyncio
-from collections.abc import Callable
-from typing import Any, Generic, NamedTuple, TypeVar
-
-from bramblebeam.core.feed.messages import (
-    UNKNOWN_ERA,
-    UNKNOWN_REVISION,
-    DatabaseItem,
-    DatabaseStart,
-    FollowReply,
-    FollowRequest,
-    ListName,
-    RouteTableItem,
-)
-from bramblebeam.core.gateway.directory import DatabaseEntry
-from bramblebeam.core.gateway.routes import RouteTable
-from bramblebeam.core.identity import (
-    NOT_TOLD,
-    InstanceId,
-    NodeId,
-    born_at,
-    instance_id,
-    server_name,
-)
-from bramblebeam.core.revision import FIRST_ERA, HIGHEST_ERA, Revision
-from bramblebeam.core.tenants import TenantTable
-from bramblebeam.kernel import Kernel, MailboxFullError
-from bramblebeam.kernel.mailbox import ServiceFailedError
-from bramblebeam.services.feed.followed import FollowedList
-from bramblebeam.services.feed.ports import (
-    Batch,
-    HistoryLostError,
-    SourceUnavailableError,
-    Versioned,
-)
-from bramblebeam.services.transport.messages import PeerRequest
+from bramblebeam.core.feed.messages import (DatabaseItem, DatabaseStart, FollowReply, FollowRequest, ListName, RouteTableItem, UNKNOWN_ERA, UNKNOWN_REVISION)
+from bramblebeam.core.gateway.directory import (DatabaseEntry)
+from bramblebeam.core.gateway.routes import (RouteTable)
+from bramblebeam.core.identity import (InstanceId, NodeId, UNKNOWN_INCARNATION, incarnation_of, instance_id, server_name)
+from bramblebeam.core.revision import (FIRST_ERA, HIGHEST_ERA, Revision)
+from bramblebeam.core.tenants import (TenantTable)
+from bramblebeam.kernel import (Kernel, MailboxFullError)
+from bramblebeam.kernel.mailbox import (ServiceFailedError)
+from bramblebeam.services.feed.followed import (FollowedList)
+from bramblebeam.services.feed.ports import (Batch, HistoryLostError, SourceUnavailableError, Versioned)
+from bramblebeam.services.transport.messages import (PeerRequest)
+from collections.abc import (Callable)
+from typing import (Any, Generic, NamedTuple, TypeVar)
 
 Item = TypeVar("Item")
 
@@ -112,7 +89,7 @@
         Versioned(
             told.name,
             _revision(reply, told),
-            _started(told.entry, starts.get(told.name, NOT_TOLD)),
+            _started(told.entry, starts.get(told.name, UNKNOWN_INCARNATION)),
             deleted=told.entry is None,
         )
         for told in reply.databases
@@ -179,9 +156,9 @@
             DatabaseItem(item.name, item.revision.number, _named(item.item)) for item in readable
         ),
         starts=tuple(
-            DatabaseStart(item.name, born_at(item.item.instance))
+            DatabaseStart(item.name, incarnation_of(item.item.instance))
             for item in readable
-            if item.item is not None and born_at(item.item.instance) != NOT_TOLD
+            if item.item is not None and incarnation_of(item.item.instance) != UNKNOWN_INCARNATION
         ),
     )
 
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -1,60 +1,39 @@
 """A database that starts again under its name holds and knows nothing of before."""
 
 from __future__ import annotations
-
 import asyncio
-from dataclasses import replace
-
 import pytest
-
-from bramblebeam.core.failover.lease import OrderedChange
-from bramblebeam.core.failover.target import (
-    CandidateStatus,
-    choose_target,
-    covers_acknowledged,
-    may_promote_without_log,
-)
-from bramblebeam.core.feed.messages import FollowReply
-from bramblebeam.core.gateway import lives as lives_module
-from bramblebeam.core.gateway.directory import DatabaseDirectory, DatabaseEntry
-from bramblebeam.core.gateway.lives import Lives
-from bramblebeam.core.gateway.member_memory import MemberMemory, Told
-from bramblebeam.core.gateway.registry import Registry
-from bramblebeam.core.gateway.routes import GroupSettings
-from bramblebeam.core.gateway.served_position import ServedPosition
-from bramblebeam.core.identity import (
-    NOT_TOLD,
-    ZERO_POSITION,
-    Address,
-    GroupId,
-    InstanceId,
-    Position,
-    ServerName,
-    ZoneId,
-    born_at,
-    instance_id,
-    server_name,
-)
-from bramblebeam.core.role import Role
-from bramblebeam.core.tenants import NO_TENANT
-from bramblebeam.kernel import Kernel
-from bramblebeam.platform import leases
-from bramblebeam.platform.objects import StoredObject
-from bramblebeam.platform.promotions import PromotionClient
-from bramblebeam.platform.sources import parse_database
-from bramblebeam.services.failover.change import ChangeRunner
-from bramblebeam.services.failover.peers import TransportStepDownPeers
-from bramblebeam.services.feed.peers import database_items, told_databases
-from bramblebeam.services.feed.ports import Versioned
-from bramblebeam.services.gateway.leader_news import FormerLeaderFound, LeaderNews
-from bramblebeam.services.gateway.leaders import LeaderTracker
-from bramblebeam.wire.codec import Codec
-from bramblebeam.wire.gateway_registry import GATEWAY_NODE_MESSAGES
-from platform_standins.world import GROUP as WORLD_GROUP
-from platform_standins.world import LineClient, World, running_world, until
-from revisions import at
-from test_database_entries import ENTRY
-from test_gateway_leaders import GROUP, LONG_OPEN, claim, make_tracker, now, take_all, word
+from bramblebeam.core.failover.lease import (OrderedChange)
+from bramblebeam.core.failover.target import (CandidateStatus, choose_target, covers_acknowledged, may_promote_without_log)
+from bramblebeam.core.feed.messages import (FollowReply)
+from bramblebeam.core.gateway import (lives as lives_module)
+from bramblebeam.core.gateway.directory import (DatabaseDirectory, DatabaseEntry)
+from bramblebeam.core.gateway.lives import (Lives)
+from bramblebeam.core.gateway.member_memory import (MemberMemory, Told)
+from bramblebeam.core.gateway.registry import (Registry)
+from bramblebeam.core.gateway.routes import (GroupSettings)
+from bramblebeam.core.gateway.served_position import (ServedPosition)
+from bramblebeam.core.identity import (Address, GroupId, InstanceId, Position, ServerName, UNKNOWN_INCARNATION, ZERO_POSITION, ZoneId, incarnation_of, instance_id, server_name)
+from bramblebeam.core.role import (Role)
+from bramblebeam.core.tenants import (NO_TENANT)
+from bramblebeam.kernel import (Kernel)
+from bramblebeam.platform import (leases)
+from bramblebeam.platform.objects import (StoredObject)
+from bramblebeam.platform.promotions import (PromotionClient)
+from bramblebeam.platform.sources import (parse_database)
+from bramblebeam.services.failover.change import (ChangeRunner)
+from bramblebeam.services.failover.peers import (TransportStepDownPeers)
+from bramblebeam.services.feed.peers import (database_items, told_databases)
+from bramblebeam.services.feed.ports import (Versioned)
+from bramblebeam.services.gateway.leader_news import (FormerLeaderFound, LeaderNews)
+from bramblebeam.services.gateway.leaders import (LeaderTracker)
+from bramblebeam.wire.codec import (Codec)
+from bramblebeam.wire.gateway_registry import (GATEWAY_NODE_MESSAGES)
+from dataclasses import (replace)
+from platform_standins.world import (GROUP as WORLD_GROUP, LineClient, World, running_world, until)
+from revisions import (at)
+from test_database_entries import (ENTRY)
+from test_gateway_leaders import (GROUP, LONG_OPEN, claim, make_tracker, now, take_all, word)
 
 BORN = 1_764_720_000_000
 FIRST, SECOND, THIRD = (instance_id(name, BORN) for name in ("db-a", "db-b", "db-c"))
@@ -70,12 +49,12 @@
 # An instance is a name and a start.
 
 
-@pytest.mark.parametrize("born", [NOT_TOLD, 1, BORN])
+@pytest.mark.parametrize("born", [UNKNOWN_INCARNATION, 1, BORN])
 def test_an_instance_is_told_by_its_name_and_its_start(born: int) -> None:
     instance = instance_id("db-a@7", born)
     assert server_name(instance) == "db-a@7"
-    assert born_at(instance) == born
-    assert (instance == "db-a@7") is (born == NOT_TOLD)
+    assert incarnation_of(instance) == born
+    assert (instance == "db-a@7") is (born == UNKNOWN_INCARNATION)
 
 
 def test_the_store_tells_an_instance() -> None:
