--- a/src/bramblebeam/core/gateway/member_memory.py
+++ b/src/bramblebeam/core/gateway/member_memory.py
@@ -18,7 +18,7 @@
     heard_at: float = float("-inf")
 
 
-class MemberMemory:
+class RestartTracker:
     """Knows which members of one group started again, and what they are worth since."""
 
     def __init__(self) -> None:
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -15,7 +15,7 @@
 from bramblebeam.core.gateway.floors import Watermark, Watermarks, age_ms
 from bramblebeam.core.gateway.leader_lease import GLANCE_SECONDS, LeaderLease
 from bramblebeam.core.gateway.leader_promise import LeaderPromise
-from bramblebeam.core.gateway.member_memory import MemberMemory, Told
+from bramblebeam.core.gateway.member_memory import RestartTracker, Told
 from bramblebeam.core.gateway.served_position import ServedPosition
 from bramblebeam.core.gateway.witness_lives import WitnessLives
 from bramblebeam.core.identity import (
@@ -105,7 +105,7 @@
         self._write_answered_at = float("-inf")
         self._newest_proof = Watermark()
         self._served = ServedPosition()
-        self._memory = MemberMemory()
+        self._memory = RestartTracker()
         self._lives = WitnessLives()
         self._distrusted_term = 0
         self._promise = LeaderPromise()
