--- a/src/bramblebeam/core/gateway/member_memory.py
+++ b/src/bramblebeam/core/gateway/member_memory.py
@@ -11,7 +11,7 @@
 from bramblebeam.core.identity import NOT_TOLD, ZERO_POSITION, InstanceId, Position, born_at
 
 
-class Told(NamedTuple):
+class ReportedPosition(NamedTuple):
     """The furthest position that a member told, and when it was heard (steady clock, seconds)."""
 
     position: Position = ZERO_POSITION
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self._forgot_up_to: dict[InstanceId, int] = {}
         self._caught_up_at: dict[InstanceId, Position] = {}
-        self._told: dict[InstanceId, Told] = {}
+        self._told: dict[InstanceId, ReportedPosition] = {}
 
     def take_members(
         self, members: Collection[InstanceId], restarted: Collection[InstanceId], newest_term: int
@@ -43,14 +43,14 @@
             self._forgot_up_to.setdefault(instance, newest_term)
 
     def take_position(
-        self, instance: InstanceId, told: Told, asked_at: float, newest_term: int
+        self, instance: InstanceId, told: ReportedPosition, asked_at: float, newest_term: int
     ) -> None:
         """Take how far a member says it is, asked at some moment (steady clock, seconds).
 
         One that told of a log and has none any more has started again, though no entry tells it
         yet: a log is cut short by a promotion, never to nothing.
         """
-        known = self._told.get(instance, Told())
+        known = self._told.get(instance, ReportedPosition())
         if told.position.offset > 0 or known.position.offset == 0:
             self._told[instance] = max(known, told)
         elif asked_at > known.heard_at:
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -15,7 +15,7 @@
 from bramblebeam.core.gateway.floors import Watermark, Watermarks, age_ms
 from bramblebeam.core.gateway.leader_lease import GLANCE_SECONDS, LeaderLease
 from bramblebeam.core.gateway.leader_promise import LeaderPromise
-from bramblebeam.core.gateway.member_memory import RestartTracker, Told
+from bramblebeam.core.gateway.member_memory import ReportedPosition, RestartTracker
 from bramblebeam.core.gateway.served_position import ServedPosition
 from bramblebeam.core.gateway.witness_lives import WitnessLives
 from bramblebeam.core.identity import (
@@ -254,7 +254,7 @@
         self.confirmed()
 
     def _take_position(self, instance: InstanceId, position: Position, asked_at: float) -> None:
-        told = Told(position, loop_time())
+        told = ReportedPosition(position, loop_time())
         self._memory.take_position(instance, told, asked_at, self._newest_known_term())
 
     def contradicted(self, instance: InstanceId, observed: Position) -> None:
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -18,7 +18,7 @@
 from bramblebeam.core.gateway import lives as lives_module
 from bramblebeam.core.gateway.directory import DatabaseDirectory, DatabaseEntry
 from bramblebeam.core.gateway.lives import Lives
-from bramblebeam.core.gateway.member_memory import RestartTracker, Told
+from bramblebeam.core.gateway.member_memory import ReportedPosition, RestartTracker
 from bramblebeam.core.gateway.registry import Registry
 from bramblebeam.core.gateway.routes import GroupSettings
 from bramblebeam.core.gateway.served_position import ServedPosition
@@ -305,19 +305,25 @@
 
 def test_an_answer_that_was_under_way_does_not_tell_of_a_start() -> None:
     memory = RestartTracker()
-    memory.take_position(SECOND, Told(Position(1, 4), heard_at=2.0), asked_at=1.0, newest_term=1)
-    memory.take_position(SECOND, Told(Position(1, 0), heard_at=3.0), asked_at=1.5, newest_term=1)
+    memory.take_position(
+        SECOND, ReportedPosition(Position(1, 4), heard_at=2.0), asked_at=1.0, newest_term=1
+    )
+    memory.take_position(
+        SECOND, ReportedPosition(Position(1, 0), heard_at=3.0), asked_at=1.5, newest_term=1
+    )
     assert memory.may_confirm(SECOND, 1, Position(1, 4))
-    memory.take_position(SECOND, Told(Position(1, 0), heard_at=4.0), asked_at=3.5, newest_term=1)
+    memory.take_position(
+        SECOND, ReportedPosition(Position(1, 0), heard_at=4.0), asked_at=3.5, newest_term=1
+    )
     assert not memory.may_confirm(SECOND, 1, Position(1, 4))
 
 
 def test_a_member_without_a_log_that_tells_no_start_is_as_before() -> None:
     memory = RestartTracker()
     member = InstanceId("db-b")
-    memory.take_position(member, Told(Position(1, 0), 2.0), asked_at=1.0, newest_term=1)
+    memory.take_position(member, ReportedPosition(Position(1, 0), 2.0), asked_at=1.0, newest_term=1)
     assert memory.may_confirm(member, 1, Position(1, 4))
-    memory.take_position(SECOND, Told(Position(1, 0), 2.0), asked_at=1.0, newest_term=1)
+    memory.take_position(SECOND, ReportedPosition(Position(1, 0), 2.0), asked_at=1.0, newest_term=1)
     assert not memory.may_confirm(SECOND, 1, Position(1, 4))
 
 
