--- a/src/bramblebeam/core/gateway/member_memory.py
+++ b/src/bramblebeam/core/gateway/member_memory.py
@@ -15,7 +15,7 @@
     """The furthest position that a member told, and when it was heard (steady clock, seconds)."""
 
     position: Position = ZERO_POSITION
-    heard_at: float = float("-inf")
+    received_at: float = float("-inf")
 
 
 class RestartTracker:
@@ -53,7 +53,7 @@
         known = self._told.get(instance, ReportedPosition())
         if told.position.offset > 0 or known.position.offset == 0:
             self._told[instance] = max(known, told)
-        elif asked_at > known.heard_at:
+        elif asked_at > known.received_at:
             self._forgot_up_to[instance] = newest_term
             self._caught_up_at.pop(instance, None)
             self._told[instance] = told
