--- a/src/bramblebeam/core/gateway/member_memory.py
+++ b/src/bramblebeam/core/gateway/member_memory.py
@@ -26,7 +26,7 @@
         self._caught_up_at: dict[InstanceId, Position] = {}
         self._told: dict[InstanceId, ReportedPosition] = {}
 
-    def take_members(
+    def update_members(
         self, members: Collection[InstanceId], restarted: Collection[InstanceId], newest_term: int
     ) -> None:
         """Take the registered members, and which of them started again.
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -344,7 +344,7 @@
         """Look again at once: a member came, went, started again or changed its role."""
         members = [entry.instance for entry in self.members()]
         restarted = self._placement.restarted(self.group)
-        self._memory.take_members(members, restarted, self._newest_known_term())
+        self._memory.update_members(members, restarted, self._newest_known_term())
         self._lives.keep_only(members)
         if self.leader is not None and self._has_started_again(self.leader):
             self.refused(self.leader, "it has started again")
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -376,7 +376,7 @@
     memory = RestartTracker()
     memory.take_proof(Position(1, 4))
     assert memory.has_caught_up(SECOND, ZERO_POSITION)
-    memory.take_members([FIRST, SECOND_AGAIN], [SECOND_AGAIN], newest_term=1)
+    memory.update_members([FIRST, SECOND_AGAIN], [SECOND_AGAIN], newest_term=1)
     assert not memory.has_caught_up(SECOND_AGAIN, Position(1, 9))
     memory.take_proof(Position(1, 6))
     memory.take_proof(Position(1, 9))
