--- a/src/bramblebeam/core/gateway/member_memory.py
+++ b/src/bramblebeam/core/gateway/member_memory.py
@@ -42,7 +42,7 @@
         for instance in restarted:
             self._forgot_up_to.setdefault(instance, newest_term)
 
-    def take_position(
+    def observe_position(
         self, instance: InstanceId, told: ReportedPosition, asked_at: float, newest_term: int
     ) -> None:
         """Take how far a member says it is, asked at some moment (steady clock, seconds).
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -255,7 +255,7 @@
 
     def _take_position(self, instance: InstanceId, position: Position, asked_at: float) -> None:
         told = ReportedPosition(position, loop_time())
-        self._memory.take_position(instance, told, asked_at, self._newest_known_term())
+        self._memory.observe_position(instance, told, asked_at, self._newest_known_term())
 
     def contradicted(self, instance: InstanceId, observed: Position) -> None:
         """Note that a session has observed what the log of the leader lacks, in its term or later.
