--- a/src/bramblebeam/core/gateway/member_memory.py
+++ b/src/bramblebeam/core/gateway/member_memory.py
@@ -58,7 +58,7 @@
             self._caught_up_at.pop(instance, None)
             self._told[instance] = told
 
-    def take_proof(self, position: Position) -> None:
+    def observe_proof(self, position: Position) -> None:
         """Take the end of the leader's log: who has that has all that its start lost."""
         for instance in self._forgot_up_to:
             self._caught_up_at.setdefault(instance, position)
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -195,7 +195,7 @@
         # Its log does not shrink: a smaller position was told earlier, or of a part of the log.
         self._newest_proof = Watermark(max(position, known.position), asked_at, self.lease.term)
         self.lease.note_proof(self._newest_proof)
-        self._memory.take_proof(self._newest_proof.position)
+        self._memory.observe_proof(self._newest_proof.position)
         self._take_watermark()
 
     def _forgot_its_lead(self, instance: InstanceId, term: int) -> None:
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -378,12 +378,12 @@
 
 def test_it_does_so_again_once_it_has_what_the_leader_had_since() -> None:
     memory = RestartTracker()
-    memory.take_proof(Position(1, 4))
+    memory.observe_proof(Position(1, 4))
     assert memory.has_caught_up(SECOND, ZERO_POSITION)
     memory.update_members([FIRST, SECOND_AGAIN], [SECOND_AGAIN], newest_term=1)
     assert not memory.has_caught_up(SECOND_AGAIN, Position(1, 9))
-    memory.take_proof(Position(1, 6))
-    memory.take_proof(Position(1, 9))
+    memory.observe_proof(Position(1, 6))
+    memory.observe_proof(Position(1, 9))
     assert not memory.has_caught_up(SECOND_AGAIN, Position(1, 5))
     assert memory.has_caught_up(SECOND_AGAIN, Position(1, 6))
 
