--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -15,7 +15,7 @@
 from bramblebeam.core.gateway.floors import Watermark, Watermarks, age_ms
 from bramblebeam.core.gateway.leader_lease import GLANCE_SECONDS, LeaderLease
 from bramblebeam.core.gateway.leader_promise import LeaderPromise
-from bramblebeam.core.gateway.member_memory import ReportedPosition, RestartTracker
+from bramblebeam.core.gateway.restart_tracker import ReportedPosition, RestartTracker
 from bramblebeam.core.gateway.served_position import ServedPosition
 from bramblebeam.core.gateway.witness_lives import WitnessLives
 from bramblebeam.core.identity import (
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -18,8 +18,8 @@
 from bramblebeam.core.gateway import lives as lives_module
 from bramblebeam.core.gateway.directory import DatabaseDirectory, DatabaseEntry
 from bramblebeam.core.gateway.lives import Lives
-from bramblebeam.core.gateway.member_memory import ReportedPosition, RestartTracker
 from bramblebeam.core.gateway.registry import Registry
+from bramblebeam.core.gateway.restart_tracker import ReportedPosition, RestartTracker
 from bramblebeam.core.gateway.routes import GroupSettings
 from bramblebeam.core.gateway.served_position import ServedPosition
 from bramblebeam.core.identity import (
