--- a/src/bramblebeam/core/gateway/lives.py
+++ b/src/bramblebeam/core/gateway/lives.py
@@ -14,7 +14,7 @@
         self._newest: dict[ServerName, int] = {}
         self._restarted: set[ServerName] = set()
 
-    def take(self, instance: InstanceId) -> bool:
+    def observe(self, instance: InstanceId) -> bool:
         """Note an instance; False: it has ended, as its database has started again since."""
         if self.is_former(instance):
             return False
--- a/src/bramblebeam/core/gateway/registry.py
+++ b/src/bramblebeam/core/gateway/registry.py
@@ -71,7 +71,7 @@
         known = self._known.get(name)
         if known is not None and known.revision > revision:
             return False
-        if not self._lives.take(entry.instance):
+        if not self._lives.observe(entry.instance):
             return False
         if known is not None and known.entry.instance != entry.instance:
             known = None
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -138,7 +138,7 @@
     monkeypatch.setattr(lives_module, "MAXIMUM_NAMES", 2)
     lives = Lives()
     for name in ("a", "b", "c"):
-        assert lives.take(instance_id(name, BORN))
+        assert lives.observe(instance_id(name, BORN))
     assert not lives.is_former(instance_id("a", 1))
     assert lives.is_former(instance_id("c", 1))
 
