--- a/src/bramblebeam/core/gateway/lives.py
+++ b/src/bramblebeam/core/gateway/lives.py
@@ -7,7 +7,7 @@
 told of first is forgotten."""
 
 
-class Lives:
+class Incarnations:
     """Remembers the newest start of each name, also after its entry went."""
 
     def __init__(self) -> None:
--- a/src/bramblebeam/core/gateway/registry.py
+++ b/src/bramblebeam/core/gateway/registry.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from bramblebeam.core.gateway.directory import DatabaseDirectory, DatabaseEntry
-from bramblebeam.core.gateway.lives import Lives
+from bramblebeam.core.gateway.lives import Incarnations
 from bramblebeam.core.identity import InstanceId, ServerName, server_name
 from bramblebeam.core.revision import NO_REVISION, Revision
 
@@ -55,7 +55,7 @@
         self._grace = grace
         self._known: dict[ServerName, _Known] = {}
         self._departed: dict[ServerName, _Departed] = {}
-        self._lives = Lives()
+        self._lives = Incarnations()
         self._version = 0
 
     def is_former(self, instance: InstanceId) -> bool:
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -17,7 +17,7 @@
 from bramblebeam.core.feed.messages import FollowReply
 from bramblebeam.core.gateway import lives as lives_module
 from bramblebeam.core.gateway.directory import DatabaseDirectory, DatabaseEntry
-from bramblebeam.core.gateway.lives import Lives
+from bramblebeam.core.gateway.lives import Incarnations
 from bramblebeam.core.gateway.registry import Registry
 from bramblebeam.core.gateway.restart_tracker import ReportedPosition, RestartTracker
 from bramblebeam.core.gateway.routes import GroupSettings
@@ -136,7 +136,7 @@
 
 def test_only_so_many_names_are_remembered(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(lives_module, "MAXIMUM_NAMES", 2)
-    lives = Lives()
+    lives = Incarnations()
     for name in ("a", "b", "c"):
         assert lives.observe(instance_id(name, BORN))
     assert not lives.is_former(instance_id("a", 1))
