--- a/src/bramblebeam/core/gateway/registry.py
+++ b/src/bramblebeam/core/gateway/registry.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from bramblebeam.core.gateway.directory import DatabaseDirectory, DatabaseEntry
-from bramblebeam.core.gateway.lives import Incarnations
+from bramblebeam.core.gateway.incarnations import Incarnations
 from bramblebeam.core.identity import InstanceId, ServerName, server_name
 from bramblebeam.core.revision import NO_REVISION, Revision
 
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -15,9 +15,9 @@
     may_lead_empty,
 )
 from bramblebeam.core.feed.messages import FollowReply
-from bramblebeam.core.gateway import lives as lives_module
+from bramblebeam.core.gateway import incarnations as lives_module
 from bramblebeam.core.gateway.directory import DatabaseDirectory, DatabaseEntry
-from bramblebeam.core.gateway.lives import Incarnations
+from bramblebeam.core.gateway.incarnations import Incarnations
 from bramblebeam.core.gateway.registry import Registry
 from bramblebeam.core.gateway.restart_tracker import ReportedPosition, RestartTracker
 from bramblebeam.core.gateway.routes import GroupSettings
