--- a/src/bramblebeam/core/gateway/witness_lives.py
+++ b/src/bramblebeam/core/gateway/witness_lives.py
@@ -23,7 +23,7 @@
 SETTLED_SECONDS = PROMISE_SECONDS - WAIT_SECONDS
 """A member that has lived for so long was not paused, before it started, for a change that may yet
 take effect: at the end of the wait it was looked at once more."""
-MAXIMUM_LIVES = 4
+MAXIMUM_INTERVALS = 4
 """Parts of lives that are remembered of a member: later answers may show that they are of one."""
 NEVER = float("-inf")
 
@@ -67,7 +67,7 @@
         new = Life(opened_at, asked_at)
         same = [life for life in lives if life.overlaps(new) or life.since == opened_at]
         others = [life for life in lives if life not in same]
-        self._lives[instance] = sorted([*others, new.joined(same)])[-MAXIMUM_LIVES:]
+        self._lives[instance] = sorted([*others, new.joined(same)])[-MAXIMUM_INTERVALS:]
 
     def free(self, instance: InstanceId, at: float) -> None:
         """Note that a member was free at some moment after `at`."""
