--- a/src/bramblebeam/core/gateway/witness_lives.py
+++ b/src/bramblebeam/core/gateway/witness_lives.py
@@ -58,7 +58,7 @@
         for instance in self._free_at.keys() - set(members):
             del self._free_at[instance]
 
-    def heard(self, instance: InstanceId, opened_at: float, asked_at: float) -> None:
+    def record_reply(self, instance: InstanceId, opened_at: float, asked_at: float) -> None:
         """Take an answer to what was asked on a connection that was open at `opened_at`.
 
         Two connections that were in use at the same time end at the same life.
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -224,7 +224,7 @@
         """
         if position == ZERO_POSITION:
             return
-        self._lives.heard(instance, opened_at, asked_at)
+        self._lives.record_reply(instance, opened_at, asked_at)
         if instance != self.leader:
             self._take_position(instance, position, asked_at)
         if self.leader is None:
@@ -569,7 +569,7 @@
         `may_confirm` False: it was asked before a leader was lost. Another node may rely on that
         this one has no lease any more, so that the answer must not begin one.
         """
-        self._lives.heard(answer.instance, answer.opened_at, answer.asked_at)
+        self._lives.record_reply(answer.instance, answer.opened_at, answer.asked_at)
         term = answer.position.term if answer.status is None else answer.status.term
         self.highest_term = max(self.highest_term, term)
         if answer.leads:
--- a/tests/test_witness_lives.py
+++ b/tests/test_witness_lives.py
@@ -32,7 +32,7 @@
     free_at: dict[InstanceId, float], missing: list[InstanceId]
 ) -> None:
     lives = WitnessLives()
-    lives.heard(SECOND, START, START)
+    lives.record_reply(SECOND, START, START)
     for instance, at in free_at.items():
         lives.free(instance, at)
     assert lives.missing(SECOND, START, OTHERS) == missing
@@ -44,7 +44,7 @@
 )
 def test_a_member_that_outlived_any_change_counts_alone(asked_at: float, has_lasted: bool) -> None:
     lives = WitnessLives()
-    lives.heard(SECOND, START, asked_at)
+    lives.record_reply(SECOND, START, asked_at)
     assert lives.has_lasted(SECOND, START, asked_at) is has_lasted
 
 
@@ -73,7 +73,7 @@
 ) -> None:
     lives = WitnessLives()
     for opened_at, asked_at in connections:
-        lives.heard(SECOND, START + opened_at, START + asked_at)
+        lives.record_reply(SECOND, START + opened_at, START + asked_at)
     assert lives.has_lasted(SECOND, START + NEWEST, START + AGE) is has_lasted
 
 
