--- a/src/bramblebeam/core/gateway/witness_lives.py
+++ b/src/bramblebeam/core/gateway/witness_lives.py
@@ -69,7 +69,7 @@
         others = [life for life in lives if life not in same]
         self._lives[instance] = sorted([*others, new.joined(same)])[-MAXIMUM_INTERVALS:]
 
-    def free(self, instance: InstanceId, at: float) -> None:
+    def record_unpaused(self, instance: InstanceId, at: float) -> None:
         """Note that a member was free at some moment after `at`."""
         self._free_at[instance] = max(at, self._free_at.get(instance, NEVER))
 
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -244,7 +244,7 @@
     ) -> None:
         """Renew the lease by what a member has received, if its word counts."""
         unpaused_at = self.lease.unpaused_at(position)
-        self._lives.free(instance, unpaused_at)
+        self._lives.record_unpaused(instance, unpaused_at)
         if not self._is_settled(instance, opened_at, asked_at):
             self._settle(instance, opened_at)
             return
@@ -555,7 +555,7 @@
             answer = await question(instance, PROBE_TIMEOUT)
         except ProbeFailedError as error:
             if error.is_gone:
-                self._lives.free(instance, began)
+                self._lives.record_unpaused(instance, began)
             self.refused(instance, str(error))
             return
         if answer is not None:
@@ -587,7 +587,7 @@
         instance = answer.instance
         if term < self.highest_term:
             # A leader isn't paused, so that no change is to promote it.
-            self._lives.free(instance, answer.asked_at)
+            self._lives.record_unpaused(instance, answer.asked_at)
             log_event(
                 logger,
                 FORMER_LEADER_FOUND,
@@ -691,7 +691,7 @@
         self._take_position(instance, status.received, answer.asked_at)
         if self.lease.is_denied_by(status.term, status.held_term):
             return
-        self._lives.free(instance, answer.asked_at)
+        self._lives.record_unpaused(instance, answer.asked_at)
         if not may_confirm or not self._may_confirm(instance):
             return
         if not self._is_settled(instance, answer.opened_at, answer.asked_at):
--- a/tests/test_witness_lives.py
+++ b/tests/test_witness_lives.py
@@ -34,7 +34,7 @@
     lives = WitnessLives()
     lives.record_reply(SECOND, START, START)
     for instance, at in free_at.items():
-        lives.free(instance, at)
+        lives.record_unpaused(instance, at)
     assert lives.missing(SECOND, START, OTHERS) == missing
 
 
