--- a/src/bramblebeam/core/gateway/witness_lives.py
+++ b/src/bramblebeam/core/gateway/witness_lives.py
@@ -73,7 +73,9 @@
         """Note that a member was free at some moment after `at`."""
         self._free_at[instance] = max(at, self._free_at.get(instance, NEVER))
 
-    def has_lasted(self, instance: InstanceId, opened_at: float, asked_at: float) -> bool:
+    def has_outlasted_changes(
+        self, instance: InstanceId, opened_at: float, asked_at: float
+    ) -> bool:
         """Whether who was asked on a connection had lived longer than any change takes."""
         return asked_at - self._since(instance, opened_at) >= SETTLED_SECONDS
 
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -370,7 +370,7 @@
 
     def _is_settled(self, instance: InstanceId, opened_at: float, asked_at: float) -> bool:
         """Whether a member's word counts: it forgot no pause for a change that is under way."""
-        if self._lives.has_lasted(instance, opened_at, asked_at):
+        if self._lives.has_outlasted_changes(instance, opened_at, asked_at):
             return True
         return not self._lives.missing(instance, opened_at, self._others(instance))
 
--- a/tests/test_witness_lives.py
+++ b/tests/test_witness_lives.py
@@ -45,7 +45,7 @@
 def test_a_member_that_outlived_any_change_counts_alone(asked_at: float, has_lasted: bool) -> None:
     lives = WitnessLives()
     lives.record_reply(SECOND, START, asked_at)
-    assert lives.has_lasted(SECOND, START, asked_at) is has_lasted
+    assert lives.has_outlasted_changes(SECOND, START, asked_at) is has_lasted
 
 
 AGE = SETTLED_SECONDS + 0.1
@@ -74,7 +74,7 @@
     lives = WitnessLives()
     for opened_at, asked_at in connections:
         lives.record_reply(SECOND, START + opened_at, START + asked_at)
-    assert lives.has_lasted(SECOND, START + NEWEST, START + AGE) is has_lasted
+    assert lives.has_outlasted_changes(SECOND, START + NEWEST, START + AGE) is has_lasted
 
 
 async def test_a_start_costs_no_time_where_every_member_answers() -> None:
