--- a/src/bramblebeam/core/gateway/witness_lives.py
+++ b/src/bramblebeam/core/gateway/witness_lives.py
@@ -44,7 +44,7 @@
         return Life(min(life.since for life in lives), max(life.until for life in lives))
 
 
-class WitnessLives:
+class WitnessUptimes:
     """Remembers lives, and when each member was last found free."""
 
     def __init__(self) -> None:
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -17,7 +17,7 @@
 from bramblebeam.core.gateway.leader_promise import LeaderPromise
 from bramblebeam.core.gateway.restart_tracker import ReportedPosition, RestartTracker
 from bramblebeam.core.gateway.served_position import ServedPosition
-from bramblebeam.core.gateway.witness_lives import WitnessLives
+from bramblebeam.core.gateway.witness_lives import WitnessUptimes
 from bramblebeam.core.identity import (
     ZERO_POSITION,
     GroupId,
@@ -106,7 +106,7 @@
         self._newest_proof = Watermark()
         self._served = ServedPosition()
         self._memory = RestartTracker()
-        self._lives = WitnessLives()
+        self._lives = WitnessUptimes()
         self._distrusted_term = 0
         self._promise = LeaderPromise()
         self._barred: InstanceId | None = None
--- a/tests/test_restarts_during_changes.py
+++ b/tests/test_restarts_during_changes.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from bramblebeam.core.gateway.witness_lives import WitnessLives
+from bramblebeam.core.gateway.witness_lives import WitnessUptimes
 from platform_standins.cuts import cut
 from platform_standins.group import LineDatabase
 from platform_standins.world import GROUP, World, keep_writing, running_world, until
@@ -55,7 +55,7 @@
     seconds: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards the orderer's side alone: here every word counts, whoever gives it."""
-    monkeypatch.setattr(WitnessLives, "has_lasted", lambda *_: True)
+    monkeypatch.setattr(WitnessUptimes, "has_lasted", lambda *_: True)
     async with world_with_a_change_ahead() as world:
         await start_again_while_paused(world, seconds)
         assert await commits_at_former_leaders(world) == []
--- a/tests/test_witness_lives.py
+++ b/tests/test_witness_lives.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from bramblebeam.core.gateway.witness_lives import SETTLED_SECONDS, WitnessLives
+from bramblebeam.core.gateway.witness_lives import SETTLED_SECONDS, WitnessUptimes
 from bramblebeam.core.identity import InstanceId, Position
 from bramblebeam.services.gateway.member_probes import ProbeFailedError
 from test_database_lives import SECOND_AGAIN, register
@@ -31,7 +31,7 @@
 def test_a_word_counts_once_every_member_was_heard_to_be_free_since_the_start(
     free_at: dict[InstanceId, float], missing: list[InstanceId]
 ) -> None:
-    lives = WitnessLives()
+    lives = WitnessUptimes()
     lives.record_reply(SECOND, START, START)
     for instance, at in free_at.items():
         lives.record_unpaused(instance, at)
@@ -43,7 +43,7 @@
     [(START, False), (START + SETTLED_SECONDS - 0.1, False), (START + SETTLED_SECONDS + 0.1, True)],
 )
 def test_a_member_that_outlived_any_change_counts_alone(asked_at: float, has_lasted: bool) -> None:
-    lives = WitnessLives()
+    lives = WitnessUptimes()
     lives.record_reply(SECOND, START, asked_at)
     assert lives.has_outlasted_changes(SECOND, START, asked_at) is has_lasted
 
@@ -71,7 +71,7 @@
 def test_connections_in_use_at_the_same_time_end_at_one_life(
     connections: list[tuple[float, float]], has_lasted: bool
 ) -> None:
-    lives = WitnessLives()
+    lives = WitnessUptimes()
     for opened_at, asked_at in connections:
         lives.record_reply(SECOND, START + opened_at, START + asked_at)
     assert lives.has_outlasted_changes(SECOND, START + NEWEST, START + AGE) is has_lasted
