--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -17,7 +17,7 @@
 from bramblebeam.core.gateway.leader_promise import LeaderPromise
 from bramblebeam.core.gateway.restart_tracker import ReportedPosition, RestartTracker
 from bramblebeam.core.gateway.served_position import ServedPosition
-from bramblebeam.core.gateway.witness_lives import WitnessUptimes
+from bramblebeam.core.gateway.witness_uptimes import WitnessUptimes
 from bramblebeam.core.identity import (
     ZERO_POSITION,
     GroupId,
--- a/tests/test_restarts_during_changes.py
+++ b/tests/test_restarts_during_changes.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from bramblebeam.core.gateway.witness_lives import WitnessUptimes
+from bramblebeam.core.gateway.witness_uptimes import WitnessUptimes
 from platform_standins.cuts import cut
 from platform_standins.group import LineDatabase
 from platform_standins.world import GROUP, World, keep_writing, running_world, until
--- a/tests/test_witness_lives.py
+++ b/tests/test_witness_lives.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from bramblebeam.core.gateway.witness_lives import SETTLED_SECONDS, WitnessUptimes
+from bramblebeam.core.gateway.witness_uptimes import SETTLED_SECONDS, WitnessUptimes
 from bramblebeam.core.identity import InstanceId, Position
 from bramblebeam.services.gateway.member_probes import ProbeFailedError
 from test_database_lives import SECOND_AGAIN, register
