--- a/src/bramblebeam/core/gateway/leader_lease.py
+++ b/src/bramblebeam/core/gateway/leader_lease.py
@@ -43,7 +43,7 @@
         """Whether something that only the leader may run can be sent now."""
         return self.covers(now + SEND_MARGIN)
 
-    def note_proof(self, proof: Watermark) -> None:
+    def record_proof(self, proof: Watermark) -> None:
         """Take the leader's position: what it commits later is beyond it."""
         last = self._proofs[-1].asked_at if self._proofs else float("-inf")
         if proof.asked_at - last >= PROOF_SPACING:
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -194,7 +194,7 @@
             return
         # Its log does not shrink: a smaller position was told earlier, or of a part of the log.
         self._newest_proof = Watermark(max(position, known.position), asked_at, self.lease.term)
-        self.lease.note_proof(self._newest_proof)
+        self.lease.record_proof(self._newest_proof)
         self._memory.observe_proof(self._newest_proof.position)
         self._take_watermark()
 
@@ -230,7 +230,7 @@
         if self.leader is None:
             return
         if instance == self.leader:
-            self.lease.note_proof(Watermark(position, asked_at))
+            self.lease.record_proof(Watermark(position, asked_at))
         elif position.term <= self.lease.term and not self._may_confirm(instance):
             return
         elif position.term <= self.lease.term:
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -513,7 +513,7 @@
         members = world.group.members
         members["db-c"].deaf = True
         tracker = tracker_of(world)
-        tracker.lease.note_proof(tracker._newest_proof)
+        tracker.lease.record_proof(tracker._newest_proof)
         members["db-b"].deaf = True
         await members["db-b"].restart_empty()
         world.register("db-b")
--- a/tests/test_leader_lease.py
+++ b/tests/test_leader_lease.py
@@ -20,7 +20,7 @@
 def lease_with_proofs(*proofs: Watermark) -> LeaderLease:
     lease = LeaderLease(TERM)
     for proof in proofs:
-        lease.note_proof(proof)
+        lease.record_proof(proof)
     return lease
 
 
