--- a/src/bramblebeam/core/gateway/leader_lease.py
+++ b/src/bramblebeam/core/gateway/leader_lease.py
@@ -53,7 +53,7 @@
         """Whether the word of another member speaks against this leader; see `note_status`."""
         return max(follows, held) > self.term
 
-    def note_status(self, follows: int, held: int, asked_at: float) -> bool:
+    def record_status(self, follows: int, held: int, asked_at: float) -> bool:
         """Take the word of another member; False: it speaks against this leader.
 
         `follows`: the newest term that the member has heard of. `held`: the term that it was told
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -697,6 +697,6 @@
         if not self._is_settled(instance, answer.opened_at, answer.asked_at):
             self._settle(instance, answer.opened_at)
             return
-        self.lease.note_status(status.term, status.held_term, answer.asked_at)
+        self.lease.record_status(status.term, status.held_term, answer.asked_at)
         self._log_confirmer(instance, "status", answer.opened_at)
         self.confirmed()
--- a/tests/test_leader_lease.py
+++ b/tests/test_leader_lease.py
@@ -39,7 +39,7 @@
     follows: int, held: int, confirms: bool
 ) -> None:
     lease = LeaderLease(TERM)
-    assert lease.note_status(follows, held, NOW) is confirms
+    assert lease.record_status(follows, held, NOW) is confirms
     assert lease.covers(NOW) is confirms
 
 
@@ -75,8 +75,8 @@
 
 def test_an_older_word_does_not_shorten_the_lease() -> None:
     lease = LeaderLease(TERM)
-    lease.note_status(TERM, 0, NOW)
-    lease.note_status(TERM, 0, NOW - 1)
+    lease.record_status(TERM, 0, NOW)
+    lease.record_status(TERM, 0, NOW - 1)
     assert lease.confirmed_at == NOW
 
 
@@ -91,7 +91,7 @@
 )
 def test_nothing_is_sent_at_the_end_of_a_lease(age: float, covers: bool, may_send: bool) -> None:
     lease = LeaderLease(TERM)
-    lease.note_status(TERM, 0, NOW)
+    lease.record_status(TERM, 0, NOW)
     assert lease.covers(NOW + age) is covers
     assert lease.may_send(NOW + age) is may_send
 
