--- a/src/bramblebeam/core/gateway/leader_lease.py
+++ b/src/bramblebeam/core/gateway/leader_lease.py
@@ -64,7 +64,7 @@
         self.confirmed_at = max(self.confirmed_at, asked_at)
         return True
 
-    def note_received(self, position: Position) -> bool:
+    def record_received(self, position: Position) -> bool:
         """Take the position of another member; False: it is of a newer term."""
         if position.term > self.term:
             return False
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -250,7 +250,7 @@
             return
         if unpaused_at > self.lease.confirmed_at:
             self._log_confirmer(instance, "received", opened_at)
-        self.lease.note_received(position)
+        self.lease.record_received(position)
         self.confirmed()
 
     def _take_position(self, instance: InstanceId, position: Position, asked_at: float) -> None:
--- a/tests/test_leader_lease.py
+++ b/tests/test_leader_lease.py
@@ -62,14 +62,14 @@
     lease = lease_with_proofs(
         Watermark(Position(TERM, 10), NOW), Watermark(Position(TERM, 12), NOW + 1)
     )
-    assert lease.note_received(received)
+    assert lease.record_received(received)
     expected = float("-inf") if confirmed_at is None else confirmed_at
     assert lease.confirmed_at == expected
 
 
 def test_a_position_of_a_newer_term_speaks_against_the_leader() -> None:
     lease = lease_with_proofs(Watermark(Position(TERM, 10), NOW))
-    assert not lease.note_received(Position(TERM + 1, 1))
+    assert not lease.record_received(Position(TERM + 1, 1))
     assert not lease.covers(NOW)
 
 
