--- a/src/bramblebeam/core/gateway/leader_lease.py
+++ b/src/bramblebeam/core/gateway/leader_lease.py
@@ -49,7 +49,7 @@
         if proof.asked_at - last >= PROOF_SPACING:
             self._proofs.append(proof)
 
-    def is_denied_by(self, follows: int, held: int) -> bool:
+    def is_contradicted_by(self, follows: int, held: int) -> bool:
         """Whether the word of another member speaks against this leader; see `note_status`."""
         return max(follows, held) > self.term
 
@@ -59,7 +59,7 @@
         `follows`: the newest term that the member has heard of. `held`: the term that it was told
         to receive from next, 0 where it was told nothing.
         """
-        if self.is_denied_by(follows, held):
+        if self.is_contradicted_by(follows, held):
             return False
         self.confirmed_at = max(self.confirmed_at, asked_at)
         return True
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -689,7 +689,7 @@
             self.heard(instance, answer.position, answer.asked_at, answer.opened_at)
             return
         self._take_position(instance, status.received, answer.asked_at)
-        if self.lease.is_denied_by(status.term, status.held_term):
+        if self.lease.is_contradicted_by(status.term, status.held_term):
             return
         self._lives.record_unpaused(instance, answer.asked_at)
         if not may_confirm or not self._may_confirm(instance):
