--- a/src/bramblebeam/core/gateway/leader_lease.py
+++ b/src/bramblebeam/core/gateway/leader_lease.py
@@ -16,7 +16,7 @@
 """For how long one confirmation holds."""
 WAIT_SECONDS = 0.9
 """For how long a change of primary waits: the lease, and what was sent at its end may run."""
-GLANCE_SECONDS = 0.3
+POSITION_RENEWAL_SECONDS = 0.3
 """A confirmation older than this is renewed by what members have received, if there is news."""
 RENEWAL_SECONDS = 0.6
 """A confirmation older than this is renewed by the status of a member, which takes a slot."""
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -13,7 +13,7 @@
 
 from bramblebeam.core.gateway.directory import DatabaseEntry
 from bramblebeam.core.gateway.floors import Watermark, Watermarks, age_ms
-from bramblebeam.core.gateway.leader_lease import GLANCE_SECONDS, LeaderLease
+from bramblebeam.core.gateway.leader_lease import POSITION_RENEWAL_SECONDS, LeaderLease
 from bramblebeam.core.gateway.leader_promise import LeaderPromise
 from bramblebeam.core.gateway.restart_tracker import ReportedPosition, RestartTracker
 from bramblebeam.core.gateway.served_position import ServedPosition
@@ -376,7 +376,7 @@
 
     def _settle(self, instance: InstanceId, opened_at: float) -> None:
         """Ask those members whose word makes another one's count, where the lease needs it."""
-        if loop_time() - self.lease.confirmed_at < GLANCE_SECONDS:
+        if loop_time() - self.lease.confirmed_at < POSITION_RENEWAL_SECONDS:
             return
         for missing in self._lives.missing(instance, opened_at, self._others(instance)):
             self.start_asking(missing)
--- a/src/bramblebeam/services/gateway/lease_keeper.py
+++ b/src/bramblebeam/services/gateway/lease_keeper.py
@@ -7,7 +7,11 @@
 from typing import Protocol
 
 from bramblebeam.core.gateway.floors import age_ms
-from bramblebeam.core.gateway.leader_lease import GLANCE_SECONDS, RENEWAL_SECONDS, LeaderLease
+from bramblebeam.core.gateway.leader_lease import (
+    POSITION_RENEWAL_SECONDS,
+    RENEWAL_SECONDS,
+    LeaderLease,
+)
 from bramblebeam.core.identity import GroupId, InstanceId
 from bramblebeam.events import log_event
 from bramblebeam.events.catalogue import LEADER_LEASE_LAPSED
@@ -73,8 +77,8 @@
                 self._wanted.clear()
                 continue
             age = loop_time() - self._held.lease.confirmed_at
-            if age < GLANCE_SECONDS:
-                await pause(self._wanted, GLANCE_SECONDS - age)
+            if age < POSITION_RENEWAL_SECONDS:
+                await pause(self._wanted, POSITION_RENEWAL_SECONDS - age)
             elif age < RENEWAL_SECONDS:
                 await self._glance()
             else:
