--- a/src/bramblebeam/core/gateway/leader_lease.py
+++ b/src/bramblebeam/core/gateway/leader_lease.py
@@ -18,7 +18,7 @@
 """For how long a change of primary waits: the lease, and what was sent at its end may run."""
 POSITION_RENEWAL_SECONDS = 0.3
 """A confirmation older than this is renewed by what members have received, if there is news."""
-RENEWAL_SECONDS = 0.6
+STATUS_RENEWAL_SECONDS = 0.6
 """A confirmation older than this is renewed by the status of a member, which takes a slot."""
 SEND_MARGIN = 0.03
 """Nothing is sent in the last moments of a lease."""
--- a/src/bramblebeam/services/gateway/lease_keeper.py
+++ b/src/bramblebeam/services/gateway/lease_keeper.py
@@ -9,7 +9,7 @@
 from bramblebeam.core.gateway.floors import age_ms
 from bramblebeam.core.gateway.leader_lease import (
     POSITION_RENEWAL_SECONDS,
-    RENEWAL_SECONDS,
+    STATUS_RENEWAL_SECONDS,
     LeaderLease,
 )
 from bramblebeam.core.identity import GroupId, InstanceId
@@ -79,7 +79,7 @@
             age = loop_time() - self._held.lease.confirmed_at
             if age < POSITION_RENEWAL_SECONDS:
                 await pause(self._wanted, POSITION_RENEWAL_SECONDS - age)
-            elif age < RENEWAL_SECONDS:
+            elif age < STATUS_RENEWAL_SECONDS:
                 await self._glance()
             else:
                 await self._renew()
--- a/tests/test_leader_lease.py
+++ b/tests/test_leader_lease.py
@@ -6,8 +6,8 @@
 from bramblebeam.core.gateway.leader_lease import (
     LEASE_SECONDS,
     MAXIMUM_PROOFS,
-    RENEWAL_SECONDS,
     SEND_MARGIN,
+    STATUS_RENEWAL_SECONDS,
     WAIT_SECONDS,
     LeaderLease,
 )
@@ -97,7 +97,7 @@
 
 
 def test_a_change_waits_for_longer_than_any_lease_holds() -> None:
-    assert WAIT_SECONDS > LEASE_SECONDS > RENEWAL_SECONDS + SEND_MARGIN
+    assert WAIT_SECONDS > LEASE_SECONDS > STATUS_RENEWAL_SECONDS + SEND_MARGIN
 
 
 def test_only_so_many_proofs_are_kept() -> None:
