--- a/src/bramblebeam/core/gateway/leader_promise.py
+++ b/src/bramblebeam/core/gateway/leader_promise.py
@@ -23,6 +23,6 @@
         self._term = max(term, self._term) if now < self._until else term
         self._until = now + PROMISE_SECONDS
 
-    def bars(self, term: int, now: float) -> bool:
+    def blocks(self, term: int, now: float) -> bool:
         """Whether a leader of `term` may not be used now."""
         return term < self._term and now < self._until
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -610,7 +610,7 @@
 
     def _is_barred(self, instance: InstanceId, term: int) -> bool:
         """Whether this node has promised not to use a leader of that term for now."""
-        if not self._promise.bars(term, loop_time()):
+        if not self._promise.blocks(term, loop_time()):
             return False
         if instance != self._barred:
             log_event(logger, LEADER_BARRED, group=self.group, instance=instance, term=term)
--- a/tests/test_leader_promise.py
+++ b/tests/test_leader_promise.py
@@ -20,17 +20,17 @@
 def test_what_a_promise_bars(term: int, after: float, is_barred: bool) -> None:
     promise = LeaderPromise()
     promise.give(3, NOW)
-    assert promise.bars(term, NOW + after) is is_barred
+    assert promise.blocks(term, NOW + after) is is_barred
 
 
 def test_nothing_is_barred_before_a_promise() -> None:
-    assert not LeaderPromise().bars(0, NOW)
+    assert not LeaderPromise().blocks(0, NOW)
 
 
 def test_a_promise_for_a_lower_term_takes_none_back_that_still_counts() -> None:
     promise = LeaderPromise()
     promise.give(5, NOW)
     promise.give(3, NOW + 1.0)
-    assert promise.bars(4, NOW + 2.0)
+    assert promise.blocks(4, NOW + 2.0)
     promise.give(3, NOW + 1.0 + PROMISE_SECONDS)
-    assert not promise.bars(4, NOW + 2.0 + PROMISE_SECONDS)
+    assert not promise.blocks(4, NOW + 2.0 + PROMISE_SECONDS)
