--- a/src/bramblebeam/core/gateway/served_position.py
+++ b/src/bramblebeam/core/gateway/served_position.py
@@ -10,7 +10,7 @@
         self._position = ZERO_POSITION
         self._heard_at = float("-inf")
 
-    def take(self, position: Position, heard_at: float) -> None:
+    def observe(self, position: Position, heard_at: float) -> None:
         """Take the position of an answer."""
         if position >= self._position:
             self._position = position
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -172,7 +172,7 @@
             return True
         if not self.has_its_log(instance, position, asked_at):
             return False
-        self._served.take(position, loop_time())
+        self._served.observe(position, loop_time())
         self._take_proof(position, asked_at)
         return True
 
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -299,7 +299,7 @@
     served: Position, told: Position, asked_at: float, is_beyond: bool
 ) -> None:
     position = ServedPosition()
-    position.take(served, heard_at=1.0)
+    position.observe(served, heard_at=1.0)
     assert position.is_beyond(told, asked_at, term=3) is is_beyond
 
 
