--- a/src/bramblebeam/core/gateway/floors.py
+++ b/src/bramblebeam/core/gateway/floors.py
@@ -29,7 +29,7 @@
     """
 
     position: Position = ZERO_POSITION
-    asked_at: float = float("-inf")
+    queried_at: float = float("-inf")
     term: int = 0
 
 
@@ -51,8 +51,8 @@
 
     def take(self, mark: Watermark) -> None:
         """Take a watermark that is newer than those before."""
-        last = self._kept[-1].asked_at if self._kept else float("-inf")
-        if mark.asked_at - last >= KEPT_SPACING:
+        last = self._kept[-1].queried_at if self._kept else float("-inf")
+        if mark.queried_at - last >= KEPT_SPACING:
             self._kept.append(mark)
         self.newest = mark
 
@@ -67,10 +67,10 @@
         acknowledged elsewhere may be missing for.
         """
         oldest_allowed = now - staleness
-        if self.newest.asked_at < oldest_allowed:
+        if self.newest.queried_at < oldest_allowed:
             return None
         preferred = max(oldest_allowed, now - staleness * PREFERRED_AGE)
-        allowed = (mark for mark in self._kept if mark.asked_at >= preferred)
+        allowed = (mark for mark in self._kept if mark.queried_at >= preferred)
         mark = next(allowed, self.newest)
         return max(self._existing(own), mark.position)
 
--- a/src/bramblebeam/core/gateway/leader_lease.py
+++ b/src/bramblebeam/core/gateway/leader_lease.py
@@ -45,8 +45,8 @@
 
     def record_proof(self, proof: Watermark) -> None:
         """Take the leader's position: what it commits later is beyond it."""
-        last = self._proofs[-1].asked_at if self._proofs else float("-inf")
-        if proof.asked_at - last >= PROOF_SPACING:
+        last = self._proofs[-1].queried_at if self._proofs else float("-inf")
+        if proof.queried_at - last >= PROOF_SPACING:
             self._proofs.append(proof)
 
     def is_contradicted_by(self, follows: int, held: int) -> bool:
@@ -69,7 +69,7 @@
         if position.term > self.term:
             return False
         self.confirmed_at = max(self.confirmed_at, self.unpaused_at(position))
-        while self._proofs and self._proofs[0].asked_at <= self.confirmed_at:
+        while self._proofs and self._proofs[0].queried_at <= self.confirmed_at:
             self._proofs.popleft()
         return True
 
@@ -80,7 +80,7 @@
         that the member was not paused when that proof was asked for.
         """
         passed = (
-            proof.asked_at
+            proof.queried_at
             for proof in reversed(self._proofs)
             if _is_beyond(position, proof.position, self.term)
         )
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -190,7 +190,7 @@
     def _take_proof(self, position: Position, asked_at: float) -> None:
         """Take the end of the leader's log, as it was at some moment after `asked_at`."""
         known = self._newest_proof
-        if asked_at < known.asked_at or position == ZERO_POSITION:
+        if asked_at < known.queried_at or position == ZERO_POSITION:
             return
         # Its log does not shrink: a smaller position was told earlier, or of a part of the log.
         self._newest_proof = Watermark(max(position, known.position), asked_at, self.lease.term)
@@ -313,7 +313,7 @@
             group=self.group,
             instance=instance,
             reason=reason,
-            proof_age_ms=age_ms(self._newest_proof.asked_at, now),
+            proof_age_ms=age_ms(self._newest_proof.queried_at, now),
         )
         self._publish(LeaderSuspected(self.group, instance, now))
         self._notify()
@@ -417,7 +417,9 @@
     def _take_watermark(self) -> None:
         """Take the newest proof for what is committed, if the lease covers its moment."""
         proof = self._newest_proof
-        if proof.asked_at > self.watermarks.newest.asked_at and self.lease.covers(proof.asked_at):
+        if proof.queried_at > self.watermarks.newest.queried_at and self.lease.covers(
+            proof.queried_at
+        ):
             self.watermarks.take(proof)
 
     # What statements wait for.
@@ -442,7 +444,7 @@
         return True
 
     def _is_old(self) -> bool:
-        return loop_time() - self._newest_proof.asked_at >= PROOF_LIFETIME
+        return loop_time() - self._newest_proof.queried_at >= PROOF_LIFETIME
 
     async def _wait_usable(self, deadline: float) -> bool:
         """Wait for another leader or for the lease on this one; False at the deadline."""
@@ -464,7 +466,7 @@
     async def wait_proof(self, asked_after: float, deadline: float) -> bool:
         """Wait for a watermark that was asked for after a time; False at the deadline."""
         self._use()
-        while self.watermarks.newest.asked_at < asked_after:
+        while self.watermarks.newest.queried_at < asked_after:
             if loop_time() >= deadline:
                 return False
             leader = self.leader
@@ -507,7 +509,7 @@
             if self.leader is None:
                 await pause(self._wanted, SEARCH_INTERVAL)
                 continue
-            age = loop_time() - self._newest_proof.asked_at
+            age = loop_time() - self._newest_proof.queried_at
             if age < PROOF_INTERVAL:
                 await pause(self._wanted, PROOF_INTERVAL - age)
                 continue
--- a/src/bramblebeam/services/gateway/session.py
+++ b/src/bramblebeam/services/gateway/session.py
@@ -71,7 +71,7 @@
         leaders = None if route is None else self._context.known_leader(route.group)
         proof_age = None
         if leaders is not None and leaders.leader is not None:
-            proof_age = age_ms(leaders.watermarks.newest.asked_at, self._context.now())
+            proof_age = age_ms(leaders.watermarks.newest.queried_at, self._context.now())
         log_event(
             logger,
             REQUEST_REFUSED,
--- a/tests/test_gateway_core.py
+++ b/tests/test_gateway_core.py
@@ -13,11 +13,11 @@
 from revisions import at
 
 STALENESS = 1.5
-MARK = Watermark(Position(3, 100), asked_at=10.0, term=3)
-LATER = Watermark(Position(3, 120), asked_at=10.5, term=3)
-NEXT = Watermark(Position(3, 100), asked_at=10.0, term=4)
+MARK = Watermark(Position(3, 100), queried_at=10.0, term=3)
+LATER = Watermark(Position(3, 120), queried_at=10.5, term=3)
+NEXT = Watermark(Position(3, 100), queried_at=10.0, term=4)
 """Of a leader that has committed nothing yet in its own term."""
-NEXT_COMMITTED = Watermark(Position(4, 101), asked_at=10.5, term=4)
+NEXT_COMMITTED = Watermark(Position(4, 101), queried_at=10.5, term=4)
 
 
 def entry(leaving: bool = False) -> DatabaseEntry:
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -328,7 +328,7 @@
         client = await world.client("latest")
         assert (await served(client, "WRITE x 1")).code == ""
         leaders = tracker(world)
-        asked_at = leaders.watermarks.newest.asked_at + 1_000.0 * (not answered)
+        asked_at = leaders.watermarks.newest.queried_at + 1_000.0 * (not answered)
         for _ in range(STALLED_WRITES):
             leaders.write_unanswered(MEMBER, asked_at)
         assert (leaders.stalled_since is not None) is stalled
