--- a/src/bramblebeam/core/gateway/floors.py
+++ b/src/bramblebeam/core/gateway/floors.py
@@ -49,7 +49,7 @@
         self.newest = Watermark()
         self._kept: deque[Watermark] = deque(maxlen=MAXIMUM_KEPT)
 
-    def take(self, mark: Watermark) -> None:
+    def add(self, mark: Watermark) -> None:
         """Take a watermark that is newer than those before."""
         last = self._kept[-1].queried_at if self._kept else float("-inf")
         if mark.queried_at - last >= KEPT_SPACING:
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -420,7 +420,7 @@
         if proof.queried_at > self.watermarks.newest.queried_at and self.lease.covers(
             proof.queried_at
         ):
-            self.watermarks.take(proof)
+            self.watermarks.add(proof)
 
     # What statements wait for.
 
--- a/tests/test_gateway_core.py
+++ b/tests/test_gateway_core.py
@@ -30,7 +30,7 @@
 def watermarks(*marks: Watermark) -> Watermarks:
     found = Watermarks()
     for mark in marks:
-        found.take(mark)
+        found.add(mark)
     return found
 
 
@@ -89,7 +89,7 @@
     found = watermarks(MARK)
     found.forget_former()
     assert found.floor(NOTHING, STALENESS, 10.2) == MARK.position
-    found.take(Watermark(Position(3, 90), 10.3))
+    found.add(Watermark(Position(3, 90), 10.3))
     assert found.floor(NOTHING, STALENESS, 10.4) == Position(3, 90)
 
 
