--- a/src/bramblebeam/core/gateway/budget.py
+++ b/src/bramblebeam/core/gateway/budget.py
@@ -15,9 +15,9 @@
 
     def __init__(self, even: int, most: int) -> None:
         self._refused_at = float("-inf")
-        self.allow(even, most)
+        self.set_bounds(even, most)
 
-    def allow(self, even: int, most: int) -> None:
+    def set_bounds(self, even: int, most: int) -> None:
         """Take other bounds, as the limits or the nodes that serve the group changed."""
         self._even = min(even, most)
         self._most = most
--- a/src/bramblebeam/services/gateway/placement.py
+++ b/src/bramblebeam/services/gateway/placement.py
@@ -107,7 +107,7 @@
     def review(self) -> None:
         """Set each pool's limits, which depend on whether this node serves the group."""
         for pool in self.pools.values():
-            pool.budget.allow(*self._bounds(pool.entry))
+            pool.budget.set_bounds(*self._bounds(pool.entry))
             pool.kept_idle = self._kept_idle(pool.entry)
             if pool.slots is not None:
                 pool.slots.allow(*self._slot_bounds(pool.entry))
--- a/tests/test_gateway_budget.py
+++ b/tests/test_gateway_budget.py
@@ -92,7 +92,7 @@
 def test_a_refusal_is_remembered_when_the_bounds_change() -> None:
     bound = ConnectionBudget(4, 12)
     bound.refused(10.0)
-    bound.allow(6, 12)
+    bound.set_bounds(6, 12)
     assert bound.limit(10.0) == 6
 
 
