--- a/src/bramblebeam/core/gateway/owners.py
+++ b/src/bramblebeam/core/gateway/owners.py
@@ -175,7 +175,7 @@
         self._from_region.clear()
 
     @property
-    def seen_share(self) -> float:
+    def live_share(self) -> float:
         """Return how many of the nodes that are known are seen to run, 0 to 1."""
         seen = sum(map(len, self._members.owners.values()))
         return max(1, seen) / max(1, len(self._members.members))
--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -292,7 +292,7 @@
     @property
     def seen_share(self) -> float:
         """Return how many of the nodes that are known are seen to run, 0 to 1."""
-        return self.owners.seen_share
+        return self.owners.live_share
 
     def near_servers(self, zone: ZoneId) -> int:
         """Return how many of the nodes that serve tenants are in a zone's region."""
