--- a/src/bramblebeam/core/gateway/owners.py
+++ b/src/bramblebeam/core/gateway/owners.py
@@ -291,7 +291,7 @@
         is_near = self.region_of(zone) == self.place.region
         return Distance.REGION if is_near else Distance.ELSEWHERE
 
-    def slots_a_node(self, group: GroupId, size: GroupSize, slots: int) -> float:
+    def slots_per_node(self, group: GroupId, size: GroupSize, slots: int) -> float:
         """Return this node's even share of the slots of a database near it, at least one.
 
         Its own region's serving nodes share them: the others have a database of their own.
--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -195,7 +195,7 @@
         if self.overload.enabled:
             # The statements for the region's database meet at one of its nodes.
             return float(slots)
-        return self.owners.slots_a_node(group, self._size(group), slots)
+        return self.owners.slots_per_node(group, self._size(group), slots)
 
     def nearest(self, group: GroupId) -> tuple[NodeId, ...]:
         """Return the other nodes that serve a group, the nearest first."""
--- a/tests/test_gateway_placement.py
+++ b/tests/test_gateway_placement.py
@@ -123,4 +123,4 @@
 ) -> None:
     table = OwnerTable(NodePlace(NodeId("node-0-0"), ZoneId("zone-0"), "region-0"))
     table.update(view_of(nodes_in(zones, each), lambda zone: zone // zones_a_region))
-    assert table.slots_a_node(GROUP, size, size.slots) == share
+    assert table.slots_per_node(GROUP, size, size.slots) == share
