--- a/src/bramblebeam/core/feed/plan.py
+++ b/src/bramblebeam/core/feed/plan.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from bramblebeam.core.gateway.owners import NodePlace
+from bramblebeam.core.gateway.owners import NodeLocation
 from bramblebeam.core.identity import NodeId
 from bramblebeam.core.membership.view import MembersView
 from bramblebeam.core.ownership.rendezvous import ranked_owners
@@ -25,7 +25,7 @@
     peers: tuple[NodeId, ...] = ()
 
 
-def feed_plan(place: NodePlace, members: MembersView) -> FeedPlan:
+def feed_plan(place: NodeLocation, members: MembersView) -> FeedPlan:
     """Return what the node at `place` follows."""
     regions = _nodes_by_region(members)
     if sum(map(len, regions.values())) <= ALL_READ:
--- a/src/bramblebeam/core/gateway/owners.py
+++ b/src/bramblebeam/core/gateway/owners.py
@@ -41,7 +41,7 @@
 """The nodes that may serve, by region and zone."""
 
 
-class NodePlace(NamedTuple):
+class NodeLocation(NamedTuple):
     """Where a node is."""
 
     node: NodeId
@@ -132,7 +132,7 @@
 class OwnerTable:
     """The owners of every group, as one node sees them."""
 
-    def __init__(self, place: NodePlace, serves_near_databases: bool = False) -> None:
+    def __init__(self, place: NodeLocation, serves_near_databases: bool = False) -> None:
         self.place = place
         self._serves_near_databases = serves_near_databases
         self._near: dict[GroupId, frozenset[ZoneId]] = {}
--- a/src/bramblebeam/platform/node.py
+++ b/src/bramblebeam/platform/node.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from bramblebeam.core.gateway.owners import NodePlace
+from bramblebeam.core.gateway.owners import NodeLocation
 from bramblebeam.core.identity import Address
 from bramblebeam.core.membership.timing import MembershipTiming
 from bramblebeam.kernel import Kernel
@@ -78,7 +78,7 @@
     codec = Codec(GATEWAY_NODE_MESSAGES)
     compresses = settings.overload.enabled
     kernel.register(TransportService(kernel, settings, codec, compresses))
-    place = NodePlace(settings.node, settings.zone, settings.region)
+    place = NodeLocation(settings.node, settings.zone, settings.region)
     gateway = GatewayService(
         kernel, place, LineDatabaseConnector(), settings.grace, settings.overload
     )
--- a/src/bramblebeam/services/feed/service.py
+++ b/src/bramblebeam/services/feed/service.py
@@ -9,7 +9,7 @@
 from bramblebeam.core.feed.messages import FollowReply, FollowRequest, ListName
 from bramblebeam.core.feed.plan import FeedPlan, feed_plan
 from bramblebeam.core.gateway.directory import DatabaseEntry, DirectoryChanged
-from bramblebeam.core.gateway.owners import NodePlace
+from bramblebeam.core.gateway.owners import NodeLocation
 from bramblebeam.core.gateway.registry import Registry
 from bramblebeam.core.gateway.routes import RoutesChanged, RouteTable
 from bramblebeam.core.identity import NodeId, born_at, server_name
@@ -61,7 +61,7 @@
     def __init__(
         self,
         kernel: Kernel,
-        place: NodePlace,
+        place: NodeLocation,
         routes: StoreList[RouteTable],
         databases: StoreList[DatabaseEntry],
         drain: float,
--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from bramblebeam.core.gateway.directory import DatabaseDirectory
-from bramblebeam.core.gateway.owners import Distance, GroupSize, NodePlace, OwnerTable
+from bramblebeam.core.gateway.owners import Distance, GroupSize, NodeLocation, OwnerTable
 from bramblebeam.core.gateway.routes import Consistency, Route, RouteTable
 from bramblebeam.core.identity import GroupId, NodeId, ServerName, ZoneId
 from bramblebeam.core.membership.view import MembersView
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        place: NodePlace,
+        place: NodeLocation,
         connector: DatabaseConnector,
         peers: Peers,
         publish: Callable[[LeaderNews], None],
--- a/src/bramblebeam/services/gateway/service.py
+++ b/src/bramblebeam/services/gateway/service.py
@@ -12,7 +12,7 @@
     StatementWithdrawn,
     TransactionAbandoned,
 )
-from bramblebeam.core.gateway.owners import NodePlace
+from bramblebeam.core.gateway.owners import NodeLocation
 from bramblebeam.core.gateway.routes import RoutesChanged
 from bramblebeam.core.identity import Address, NodeId
 from bramblebeam.core.membership.view import MembersChanged
@@ -88,7 +88,7 @@
     def __init__(
         self,
         kernel: Kernel,
-        place: NodePlace,
+        place: NodeLocation,
         connector: DatabaseConnector,
         grace: float,
         overload: OverloadSettings = SWITCHED_OFF,
--- a/tests/counting_fleet.py
+++ b/tests/counting_fleet.py
@@ -5,7 +5,7 @@
 import asyncio
 import itertools
 
-from bramblebeam.core.gateway.owners import NodePlace
+from bramblebeam.core.gateway.owners import NodeLocation
 from bramblebeam.core.gateway.routes import GroupSettings, RouteTable
 from bramblebeam.core.identity import Address, GroupId, NodeId
 from bramblebeam.core.membership.view import Member, MembersView
@@ -95,7 +95,7 @@
     def _context(self, node: NodeId, configured: RouteTable) -> GatewayContext:
         spec = self.view.members[node].spec
         context = GatewayContext(
-            NodePlace(node, spec.zone, spec.region),
+            NodeLocation(node, spec.zone, spec.region),
             LineDatabaseConnector(),
             _PeersOf(self, node),
             lambda message: None,
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -7,7 +7,7 @@
 
 from bramblebeam.core.feed import plan as plan_module
 from bramblebeam.core.feed.plan import FeedPlan, feed_plan
-from bramblebeam.core.gateway.owners import NodePlace
+from bramblebeam.core.gateway.owners import NodeLocation
 from bramblebeam.core.membership.view import MembersView
 from bramblebeam.services.feed.followed import MAXIMUM_DELETED, FollowedList
 from bramblebeam.services.feed.ports import Batch, HistoryLostError, Versioned
@@ -104,14 +104,14 @@
 def test_few_nodes_all_read_the_store() -> None:
     view = view_of(nodes_in(3, 4), int)
     for node, member in view.members.items():
-        place = NodePlace(node, member.spec.zone, member.spec.region)
+        place = NodeLocation(node, member.spec.zone, member.spec.region)
         assert feed_plan(place, view) == FeedPlan(reads_store=True)
 
 
 def test_two_readers_a_region_tell_the_others() -> None:
     view = view_of(nodes_in(3, 20), int)
     plans = {
-        node: feed_plan(NodePlace(node, member.spec.zone, member.spec.region), view)
+        node: feed_plan(NodeLocation(node, member.spec.zone, member.spec.region), view)
         for node, member in view.members.items()
     }
     readers = {node for node, plan in plans.items() if plan.reads_store}
--- a/tests/test_gateway_context.py
+++ b/tests/test_gateway_context.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bramblebeam.core.gateway.owners import NodePlace
+from bramblebeam.core.gateway.owners import NodeLocation
 from bramblebeam.core.gateway.routes import GroupSettings, RouteTable
 from bramblebeam.core.identity import Address, GroupId, NodeId, NodeSpec, ZoneId
 from bramblebeam.core.membership.view import Member, MemberState, MembersView
@@ -57,7 +57,7 @@
     had given the former leader up, and another one wrote to it (ONE 3)."""
     clock = asyncio.get_running_loop().time()
     monkeypatch.setattr(GatewayContext, "now", staticmethod(lambda: clock))
-    place = NodePlace(NodeId("n0"), ZoneId("a"), "home")
+    place = NodeLocation(NodeId("n0"), ZoneId("a"), "home")
     context = GatewayContext(
         place, LineDatabaseConnector(), NoPeers(), lambda found: None, asyncio.ensure_future
     )
@@ -78,7 +78,7 @@
 ) -> None:
     """The time counts from its start, not from its first statement: that waited for as long."""
     monkeypatch.setattr(context_module, "MEMBERS_PATIENCE", 0.0)
-    place = NodePlace(NodeId("n0"), ZoneId("a"), "home")
+    place = NodeLocation(NodeId("n0"), ZoneId("a"), "home")
     context = GatewayContext(
         place, LineDatabaseConnector(), NoPeers(), lambda found: None, asyncio.ensure_future
     )
--- a/tests/test_gateway_owners.py
+++ b/tests/test_gateway_owners.py
@@ -4,7 +4,7 @@
 
 from bramblebeam.core.gateway.owners import (
     GroupSize,
-    NodePlace,
+    NodeLocation,
     OwnerTable,
     Regions,
     group_owners,
@@ -99,7 +99,7 @@
     nodes = nodes_in(6, 12)
     zone = ZoneId("zone-2")
     for node in nodes[zone]:
-        table = OwnerTable(NodePlace(node, zone, "region-1"))
+        table = OwnerTable(NodeLocation(node, zone, "region-1"))
         table.update(view_of(nodes, lambda zone: zone // 2))
         for group in GROUPS[:10]:
             found = table.nearest(group, SIZE)
@@ -111,7 +111,7 @@
 
 
 def test_a_node_that_knows_of_no_other_serves_everything() -> None:
-    table = OwnerTable(NodePlace(NodeId("node-0-0"), ZoneId("zone-0"), "region-0"))
+    table = OwnerTable(NodeLocation(NodeId("node-0-0"), ZoneId("zone-0"), "region-0"))
     assert table.serves(GROUPS[0], SIZE)
     assert table.nearest(GROUPS[0], SIZE) == ()
 
--- a/tests/test_gateway_placement.py
+++ b/tests/test_gateway_placement.py
@@ -3,7 +3,7 @@
 import pytest
 
 from bramblebeam.core.gateway.directory import DatabaseDirectory, DatabaseEntry
-from bramblebeam.core.gateway.owners import Distance, GroupSize, NodePlace, OwnerTable
+from bramblebeam.core.gateway.owners import Distance, GroupSize, NodeLocation, OwnerTable
 from bramblebeam.core.identity import Address, GroupId, InstanceId, NodeId, ZoneId
 from bramblebeam.core.role import Role
 from bramblebeam.core.tenants import NO_TENANT, TenantId
@@ -105,7 +105,7 @@
     ],
 )
 def test_the_distance_of_a_zone(zone: str, distance: Distance) -> None:
-    table = OwnerTable(NodePlace(NodeId("node-2-0"), ZoneId("zone-2"), "region-1"))
+    table = OwnerTable(NodeLocation(NodeId("node-2-0"), ZoneId("zone-2"), "region-1"))
     table.update(view_of(nodes_in(6, 12), lambda zone: zone // 2))
     assert table.distance(ZoneId(zone)) is distance
 
@@ -121,6 +121,6 @@
 def test_a_nodes_share_of_a_databases_slots(
     zones: int, each: int, zones_a_region: int, size: GroupSize, share: float
 ) -> None:
-    table = OwnerTable(NodePlace(NodeId("node-0-0"), ZoneId("zone-0"), "region-0"))
+    table = OwnerTable(NodeLocation(NodeId("node-0-0"), ZoneId("zone-0"), "region-0"))
     table.update(view_of(nodes_in(zones, each), lambda zone: zone // zones_a_region))
     assert table.slots_per_node(GROUP, size, size.slots) == share
--- a/tests/test_meeting_at_databases.py
+++ b/tests/test_meeting_at_databases.py
@@ -10,7 +10,7 @@
 import pytest
 
 from bramblebeam.core.gateway.messages import ForwardedReply, ForwardedStatement
-from bramblebeam.core.gateway.owners import NodePlace
+from bramblebeam.core.gateway.owners import NodeLocation
 from bramblebeam.core.gateway.routes import Consistency, GroupSettings, Route, RouteTable
 from bramblebeam.core.gateway.statements import Action, Statement
 from bramblebeam.core.identity import InstanceId, NodeId
@@ -36,7 +36,7 @@
 def context_of(node: NodeId, view: MembersView, leader: str, tenants: bool) -> GatewayContext:
     spec = view.members[node].spec
     context = GatewayContext(
-        NodePlace(node, spec.zone, spec.region),
+        NodeLocation(node, spec.zone, spec.region),
         LineDatabaseConnector(),
         NoPeers(),
         lambda message: None,
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from bramblebeam.core.gateway.owners import GroupSize, NodePlace, OwnerTable
+from bramblebeam.core.gateway.owners import GroupSize, NodeLocation, OwnerTable
 from bramblebeam.core.identity import NodeId, ZoneId
 from bramblebeam.core.quota.bucket import (
     FIRST_OPERATIONS,
@@ -255,7 +255,7 @@
     found = []
     for zone, names in nodes.items():
         for name in names:
-            table = OwnerTable(NodePlace(name, zone, ""))
+            table = OwnerTable(NodeLocation(name, zone, ""))
             table.update(view)
             found.append(table)
     return found
--- a/tests/test_tenant_serving.py
+++ b/tests/test_tenant_serving.py
@@ -15,7 +15,7 @@
 
 from bramblebeam.core.gateway.directory import DatabaseDirectory, DatabaseEntry
 from bramblebeam.core.gateway.messages import NO_TRANSACTION, ForwardedStatement
-from bramblebeam.core.gateway.owners import NodePlace
+from bramblebeam.core.gateway.owners import NodeLocation
 from bramblebeam.core.gateway.replies import Reply
 from bramblebeam.core.gateway.routes import Consistency, GroupSettings, Route, RouteTable
 from bramblebeam.core.gateway.statements import Action, Statement
@@ -67,7 +67,7 @@
 ) -> GatewayContext:
     spec = view.members[node].spec
     context = GatewayContext(
-        NodePlace(node, spec.zone, spec.region),
+        NodeLocation(node, spec.zone, spec.region),
         LineDatabaseConnector(),
         NoPeers(),
         lambda message: None,
