--- a/src/bramblebeam/core/gateway/owners.py
+++ b/src/bramblebeam/core/gateway/owners.py
@@ -72,7 +72,7 @@
     by_tenant: bool = False
 
 
-def owners_allowed(size: GroupSize) -> int:
+def maximum_owners(size: GroupSize) -> int:
     """Return how many nodes may serve a group by the connections that its databases take."""
     return max(LEAST_OWNERS, size.maximum_connections // CONNECTIONS_A_NODE)
 
@@ -80,9 +80,9 @@
 def owners_wanted(size: GroupSize, regions: int) -> int:
     """Return how many nodes should serve a group whose nodes are many."""
     if size.by_tenant:
-        return min(owners_allowed(size), TENANT_OWNERS_A_REGION * regions)
+        return min(maximum_owners(size), TENANT_OWNERS_A_REGION * regions)
     by_slots = -(-size.slots // SLOTS_AN_OWNER)
-    return min(owners_allowed(size), max(OWNERS_A_REGION, by_slots) * regions)
+    return min(maximum_owners(size), max(OWNERS_A_REGION, by_slots) * regions)
 
 
 def group_owners(
@@ -93,7 +93,7 @@
     Zones in `near` come first.
     """
     nodes = [node for zones in regions.values() for found in zones.values() for node in found]
-    few = LEAST_OWNERS if size.by_tenant else min(FEW_NODES, owners_allowed(size))
+    few = LEAST_OWNERS if size.by_tenant else min(FEW_NODES, maximum_owners(size))
     if len(nodes) <= few:
         return frozenset(nodes)
     limit = max(LEAST_OWNERS, owners_wanted(size, len(regions)))
--- a/tests/test_gateway_owners.py
+++ b/tests/test_gateway_owners.py
@@ -8,8 +8,8 @@
     OwnerTable,
     Regions,
     group_owners,
+    maximum_owners,
     nodes_by_region,
-    owners_allowed,
     owners_wanted,
 )
 from bramblebeam.core.identity import GroupId, NodeId, ZoneId
@@ -117,6 +117,6 @@
 
 
 def test_a_group_has_two_owners_at_least() -> None:
-    assert owners_allowed(GroupSize(0)) == owners_allowed(GroupSize(3)) == 2
-    assert owners_allowed(GroupSize(36)) == 7
+    assert maximum_owners(GroupSize(0)) == maximum_owners(GroupSize(3)) == 2
+    assert maximum_owners(GroupSize(36)) == 7
     assert owners_wanted(GroupSize(3), regions=3) == 2
