--- a/src/bramblebeam/core/gateway/owners.py
+++ b/src/bramblebeam/core/gateway/owners.py
@@ -77,7 +77,7 @@
     return max(LEAST_OWNERS, size.maximum_connections // CONNECTIONS_A_NODE)
 
 
-def owners_wanted(size: GroupSize, regions: int) -> int:
+def target_owners(size: GroupSize, regions: int) -> int:
     """Return how many nodes should serve a group whose nodes are many."""
     if size.by_tenant:
         return min(maximum_owners(size), TENANT_OWNERS_A_REGION * regions)
@@ -96,7 +96,7 @@
     few = LEAST_OWNERS if size.by_tenant else min(FEW_NODES, maximum_owners(size))
     if len(nodes) <= few:
         return frozenset(nodes)
-    limit = max(LEAST_OWNERS, owners_wanted(size, len(regions)))
+    limit = max(LEAST_OWNERS, target_owners(size, len(regions)))
     key = _key(group, size)
     chosen = _ranked(key, regions)[:limit]
     a_region = limit // len(chosen)
--- a/tests/test_gateway_owners.py
+++ b/tests/test_gateway_owners.py
@@ -10,7 +10,7 @@
     group_owners,
     maximum_owners,
     nodes_by_region,
-    owners_wanted,
+    target_owners,
 )
 from bramblebeam.core.identity import GroupId, NodeId, ZoneId
 from member_views import Nodes, nodes_in, view_of
@@ -119,4 +119,4 @@
 def test_a_group_has_two_owners_at_least() -> None:
     assert maximum_owners(GroupSize(0)) == maximum_owners(GroupSize(3)) == 2
     assert maximum_owners(GroupSize(36)) == 7
-    assert owners_wanted(GroupSize(3), regions=3) == 2
+    assert target_owners(GroupSize(3), regions=3) == 2
