--- a/src/bramblebeam/core/routing/execution.py
+++ b/src/bramblebeam/core/routing/execution.py
@@ -243,7 +243,7 @@
                 attempt.request.transaction, self._group, attempt.instance, attempt.node, term
             )
             return self._finish(reply, None)
-        session.wrote(self._group, reply.position)
+        session.record_write(self._group, reply.position)
         return self._finish(reply, None)
 
     def _overtaken(self, attempt: Attempt) -> list[Effect]:
--- a/src/bramblebeam/core/routing/pinned.py
+++ b/src/bramblebeam/core/routing/pinned.py
@@ -112,7 +112,7 @@
             detail = "the primary was replaced while the transaction committed"
             return self._doubt(Refusal(Verdict.UNKNOWN, Reason.STALE_TERM, detail))
         if reply.position != ZERO_POSITION or self._statement.implicit_commit:
-            self._session.wrote(group, reply.position)
+            self._session.record_write(group, reply.position)
         return self._finish(reply, None)
 
     def _term_of(self, reply: ExecuteReply) -> int:
--- a/src/bramblebeam/core/session/session.py
+++ b/src/bramblebeam/core/session/session.py
@@ -95,7 +95,7 @@
         self.token.advance(group, position)
         self._unknown.discard(group)
 
-    def wrote(self, group: GroupId, position: Position) -> None:
+    def record_write(self, group: GroupId, position: Position) -> None:
         """Note an acknowledged write. The zero position: it is unknown where the write stands."""
         if position.offset == 0:
             self._unknown.add(group)
