--- a/src/bramblebeam/core/routing/execution.py
+++ b/src/bramblebeam/core/routing/execution.py
@@ -236,7 +236,7 @@
             return self._finish(reply, None)
         term = answer_term(reply, attempt.request)
         if term < self._directory.highest_term(self._group):
-            session.doubted(self._group)
+            session.record_uncertain_write(self._group)
             return self._overtaken(attempt)
         if kind is StatementKind.BEGIN:
             session.transaction = Transaction(
@@ -269,7 +269,7 @@
         return self._finish(None, refusal)
 
     def _doubtful(self, attempt: Attempt, refusal: Refusal) -> list[Effect]:
-        self._session.doubted(self._group)
+        self._session.record_uncertain_write(self._group)
         if self._statement.kind is not StatementKind.BEGIN:
             return self._finish(None, refusal)
         abandon = Abandon(attempt.node, attempt.instance, self._session.identifier)
--- a/src/bramblebeam/core/routing/pinned.py
+++ b/src/bramblebeam/core/routing/pinned.py
@@ -147,7 +147,7 @@
 
     def _doubt(self, refusal: Refusal) -> list[Effect]:
         self._session.transaction = None
-        self._session.doubted(self._transaction.group)
+        self._session.record_uncertain_write(self._transaction.group)
         return self._finish(None, refusal)
 
     def _rolled_back(self) -> ExecuteReply:
--- a/src/bramblebeam/core/session/session.py
+++ b/src/bramblebeam/core/session/session.py
@@ -102,7 +102,7 @@
             return
         self.token.advance(group, position)
 
-    def doubted(self, group: GroupId) -> None:
+    def record_uncertain_write(self, group: GroupId) -> None:
         """Note a write that may have run: the next read must see it if it did."""
         self._unknown.add(group)
 
--- a/src/bramblebeam/services/edge/caller.py
+++ b/src/bramblebeam/services/edge/caller.py
@@ -192,7 +192,7 @@
             finish = await edge.driver.run(self._machine(statement), session.identifier)
         except BaseException:
             session.transaction = None
-            session.doubted(session.group)
+            session.record_uncertain_write(session.group)
             raise
         finally:
             edge.leave()
