--- a/src/bramblebeam/core/routing/execution.py
+++ b/src/bramblebeam/core/routing/execution.py
@@ -152,7 +152,7 @@
             return self._back_off(now)
         self._directory.observe_term(self._group, reply.position.term)
         floor = reply.floors[0] if reply.floors else reply.position
-        self._session.confirmed(self._group, floor)
+        self._session.record_confirmed(self._group, floor)
         self._confirmed = floor
         return self._next(now)
 
--- a/src/bramblebeam/core/session/session.py
+++ b/src/bramblebeam/core/session/session.py
@@ -90,7 +90,7 @@
         """Return the position that a read must at least see, as far as this node knows."""
         return self.token.position(group)
 
-    def confirmed(self, group: GroupId, position: Position) -> None:
+    def record_confirmed(self, group: GroupId, position: Position) -> None:
         """Take a position confirmed by the primary after the statement in hand arrived."""
         self.token.advance(group, position)
         self._unknown.discard(group)
