--- a/src/bramblebeam/core/session/session.py
+++ b/src/bramblebeam/core/session/session.py
@@ -110,7 +110,7 @@
         """Note what a replica has shown, so that another one shows no less."""
         self.token.advance(group, position)
 
-    def carry(self, token: CausalToken) -> None:
+    def adopt_token(self, token: CausalToken) -> None:
         """Take the token the caller brought. From now on the caller vouches for the floor."""
         self.token.merge(token)
         self.token_carried = True
--- a/src/bramblebeam/core/session/variables.py
+++ b/src/bramblebeam/core/session/variables.py
@@ -175,7 +175,7 @@
 def _set_token(session: Session, value: str) -> Result[Settings, VariableError]:
     match decode_token(value):
         case Result(tag="ok", ok=token):
-            session.carry(token)
+            session.adopt_token(token)
             return Ok(Settings())
         case Result(error=detail):
             return Error(VariableError(WRONG_VALUE, "42000", f"bramblebeam_token: {detail}"))
--- a/src/bramblebeam/services/edge/caller.py
+++ b/src/bramblebeam/services/edge/caller.py
@@ -80,7 +80,7 @@
             return
         match decode_token(text):
             case Result(tag="ok", ok=token):
-                self.session.carry(token)
+                self.session.adopt_token(token)
             case Result(error=detail):
                 raise bad_request(f"{TOKEN_ATTRIBUTE}: {detail}")
 
