--- a/src/bramblebeam/core/quota/holdings.py
+++ b/src/bramblebeam/core/quota/holdings.py
@@ -100,7 +100,7 @@
             return
         if former is not None and former.asked_at > asked_at:
             return
-        bars = tuple(_held_bar(bar, now) for bar in grant.bars)
+        bars = tuple(_held_bar(bar, now) for bar in grant.blocking)
         part = min(1.0, grant.part)
         held = _Held(grant.number, grant.counting, part, grant.parts, bars, asked_at)
         self._held[grantor] = held
--- a/src/bramblebeam/core/quota/messages.py
+++ b/src/bramblebeam/core/quota/messages.py
@@ -84,7 +84,7 @@
     counting: tuple[NodeId, ...] = ()
     part: float = 0.0
     parts: int = 0
-    bars: tuple[Bar, ...] = ()
+    blocking: tuple[Bar, ...] = ()
 
 
 class GrantReturned(NamedTuple):
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -117,7 +117,7 @@
     a, b = Loan(lender, A), Loan(lender, B)
     a.ask(fleet(A), 0.0)
     assert a.tenants(0.1) == set(TENANTS)
-    assert b.ask(fleet(A, B), 0.2).bars
+    assert b.ask(fleet(A, B), 0.2).blocking
     assert not b.tenants(0.2)
     a.ask(fleet(A, B), 0.3)
     b.ask(fleet(A, B), 0.4)
@@ -260,7 +260,7 @@
     lender = grantor()
     lender.answer(B, GrantRequest(1), fleet(B), 0.0)
     granted = lender.answer(A, GrantRequest(3, NO_GRANT), fleet(A, B), 0.1)
-    assert granted.bars
+    assert granted.blocking
     for message in (asked, GrantRequest(3, 9), granted):
         assert codec.decode(codec.encode(message)) == message
     before = Codec({703: _FormerRequest})
