--- a/src/bramblebeam/core/quota/grantor.py
+++ b/src/bramblebeam/core/quota/grantor.py
@@ -8,7 +8,7 @@
 
 from bramblebeam.core.identity import NodeId
 from bramblebeam.core.ownership.rendezvous import ranked_owners
-from bramblebeam.core.quota.messages import NO_GRANT, Bar, Grant, GrantRequest
+from bramblebeam.core.quota.messages import NO_GRANT, BlockingGrant, Grant, GrantRequest
 
 GRANT_SECONDS = 1.5
 """For how long a part is lent. A holder that is lost, cut off or paused keeps it for that long, in
@@ -112,11 +112,13 @@
             self._next_number += 1
         return promises[-1]
 
-    def _bars(self, holder: NodeId, counting: tuple[NodeId, ...], now: float) -> Iterator[Bar]:
+    def _bars(
+        self, holder: NodeId, counting: tuple[NodeId, ...], now: float
+    ) -> Iterator[BlockingGrant]:
         for other, promises in self._promises.items():
             for promise in promises:
                 if other != holder and promise.counting != counting:
-                    yield Bar(other, promise.counting, promise.until - now)
+                    yield BlockingGrant(other, promise.counting, promise.until - now)
 
     def _drop_replaced(self, holder: NodeId, held: int) -> None:
         """Forget the grants before the one that a holder says it counts by."""
--- a/src/bramblebeam/core/quota/holdings.py
+++ b/src/bramblebeam/core/quota/holdings.py
@@ -11,7 +11,7 @@
 from bramblebeam.core.quota.grantor import GRANT_SECONDS
 from bramblebeam.core.quota.messages import (
     NO_GRANT,
-    Bar,
+    BlockingGrant,
     Grant,
     GrantRequest,
     GrantReturned,
@@ -171,7 +171,7 @@
                 del self._held[grantor]
 
 
-def _held_bar(bar: Bar, now: float) -> _HeldBar:
+def _held_bar(bar: BlockingGrant, now: float) -> _HeldBar:
     """Return a bar that begins now. One whose time is no number holds until the next answer."""
     seconds = bar.seconds if math.isfinite(bar.seconds) else math.inf
     return _HeldBar(bar.holder, bar.counting, now + seconds)
--- a/src/bramblebeam/core/quota/messages.py
+++ b/src/bramblebeam/core/quota/messages.py
@@ -59,7 +59,7 @@
     held: int = NO_GRANT
 
 
-class Bar(NamedTuple):
+class BlockingGrant(NamedTuple):
     """An earlier grant that may still be counted by, for some `seconds`.
 
     Tenants whose counting node among `counting` is `holder` are not lent to anybody else.
@@ -84,7 +84,7 @@
     counting: tuple[NodeId, ...] = ()
     part: float = 0.0
     parts: int = 0
-    blocking: tuple[Bar, ...] = ()
+    blocking: tuple[BlockingGrant, ...] = ()
 
 
 class GrantReturned(NamedTuple):
