--- a/src/bramblebeam/core/quota/grantor.py
+++ b/src/bramblebeam/core/quota/grantor.py
@@ -82,7 +82,7 @@
         part = FRESH_PART if now < self._started_at + GRANT_SECONDS + CLOCK_MARGIN else 1.0
         return Grant(request.number, promise.number, promise.counting, part, fleet.parts, bars)
 
-    def returned(self, holder: NodeId, number: int) -> None:
+    def release(self, holder: NodeId, number: int) -> None:
         """Take back a grant, and earlier ones, that a holder counts by no more.
 
         The holder may have asked again since: a later grant stands.
--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -125,7 +125,7 @@
     def _let_go(self) -> None:
         for grantor, returned in self._holdings.let_go():
             if grantor == self._node:
-                self._grantor.returned(self._node, returned.number)
+                self._grantor.release(self._node, returned.number)
             else:
                 self._send(grantor, returned)
         self._follow(self._context.now())
@@ -192,7 +192,7 @@
 
     def returned_by(self, holder: NodeId, returned: GrantReturned) -> None:
         """Take back what another node counts by no more."""
-        self._grantor.returned(holder, returned.number)
+        self._grantor.release(holder, returned.number)
         if self._counts:
             self._holdings.ask_all_again()
 
--- a/tests/quota_search.py
+++ b/tests/quota_search.py
@@ -227,7 +227,7 @@
             if sender in node.holdings.due((sender,), self.now):
                 self.ask(node, sender)
         elif isinstance(message, GrantReturned):
-            node.grantor.returned(sender, message.number)
+            node.grantor.release(sender, message.number)
             if self.counts(node):
                 node.holdings.ask_all_again()
 
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -134,7 +134,7 @@
     a.ask(fleet(A, B), 0.0)
     ((grantor_of_it, returned),) = a.holdings.let_go()
     assert grantor_of_it == LENDER
-    lender.returned(A, returned.number)
+    lender.release(A, returned.number)
     b.ask(fleet(A, B), 0.1)
     assert b.tenants(0.1) == set(TENANTS)
     assert not a.tenants(0.1)
@@ -150,7 +150,7 @@
     a.ask(fleet(A), 0.0)
     ((_, returned),) = a.holdings.let_go()
     a.ask(fleet(A), 0.1)
-    lender.returned(A, returned.number)
+    lender.release(A, returned.number)
     b.ask(fleet(B), 0.2)
     assert a.tenants(0.2) == set(TENANTS)
     assert not b.tenants(0.2)
