--- a/src/bramblebeam/core/quota/grantor.py
+++ b/src/bramblebeam/core/quota/grantor.py
@@ -15,7 +15,7 @@
 which nobody counts its tenants."""
 CLOCK_MARGIN = 0.05
 """A grantor waits for so much longer than the holder counts (seconds): clocks differ a little."""
-MOST_GRANTORS = 32
+MAXIMUM_GRANTORS = 32
 """Enough for the parts on both sides of a split to follow the nodes there; more would only cost
 messages."""
 FRESH_PART = 0.6
@@ -30,7 +30,7 @@
 
 def grantors_among(nodes: frozenset[NodeId]) -> tuple[NodeId, ...]:
     """Return which of the known nodes, lost ones included, each limit is divided over."""
-    return tuple(ranked_owners(_GRANTORS_KEY, nodes)[:MOST_GRANTORS])
+    return tuple(ranked_owners(_GRANTORS_KEY, nodes)[:MAXIMUM_GRANTORS])
 
 
 class Fleet(NamedTuple):
--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -11,7 +11,7 @@
 from bramblebeam.core.identity import Address, NodeId
 from bramblebeam.core.membership.view import MemberState, MembersView
 from bramblebeam.core.quota.counter import QuotaCounter
-from bramblebeam.core.quota.grantor import MOST_GRANTORS, Fleet, Grantor, grantors_among
+from bramblebeam.core.quota.grantor import MAXIMUM_GRANTORS, Fleet, Grantor, grantors_among
 from bramblebeam.core.quota.holdings import ASK_SECONDS, Holdings
 from bramblebeam.core.quota.messages import (
     ADMITTED,
@@ -109,7 +109,7 @@
         serving = self._context.serving_tenants()
         # A node that has met nobody can't know how many there are.
         is_alone = self._context.expects_others and len(self._known) <= 1
-        parts = MOST_GRANTORS if is_alone else len(self._fleet.grantors)
+        parts = MAXIMUM_GRANTORS if is_alone else len(self._fleet.grantors)
         changed = serving != self._fleet.serving
         self._fleet = self._fleet._replace(serving=serving, parts=parts)
         if changed and self._node not in serving:
--- a/tests/quota_search.py
+++ b/tests/quota_search.py
@@ -19,7 +19,7 @@
 from bramblebeam.core.identity import NodeId
 from bramblebeam.core.ownership.rendezvous import ranked_owners
 from bramblebeam.core.quota.counter import QuotaCounter
-from bramblebeam.core.quota.grantor import MOST_GRANTORS, Fleet, Grantor, grantors_among
+from bramblebeam.core.quota.grantor import MAXIMUM_GRANTORS, Fleet, Grantor, grantors_among
 from bramblebeam.core.quota.holdings import ASK_SECONDS, Holdings
 from bramblebeam.core.quota.messages import Grant, GrantRequest, GrantReturned, counting_node
 from bramblebeam.core.tenants import RateLimit, TenantId
@@ -96,7 +96,7 @@
         self.grantor.start(now)
         self.holdings = Holdings(name)
         self.counter = QuotaCounter(rng.getrandbits(48))
-        self.fleet = Fleet(frozenset({name}), (name,), MOST_GRANTORS)
+        self.fleet = Fleet(frozenset({name}), (name,), MAXIMUM_GRANTORS)
         self.followed_at = 0.0
 
 
@@ -156,7 +156,7 @@
     def learn(self, node: Node, known: frozenset[NodeId]) -> None:
         node.known = known
         grantors = grantors_among(known)
-        parts = MOST_GRANTORS if len(known) == 1 else len(grantors)
+        parts = MAXIMUM_GRANTORS if len(known) == 1 else len(grantors)
         serving = frozenset(
             next(name for name in rank if name in node.alive)
             for rank in self.ranks
--- a/tests/test_limits_over_nodes.py
+++ b/tests/test_limits_over_nodes.py
@@ -10,7 +10,7 @@
 import pytest
 
 from bramblebeam.core.membership.view import MembersView
-from bramblebeam.core.quota.grantor import MOST_GRANTORS
+from bramblebeam.core.quota.grantor import MAXIMUM_GRANTORS
 from bramblebeam.core.quota.messages import AdmissionRequest
 from bramblebeam.core.tenants import RateLimit, TenantId
 from bramblebeam.services.gateway.admission import count_here
@@ -113,7 +113,7 @@
         for _ in range(100):
             clock[0] += STEP_SECONDS
             fleet.look()
-        assert sum(fleet.shares(HOT).values()) <= 1 / MOST_GRANTORS
+        assert sum(fleet.shares(HOT).values()) <= 1 / MAXIMUM_GRANTORS
 
 
 # A planned stop moves the counting. Who asks in that moment waits for it, and is not refused.
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -10,7 +10,7 @@
     CLOCK_MARGIN,
     FRESH_PART,
     GRANT_SECONDS,
-    MOST_GRANTORS,
+    MAXIMUM_GRANTORS,
     Fleet,
     Grantor,
     grantors_among,
@@ -214,7 +214,7 @@
     holdings = Holdings(A)
     holdings.ask(LENDER, 0.0)
     holdings.take(LENDER, Grant(1, 5, (A,), 1e9, 0), 0.0)
-    assert holdings.share(TENANTS[0], MOST_GRANTORS, 0.1) == pytest.approx(1 / MOST_GRANTORS)
+    assert holdings.share(TENANTS[0], MAXIMUM_GRANTORS, 0.1) == pytest.approx(1 / MAXIMUM_GRANTORS)
 
 
 def test_an_older_answer_that_comes_later_changes_nothing() -> None:
@@ -249,9 +249,9 @@
 def test_limits_are_divided_over_a_bounded_number_of_nodes_the_same_at_all() -> None:
     nodes = frozenset(NodeId(f"n{number}") for number in range(5_200))
     chosen = grantors_among(nodes)
-    assert len(chosen) == MOST_GRANTORS
+    assert len(chosen) == MAXIMUM_GRANTORS
     lost = grantors_among(nodes - {chosen[0]})
-    assert len(set(chosen) & set(lost)) == MOST_GRANTORS - 1
+    assert len(set(chosen) & set(lost)) == MAXIMUM_GRANTORS - 1
 
 
 def test_messages_travel_and_an_earlier_version_s_are_read() -> None:
