--- a/src/bramblebeam/core/quota/grantor.py
+++ b/src/bramblebeam/core/quota/grantor.py
@@ -18,7 +18,7 @@
 MAXIMUM_GRANTORS = 32
 """Enough for the parts on both sides of a split to follow the nodes there; more would only cost
 messages."""
-FRESH_PART = 0.6
+RESTART_PART = 0.6
 """What a node lends right after its start, when grants of its former life may still be in use.
 
 With HOME_SHARE of a limit counted, a tenth over the limit is reached only if three of five grantors
@@ -79,7 +79,7 @@
         self._asked_at[holder] = now
         promise = self._promise(holder, request.held, self._counting(fleet), now)
         bars = tuple(self._bars(holder, promise.counting, now))
-        part = FRESH_PART if now < self._started_at + GRANT_SECONDS + CLOCK_MARGIN else 1.0
+        part = RESTART_PART if now < self._started_at + GRANT_SECONDS + CLOCK_MARGIN else 1.0
         return Grant(request.number, promise.number, promise.counting, part, fleet.parts, bars)
 
     def release(self, holder: NodeId, number: int) -> None:
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -8,9 +8,9 @@
 from bramblebeam.core.quota.bucket import HOME_SHARE
 from bramblebeam.core.quota.grantor import (
     CLOCK_MARGIN,
-    FRESH_PART,
     GRANT_SECONDS,
     MAXIMUM_GRANTORS,
+    RESTART_PART,
     Fleet,
     Grantor,
     grantors_among,
@@ -158,10 +158,10 @@
 
 def test_right_after_its_start_a_grantor_lends_less() -> None:
     a = Loan(grantor(started_at=0.0), A)
-    assert a.ask(fleet(A), 0.1).part == FRESH_PART
+    assert a.ask(fleet(A), 0.1).part == RESTART_PART
     assert a.ask(fleet(A), GRANT_SECONDS + CLOCK_MARGIN).part == 1.0
     never_started = Loan(Grantor(LENDER, 1), A)
-    assert never_started.ask(fleet(A), 9.0).part == FRESH_PART
+    assert never_started.ask(fleet(A), 9.0).part == RESTART_PART
 
 
 def test_three_of_five_grantors_that_start_at_once_stay_within_a_tenth_over_the_limit() -> None:
