--- a/src/bramblebeam/core/quota/grantor.py
+++ b/src/bramblebeam/core/quota/grantor.py
@@ -28,7 +28,7 @@
 _GRANTORS_KEY = "limits"
 
 
-def grantors_among(nodes: frozenset[NodeId]) -> tuple[NodeId, ...]:
+def select_grantors(nodes: frozenset[NodeId]) -> tuple[NodeId, ...]:
     """Return which of the known nodes, lost ones included, each limit is divided over."""
     return tuple(ranked_owners(_GRANTORS_KEY, nodes)[:MAXIMUM_GRANTORS])
 
--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -11,7 +11,7 @@
 from bramblebeam.core.identity import Address, NodeId
 from bramblebeam.core.membership.view import MemberState, MembersView
 from bramblebeam.core.quota.counter import QuotaCounter
-from bramblebeam.core.quota.grantor import MAXIMUM_GRANTORS, Fleet, Grantor, grantors_among
+from bramblebeam.core.quota.grantor import MAXIMUM_GRANTORS, Fleet, Grantor, select_grantors
 from bramblebeam.core.quota.holdings import ASK_SECONDS, Holdings
 from bramblebeam.core.quota.messages import (
     ADMITTED,
@@ -100,7 +100,7 @@
         known = frozenset(members.members)
         if known != self._known:
             self._known = known
-            grantors = grantors_among(known) or (self._node,)
+            grantors = select_grantors(known) or (self._node,)
             self._fleet = self._fleet._replace(grantors=grantors)
         self.follow_serving()
 
--- a/tests/quota_search.py
+++ b/tests/quota_search.py
@@ -19,7 +19,7 @@
 from bramblebeam.core.identity import NodeId
 from bramblebeam.core.ownership.rendezvous import ranked_owners
 from bramblebeam.core.quota.counter import QuotaCounter
-from bramblebeam.core.quota.grantor import MAXIMUM_GRANTORS, Fleet, Grantor, grantors_among
+from bramblebeam.core.quota.grantor import MAXIMUM_GRANTORS, Fleet, Grantor, select_grantors
 from bramblebeam.core.quota.holdings import ASK_SECONDS, Holdings
 from bramblebeam.core.quota.messages import Grant, GrantRequest, GrantReturned, counting_node
 from bramblebeam.core.tenants import RateLimit, TenantId
@@ -155,7 +155,7 @@
 
     def learn(self, node: Node, known: frozenset[NodeId]) -> None:
         node.known = known
-        grantors = grantors_among(known)
+        grantors = select_grantors(known)
         parts = MAXIMUM_GRANTORS if len(known) == 1 else len(grantors)
         serving = frozenset(
             next(name for name in rank if name in node.alive)
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -13,7 +13,7 @@
     RESTART_PART,
     Fleet,
     Grantor,
-    grantors_among,
+    select_grantors,
 )
 from bramblebeam.core.quota.holdings import ASK_SECONDS, Holdings
 from bramblebeam.core.quota.messages import (
@@ -248,9 +248,9 @@
 
 def test_limits_are_divided_over_a_bounded_number_of_nodes_the_same_at_all() -> None:
     nodes = frozenset(NodeId(f"n{number}") for number in range(5_200))
-    chosen = grantors_among(nodes)
+    chosen = select_grantors(nodes)
     assert len(chosen) == MAXIMUM_GRANTORS
-    lost = grantors_among(nodes - {chosen[0]})
+    lost = select_grantors(nodes - {chosen[0]})
     assert len(set(chosen) & set(lost)) == MAXIMUM_GRANTORS - 1
 
 
