--- a/src/bramblebeam/core/quota/holdings.py
+++ b/src/bramblebeam/core/quota/holdings.py
@@ -80,7 +80,7 @@
         """Return the grantors to ask now."""
         return [grantor for grantor in grantors if self._ask_at.get(grantor, now) <= now]
 
-    def ask(self, grantor: NodeId, now: float) -> GrantRequest:
+    def request(self, grantor: NodeId, now: float) -> GrantRequest:
         """Return the question for a grantor, which is sent now."""
         number = self._next_number
         self._next_number += 1
--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -161,11 +161,11 @@
 
     def _ask(self, grantor: NodeId, now: float) -> None:
         if grantor == self._node:
-            request = self._holdings.ask(grantor, now)
+            request = self._holdings.request(grantor, now)
             grant = self._grantor.answer(grantor, request, self._fleet, now)
             self._holdings.take(grantor, grant, now)
         elif self._is_up(grantor):
-            self._send(grantor, self._holdings.ask(grantor, now))
+            self._send(grantor, self._holdings.request(grantor, now))
 
     def _is_up(self, node: NodeId) -> bool:
         member = self._members.members.get(node)
--- a/tests/quota_search.py
+++ b/tests/quota_search.py
@@ -199,7 +199,7 @@
         return node.holdings.share(tenant, node.fleet.parts, self.now)
 
     def ask(self, node: Node, grantor: NodeId) -> None:
-        request = node.holdings.ask(grantor, self.now)
+        request = node.holdings.request(grantor, self.now)
         if grantor == node.name:
             grant = node.grantor.answer(grantor, request, node.fleet, self.now)
             node.holdings.take(grantor, grant, self.now)
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -56,7 +56,7 @@
 
     def ask(self, known: Fleet, now: float, late: float = 0.0) -> Grant:
         """Ask, and take the answer `late` seconds after the question was sent."""
-        request = self.holdings.ask(LENDER, now)
+        request = self.holdings.request(LENDER, now)
         grant = self.lender.answer(self.node, request, known, now + late)
         self.holdings.take(LENDER, grant, now + late)
         return grant
@@ -185,7 +185,7 @@
     lender: Grantor, name: NodeId, holder: NodeId, holdings: Holdings, known: Fleet, now: float
 ) -> None:
     """Let a holder ask a grantor, and take its answer."""
-    grant = lender.answer(holder, holdings.ask(name, now), known, now)
+    grant = lender.answer(holder, holdings.request(name, now), known, now)
     holdings.take(name, grant, now)
 
 
@@ -205,14 +205,14 @@
 )
 def test_an_answer_that_lends_nothing_changes_nothing(grant: Grant) -> None:
     holdings = Holdings(A)
-    assert holdings.ask(LENDER, 0.0).number == 1
+    assert holdings.request(LENDER, 0.0).number == 1
     holdings.take(LENDER, grant, 0.0)
     assert not any(holdings.share(tenant, 1, 0.1) for tenant in TENANTS)
 
 
 def test_one_grantor_never_lends_more_than_its_part() -> None:
     holdings = Holdings(A)
-    holdings.ask(LENDER, 0.0)
+    holdings.request(LENDER, 0.0)
     holdings.take(LENDER, Grant(1, 5, (A,), 1e9, 0), 0.0)
     assert holdings.share(TENANTS[0], MAXIMUM_GRANTORS, 0.1) == pytest.approx(1 / MAXIMUM_GRANTORS)
 
@@ -220,7 +220,7 @@
 def test_an_older_answer_that_comes_later_changes_nothing() -> None:
     lender = grantor()
     holdings = Holdings(A)
-    first, second = holdings.ask(LENDER, 0.0), holdings.ask(LENDER, 1.0)
+    first, second = holdings.request(LENDER, 0.0), holdings.request(LENDER, 1.0)
     older = lender.answer(A, first, fleet(A), 0.0)
     newer = lender.answer(A, second, fleet(A), 1.0)
     holdings.take(LENDER, newer, 1.1)
@@ -231,7 +231,7 @@
 def test_the_parts_that_others_know_of_count_where_they_are_more() -> None:
     """A node that has just started knows few others, and would take one part for the whole."""
     holdings = Holdings(A)
-    holdings.ask(LENDER, 0.0)
+    holdings.request(LENDER, 0.0)
     holdings.take(LENDER, Grant(1, 5, (A,), 1.0, 32), 0.0)
     assert holdings.share(TENANTS[0], 1, 0.1) == pytest.approx(1 / 32)
 
