--- a/src/bramblebeam/core/quota/holdings.py
+++ b/src/bramblebeam/core/quota/holdings.py
@@ -92,7 +92,7 @@
         held = self._held.get(grantor)
         return GrantRequest(number, NO_GRANT if held is None else held.number)
 
-    def take(self, grantor: NodeId, grant: Grant, now: float) -> None:
+    def handle_grant(self, grantor: NodeId, grant: Grant, now: float) -> None:
         """Take an answer. One that nobody asked for, or an older one, changes nothing."""
         asked_at = self._asked.get(grantor, {}).pop(grant.answers, None)
         former = self._held.get(grantor)
--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -163,7 +163,7 @@
         if grantor == self._node:
             request = self._holdings.request(grantor, now)
             grant = self._grantor.answer(grantor, request, self._fleet, now)
-            self._holdings.take(grantor, grant, now)
+            self._holdings.handle_grant(grantor, grant, now)
         elif self._is_up(grantor):
             self._send(grantor, self._holdings.request(grantor, now))
 
@@ -186,7 +186,7 @@
         if not self._counts:
             return
         now = self._context.now()
-        self._holdings.take(grantor, grant, now)
+        self._holdings.handle_grant(grantor, grant, now)
         if grantor in self._holdings.due((grantor,), now):
             self._ask(grantor, now)
 
--- a/tests/quota_search.py
+++ b/tests/quota_search.py
@@ -202,7 +202,7 @@
         request = node.holdings.request(grantor, self.now)
         if grantor == node.name:
             grant = node.grantor.answer(grantor, request, node.fleet, self.now)
-            node.holdings.take(grantor, grant, self.now)
+            node.holdings.handle_grant(grantor, grant, self.now)
         else:
             self.send(node.name, grantor, request)
 
@@ -223,7 +223,7 @@
         if isinstance(message, GrantRequest):
             self.send(to, sender, node.grantor.answer(sender, message, node.fleet, self.now))
         elif isinstance(message, Grant) and self.counts(node):
-            node.holdings.take(sender, message, self.now)
+            node.holdings.handle_grant(sender, message, self.now)
             if sender in node.holdings.due((sender,), self.now):
                 self.ask(node, sender)
         elif isinstance(message, GrantReturned):
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -58,7 +58,7 @@
         """Ask, and take the answer `late` seconds after the question was sent."""
         request = self.holdings.request(LENDER, now)
         grant = self.lender.answer(self.node, request, known, now + late)
-        self.holdings.take(LENDER, grant, now + late)
+        self.holdings.handle_grant(LENDER, grant, now + late)
         return grant
 
     def tenants(self, now: float) -> set[TenantId]:
@@ -186,7 +186,7 @@
 ) -> None:
     """Let a holder ask a grantor, and take its answer."""
     grant = lender.answer(holder, holdings.request(name, now), known, now)
-    holdings.take(name, grant, now)
+    holdings.handle_grant(name, grant, now)
 
 
 # Answers that nobody asked for, late ones, and absurd ones.
@@ -206,14 +206,14 @@
 def test_an_answer_that_lends_nothing_changes_nothing(grant: Grant) -> None:
     holdings = Holdings(A)
     assert holdings.request(LENDER, 0.0).number == 1
-    holdings.take(LENDER, grant, 0.0)
+    holdings.handle_grant(LENDER, grant, 0.0)
     assert not any(holdings.share(tenant, 1, 0.1) for tenant in TENANTS)
 
 
 def test_one_grantor_never_lends_more_than_its_part() -> None:
     holdings = Holdings(A)
     holdings.request(LENDER, 0.0)
-    holdings.take(LENDER, Grant(1, 5, (A,), 1e9, 0), 0.0)
+    holdings.handle_grant(LENDER, Grant(1, 5, (A,), 1e9, 0), 0.0)
     assert holdings.share(TENANTS[0], MAXIMUM_GRANTORS, 0.1) == pytest.approx(1 / MAXIMUM_GRANTORS)
 
 
@@ -223,8 +223,8 @@
     first, second = holdings.request(LENDER, 0.0), holdings.request(LENDER, 1.0)
     older = lender.answer(A, first, fleet(A), 0.0)
     newer = lender.answer(A, second, fleet(A), 1.0)
-    holdings.take(LENDER, newer, 1.1)
-    holdings.take(LENDER, older, 1.2)
+    holdings.handle_grant(LENDER, newer, 1.1)
+    holdings.handle_grant(LENDER, older, 1.2)
     assert holdings.share(TENANTS[0], 1, GRANT_SECONDS + 0.9) == 1.0
 
 
@@ -232,7 +232,7 @@
     """A node that has just started knows few others, and would take one part for the whole."""
     holdings = Holdings(A)
     holdings.request(LENDER, 0.0)
-    holdings.take(LENDER, Grant(1, 5, (A,), 1.0, 32), 0.0)
+    holdings.handle_grant(LENDER, Grant(1, 5, (A,), 1.0, 32), 0.0)
     assert holdings.share(TENANTS[0], 1, 0.1) == pytest.approx(1 / 32)
 
 
