--- a/src/bramblebeam/core/quota/holdings.py
+++ b/src/bramblebeam/core/quota/holdings.py
@@ -112,7 +112,7 @@
             again_at = now + BARRED_ASK_SECONDS
             self._ask_at[grantor] = min(self._ask_at.get(grantor, again_at), again_at)
 
-    def ask_all_again(self) -> None:
+    def request_all_again(self) -> None:
         """Ask every grantor next time: who counts, or who grants, is another one."""
         self._ask_at.clear()
 
--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -115,7 +115,7 @@
         if changed and self._node not in serving:
             self._let_go()
         elif changed:
-            self._holdings.ask_all_again()
+            self._holdings.request_all_again()
 
     def leave(self) -> None:
         """Count for nobody any more, as the node stops."""
@@ -194,7 +194,7 @@
         """Take back what another node counts by no more."""
         self._grantor.release(holder, returned.number)
         if self._counts:
-            self._holdings.ask_all_again()
+            self._holdings.request_all_again()
 
     # Counts.
 
--- a/tests/quota_search.py
+++ b/tests/quota_search.py
@@ -167,7 +167,7 @@
         if changed and node.name not in serving:
             self.let_go(node)
         elif changed:
-            node.holdings.ask_all_again()
+            node.holdings.request_all_again()
 
     def let_go(self, node: Node) -> None:
         for grantor, returned in node.holdings.let_go():
@@ -229,7 +229,7 @@
         elif isinstance(message, GrantReturned):
             node.grantor.release(sender, message.number)
             if self.counts(node):
-                node.holdings.ask_all_again()
+                node.holdings.request_all_again()
 
     # Callers.
 
