--- a/src/bramblebeam/core/quota/holdings.py
+++ b/src/bramblebeam/core/quota/holdings.py
@@ -116,7 +116,7 @@
         """Ask every grantor next time: who counts, or who grants, is another one."""
         self._ask_at.clear()
 
-    def let_go(self) -> list[tuple[NodeId, GrantReturned]]:
+    def release_all(self) -> list[tuple[NodeId, GrantReturned]]:
         """Count by nothing any more; return the grantors that are to hear of it, and what."""
         returned = [(grantor, GrantReturned(held.number)) for grantor, held in self._held.items()]
         self._held.clear()
--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -123,7 +123,7 @@
         self._let_go()
 
     def _let_go(self) -> None:
-        for grantor, returned in self._holdings.let_go():
+        for grantor, returned in self._holdings.release_all():
             if grantor == self._node:
                 self._grantor.release(self._node, returned.number)
             else:
--- a/tests/quota_search.py
+++ b/tests/quota_search.py
@@ -170,7 +170,7 @@
             node.holdings.request_all_again()
 
     def let_go(self, node: Node) -> None:
-        for grantor, returned in node.holdings.let_go():
+        for grantor, returned in node.holdings.release_all():
             self.send(node.name, grantor, returned)
         self.follow(node)
 
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -132,7 +132,7 @@
     lender = grantor()
     a, b = Loan(lender, A), Loan(lender, B)
     a.ask(fleet(A, B), 0.0)
-    ((grantor_of_it, returned),) = a.holdings.let_go()
+    ((grantor_of_it, returned),) = a.holdings.release_all()
     assert grantor_of_it == LENDER
     lender.release(A, returned.number)
     b.ask(fleet(A, B), 0.1)
@@ -148,7 +148,7 @@
     lender = grantor()
     a, b = Loan(lender, A), Loan(lender, B)
     a.ask(fleet(A), 0.0)
-    ((_, returned),) = a.holdings.let_go()
+    ((_, returned),) = a.holdings.release_all()
     a.ask(fleet(A), 0.1)
     lender.release(A, returned.number)
     b.ask(fleet(B), 0.2)
