--- a/src/bramblebeam/core/quota/holdings.py
+++ b/src/bramblebeam/core/quota/holdings.py
@@ -19,7 +19,7 @@
 )
 from bramblebeam.core.tenants import TenantId
 
-ASK_SECONDS = 0.5
+REQUEST_INTERVAL = 0.5
 """A grant is asked for again so often: two questions may be lost before it is over."""
 BARRED_ASK_SECONDS = 0.1
 """The same while another node may still count by an earlier grant."""
@@ -88,7 +88,7 @@
         asked[number] = now
         if len(asked) > _QUESTIONS_KEPT:
             del asked[min(asked)]
-        self._ask_at[grantor] = now + ASK_SECONDS
+        self._ask_at[grantor] = now + REQUEST_INTERVAL
         held = self._held.get(grantor)
         return GrantRequest(number, NO_GRANT if held is None else held.number)
 
--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -12,7 +12,7 @@
 from bramblebeam.core.membership.view import MemberState, MembersView
 from bramblebeam.core.quota.counter import QuotaCounter
 from bramblebeam.core.quota.grantor import MAXIMUM_GRANTORS, Fleet, Grantor, select_grantors
-from bramblebeam.core.quota.holdings import ASK_SECONDS, Holdings
+from bramblebeam.core.quota.holdings import REQUEST_INTERVAL, Holdings
 from bramblebeam.core.quota.messages import (
     ADMITTED,
     Admission,
@@ -141,7 +141,7 @@
     def look(self) -> None:
         """Ask the grantors whose turn it is, and let the buckets follow what is held."""
         now = self._context.now()
-        if now - self._followed_at >= ASK_SECONDS:
+        if now - self._followed_at >= REQUEST_INTERVAL:
             self._follow(now)
         if self._counts:
             for grantor in self._holdings.due(self._fleet.grantors, now):
--- a/tests/quota_search.py
+++ b/tests/quota_search.py
@@ -20,7 +20,7 @@
 from bramblebeam.core.ownership.rendezvous import ranked_owners
 from bramblebeam.core.quota.counter import QuotaCounter
 from bramblebeam.core.quota.grantor import MAXIMUM_GRANTORS, Fleet, Grantor, select_grantors
-from bramblebeam.core.quota.holdings import ASK_SECONDS, Holdings
+from bramblebeam.core.quota.holdings import REQUEST_INTERVAL, Holdings
 from bramblebeam.core.quota.messages import Grant, GrantRequest, GrantReturned, counting_node
 from bramblebeam.core.tenants import RateLimit, TenantId
 
@@ -185,7 +185,7 @@
         self.at(max(self.now + LOOK, node.paused_until), lambda: self.look(name))
         if not self.runs(node):
             return
-        if self.now - node.followed_at >= ASK_SECONDS:
+        if self.now - node.followed_at >= REQUEST_INTERVAL:
             self.follow(node)
         if self.counts(node):
             for grantor in node.holdings.due(node.fleet.grantors, self.now):
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -15,7 +15,7 @@
     TokenBucket,
 )
 from bramblebeam.core.quota.counter import QuotaCounter
-from bramblebeam.core.quota.holdings import ASK_SECONDS
+from bramblebeam.core.quota.holdings import REQUEST_INTERVAL
 from bramblebeam.core.quota.messages import NO_RECEIPT
 from bramblebeam.core.tenants import RateLimit, TenantId
 from member_views import nodes_in, view_of
@@ -35,7 +35,7 @@
     now = begin
     while now < end:
         counter.follow(lambda tenant: LIMIT, lambda tenant: share, now)
-        now += ASK_SECONDS
+        now += REQUEST_INTERVAL
 
 
 def admitted(
@@ -52,8 +52,8 @@
     found = []
     followed_at = begin
     for at in moments:
-        while at - followed_at >= ASK_SECONDS:
-            followed_at += ASK_SECONDS
+        while at - followed_at >= REQUEST_INTERVAL:
+            followed_at += REQUEST_INTERVAL
             counter.follow(lambda tenant: limit, lambda tenant: share, followed_at)
         if counter.admit(ACME, limit, share, at).admitted:
             found.append(at)
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -15,7 +15,7 @@
     Grantor,
     select_grantors,
 )
-from bramblebeam.core.quota.holdings import ASK_SECONDS, Holdings
+from bramblebeam.core.quota.holdings import REQUEST_INTERVAL, Holdings
 from bramblebeam.core.quota.messages import (
     NO_GRANT,
     AdmissionRequest,
@@ -242,8 +242,8 @@
     a.ask(fleet(A), 0.0)
     assert a.holdings.due([LENDER], 0.0) == [LENDER]
     a.ask(fleet(A), 0.0)
-    assert a.holdings.due([LENDER], ASK_SECONDS - 0.01) == []
-    assert a.holdings.due([LENDER], ASK_SECONDS) == [LENDER]
+    assert a.holdings.due([LENDER], REQUEST_INTERVAL - 0.01) == []
+    assert a.holdings.due([LENDER], REQUEST_INTERVAL) == [LENDER]
 
 
 def test_limits_are_divided_over_a_bounded_number_of_nodes_the_same_at_all() -> None:
