--- a/src/bramblebeam/core/quota/holdings.py
+++ b/src/bramblebeam/core/quota/holdings.py
@@ -63,7 +63,7 @@
 _NOTHING = _Sum({}, (), 1, float("-inf"))
 
 
-class Holdings:
+class HeldGrants:
     """What one node holds of all grantors."""
 
     def __init__(self, node: NodeId) -> None:
--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -12,7 +12,7 @@
 from bramblebeam.core.membership.view import MemberState, MembersView
 from bramblebeam.core.quota.counter import QuotaCounter
 from bramblebeam.core.quota.grantor import MAXIMUM_GRANTORS, Fleet, Grantor, select_grantors
-from bramblebeam.core.quota.holdings import REQUEST_INTERVAL, Holdings
+from bramblebeam.core.quota.holdings import REQUEST_INTERVAL, HeldGrants
 from bramblebeam.core.quota.messages import (
     ADMITTED,
     Admission,
@@ -73,7 +73,7 @@
         self._messages = messages
         self._node = context.owners.place.node
         self._grantor = Grantor(self._node, secrets.randbits(_NUMBER_BITS) + 1)
-        self._holdings = Holdings(self._node)
+        self._holdings = HeldGrants(self._node)
         self._counter = QuotaCounter(secrets.randbits(_NUMBER_BITS))
         self._members = MembersView()
         self._known: frozenset[NodeId] = frozenset()
--- a/tests/quota_search.py
+++ b/tests/quota_search.py
@@ -20,7 +20,7 @@
 from bramblebeam.core.ownership.rendezvous import ranked_owners
 from bramblebeam.core.quota.counter import QuotaCounter
 from bramblebeam.core.quota.grantor import MAXIMUM_GRANTORS, Fleet, Grantor, select_grantors
-from bramblebeam.core.quota.holdings import REQUEST_INTERVAL, Holdings
+from bramblebeam.core.quota.holdings import REQUEST_INTERVAL, HeldGrants
 from bramblebeam.core.quota.messages import Grant, GrantRequest, GrantReturned, counting_node
 from bramblebeam.core.tenants import RateLimit, TenantId
 
@@ -94,7 +94,7 @@
         self.known: frozenset[NodeId] = frozenset({name})
         self.grantor = Grantor(name, rng.getrandbits(48) + 1)
         self.grantor.start(now)
-        self.holdings = Holdings(name)
+        self.holdings = HeldGrants(name)
         self.counter = QuotaCounter(rng.getrandbits(48))
         self.fleet = Fleet(frozenset({name}), (name,), MAXIMUM_GRANTORS)
         self.followed_at = 0.0
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -15,7 +15,7 @@
     Grantor,
     select_grantors,
 )
-from bramblebeam.core.quota.holdings import REQUEST_INTERVAL, Holdings
+from bramblebeam.core.quota.holdings import REQUEST_INTERVAL, HeldGrants
 from bramblebeam.core.quota.messages import (
     NO_GRANT,
     AdmissionRequest,
@@ -52,7 +52,7 @@
     def __init__(self, lender: Grantor, node: NodeId) -> None:
         self.lender = lender
         self.node = node
-        self.holdings = Holdings(node)
+        self.holdings = HeldGrants(node)
 
     def ask(self, known: Fleet, now: float, late: float = 0.0) -> Grant:
         """Ask, and take the answer `late` seconds after the question was sent."""
@@ -168,7 +168,7 @@
     """Guards against a whole part that is lent anew while its former holder still counts by it."""
     names = tuple(NodeId(f"grantor-{number}") for number in range(5))
     lenders = {name: Grantor(name, 7_000) for name in names}
-    old, new = Holdings(A), Holdings(B)
+    old, new = HeldGrants(A), HeldGrants(B)
     for name, lender in lenders.items():
         lender.start(LONG_AGO)
         lend(lender, name, A, old, Fleet(frozenset({A}), names, len(names)), 0.0)
@@ -182,7 +182,7 @@
 
 
 def lend(
-    lender: Grantor, name: NodeId, holder: NodeId, holdings: Holdings, known: Fleet, now: float
+    lender: Grantor, name: NodeId, holder: NodeId, holdings: HeldGrants, known: Fleet, now: float
 ) -> None:
     """Let a holder ask a grantor, and take its answer."""
     grant = lender.answer(holder, holdings.request(name, now), known, now)
@@ -204,14 +204,14 @@
     ],
 )
 def test_an_answer_that_lends_nothing_changes_nothing(grant: Grant) -> None:
-    holdings = Holdings(A)
+    holdings = HeldGrants(A)
     assert holdings.request(LENDER, 0.0).number == 1
     holdings.handle_grant(LENDER, grant, 0.0)
     assert not any(holdings.share(tenant, 1, 0.1) for tenant in TENANTS)
 
 
 def test_one_grantor_never_lends_more_than_its_part() -> None:
-    holdings = Holdings(A)
+    holdings = HeldGrants(A)
     holdings.request(LENDER, 0.0)
     holdings.handle_grant(LENDER, Grant(1, 5, (A,), 1e9, 0), 0.0)
     assert holdings.share(TENANTS[0], MAXIMUM_GRANTORS, 0.1) == pytest.approx(1 / MAXIMUM_GRANTORS)
@@ -219,7 +219,7 @@
 
 def test_an_older_answer_that_comes_later_changes_nothing() -> None:
     lender = grantor()
-    holdings = Holdings(A)
+    holdings = HeldGrants(A)
     first, second = holdings.request(LENDER, 0.0), holdings.request(LENDER, 1.0)
     older = lender.answer(A, first, fleet(A), 0.0)
     newer = lender.answer(A, second, fleet(A), 1.0)
@@ -230,7 +230,7 @@
 
 def test_the_parts_that_others_know_of_count_where_they_are_more() -> None:
     """A node that has just started knows few others, and would take one part for the whole."""
-    holdings = Holdings(A)
+    holdings = HeldGrants(A)
     holdings.request(LENDER, 0.0)
     holdings.handle_grant(LENDER, Grant(1, 5, (A,), 1.0, 32), 0.0)
     assert holdings.share(TENANTS[0], 1, 0.1) == pytest.approx(1 / 32)
