--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -12,7 +12,7 @@
 from bramblebeam.core.membership.view import MemberState, MembersView
 from bramblebeam.core.quota.counter import QuotaCounter
 from bramblebeam.core.quota.grantor import MAXIMUM_GRANTORS, Fleet, Grantor, select_grantors
-from bramblebeam.core.quota.holdings import REQUEST_INTERVAL, HeldGrants
+from bramblebeam.core.quota.held_grants import REQUEST_INTERVAL, HeldGrants
 from bramblebeam.core.quota.messages import (
     ADMITTED,
     Admission,
--- a/tests/quota_search.py
+++ b/tests/quota_search.py
@@ -20,7 +20,7 @@
 from bramblebeam.core.ownership.rendezvous import ranked_owners
 from bramblebeam.core.quota.counter import QuotaCounter
 from bramblebeam.core.quota.grantor import MAXIMUM_GRANTORS, Fleet, Grantor, select_grantors
-from bramblebeam.core.quota.holdings import REQUEST_INTERVAL, HeldGrants
+from bramblebeam.core.quota.held_grants import REQUEST_INTERVAL, HeldGrants
 from bramblebeam.core.quota.messages import Grant, GrantRequest, GrantReturned, counting_node
 from bramblebeam.core.tenants import RateLimit, TenantId
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -15,7 +15,7 @@
     TokenBucket,
 )
 from bramblebeam.core.quota.counter import QuotaCounter
-from bramblebeam.core.quota.holdings import REQUEST_INTERVAL
+from bramblebeam.core.quota.held_grants import REQUEST_INTERVAL
 from bramblebeam.core.quota.messages import NO_RECEIPT
 from bramblebeam.core.tenants import RateLimit, TenantId
 from member_views import nodes_in, view_of
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -15,7 +15,7 @@
     Grantor,
     select_grantors,
 )
-from bramblebeam.core.quota.holdings import REQUEST_INTERVAL, HeldGrants
+from bramblebeam.core.quota.held_grants import REQUEST_INTERVAL, HeldGrants
 from bramblebeam.core.quota.messages import (
     NO_GRANT,
     AdmissionRequest,
