--- a/src/bramblebeam/core/quota/bucket.py
+++ b/src/bramblebeam/core/quota/bucket.py
@@ -7,7 +7,7 @@
 from bramblebeam.core.quota.messages import Admission
 from bramblebeam.core.tenants import RateLimit
 
-HOME_SHARE = 0.8
+ADMITTED_SHARE = 0.8
 """The part of a limit that all nodes together admit.
 
 The rest is for what is counted beside it: first operations, returns, parts lent twice by grantors
@@ -32,7 +32,7 @@
 
 def counted_limit(limit: RateLimit, share: float) -> RateLimit:
     """Return what a node admits that counts by a share of a limit."""
-    part = HOME_SHARE * share
+    part = ADMITTED_SHARE * share
     return RateLimit(limit.rate * part, limit.burst * part)
 
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -8,8 +8,8 @@
 from bramblebeam.core.gateway.owners import GroupSize, NodeLocation, OwnerTable
 from bramblebeam.core.identity import NodeId, ZoneId
 from bramblebeam.core.quota.bucket import (
+    ADMITTED_SHARE,
     FIRST_OPERATIONS,
-    HOME_SHARE,
     LIMIT_SECONDS,
     RETURN_SHARE,
     TokenBucket,
@@ -67,7 +67,7 @@
 ) -> None:
     moments = admitted(counter_of(), limit.rate * times, 0.0, 40.0, limit)
     assert most_in_any_span(moments) <= allowed(limit)
-    assert len(moments) >= 40 * limit.rate * HOME_SHARE * 0.97
+    assert len(moments) >= 40 * limit.rate * ADMITTED_SHARE * 0.97
 
 
 def test_a_tenant_below_its_limit_is_never_refused() -> None:
@@ -123,7 +123,7 @@
     low = admitted(counter, 100.0, 10.0, 20.0, lowered)
     assert len(low) <= lowered.rate * 10 + lowered.burst + 1
     high = admitted(counter, 100.0, 20.0, 30.0, raised)
-    assert len(high) >= raised.rate * 10 * HOME_SHARE * 0.97
+    assert len(high) >= raised.rate * 10 * ADMITTED_SHARE * 0.97
 
 
 def test_a_limit_of_zero_admits_nothing_and_names_no_time() -> None:
@@ -133,7 +133,7 @@
 
 def test_the_wait_is_until_there_is_room() -> None:
     bucket = TokenBucket(1.0, 0.0)
-    limit = RateLimit(2.0 / HOME_SHARE, 1.0 / HOME_SHARE)
+    limit = RateLimit(2.0 / ADMITTED_SHARE, 1.0 / ADMITTED_SHARE)
     assert bucket.take(limit, 1.0, 1, 0.0).admitted
     refused = bucket.take(limit, 1.0, 2, 0.0)
     assert not refused.admitted
@@ -185,7 +185,7 @@
             admission = counter.admit(ACME, LIMIT, 1.0, now)
             if admission.admitted:
                 waiting[admission.receipt] = now
-        assert len(waiting) <= (1 + RETURN_SHARE) * HOME_SHARE * (LIMIT.rate * 5 + LIMIT.burst)
+        assert len(waiting) <= (1 + RETURN_SHARE) * ADMITTED_SHARE * (LIMIT.rate * 5 + LIMIT.burst)
 
 
 @pytest.mark.parametrize(
@@ -226,7 +226,7 @@
     assert not admitted(counter, 100.0, 10.0, 10.1, share=0.0)
     counter.follow(lambda tenant: LIMIT, lambda tenant: 0.0, 10.1)
     assert len(admitted(counter, 1_000.0, 20.0, 20.02)) <= 1
-    assert len(admitted(counter, 1_000.0, 21.0, 21.02)) <= HOME_SHARE * LIMIT.rate + 1
+    assert len(admitted(counter, 1_000.0, 21.0, 21.02)) <= ADMITTED_SHARE * LIMIT.rate + 1
 
 
 @pytest.mark.parametrize("asked_meanwhile", [True, False], ids=["asked", "not asked"])
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -5,7 +5,7 @@
 import pytest
 
 from bramblebeam.core.identity import NodeId
-from bramblebeam.core.quota.bucket import HOME_SHARE
+from bramblebeam.core.quota.bucket import ADMITTED_SHARE
 from bramblebeam.core.quota.grantor import (
     CLOCK_MARGIN,
     GRANT_SECONDS,
@@ -178,7 +178,7 @@
         lend(lenders[name], name, B, new, Fleet(frozenset({B}), names, len(names)), 0.2)
     for tenant in TENANTS:
         lent = sum(holdings.share(tenant, len(names), 0.3) for holdings in (old, new))
-        assert 1.0 < lent <= MOST_OVER_LIMIT / HOME_SHARE
+        assert 1.0 < lent <= MOST_OVER_LIMIT / ADMITTED_SHARE
 
 
 def lend(
--- a/tests/test_tenant_view.py
+++ b/tests/test_tenant_view.py
@@ -3,7 +3,7 @@
 import json
 
 from bramblebeam.cli.tenants import AT_ITS_LIMIT, table_lines
-from bramblebeam.core.quota.bucket import HOME_SHARE
+from bramblebeam.core.quota.bucket import ADMITTED_SHARE
 from bramblebeam.platform.node import TENANTS_PATH, _figures
 from node_answers import ABSENT, asked
 from platform_standins.world import running_world, until
@@ -47,7 +47,7 @@
 
 def test_a_tenant_is_added_up_over_nodes_and_marked_at_its_limit() -> None:
     allowed = 100.0
-    half = {"tenant": "hot", "share": 0.5, "counted": HOME_SHARE * 50, "allowed": allowed}
+    half = {"tenant": "hot", "share": 0.5, "counted": ADMITTED_SHARE * 50, "allowed": allowed}
     calm = {"tenant": "calm", "share": 1.0, "counted": 9, "allowed": allowed}
     lines = table_lines([("n1", calm), ("n1", half), ("n2", half)])
     assert [line.split()[0] for line in lines] == ["tenant", "hot", "calm"]
