--- a/src/bramblebeam/core/quota/bucket.py
+++ b/src/bramblebeam/core/quota/bucket.py
@@ -13,7 +13,7 @@
 The rest is for what is counted beside it: first operations, returns, parts lent twice by grantors
 that started anew.
 """
-FIRST_OPERATIONS = 5.0
+INITIAL_TOKENS = 5.0
 """What a node admits at once of a tenant that is new to it: one of a few operations a second is not
 refused because another node counts it now."""
 QUICK_SECONDS = 1.0
@@ -41,8 +41,8 @@
 
     def __init__(self, share: float, now: float) -> None:
         self.used_at = now
-        self._tokens = FIRST_OPERATIONS
-        self._returnable = FIRST_OPERATIONS * RETURN_SHARE
+        self._tokens = INITIAL_TOKENS
+        self._returnable = INITIAL_TOKENS * RETURN_SHARE
         self._share = share
         self._filled_at = now
         self._refused_at = float("-inf")
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -9,7 +9,7 @@
 from bramblebeam.core.identity import NodeId, ZoneId
 from bramblebeam.core.quota.bucket import (
     ADMITTED_SHARE,
-    FIRST_OPERATIONS,
+    INITIAL_TOKENS,
     LIMIT_SECONDS,
     RETURN_SHARE,
     TokenBucket,
@@ -106,7 +106,7 @@
         for part in parts
         for at in admitted(counter_of(), 500.0, 0.0, 10.0, limit, part / sum(parts))
     ]
-    first = FIRST_OPERATIONS * len(parts)
+    first = INITIAL_TOKENS * len(parts)
     assert len(moments) <= 10 * limit.rate + first + len(parts)
 
 
@@ -299,7 +299,7 @@
         refused = [answer for answer in answers if answer.code]
         assert {answer.code for answer in refused} == {"BUSY"}
         assert all("past its limit; retry after" in answer.text for answer in refused)
-        assert len(answers) - len(refused) <= FIRST_OPERATIONS
+        assert len(answers) - len(refused) <= INITIAL_TOKENS
         assert len(world.group.primary.log) == len(answers) - len(refused)
         assert (await other.run("READ k0")).code == ""
         await hot.run("BEGIN")
