--- a/src/bramblebeam/core/quota/bucket.py
+++ b/src/bramblebeam/core/quota/bucket.py
@@ -19,7 +19,7 @@
 QUICK_SECONDS = 1.0
 """What is given back so soon may be admitted once more in full: what began within so long, and what
 may begin at once, are bounded together."""
-RETURN_SHARE = 0.15
+REFUND_SHARE = 0.15
 """Of what is admitted, so much may be admitted once more that was given back later than that, and
 after others were refused.
 
@@ -42,7 +42,7 @@
     def __init__(self, share: float, now: float) -> None:
         self.used_at = now
         self._tokens = INITIAL_TOKENS
-        self._returnable = INITIAL_TOKENS * RETURN_SHARE
+        self._returnable = INITIAL_TOKENS * REFUND_SHARE
         self._share = share
         self._filled_at = now
         self._refused_at = float("-inf")
@@ -62,7 +62,7 @@
         _forget(self._quick, now - QUICK_SECONDS)
         beside_quick = most + counted.rate * QUICK_SECONDS - len(self._quick)
         self._tokens = max(0.0, min(most, beside_quick, self._tokens + grown))
-        self._returnable = min(most * RETURN_SHARE + 1.0, self._returnable + grown * RETURN_SHARE)
+        self._returnable = min(most * REFUND_SHARE + 1.0, self._returnable + grown * REFUND_SHARE)
         self._share = share
         self._filled_at = now
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -11,7 +11,7 @@
     ADMITTED_SHARE,
     INITIAL_TOKENS,
     LIMIT_SECONDS,
-    RETURN_SHARE,
+    REFUND_SHARE,
     TokenBucket,
 )
 from bramblebeam.core.quota.counter import QuotaCounter
@@ -185,7 +185,7 @@
             admission = counter.admit(ACME, LIMIT, 1.0, now)
             if admission.admitted:
                 waiting[admission.receipt] = now
-        assert len(waiting) <= (1 + RETURN_SHARE) * ADMITTED_SHARE * (LIMIT.rate * 5 + LIMIT.burst)
+        assert len(waiting) <= (1 + REFUND_SHARE) * ADMITTED_SHARE * (LIMIT.rate * 5 + LIMIT.burst)
 
 
 @pytest.mark.parametrize(
