--- a/src/bramblebeam/core/quota/bucket.py
+++ b/src/bramblebeam/core/quota/bucket.py
@@ -79,7 +79,7 @@
         self._taken[receipt] = self._quick[receipt] = now
         return Admission(True, receipt=receipt, share=share)
 
-    def kept(self, now: float) -> int:
+    def counted_operations(self, now: float) -> int:
         """Return how many operations of the last LIMIT_SECONDS were not given back."""
         _forget(self._taken, now - LIMIT_SECONDS)
         return len(self._taken)
--- a/src/bramblebeam/core/quota/counter.py
+++ b/src/bramblebeam/core/quota/counter.py
@@ -33,7 +33,7 @@
     def kept(self, tenant: TenantId, now: float) -> int:
         """Return how many operations of the last LIMIT_SECONDS count."""
         bucket = self._buckets.get(tenant)
-        return 0 if bucket is None else bucket.kept(now)
+        return 0 if bucket is None else bucket.counted_operations(now)
 
     def admit(self, tenant: TenantId, limit: RateLimit, share: float, now: float) -> Admission:
         """Ask for one operation. `share`: of the limit, that this node counts by (0 to 1)."""
