--- a/src/bramblebeam/core/quota/bucket.py
+++ b/src/bramblebeam/core/quota/bucket.py
@@ -84,7 +84,7 @@
         _forget(self._taken, now - LIMIT_SECONDS)
         return len(self._taken)
 
-    def give_back(self, receipt: int, now: float) -> bool:
+    def refund(self, receipt: int, now: float) -> bool:
         """Count an operation as never begun; return whether it was one that counted."""
         taken_at = self._taken.pop(receipt, None)
         self._quick.pop(receipt, None)
--- a/src/bramblebeam/core/quota/counter.py
+++ b/src/bramblebeam/core/quota/counter.py
@@ -56,7 +56,7 @@
         was admitted so long ago that it makes no difference.
         """
         bucket = self._buckets.get(tenant)
-        return bucket is not None and bucket.give_back(receipt, now)
+        return bucket is not None and bucket.refund(receipt, now)
 
     def follow(
         self,
