--- a/src/bramblebeam/core/quota/counter.py
+++ b/src/bramblebeam/core/quota/counter.py
@@ -30,7 +30,7 @@
         """Whether a tenant was counted here lately."""
         return tenant in self._buckets
 
-    def kept(self, tenant: TenantId, now: float) -> int:
+    def counted_operations(self, tenant: TenantId, now: float) -> int:
         """Return how many operations of the last LIMIT_SECONDS count."""
         bucket = self._buckets.get(tenant)
         return 0 if bucket is None else bucket.counted_operations(now)
--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -228,7 +228,7 @@
         for tenant in self._counter.tenants:
             limit = self.limit_of(tenant)
             if limit is not None:
-                counted = self._counter.kept(tenant, now)
+                counted = self._counter.counted_operations(tenant, now)
                 yield CountedTenant(tenant, limit, self.share(tenant), counted)
 
     def give_back(self, returned: AdmissionReturned) -> None:
