--- a/src/bramblebeam/core/quota/counter.py
+++ b/src/bramblebeam/core/quota/counter.py
@@ -49,7 +49,7 @@
         self._next_receipt += 1
         return bucket.take(limit, share, self._next_receipt, now)
 
-    def give_back(self, tenant: TenantId, receipt: int, now: float) -> bool:
+    def refund(self, tenant: TenantId, receipt: int, now: float) -> bool:
         """Count an operation as never begun, as no database can have run any of it.
 
         Return whether it counted: not one that was never admitted here, was given back already, or
--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -234,7 +234,7 @@
     def give_back(self, returned: AdmissionReturned) -> None:
         """Count an operation as never begun, as no database can have run it."""
         now = self._context.now()
-        counted = self._counter.give_back(returned.tenant, returned.receipt, now)
+        counted = self._counter.refund(returned.tenant, returned.receipt, now)
         part = Part.RETURNED if counted else Part.RETURN_IGNORED
         self._context.metrics.tenants.note(returned.tenant, part)
 
--- a/tests/quota_search.py
+++ b/tests/quota_search.py
@@ -281,7 +281,7 @@
             self.at(self.now + waits, lambda: self.give_back(home, receipt))
 
     def give_back(self, home: Node, receipt: int) -> None:
-        home.counter.give_back(HOT, receipt, self.now)
+        home.counter.refund(HOT, receipt, self.now)
 
     # Troubles.
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -149,7 +149,7 @@
     for step in range(4_000):
         now = step / 100
         while waiting and now - waiting[0][0] >= 0.3:
-            counter.give_back(ACME, waiting.pop(0)[1], now)
+            counter.refund(ACME, waiting.pop(0)[1], now)
         if step % 2:
             admission = counter.admit(ACME, LIMIT, 1.0, now)
             refused += not admission.admitted and now > 2.0
@@ -164,7 +164,7 @@
     for number in range(1_000):
         admission = counter.admit(ACME, LIMIT, 1.0, number / 1_000)
         assert admission.admitted
-        assert counter.give_back(ACME, admission.receipt, number / 1_000)
+        assert counter.refund(ACME, admission.receipt, number / 1_000)
 
 
 # Operations that wait for a leader are given back after others were refused. All that took their
@@ -179,7 +179,7 @@
         now = step / 100
         for receipt, since in list(waiting.items()):
             if now - since >= seconds:
-                counter.give_back(ACME, receipt, now)
+                counter.refund(ACME, receipt, now)
                 del waiting[receipt]
         for _ in range(2):
             admission = counter.admit(ACME, LIMIT, 1.0, now)
@@ -201,12 +201,12 @@
     counter = counter_of()
     taken = counter.admit(ACME, LIMIT, 1.0, 0.0).receipt
     if not later:
-        assert counter.give_back(ACME, taken, 0.0)
+        assert counter.refund(ACME, taken, 0.0)
     keep_following(counter, 1.0, 0.0, later)
     later_counts = counter.admit(ACME, LIMIT, 1.0, later)
     assert later_counts.admitted
-    assert not counter.give_back(ACME, taken if receipt is None else receipt, later)
-    assert not counter.give_back(TenantId("nobody"), taken, later)
+    assert not counter.refund(ACME, taken if receipt is None else receipt, later)
+    assert not counter.refund(TenantId("nobody"), taken, later)
 
 
 # A share that moves.
