--- a/src/bramblebeam/core/quota/counter.py
+++ b/src/bramblebeam/core/quota/counter.py
@@ -58,7 +58,7 @@
         bucket = self._buckets.get(tenant)
         return bucket is not None and bucket.refund(receipt, now)
 
-    def follow(
+    def update_shares(
         self,
         limit_of: Callable[[TenantId], RateLimit | None],
         share_of: Callable[[TenantId], float],
--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -149,7 +149,7 @@
 
     def _follow(self, now: float) -> None:
         self._followed_at = now
-        self._counter.follow(self.limit_of, self.share, now)
+        self._counter.update_shares(self.limit_of, self.share, now)
 
     @property
     def _counts(self) -> bool:
--- a/tests/quota_search.py
+++ b/tests/quota_search.py
@@ -193,7 +193,9 @@
 
     def follow(self, node: Node) -> None:
         node.followed_at = self.now
-        node.counter.follow(lambda t: self.setting.limit, lambda t: self.share(node, t), self.now)
+        node.counter.update_shares(
+            lambda t: self.setting.limit, lambda t: self.share(node, t), self.now
+        )
 
     def share(self, node: Node, tenant: TenantId) -> float:
         return node.holdings.share(tenant, node.fleet.parts, self.now)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -34,7 +34,7 @@
     """Let the buckets follow, as a process does that runs."""
     now = begin
     while now < end:
-        counter.follow(lambda tenant: LIMIT, lambda tenant: share, now)
+        counter.update_shares(lambda tenant: LIMIT, lambda tenant: share, now)
         now += REQUEST_INTERVAL
 
 
@@ -54,7 +54,7 @@
     for at in moments:
         while at - followed_at >= REQUEST_INTERVAL:
             followed_at += REQUEST_INTERVAL
-            counter.follow(lambda tenant: limit, lambda tenant: share, followed_at)
+            counter.update_shares(lambda tenant: limit, lambda tenant: share, followed_at)
         if counter.admit(ACME, limit, share, at).admitted:
             found.append(at)
     return found
@@ -224,7 +224,7 @@
     counter = counter_of()
     admitted(counter, 1.0, 0.0, 10.0)
     assert not admitted(counter, 100.0, 10.0, 10.1, share=0.0)
-    counter.follow(lambda tenant: LIMIT, lambda tenant: 0.0, 10.1)
+    counter.update_shares(lambda tenant: LIMIT, lambda tenant: 0.0, 10.1)
     assert len(admitted(counter, 1_000.0, 20.0, 20.02)) <= 1
     assert len(admitted(counter, 1_000.0, 21.0, 21.02)) <= ADMITTED_SHARE * LIMIT.rate + 1
 
