--- a/src/bramblebeam/core/quota/account.py
+++ b/src/bramblebeam/core/quota/account.py
@@ -43,7 +43,7 @@
         """Add a count that was taken for this operation."""
         self._free.append(count)
 
-    def pay(self) -> None:
+    def charge(self) -> None:
         """Pay for an attempt that is about to be sent."""
         self._paid.append(self._free.pop() if self._free else None)
 
--- a/src/bramblebeam/services/gateway/forwarding.py
+++ b/src/bramblebeam/services/gateway/forwarding.py
@@ -136,7 +136,7 @@
             return None
         if not await may_attempt(self._context, request):
             return None
-        request.account.pay()
+        request.account.charge()
         message = statement_of(request, self._context.now())._replace(forwarded_on=True)
         answer = await self.ask(node, request, message)
         if isinstance(answer, Reply):
--- a/src/bramblebeam/services/gateway/request.py
+++ b/src/bramblebeam/services/gateway/request.py
@@ -120,7 +120,7 @@
 
     def note_sent(self) -> None:
         """Note that the operation goes to a database, perhaps once more."""
-        self.account.pay()
+        self.account.charge()
         self.metrics.tenants.note(self.tenant, Part.SENT)
 
     def note_refused(self, refusal: Refusal) -> None:
--- a/tests/test_operation_account.py
+++ b/tests/test_operation_account.py
@@ -13,7 +13,7 @@
     account.add(FIRST)
     for _ in range(3):
         assert account.has_free
-        account.pay()
+        account.charge()
         assert not account.has_free
         account.has_not_run()
     assert account.surely_not_run
@@ -27,9 +27,9 @@
 def test_an_attempt_that_may_have_run_keeps_its_count_whatever_the_next_one_comes_to() -> None:
     account = OperationAccount()
     account.add(FIRST)
-    account.pay()
+    account.charge()
     account.add(SECOND)
-    account.pay()
+    account.charge()
     account.has_not_run()
     assert not account.surely_not_run
     assert len(account.take_free()) == 1
@@ -37,7 +37,7 @@
 
 def test_attempts_of_a_tenant_without_a_limit_are_noted_without_counts() -> None:
     account = OperationAccount()
-    account.pay()
+    account.charge()
     assert not account.surely_not_run
     account.has_not_run()
     account.has_not_run()
