--- a/src/bramblebeam/core/quota/account.py
+++ b/src/bramblebeam/core/quota/account.py
@@ -30,7 +30,7 @@
         self._paid: list[Count | None] = []
 
     @property
-    def has_free(self) -> bool:
+    def has_unused(self) -> bool:
         """Whether another attempt is paid for."""
         return bool(self._free)
 
--- a/src/bramblebeam/services/gateway/admission.py
+++ b/src/bramblebeam/services/gateway/admission.py
@@ -88,7 +88,7 @@
     Where there is none, the statement is not tried again.
     """
     tenant = request.tenant
-    if request.account.has_free or not context.may_have_limit(tenant):
+    if request.account.has_unused or not context.may_have_limit(tenant):
         return True
     answer = await _ask(context, tenant)
     if answer is not None and answer.admission.admitted:
--- a/tests/test_operation_account.py
+++ b/tests/test_operation_account.py
@@ -12,9 +12,9 @@
     account = OperationAccount()
     account.add(FIRST)
     for _ in range(3):
-        assert account.has_free
+        assert account.has_unused
         account.charge()
-        assert not account.has_free
+        assert not account.has_unused
         account.has_not_run()
     assert account.surely_not_run
     assert account.take_free() == [FIRST]
