--- a/src/bramblebeam/core/quota/account.py
+++ b/src/bramblebeam/core/quota/account.py
@@ -47,7 +47,7 @@
         """Pay for an attempt that is about to be sent."""
         self._paid.append(self._free.pop() if self._free else None)
 
-    def has_not_run(self) -> None:
+    def record_not_run(self) -> None:
         """Note that an attempt has surely not run."""
         if not self._paid:
             return
--- a/src/bramblebeam/services/gateway/forwarding.py
+++ b/src/bramblebeam/services/gateway/forwarding.py
@@ -162,11 +162,11 @@
         if isinstance(answer, ForwardedReply) and not answer.declined:
             self._context.placement.take_told(answer.loads)
             if message.forwarded_on and answer.surely_not_run:
-                request.account.has_not_run()
+                request.account.record_not_run()
             return answer.reply
         failure = answer if isinstance(answer, PeerFailure) else PeerFailure(False, "declined")
         if message.forwarded_on and not failure.sent:
-            request.account.has_not_run()
+            request.account.record_not_run()
         if not (failure.is_late and self._context.overload.enabled):
             # One that is late, but is heard of, has a long queue: those who pass it by would
             # overfill the database that it queues for.
--- a/src/bramblebeam/services/gateway/request.py
+++ b/src/bramblebeam/services/gateway/request.py
@@ -126,7 +126,7 @@
     def note_refused(self, refusal: Refusal) -> None:
         """Note a database's answer to an attempt: one that has not run pays for the next one."""
         if refusal.verdict is Verdict.NOT_RUN:
-            self.account.has_not_run()
+            self.account.record_not_run()
 
     def attempt_failed(self, instance: InstanceId, refusal: Refusal) -> None:
         """Note that a database did not serve the statement, and why."""
--- a/tests/test_operation_account.py
+++ b/tests/test_operation_account.py
@@ -15,7 +15,7 @@
         assert account.has_unused
         account.charge()
         assert not account.has_unused
-        account.has_not_run()
+        account.record_not_run()
     assert account.surely_not_run
     assert account.take_free() == [FIRST]
     assert account.take_free() == []
@@ -30,7 +30,7 @@
     account.charge()
     account.add(SECOND)
     account.charge()
-    account.has_not_run()
+    account.record_not_run()
     assert not account.surely_not_run
     assert len(account.take_free()) == 1
 
@@ -39,7 +39,7 @@
     account = OperationAccount()
     account.charge()
     assert not account.surely_not_run
-    account.has_not_run()
-    account.has_not_run()
+    account.record_not_run()
+    account.record_not_run()
     assert account.surely_not_run
     assert account.take_free() == []
