--- a/src/bramblebeam/core/quota/account.py
+++ b/src/bramblebeam/core/quota/account.py
@@ -55,7 +55,7 @@
         if count is not None:
             self._free.append(count)
 
-    def take_free(self) -> list[Count]:
+    def take_unused(self) -> list[Count]:
         """Return what was not used, which is given back once."""
         free, self._free = self._free, []
         return free
--- a/src/bramblebeam/services/gateway/admission.py
+++ b/src/bramblebeam/services/gateway/admission.py
@@ -101,7 +101,7 @@
 
 def settle(context: GatewayContext, request: Request) -> None:
     """Give back the counts of an operation by which nothing can have run."""
-    for count in request.account.take_free():
+    for count in request.account.take_unused():
         returned = AdmissionReturned(count.tenant, count.receipt)
         if count.node == context.owners.place.node:
             context.limits.give_back(returned)
--- a/tests/test_operation_account.py
+++ b/tests/test_operation_account.py
@@ -17,8 +17,8 @@
         assert not account.has_unused
         account.record_not_run()
     assert account.surely_not_run
-    assert account.take_free() == [FIRST]
-    assert account.take_free() == []
+    assert account.take_unused() == [FIRST]
+    assert account.take_unused() == []
 
 
 # The last attempt was refused as not run, and the one before may have run: only one count is left.
@@ -32,7 +32,7 @@
     account.charge()
     account.record_not_run()
     assert not account.surely_not_run
-    assert len(account.take_free()) == 1
+    assert len(account.take_unused()) == 1
 
 
 def test_attempts_of_a_tenant_without_a_limit_are_noted_without_counts() -> None:
@@ -42,4 +42,4 @@
     account.record_not_run()
     account.record_not_run()
     assert account.surely_not_run
-    assert account.take_free() == []
+    assert account.take_unused() == []
