--- a/src/bramblebeam/core/feed/plan.py
+++ b/src/bramblebeam/core/feed/plan.py
@@ -5,13 +5,12 @@
 each other across regions, so that a region whose readers cannot reach the store still gets changes.
 """
 
-from collections.abc import Mapping
-from typing import NamedTuple
-
-from bramblebeam.core.gateway.owners import NodePlace
-from bramblebeam.core.identity import NodeId
-from bramblebeam.core.membership.view import MembersView
-from bramblebeam.core.ownership.rendezvous import ranked_owners
+from bramblebeam.core.gateway.owners import (NodeLocation)
+from bramblebeam.core.identity import (NodeId)
+from bramblebeam.core.membership.view import (MembersView)
+from bramblebeam.core.ownership.rendezvous import (ranked_owners)
+from collections.abc import (Mapping)
+from typing import (NamedTuple)
 
 READERS_PER_REGION = 2
 MAX_DIRECT_READERS = 12
@@ -28,7 +27,7 @@
     peers: tuple[NodeId, ...] = ()
 
 
-def feed_plan(place: NodePlace, members: MembersView) -> FeedPlan:
+def feed_plan(place: NodeLocation, members: MembersView) -> FeedPlan:
     """Return the plan of the node at `place`."""
     regions = _nodes_by_region(members)
     if sum(map(len, regions.values())) <= MAX_DIRECT_READERS:
--- a/src/bramblebeam/core/gateway/lives.py
+++ b/src/bramblebeam/core/gateway/incarnations.py
@@ -1,26 +1,20 @@
 """Which start of each database is the newest: one that is older has ended."""
 
-from bramblebeam.core.identity import (
-    UNKNOWN_INCARNATION,
-    InstanceId,
-    ServerName,
-    incarnation_of,
-    server_name,
-)
+from bramblebeam.core.identity import (InstanceId, ServerName, UNKNOWN_INCARNATION, incarnation_of, server_name)
 
 MAXIMUM_NAMES = 10_000
 """So many names are remembered, as many as a system has databases: beyond that the one that was
 told of first is forgotten."""
 
 
-class Lives:
+class Incarnations:
     """Remembers the newest start of each name, also after its entry went."""
 
     def __init__(self) -> None:
         self._newest: dict[ServerName, int] = {}
         self._restarted: set[ServerName] = set()
 
-    def take(self, instance: InstanceId) -> bool:
+    def observe(self, instance: InstanceId) -> bool:
         """Note an instance; False: it has ended, as its database has started again since."""
         if self.is_former(instance):
             return False
--- a/src/bramblebeam/core/gateway/leader_lease.py
+++ b/src/bramblebeam/core/gateway/leader_lease.py
@@ -16,9 +16,9 @@
 """For how long one confirmation holds."""
 WAIT_SECONDS = 0.9
 """For how long a change of primary waits: the lease, and what was sent at its end may run."""
-GLANCE_SECONDS = 0.3
+POSITION_RENEWAL_SECONDS = 0.3
 """A confirmation older than this is renewed by what members have received, if there is news."""
-RENEWAL_SECONDS = 0.6
+STATUS_RENEWAL_SECONDS = 0.6
 """A confirmation older than this is renewed by the status of a member, which takes a slot."""
 SEND_MARGIN = 0.03
 """Nothing is sent in the last moments of a lease."""
@@ -43,33 +43,33 @@
         """Whether something that only the leader may run can be sent now."""
         return self.covers(now + SEND_MARGIN)
 
-    def note_proof(self, proof: Watermark) -> None:
+    def record_proof(self, proof: Watermark) -> None:
         """Take the leader's position: what it commits later is beyond it."""
-        last = self._proofs[-1].asked_at if self._proofs else float("-inf")
-        if proof.asked_at - last >= PROOF_SPACING:
+        last = self._proofs[-1].queried_at if self._proofs else float("-inf")
+        if proof.queried_at - last >= PROOF_SPACING:
             self._proofs.append(proof)
 
-    def is_denied_by(self, follows: int, held: int) -> bool:
+    def is_contradicted_by(self, follows: int, held: int) -> bool:
         """Whether the word of another member speaks against this leader; see `note_status`."""
         return max(follows, held) > self.term
 
-    def note_status(self, follows: int, held: int, asked_at: float) -> bool:
+    def record_status(self, follows: int, held: int, asked_at: float) -> bool:
         """Take the word of another member; False: it speaks against this leader.
 
         `follows`: the newest term that the member has heard of. `held`: the term that it was told
         to receive from next, 0 where it was told nothing.
         """
-        if self.is_denied_by(follows, held):
+        if self.is_contradicted_by(follows, held):
             return False
         self.confirmed_at = max(self.confirmed_at, asked_at)
         return True
 
-    def note_received(self, position: Position) -> bool:
+    def record_received(self, position: Position) -> bool:
         """Take the position of another member; False: it is of a newer term."""
         if position.term > self.term:
             return False
         self.confirmed_at = max(self.confirmed_at, self.unpaused_at(position))
-        while self._proofs and self._proofs[0].asked_at <= self.confirmed_at:
+        while self._proofs and self._proofs[0].queried_at <= self.confirmed_at:
             self._proofs.popleft()
         return True
 
@@ -80,7 +80,7 @@
         that the member was not paused when that proof was asked for.
         """
         passed = (
-            proof.asked_at
+            proof.queried_at
             for proof in reversed(self._proofs)
             if _is_beyond(position, proof.position, self.term)
         )
--- a/src/bramblebeam/core/gateway/owners.py
+++ b/src/bramblebeam/core/gateway/owners.py
@@ -41,7 +41,7 @@
 """The nodes that may serve, by region and zone."""
 
 
-class NodePlace(NamedTuple):
+class NodeLocation(NamedTuple):
     """Where a node is."""
 
     node: NodeId
@@ -72,17 +72,17 @@
     by_tenant: bool = False
 
 
-def owners_allowed(size: GroupSize) -> int:
+def maximum_owners(size: GroupSize) -> int:
     """Return how many nodes may serve a group by the connections that its databases take."""
     return max(LEAST_OWNERS, size.maximum_connections // CONNECTIONS_A_NODE)
 
 
-def owners_wanted(size: GroupSize, regions: int) -> int:
+def target_owners(size: GroupSize, regions: int) -> int:
     """Return how many nodes should serve a group whose nodes are many."""
     if size.by_tenant:
-        return min(owners_allowed(size), TENANT_OWNERS_A_REGION * regions)
+        return min(maximum_owners(size), TENANT_OWNERS_A_REGION * regions)
     by_slots = -(-size.slots // SLOTS_AN_OWNER)
-    return min(owners_allowed(size), max(OWNERS_A_REGION, by_slots) * regions)
+    return min(maximum_owners(size), max(OWNERS_A_REGION, by_slots) * regions)
 
 
 def group_owners(
@@ -93,10 +93,10 @@
     Zones in `near` come first.
     """
     nodes = [node for zones in regions.values() for found in zones.values() for node in found]
-    few = LEAST_OWNERS if size.by_tenant else min(FEW_NODES, owners_allowed(size))
+    few = LEAST_OWNERS if size.by_tenant else min(FEW_NODES, maximum_owners(size))
     if len(nodes) <= few:
         return frozenset(nodes)
-    limit = max(LEAST_OWNERS, owners_wanted(size, len(regions)))
+    limit = max(LEAST_OWNERS, target_owners(size, len(regions)))
     key = _key(group, size)
     chosen = _ranked(key, regions)[:limit]
     a_region = limit // len(chosen)
@@ -132,7 +132,7 @@
 class OwnerTable:
     """The owners of every group, as one node sees them."""
 
-    def __init__(self, place: NodePlace, serves_near_databases: bool = False) -> None:
+    def __init__(self, place: NodeLocation, serves_near_databases: bool = False) -> None:
         self.place = place
         self._serves_near_databases = serves_near_databases
         self._near: dict[GroupId, frozenset[ZoneId]] = {}
@@ -175,7 +175,7 @@
         self._from_region.clear()
 
     @property
-    def seen_share(self) -> float:
+    def live_share(self) -> float:
         """Return how many of the nodes that are known are seen to run, 0 to 1."""
         seen = sum(map(len, self._members.owners.values()))
         return max(1, seen) / max(1, len(self._members.members))
@@ -291,7 +291,7 @@
         is_near = self.region_of(zone) == self.place.region
         return Distance.REGION if is_near else Distance.ELSEWHERE
 
-    def slots_a_node(self, group: GroupId, size: GroupSize, slots: int) -> float:
+    def slots_per_node(self, group: GroupId, size: GroupSize, slots: int) -> float:
         """Return this node's even share of the slots of a database near it, at least one.
 
         Its own region's serving nodes share them: the others have a database of their own.
--- a/src/bramblebeam/core/gateway/member_memory.py
+++ b/src/bramblebeam/core/gateway/restart_tracker.py
@@ -5,34 +5,27 @@
 what it had received, so that it stands for no acknowledged commit until it has caught up.
 """
 
-from collections.abc import Collection
-from typing import NamedTuple
+from bramblebeam.core.identity import (InstanceId, Position, UNKNOWN_INCARNATION, ZERO_POSITION, incarnation_of)
+from collections.abc import (Collection)
+from typing import (NamedTuple)
 
-from bramblebeam.core.identity import (
-    UNKNOWN_INCARNATION,
-    ZERO_POSITION,
-    InstanceId,
-    Position,
-    incarnation_of,
-)
 
-
-class Told(NamedTuple):
+class ReportedPosition(NamedTuple):
     """The furthest position that a member told, and when it was heard (steady clock, seconds)."""
 
     position: Position = ZERO_POSITION
-    heard_at: float = float("-inf")
+    received_at: float = float("-inf")
 
 
-class MemberMemory:
+class RestartTracker:
     """Knows which members of one group started again, and what they are worth since."""
 
     def __init__(self) -> None:
         self._forgot_up_to: dict[InstanceId, int] = {}
         self._caught_up_at: dict[InstanceId, Position] = {}
-        self._told: dict[InstanceId, Told] = {}
+        self._told: dict[InstanceId, ReportedPosition] = {}
 
-    def take_members(
+    def update_members(
         self, members: Collection[InstanceId], restarted: Collection[InstanceId], newest_term: int
     ) -> None:
         """Take the registered members, and which of them started again.
@@ -48,23 +41,23 @@
         for instance in restarted:
             self._forgot_up_to.setdefault(instance, newest_term)
 
-    def take_position(
-        self, instance: InstanceId, told: Told, asked_at: float, newest_term: int
+    def observe_position(
+        self, instance: InstanceId, told: ReportedPosition, asked_at: float, newest_term: int
     ) -> None:
         """Take how far a member says it is, asked at some moment (steady clock, seconds).
 
         One that told of a log and has none any more has started again, though no entry tells it
         yet: a log is cut short by a promotion, never to nothing.
         """
-        known = self._told.get(instance, Told())
+        known = self._told.get(instance, ReportedPosition())
         if told.position.offset > 0 or known.position.offset == 0:
             self._told[instance] = max(known, told)
-        elif asked_at > known.heard_at:
+        elif asked_at > known.received_at:
             self._forgot_up_to[instance] = newest_term
             self._caught_up_at.pop(instance, None)
             self._told[instance] = told
 
-    def take_proof(self, position: Position) -> None:
+    def observe_proof(self, position: Position) -> None:
         """Take the end of the leader's log: who has that has all that its start lost."""
         for instance in self._forgot_up_to:
             self._caught_up_at.setdefault(instance, position)
--- a/src/bramblebeam/core/gateway/witness_lives.py
+++ b/src/bramblebeam/core/gateway/witness_uptimes.py
@@ -23,7 +23,7 @@
 SETTLED_SECONDS = PROMISE_SECONDS - WAIT_SECONDS
 """A member that has lived for so long was not paused, before it started, for a change that may yet
 take effect: at the end of the wait it was looked at once more."""
-MAXIMUM_LIVES = 4
+MAXIMUM_INTERVALS = 4
 """Parts of lives that are remembered of a member: later answers may show that they are of one."""
 NEVER = float("-inf")
 
@@ -44,7 +44,7 @@
         return Life(min(life.since for life in lives), max(life.until for life in lives))
 
 
-class WitnessLives:
+class WitnessUptimes:
     """Remembers lives, and when each member was last found free."""
 
     def __init__(self) -> None:
@@ -58,7 +58,7 @@
         for instance in self._free_at.keys() - set(members):
             del self._free_at[instance]
 
-    def heard(self, instance: InstanceId, opened_at: float, asked_at: float) -> None:
+    def record_reply(self, instance: InstanceId, opened_at: float, asked_at: float) -> None:
         """Take an answer to what was asked on a connection that was open at `opened_at`.
 
         Two connections that were in use at the same time end at the same life.
@@ -67,13 +67,15 @@
         new = Life(opened_at, asked_at)
         same = [life for life in lives if life.overlaps(new) or life.since == opened_at]
         others = [life for life in lives if life not in same]
-        self._lives[instance] = sorted([*others, new.joined(same)])[-MAXIMUM_LIVES:]
+        self._lives[instance] = sorted([*others, new.joined(same)])[-MAXIMUM_INTERVALS:]
 
-    def free(self, instance: InstanceId, at: float) -> None:
+    def record_unpaused(self, instance: InstanceId, at: float) -> None:
         """Note that a member was free at some moment after `at`."""
         self._free_at[instance] = max(at, self._free_at.get(instance, NEVER))
 
-    def has_lasted(self, instance: InstanceId, opened_at: float, asked_at: float) -> bool:
+    def has_outlasted_changes(
+        self, instance: InstanceId, opened_at: float, asked_at: float
+    ) -> bool:
         """Whether who was asked on a connection had lived longer than any change takes."""
         return asked_at - self._since(instance, opened_at) >= SETTLED_SECONDS
 
--- a/src/bramblebeam/core/quota/account.py
+++ b/src/bramblebeam/core/quota/account.py
@@ -30,7 +30,7 @@
         self._paid: list[Count | None] = []
 
     @property
-    def has_free(self) -> bool:
+    def has_unused(self) -> bool:
         """Whether another attempt is paid for."""
         return bool(self._free)
 
@@ -43,11 +43,11 @@
         """Add a count that was taken for this operation."""
         self._free.append(count)
 
-    def pay(self) -> None:
+    def charge(self) -> None:
         """Pay for an attempt that is about to be sent."""
         self._paid.append(self._free.pop() if self._free else None)
 
-    def has_not_run(self) -> None:
+    def record_not_run(self) -> None:
         """Note that an attempt has surely not run."""
         if not self._paid:
             return
@@ -55,7 +55,7 @@
         if count is not None:
             self._free.append(count)
 
-    def take_free(self) -> list[Count]:
+    def take_unused(self) -> list[Count]:
         """Return what was not used, which is given back once."""
         free, self._free = self._free, []
         return free
--- a/src/bramblebeam/core/quota/bucket.py
+++ b/src/bramblebeam/core/quota/bucket.py
@@ -7,19 +7,19 @@
 from bramblebeam.core.quota.messages import Admission
 from bramblebeam.core.tenants import RateLimit
 
-HOME_SHARE = 0.8
+ADMITTED_SHARE = 0.8
 """The part of a limit that all nodes together admit.
 
 The rest is for what is counted beside it: first operations, returns, parts lent twice by grantors
 that started anew.
 """
-FIRST_OPERATIONS = 5.0
+INITIAL_TOKENS = 5.0
 """What a node admits at once of a tenant that is new to it: one of a few operations a second is not
 refused because another node counts it now."""
 QUICK_SECONDS = 1.0
 """What is given back so soon may be admitted once more in full: what began within so long, and what
 may begin at once, are bounded together."""
-RETURN_SHARE = 0.15
+REFUND_SHARE = 0.15
 """Of what is admitted, so much may be admitted once more that was given back later than that, and
 after others were refused.
 
@@ -32,7 +32,7 @@
 
 def counted_limit(limit: RateLimit, share: float) -> RateLimit:
     """Return what a node admits that counts by a share of a limit."""
-    part = HOME_SHARE * share
+    part = ADMITTED_SHARE * share
     return RateLimit(limit.rate * part, limit.burst * part)
 
 
@@ -41,8 +41,8 @@
 
     def __init__(self, share: float, now: float) -> None:
         self.used_at = now
-        self._tokens = FIRST_OPERATIONS
-        self._returnable = FIRST_OPERATIONS * RETURN_SHARE
+        self._tokens = INITIAL_TOKENS
+        self._returnable = INITIAL_TOKENS * REFUND_SHARE
         self._share = share
         self._filled_at = now
         self._refused_at = float("-inf")
@@ -62,7 +62,7 @@
         _forget(self._quick, now - QUICK_SECONDS)
         beside_quick = most + counted.rate * QUICK_SECONDS - len(self._quick)
         self._tokens = max(0.0, min(most, beside_quick, self._tokens + grown))
-        self._returnable = min(most * RETURN_SHARE + 1.0, self._returnable + grown * RETURN_SHARE)
+        self._returnable = min(most * REFUND_SHARE + 1.0, self._returnable + grown * REFUND_SHARE)
         self._share = share
         self._filled_at = now
 
@@ -79,12 +79,12 @@
         self._taken[receipt] = self._quick[receipt] = now
         return Admission(True, receipt=receipt, share=share)
 
-    def kept(self, now: float) -> int:
+    def counted_operations(self, now: float) -> int:
         """Return how many operations of the last LIMIT_SECONDS were not given back."""
         _forget(self._taken, now - LIMIT_SECONDS)
         return len(self._taken)
 
-    def give_back(self, receipt: int, now: float) -> bool:
+    def refund(self, receipt: int, now: float) -> bool:
         """Count an operation as never begun; return whether it was one that counted."""
         taken_at = self._taken.pop(receipt, None)
         self._quick.pop(receipt, None)
--- a/src/bramblebeam/core/quota/counter.py
+++ b/src/bramblebeam/core/quota/counter.py
@@ -30,10 +30,10 @@
         """Whether a tenant was counted here lately."""
         return tenant in self._buckets
 
-    def kept(self, tenant: TenantId, now: float) -> int:
+    def counted_operations(self, tenant: TenantId, now: float) -> int:
         """Return how many operations of the last LIMIT_SECONDS count."""
         bucket = self._buckets.get(tenant)
-        return 0 if bucket is None else bucket.kept(now)
+        return 0 if bucket is None else bucket.counted_operations(now)
 
     def admit(self, tenant: TenantId, limit: RateLimit, share: float, now: float) -> Admission:
         """Ask for one operation. `share`: of the limit, that this node counts by (0 to 1)."""
@@ -49,16 +49,16 @@
         self._next_receipt += 1
         return bucket.take(limit, share, self._next_receipt, now)
 
-    def give_back(self, tenant: TenantId, receipt: int, now: float) -> bool:
+    def refund(self, tenant: TenantId, receipt: int, now: float) -> bool:
         """Count an operation as never begun, as no database can have run any of it.
 
         Return whether it counted: not one that was never admitted here, was given back already, or
         was admitted so long ago that it makes no difference.
         """
         bucket = self._buckets.get(tenant)
-        return bucket is not None and bucket.give_back(receipt, now)
+        return bucket is not None and bucket.refund(receipt, now)
 
-    def follow(
+    def update_shares(
         self,
         limit_of: Callable[[TenantId], RateLimit | None],
         share_of: Callable[[TenantId], float],
--- a/src/bramblebeam/core/quota/grantor.py
+++ b/src/bramblebeam/core/quota/grantor.py
@@ -8,17 +8,17 @@
 
 from bramblebeam.core.identity import NodeId
 from bramblebeam.core.ownership.rendezvous import ranked_owners
-from bramblebeam.core.quota.messages import NO_GRANT, Bar, Grant, GrantRequest
+from bramblebeam.core.quota.messages import NO_GRANT, BlockingGrant, Grant, GrantRequest
 
 GRANT_SECONDS = 1.5
 """For how long a part is lent. A holder that is lost, cut off or paused keeps it for that long, in
 which nobody counts its tenants."""
 CLOCK_MARGIN = 0.05
 """A grantor waits for so much longer than the holder counts (seconds): clocks differ a little."""
-MOST_GRANTORS = 32
+MAXIMUM_GRANTORS = 32
 """Enough for the parts on both sides of a split to follow the nodes there; more would only cost
 messages."""
-FRESH_PART = 0.6
+RESTART_PART = 0.6
 """What a node lends right after its start, when grants of its former life may still be in use.
 
 With HOME_SHARE of a limit counted, a tenth over the limit is reached only if three of five grantors
@@ -28,9 +28,9 @@
 _GRANTORS_KEY = "limits"
 
 
-def grantors_among(nodes: frozenset[NodeId]) -> tuple[NodeId, ...]:
+def select_grantors(nodes: frozenset[NodeId]) -> tuple[NodeId, ...]:
     """Return which of the known nodes, lost ones included, each limit is divided over."""
-    return tuple(ranked_owners(_GRANTORS_KEY, nodes)[:MOST_GRANTORS])
+    return tuple(ranked_owners(_GRANTORS_KEY, nodes)[:MAXIMUM_GRANTORS])
 
 
 class Fleet(NamedTuple):
@@ -79,10 +79,10 @@
         self._asked_at[holder] = now
         promise = self._promise(holder, request.held, self._counting(fleet), now)
         bars = tuple(self._bars(holder, promise.counting, now))
-        part = FRESH_PART if now < self._started_at + GRANT_SECONDS + CLOCK_MARGIN else 1.0
+        part = RESTART_PART if now < self._started_at + GRANT_SECONDS + CLOCK_MARGIN else 1.0
         return Grant(request.number, promise.number, promise.counting, part, fleet.parts, bars)
 
-    def returned(self, holder: NodeId, number: int) -> None:
+    def release(self, holder: NodeId, number: int) -> None:
         """Take back a grant, and earlier ones, that a holder counts by no more.
 
         The holder may have asked again since: a later grant stands.
@@ -112,11 +112,13 @@
             self._next_number += 1
         return promises[-1]
 
-    def _bars(self, holder: NodeId, counting: tuple[NodeId, ...], now: float) -> Iterator[Bar]:
+    def _bars(
+        self, holder: NodeId, counting: tuple[NodeId, ...], now: float
+    ) -> Iterator[BlockingGrant]:
         for other, promises in self._promises.items():
             for promise in promises:
                 if other != holder and promise.counting != counting:
-                    yield Bar(other, promise.counting, promise.until - now)
+                    yield BlockingGrant(other, promise.counting, promise.until - now)
 
     def _drop_replaced(self, holder: NodeId, held: int) -> None:
         """Forget the grants before the one that a holder says it counts by."""
--- a/src/bramblebeam/core/quota/holdings.py
+++ b/src/bramblebeam/core/quota/held_grants.py
@@ -11,7 +11,7 @@
 from bramblebeam.core.quota.grantor import GRANT_SECONDS
 from bramblebeam.core.quota.messages import (
     NO_GRANT,
-    Bar,
+    BlockingGrant,
     Grant,
     GrantRequest,
     GrantReturned,
@@ -19,7 +19,7 @@
 )
 from bramblebeam.core.tenants import TenantId
 
-ASK_SECONDS = 0.5
+REQUEST_INTERVAL = 0.5
 """A grant is asked for again so often: two questions may be lost before it is over."""
 BARRED_ASK_SECONDS = 0.1
 """The same while another node may still count by an earlier grant."""
@@ -63,7 +63,7 @@
 _NOTHING = _Sum({}, (), 1, float("-inf"))
 
 
-class Holdings:
+class HeldGrants:
     """What one node holds of all grantors."""
 
     def __init__(self, node: NodeId) -> None:
@@ -80,7 +80,7 @@
         """Return the grantors to ask now."""
         return [grantor for grantor in grantors if self._ask_at.get(grantor, now) <= now]
 
-    def ask(self, grantor: NodeId, now: float) -> GrantRequest:
+    def request(self, grantor: NodeId, now: float) -> GrantRequest:
         """Return the question for a grantor, which is sent now."""
         number = self._next_number
         self._next_number += 1
@@ -88,11 +88,11 @@
         asked[number] = now
         if len(asked) > _QUESTIONS_KEPT:
             del asked[min(asked)]
-        self._ask_at[grantor] = now + ASK_SECONDS
+        self._ask_at[grantor] = now + REQUEST_INTERVAL
         held = self._held.get(grantor)
         return GrantRequest(number, NO_GRANT if held is None else held.number)
 
-    def take(self, grantor: NodeId, grant: Grant, now: float) -> None:
+    def handle_grant(self, grantor: NodeId, grant: Grant, now: float) -> None:
         """Take an answer. One that nobody asked for, or an older one, changes nothing."""
         asked_at = self._asked.get(grantor, {}).pop(grant.answers, None)
         former = self._held.get(grantor)
@@ -100,7 +100,7 @@
             return
         if former is not None and former.asked_at > asked_at:
             return
-        bars = tuple(_held_bar(bar, now) for bar in grant.bars)
+        bars = tuple(_held_bar(bar, now) for bar in grant.blocking)
         part = min(1.0, grant.part)
         held = _Held(grant.number, grant.counting, part, grant.parts, bars, asked_at)
         self._held[grantor] = held
@@ -112,11 +112,11 @@
             again_at = now + BARRED_ASK_SECONDS
             self._ask_at[grantor] = min(self._ask_at.get(grantor, again_at), again_at)
 
-    def ask_all_again(self) -> None:
+    def request_all_again(self) -> None:
         """Ask every grantor next time: who counts, or who grants, is another one."""
         self._ask_at.clear()
 
-    def let_go(self) -> list[tuple[NodeId, GrantReturned]]:
+    def release_all(self) -> list[tuple[NodeId, GrantReturned]]:
         """Count by nothing any more; return the grantors that are to hear of it, and what."""
         returned = [(grantor, GrantReturned(held.number)) for grantor, held in self._held.items()]
         self._held.clear()
@@ -171,7 +171,7 @@
                 del self._held[grantor]
 
 
-def _held_bar(bar: Bar, now: float) -> _HeldBar:
+def _held_bar(bar: BlockingGrant, now: float) -> _HeldBar:
     """Return a bar that begins now. One whose time is no number holds until the next answer."""
     seconds = bar.seconds if math.isfinite(bar.seconds) else math.inf
     return _HeldBar(bar.holder, bar.counting, now + seconds)
--- a/src/bramblebeam/core/routing/execution.py
+++ b/src/bramblebeam/core/routing/execution.py
@@ -5,58 +5,19 @@
 reply is requested again under the same request id; every other outcome is final.
 """
 
-from typing import Any
-
-from bramblebeam.core.identity import InstanceId, NodeId, Position
-from bramblebeam.core.machine import Wakeup
-from bramblebeam.core.role import Role
-from bramblebeam.core.routing.attempt import (
-    FLOOR_WAIT_MS,
-    POSITION_TIMEOUT,
-    READ_RETRY_REASONS,
-    RECHECK_INTERVAL,
-    REPEAT_INTERVAL,
-    REPEAT_WINDOW,
-    REPLY_MARGIN,
-    TRANSIENT_REASONS,
-    Attempt,
-    answer_term,
-    new_request,
-    repeated,
-)
-from bramblebeam.core.routing.budget import RetryBudget
-from bramblebeam.core.routing.choice import (
-    ReadRequirement,
-    choose_replica,
-    choose_unweighted,
-    sticky_replica,
-)
-from bramblebeam.core.routing.directory import Directory
-from bramblebeam.core.routing.effects import (
-    Abandon,
-    Answered,
-    AttemptFailed,
-    Effect,
-    Finish,
-    GroupUpdated,
-    Hold,
-    PositionAnswered,
-    Refresh,
-    RequestPosition,
-    SendRequest,
-    Started,
-    StatementRequest,
-)
-from bramblebeam.core.routing.retry import RetryGate
-from bramblebeam.core.session.session import Session, Transaction
-from bramblebeam.core.statement import (
-    ExecuteReply,
-    InstanceStatus,
-    PositionReply,
-    PositionRequest,
-    StatementKind,
-)
-from bramblebeam.core.verdict import Reason, Refusal, Verdict
+from bramblebeam.core.identity import (InstanceId, NodeId, Position)
+from bramblebeam.core.machine import (Wakeup)
+from bramblebeam.core.role import (Role)
+from bramblebeam.core.routing.attempt import (Attempt, FLOOR_WAIT_MS, POSITION_TIMEOUT, READ_RETRY_REASONS, RECHECK_INTERVAL, REPEAT_INTERVAL, REPEAT_WINDOW, REPLY_MARGIN, TRANSIENT_REASONS, answer_term, new_request, repeated)
+from bramblebeam.core.routing.budget import (RetryBudget)
+from bramblebeam.core.routing.choice import (ReadRequirement, choose_replica, choose_unweighted, sticky_replica)
+from bramblebeam.core.routing.directory import (Directory)
+from bramblebeam.core.routing.effects import (Abandon, Answered, AttemptFailed, Effect, Finish, GroupUpdated, Hold, PositionAnswered, Refresh, RequestPosition, SendRequest, Started, StatementRequest)
+from bramblebeam.core.routing.retry import (RetryGate)
+from bramblebeam.core.session.session import (Session, Transaction)
+from bramblebeam.core.statement import (ExecuteReply, InstanceStatus, PositionReply, PositionRequest, StatementKind)
+from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
+from typing import (Any)
 
 
 class Execution:
@@ -152,7 +113,7 @@
             return self._back_off(now)
         self._directory.observe_term(self._group, reply.position.term)
         floor = reply.floors[0] if reply.floors else reply.position
-        self._session.confirmed(self._group, floor)
+        self._session.record_confirmed(self._group, floor)
         self._confirmed = floor
         return self._route(now)
 
@@ -238,14 +199,14 @@
             return self._finish(reply, None)
         term = answer_term(reply, attempt.request)
         if term < self._directory.highest_term(self._group):
-            session.doubted(self._group)
+            session.record_uncertain_write(self._group)
             return self._discard_stale(attempt)
         if kind is StatementKind.BEGIN:
             session.transaction = Transaction(
                 attempt.request.transaction, self._group, attempt.instance, attempt.node, term
             )
             return self._finish(reply, None)
-        session.wrote(self._group, reply.position)
+        session.record_write(self._group, reply.position)
         return self._finish(reply, None)
 
     def _discard_stale(self, attempt: Attempt) -> list[Effect]:
@@ -271,7 +232,7 @@
         return self._finish(None, refusal)
 
     def _finish_uncertain(self, attempt: Attempt, refusal: Refusal) -> list[Effect]:
-        self._session.doubted(self._group)
+        self._session.record_uncertain_write(self._group)
         if self._statement.kind is not StatementKind.BEGIN:
             return self._finish(None, refusal)
         abandon = Abandon(attempt.node, attempt.instance, self._session.identifier)
--- a/src/bramblebeam/core/routing/pinned.py
+++ b/src/bramblebeam/core/routing/pinned.py
@@ -4,33 +4,15 @@
 COMMIT was sent is certainly rolled back; a COMMIT without a reply has an uncertain outcome.
 """
 
-from typing import Any
-
-from bramblebeam.core.identity import ZERO_POSITION
-from bramblebeam.core.machine import Wakeup
-from bramblebeam.core.routing.attempt import (
-    REPEAT_INTERVAL,
-    REPEAT_WINDOW,
-    REPLY_MARGIN,
-    answer_term,
-    repeated,
-)
-from bramblebeam.core.routing.directory import Directory
-from bramblebeam.core.routing.effects import (
-    Abandon,
-    Answered,
-    AttemptFailed,
-    Effect,
-    Finish,
-    GroupUpdated,
-    Hold,
-    SendRequest,
-    Started,
-    StatementRequest,
-)
-from bramblebeam.core.session.session import Session, Transaction
-from bramblebeam.core.statement import ExecuteReply, ExecuteRequest, StatementKind
-from bramblebeam.core.verdict import Reason, Refusal, Verdict
+from bramblebeam.core.identity import (ZERO_POSITION)
+from bramblebeam.core.machine import (Wakeup)
+from bramblebeam.core.routing.attempt import (REPEAT_INTERVAL, REPEAT_WINDOW, REPLY_MARGIN, answer_term, repeated)
+from bramblebeam.core.routing.directory import (Directory)
+from bramblebeam.core.routing.effects import (Abandon, Answered, AttemptFailed, Effect, Finish, GroupUpdated, Hold, SendRequest, Started, StatementRequest)
+from bramblebeam.core.session.session import (Session, Transaction)
+from bramblebeam.core.statement import (ExecuteReply, ExecuteRequest, StatementKind)
+from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
+from typing import (Any)
 
 
 class PinnedExecution:
@@ -114,7 +96,7 @@
             detail = "the primary was replaced while the transaction committed"
             return self._finish_uncertain(Refusal(Verdict.UNKNOWN, Reason.STALE_TERM, detail))
         if reply.position != ZERO_POSITION or self._statement.implicit_commit:
-            self._session.wrote(group, reply.position)
+            self._session.record_write(group, reply.position)
         return self._finish(reply, None)
 
     def _term_of(self, reply: ExecuteReply) -> int:
@@ -149,7 +131,7 @@
 
     def _finish_uncertain(self, refusal: Refusal) -> list[Effect]:
         self._session.transaction = None
-        self._session.doubted(self._transaction.group)
+        self._session.record_uncertain_write(self._transaction.group)
         return self._finish(None, refusal)
 
     def _rollback_reply(self) -> ExecuteReply:
--- a/src/bramblebeam/core/session/session.py
+++ b/src/bramblebeam/core/session/session.py
@@ -90,19 +90,19 @@
         """Return the position that a read must at least see, as far as this node knows."""
         return self.token.position(group)
 
-    def confirmed(self, group: GroupId, position: Position) -> None:
+    def record_confirmed(self, group: GroupId, position: Position) -> None:
         """Take a position confirmed by the primary after the statement in hand arrived."""
         self.token.advance(group, position)
         self._unknown.discard(group)
 
-    def wrote(self, group: GroupId, position: Position) -> None:
+    def record_write(self, group: GroupId, position: Position) -> None:
         """Note an acknowledged write. The zero position: it is unknown where the write stands."""
         if position.offset == 0:
             self._unknown.add(group)
             return
         self.token.advance(group, position)
 
-    def doubted(self, group: GroupId) -> None:
+    def record_uncertain_write(self, group: GroupId) -> None:
         """Note a write that may have run: the next read must see it if it did."""
         self._unknown.add(group)
 
@@ -110,7 +110,7 @@
         """Note what a replica has shown, so that another one shows no less."""
         self.token.advance(group, position)
 
-    def carry(self, token: CausalToken) -> None:
+    def adopt_token(self, token: CausalToken) -> None:
         """Take the token the caller brought. From now on the caller vouches for the floor."""
         self.token.merge(token)
         self.token_carried = True
--- a/src/bramblebeam/services/edge/caller.py
+++ b/src/bramblebeam/services/edge/caller.py
@@ -80,7 +80,7 @@
             return
         match decode_token(text):
             case Result(tag="ok", ok=token):
-                self.session.carry(token)
+                self.session.adopt_token(token)
             case Result(error=detail):
                 raise bad_request(f"{TOKEN_ATTRIBUTE}: {detail}")
 
@@ -192,7 +192,7 @@
             finish = await edge.driver.run(self._machine(statement), session.identifier)
         except BaseException:
             session.transaction = None
-            session.doubted(session.group)
+            session.record_uncertain_write(session.group)
             raise
         finally:
             edge.leave()
--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from bramblebeam.core.gateway.directory import DatabaseDirectory
-from bramblebeam.core.gateway.owners import Distance, GroupSize, NodePlace, OwnerTable
+from bramblebeam.core.gateway.owners import Distance, GroupSize, NodeLocation, OwnerTable
 from bramblebeam.core.gateway.routes import Consistency, Route, RouteTable
 from bramblebeam.core.identity import GroupId, NodeId, ServerName, ZoneId
 from bramblebeam.core.membership.view import MembersView
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        place: NodePlace,
+        place: NodeLocation,
         connector: DatabaseConnector,
         peers: Peers,
         publish: Callable[[LeaderNews], None],
@@ -195,7 +195,7 @@
         if self.overload.enabled:
             # The statements for the region's database meet at one of its nodes.
             return float(slots)
-        return self.owners.slots_a_node(group, self._size(group), slots)
+        return self.owners.slots_per_node(group, self._size(group), slots)
 
     def nearest(self, group: GroupId) -> tuple[NodeId, ...]:
         """Return the other nodes that serve a group, the nearest first."""
@@ -292,7 +292,7 @@
     @property
     def seen_share(self) -> float:
         """Return how many of the nodes that are known are seen to run, 0 to 1."""
-        return self.owners.seen_share
+        return self.owners.live_share
 
     def near_servers(self, zone: ZoneId) -> int:
         """Return how many of the nodes that serve tenants are in a zone's region."""
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -6,51 +6,25 @@
 """
 
 from __future__ import annotations
-
 import asyncio
 import logging
-from collections.abc import Awaitable, Callable
-
-from bramblebeam.core.gateway.directory import DatabaseEntry
-from bramblebeam.core.gateway.floors import Watermark, Watermarks, age_ms
-from bramblebeam.core.gateway.leader_lease import GLANCE_SECONDS, LeaderLease
-from bramblebeam.core.gateway.leader_promise import LeaderPromise
-from bramblebeam.core.gateway.member_memory import MemberMemory, Told
-from bramblebeam.core.gateway.served_position import ServedPosition
-from bramblebeam.core.gateway.witness_lives import WitnessLives
-from bramblebeam.core.identity import (
-    ZERO_POSITION,
-    GroupId,
-    InstanceId,
-    Position,
-    ServerName,
-    incarnation_of,
-    server_name,
-)
-from bramblebeam.core.role import Role
-from bramblebeam.events import log_event
-from bramblebeam.events.catalogue import (
-    FORMER_LEADER_FOUND,
-    LEADER_BARRED,
-    LEADER_CONFIRMED,
-    LEADER_LOST,
-    LEADER_PROVEN,
-    LEADERS_CONTRADICT,
-)
-from bramblebeam.services.gateway.leader_news import (
-    FormerLeaderFound,
-    LeaderNews,
-    LeaderProven,
-    LeaderSuspected,
-)
-from bramblebeam.services.gateway.lease_keeper import LeaseKeeper
-from bramblebeam.services.gateway.member_probes import (
-    MemberAnswer,
-    MemberProbes,
-    ProbeFailedError,
-)
-from bramblebeam.services.gateway.placement import Placement
-from bramblebeam.services.waiting import loop_time, pause
+from bramblebeam.core.gateway.directory import (DatabaseEntry)
+from bramblebeam.core.gateway.floors import (Watermark, Watermarks, age_ms)
+from bramblebeam.core.gateway.leader_lease import (LeaderLease, POSITION_RENEWAL_SECONDS)
+from bramblebeam.core.gateway.leader_promise import (LeaderPromise)
+from bramblebeam.core.gateway.restart_tracker import (ReportedPosition, RestartTracker)
+from bramblebeam.core.gateway.served_position import (ServedPosition)
+from bramblebeam.core.gateway.witness_uptimes import (WitnessUptimes)
+from bramblebeam.core.identity import (GroupId, InstanceId, Position, ServerName, ZERO_POSITION, incarnation_of, server_name)
+from bramblebeam.core.role import (Role)
+from bramblebeam.events import (log_event)
+from bramblebeam.events.catalogue import (FORMER_LEADER_FOUND, LEADERS_CONTRADICT, LEADER_BARRED, LEADER_CONFIRMED, LEADER_LOST, LEADER_PROVEN)
+from bramblebeam.services.gateway.leader_news import (FormerLeaderFound, LeaderNews, LeaderProven, LeaderSuspected)
+from bramblebeam.services.gateway.lease_keeper import (LeaseKeeper)
+from bramblebeam.services.gateway.member_probes import (MemberAnswer, MemberProbes, ProbeFailedError)
+from bramblebeam.services.gateway.placement import (Placement)
+from bramblebeam.services.waiting import (loop_time, pause)
+from collections.abc import (Awaitable, Callable)
 
 logger = logging.getLogger(__name__)
 
@@ -105,8 +79,8 @@
         self._write_answered_at = float("-inf")
         self._newest_proof = Watermark()
         self._served = ServedPosition()
-        self._memory = MemberMemory()
-        self._lives = WitnessLives()
+        self._memory = RestartTracker()
+        self._lives = WitnessUptimes()
         self._distrusted_term = 0
         self._promise = LeaderPromise()
         self._barred: InstanceId | None = None
@@ -172,7 +146,7 @@
             return True
         if not self.has_its_log(instance, position, asked_at):
             return False
-        self._served.take(position, loop_time())
+        self._served.observe(position, loop_time())
         self._take_proof(position, asked_at)
         return True
 
@@ -190,12 +164,12 @@
     def _take_proof(self, position: Position, asked_at: float) -> None:
         """Take the end of the leader's log, as it was at some moment after `asked_at`."""
         known = self._newest_proof
-        if asked_at < known.asked_at or position == ZERO_POSITION:
+        if asked_at < known.queried_at or position == ZERO_POSITION:
             return
         # Its log does not shrink: a smaller position was told earlier, or of a part of the log.
         self._newest_proof = Watermark(max(position, known.position), asked_at, self.lease.term)
-        self.lease.note_proof(self._newest_proof)
-        self._memory.take_proof(self._newest_proof.position)
+        self.lease.record_proof(self._newest_proof)
+        self._memory.observe_proof(self._newest_proof.position)
         self._take_watermark()
 
     def _forgot_its_lead(self, instance: InstanceId, term: int) -> None:
@@ -224,13 +198,13 @@
         """
         if position == ZERO_POSITION:
             return
-        self._lives.heard(instance, opened_at, asked_at)
+        self._lives.record_reply(instance, opened_at, asked_at)
         if instance != self.leader:
             self._take_position(instance, position, asked_at)
         if self.leader is None:
             return
         if instance == self.leader:
-            self.lease.note_proof(Watermark(position, asked_at))
+            self.lease.record_proof(Watermark(position, asked_at))
         elif position.term <= self.lease.term and not self._may_confirm(instance):
             return
         elif position.term <= self.lease.term:
@@ -244,18 +218,18 @@
     ) -> None:
         """Renew the lease by what a member has received, if its word counts."""
         unpaused_at = self.lease.unpaused_at(position)
-        self._lives.free(instance, unpaused_at)
+        self._lives.record_unpaused(instance, unpaused_at)
         if not self._is_settled(instance, opened_at, asked_at):
             self._settle(instance, opened_at)
             return
         if unpaused_at > self.lease.confirmed_at:
             self._log_confirmer(instance, "received", opened_at)
-        self.lease.note_received(position)
+        self.lease.record_received(position)
         self.confirmed()
 
     def _take_position(self, instance: InstanceId, position: Position, asked_at: float) -> None:
-        told = Told(position, loop_time())
-        self._memory.take_position(instance, told, asked_at, self._newest_known_term())
+        told = ReportedPosition(position, loop_time())
+        self._memory.observe_position(instance, told, asked_at, self._newest_known_term())
 
     def contradicted(self, instance: InstanceId, observed: Position) -> None:
         """Note that a session has observed what the log of the leader lacks, in its term or later.
@@ -313,7 +287,7 @@
             group=self.group,
             instance=instance,
             reason=reason,
-            proof_age_ms=age_ms(self._newest_proof.asked_at, now),
+            proof_age_ms=age_ms(self._newest_proof.queried_at, now),
         )
         self._publish(LeaderSuspected(self.group, instance, now))
         self._notify()
@@ -344,7 +318,7 @@
         """Look again at once: a member came, went, started again or changed its role."""
         members = [entry.instance for entry in self.members()]
         restarted = self._placement.restarted(self.group)
-        self._memory.take_members(members, restarted, self._newest_known_term())
+        self._memory.update_members(members, restarted, self._newest_known_term())
         self._lives.keep_only(members)
         if self.leader is not None and self._has_started_again(self.leader):
             self.refused(self.leader, "it has started again")
@@ -370,13 +344,13 @@
 
     def _is_settled(self, instance: InstanceId, opened_at: float, asked_at: float) -> bool:
         """Whether a member's word counts: it forgot no pause for a change that is under way."""
-        if self._lives.has_lasted(instance, opened_at, asked_at):
+        if self._lives.has_outlasted_changes(instance, opened_at, asked_at):
             return True
         return not self._lives.missing(instance, opened_at, self._others(instance))
 
     def _settle(self, instance: InstanceId, opened_at: float) -> None:
         """Ask those members whose word makes another one's count, where the lease needs it."""
-        if loop_time() - self.lease.confirmed_at < GLANCE_SECONDS:
+        if loop_time() - self.lease.confirmed_at < POSITION_RENEWAL_SECONDS:
             return
         for missing in self._lives.missing(instance, opened_at, self._others(instance)):
             self.start_asking(missing)
@@ -417,8 +391,10 @@
     def _take_watermark(self) -> None:
         """Take the newest proof for what is committed, if the lease covers its moment."""
         proof = self._newest_proof
-        if proof.asked_at > self.watermarks.newest.asked_at and self.lease.covers(proof.asked_at):
-            self.watermarks.take(proof)
+        if proof.queried_at > self.watermarks.newest.queried_at and self.lease.covers(
+            proof.queried_at
+        ):
+            self.watermarks.add(proof)
 
     # What statements wait for.
 
@@ -442,7 +418,7 @@
         return True
 
     def _is_old(self) -> bool:
-        return loop_time() - self._newest_proof.asked_at >= PROOF_LIFETIME
+        return loop_time() - self._newest_proof.queried_at >= PROOF_LIFETIME
 
     async def _wait_usable(self, deadline: float) -> bool:
         """Wait for another leader or for the lease on this one; False at the deadline."""
@@ -464,7 +440,7 @@
     async def wait_proof(self, asked_after: float, deadline: float) -> bool:
         """Wait for a watermark that was asked for after a time; False at the deadline."""
         self._use()
-        while self.watermarks.newest.asked_at < asked_after:
+        while self.watermarks.newest.queried_at < asked_after:
             if loop_time() >= deadline:
                 return False
             leader = self.leader
@@ -507,7 +483,7 @@
             if self.leader is None:
                 await pause(self._wanted, SEARCH_INTERVAL)
                 continue
-            age = loop_time() - self._newest_proof.asked_at
+            age = loop_time() - self._newest_proof.queried_at
             if age < PROOF_INTERVAL:
                 await pause(self._wanted, PROOF_INTERVAL - age)
                 continue
@@ -555,7 +531,7 @@
             answer = await question(instance, PROBE_TIMEOUT)
         except ProbeFailedError as error:
             if error.is_gone:
-                self._lives.free(instance, began)
+                self._lives.record_unpaused(instance, began)
             self.refused(instance, str(error))
             return
         if answer is not None:
@@ -569,7 +545,7 @@
         `may_confirm` False: it was asked before a leader was lost. Another node may rely on that
         this one has no lease any more, so that the answer must not begin one.
         """
-        self._lives.heard(answer.instance, answer.opened_at, answer.asked_at)
+        self._lives.record_reply(answer.instance, answer.opened_at, answer.asked_at)
         term = answer.position.term if answer.status is None else answer.status.term
         self.highest_term = max(self.highest_term, term)
         if answer.leads:
@@ -587,7 +563,7 @@
         instance = answer.instance
         if term < self.highest_term:
             # A leader isn't paused, so that no change is to promote it.
-            self._lives.free(instance, answer.asked_at)
+            self._lives.record_unpaused(instance, answer.asked_at)
             log_event(
                 logger,
                 FORMER_LEADER_FOUND,
@@ -610,7 +586,7 @@
 
     def _is_barred(self, instance: InstanceId, term: int) -> bool:
         """Whether this node has promised not to use a leader of that term for now."""
-        if not self._promise.bars(term, loop_time()):
+        if not self._promise.blocks(term, loop_time()):
             return False
         if instance != self._barred:
             log_event(logger, LEADER_BARRED, group=self.group, instance=instance, term=term)
@@ -689,14 +665,14 @@
             self.heard(instance, answer.position, answer.asked_at, answer.opened_at)
             return
         self._take_position(instance, status.received, answer.asked_at)
-        if self.lease.is_denied_by(status.term, status.held_term):
+        if self.lease.is_contradicted_by(status.term, status.held_term):
             return
-        self._lives.free(instance, answer.asked_at)
+        self._lives.record_unpaused(instance, answer.asked_at)
         if not may_confirm or not self._may_confirm(instance):
             return
         if not self._is_settled(instance, answer.opened_at, answer.asked_at):
             self._settle(instance, answer.opened_at)
             return
-        self.lease.note_status(status.term, status.held_term, answer.asked_at)
+        self.lease.record_status(status.term, status.held_term, answer.asked_at)
         self._log_confirmer(instance, "status", answer.opened_at)
         self.confirmed()
--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -11,8 +11,8 @@
 from bramblebeam.core.identity import Address, NodeId
 from bramblebeam.core.membership.view import MemberState, MembersView
 from bramblebeam.core.quota.counter import QuotaCounter
-from bramblebeam.core.quota.grantor import MOST_GRANTORS, Fleet, Grantor, grantors_among
-from bramblebeam.core.quota.holdings import ASK_SECONDS, Holdings
+from bramblebeam.core.quota.grantor import MAXIMUM_GRANTORS, Fleet, Grantor, select_grantors
+from bramblebeam.core.quota.held_grants import REQUEST_INTERVAL, HeldGrants
 from bramblebeam.core.quota.messages import (
     ADMITTED,
     Admission,
@@ -73,7 +73,7 @@
         self._messages = messages
         self._node = context.owners.place.node
         self._grantor = Grantor(self._node, secrets.randbits(_NUMBER_BITS) + 1)
-        self._holdings = Holdings(self._node)
+        self._holdings = HeldGrants(self._node)
         self._counter = QuotaCounter(secrets.randbits(_NUMBER_BITS))
         self._members = MembersView()
         self._known: frozenset[NodeId] = frozenset()
@@ -100,7 +100,7 @@
         known = frozenset(members.members)
         if known != self._known:
             self._known = known
-            grantors = grantors_among(known) or (self._node,)
+            grantors = select_grantors(known) or (self._node,)
             self._fleet = self._fleet._replace(grantors=grantors)
         self.follow_serving()
 
@@ -109,13 +109,13 @@
         serving = self._context.serving_tenants()
         # A node that has met nobody can't know how many there are.
         is_alone = self._context.expects_others and len(self._known) <= 1
-        parts = MOST_GRANTORS if is_alone else len(self._fleet.grantors)
+        parts = MAXIMUM_GRANTORS if is_alone else len(self._fleet.grantors)
         changed = serving != self._fleet.serving
         self._fleet = self._fleet._replace(serving=serving, parts=parts)
         if changed and self._node not in serving:
             self._let_go()
         elif changed:
-            self._holdings.ask_all_again()
+            self._holdings.request_all_again()
 
     def leave(self) -> None:
         """Count for nobody any more, as the node stops."""
@@ -123,9 +123,9 @@
         self._let_go()
 
     def _let_go(self) -> None:
-        for grantor, returned in self._holdings.let_go():
+        for grantor, returned in self._holdings.release_all():
             if grantor == self._node:
-                self._grantor.returned(self._node, returned.number)
+                self._grantor.release(self._node, returned.number)
             else:
                 self._send(grantor, returned)
         self._follow(self._context.now())
@@ -141,7 +141,7 @@
     def look(self) -> None:
         """Ask the grantors whose turn it is, and let the buckets follow what is held."""
         now = self._context.now()
-        if now - self._followed_at >= ASK_SECONDS:
+        if now - self._followed_at >= REQUEST_INTERVAL:
             self._follow(now)
         if self._counts:
             for grantor in self._holdings.due(self._fleet.grantors, now):
@@ -149,7 +149,7 @@
 
     def _follow(self, now: float) -> None:
         self._followed_at = now
-        self._counter.follow(self.limit_of, self.share, now)
+        self._counter.update_shares(self.limit_of, self.share, now)
 
     @property
     def _counts(self) -> bool:
@@ -161,11 +161,11 @@
 
     def _ask(self, grantor: NodeId, now: float) -> None:
         if grantor == self._node:
-            request = self._holdings.ask(grantor, now)
+            request = self._holdings.request(grantor, now)
             grant = self._grantor.answer(grantor, request, self._fleet, now)
-            self._holdings.take(grantor, grant, now)
+            self._holdings.handle_grant(grantor, grant, now)
         elif self._is_up(grantor):
-            self._send(grantor, self._holdings.ask(grantor, now))
+            self._send(grantor, self._holdings.request(grantor, now))
 
     def _is_up(self, node: NodeId) -> bool:
         member = self._members.members.get(node)
@@ -186,15 +186,15 @@
         if not self._counts:
             return
         now = self._context.now()
-        self._holdings.take(grantor, grant, now)
+        self._holdings.handle_grant(grantor, grant, now)
         if grantor in self._holdings.due((grantor,), now):
             self._ask(grantor, now)
 
     def returned_by(self, holder: NodeId, returned: GrantReturned) -> None:
         """Take back what another node counts by no more."""
-        self._grantor.returned(holder, returned.number)
+        self._grantor.release(holder, returned.number)
         if self._counts:
-            self._holdings.ask_all_again()
+            self._holdings.request_all_again()
 
     # Counts.
 
@@ -228,13 +228,13 @@
         for tenant in self._counter.tenants:
             limit = self.limit_of(tenant)
             if limit is not None:
-                counted = self._counter.kept(tenant, now)
+                counted = self._counter.counted_operations(tenant, now)
                 yield CountedTenant(tenant, limit, self.share(tenant), counted)
 
     def give_back(self, returned: AdmissionReturned) -> None:
         """Count an operation as never begun, as no database can have run it."""
         now = self._context.now()
-        counted = self._counter.give_back(returned.tenant, returned.receipt, now)
+        counted = self._counter.refund(returned.tenant, returned.receipt, now)
         part = Part.RETURNED if counted else Part.RETURN_IGNORED
         self._context.metrics.tenants.note(returned.tenant, part)
 
--- a/src/bramblebeam/services/gateway/request.py
+++ b/src/bramblebeam/services/gateway/request.py
@@ -120,13 +120,13 @@
 
     def note_sent(self) -> None:
         """Note that the operation goes to a database, perhaps once more."""
-        self.account.pay()
+        self.account.charge()
         self.metrics.tenants.note(self.tenant, Part.SENT)
 
     def note_refused(self, refusal: Refusal) -> None:
         """Note a database's answer to an attempt: one that has not run pays for the next one."""
         if refusal.verdict is Verdict.NOT_RUN:
-            self.account.has_not_run()
+            self.account.record_not_run()
 
     def attempt_failed(self, instance: InstanceId, refusal: Refusal) -> None:
         """Note that a database did not serve the statement, and why."""
--- a/tests/quota_search.py
+++ b/tests/quota_search.py
@@ -19,8 +19,8 @@
 from bramblebeam.core.identity import NodeId
 from bramblebeam.core.ownership.rendezvous import ranked_owners
 from bramblebeam.core.quota.counter import QuotaCounter
-from bramblebeam.core.quota.grantor import MOST_GRANTORS, Fleet, Grantor, grantors_among
-from bramblebeam.core.quota.holdings import ASK_SECONDS, Holdings
+from bramblebeam.core.quota.grantor import MAXIMUM_GRANTORS, Fleet, Grantor, select_grantors
+from bramblebeam.core.quota.held_grants import REQUEST_INTERVAL, HeldGrants
 from bramblebeam.core.quota.messages import Grant, GrantRequest, GrantReturned, counting_node
 from bramblebeam.core.tenants import RateLimit, TenantId
 
@@ -94,9 +94,9 @@
         self.known: frozenset[NodeId] = frozenset({name})
         self.grantor = Grantor(name, rng.getrandbits(48) + 1)
         self.grantor.start(now)
-        self.holdings = Holdings(name)
+        self.holdings = HeldGrants(name)
         self.counter = QuotaCounter(rng.getrandbits(48))
-        self.fleet = Fleet(frozenset({name}), (name,), MOST_GRANTORS)
+        self.fleet = Fleet(frozenset({name}), (name,), MAXIMUM_GRANTORS)
         self.followed_at = 0.0
 
 
@@ -155,8 +155,8 @@
 
     def learn(self, node: Node, known: frozenset[NodeId]) -> None:
         node.known = known
-        grantors = grantors_among(known)
-        parts = MOST_GRANTORS if len(known) == 1 else len(grantors)
+        grantors = select_grantors(known)
+        parts = MAXIMUM_GRANTORS if len(known) == 1 else len(grantors)
         serving = frozenset(
             next(name for name in rank if name in node.alive)
             for rank in self.ranks
@@ -167,10 +167,10 @@
         if changed and node.name not in serving:
             self.let_go(node)
         elif changed:
-            node.holdings.ask_all_again()
+            node.holdings.request_all_again()
 
     def let_go(self, node: Node) -> None:
-        for grantor, returned in node.holdings.let_go():
+        for grantor, returned in node.holdings.release_all():
             self.send(node.name, grantor, returned)
         self.follow(node)
 
@@ -185,7 +185,7 @@
         self.at(max(self.now + LOOK, node.paused_until), lambda: self.look(name))
         if not self.runs(node):
             return
-        if self.now - node.followed_at >= ASK_SECONDS:
+        if self.now - node.followed_at >= REQUEST_INTERVAL:
             self.follow(node)
         if self.counts(node):
             for grantor in node.holdings.due(node.fleet.grantors, self.now):
@@ -193,16 +193,18 @@
 
     def follow(self, node: Node) -> None:
         node.followed_at = self.now
-        node.counter.follow(lambda t: self.setting.limit, lambda t: self.share(node, t), self.now)
+        node.counter.update_shares(
+            lambda t: self.setting.limit, lambda t: self.share(node, t), self.now
+        )
 
     def share(self, node: Node, tenant: TenantId) -> float:
         return node.holdings.share(tenant, node.fleet.parts, self.now)
 
     def ask(self, node: Node, grantor: NodeId) -> None:
-        request = node.holdings.ask(grantor, self.now)
+        request = node.holdings.request(grantor, self.now)
         if grantor == node.name:
             grant = node.grantor.answer(grantor, request, node.fleet, self.now)
-            node.holdings.take(grantor, grant, self.now)
+            node.holdings.handle_grant(grantor, grant, self.now)
         else:
             self.send(node.name, grantor, request)
 
@@ -223,13 +225,13 @@
         if isinstance(message, GrantRequest):
             self.send(to, sender, node.grantor.answer(sender, message, node.fleet, self.now))
         elif isinstance(message, Grant) and self.counts(node):
-            node.holdings.take(sender, message, self.now)
+            node.holdings.handle_grant(sender, message, self.now)
             if sender in node.holdings.due((sender,), self.now):
                 self.ask(node, sender)
         elif isinstance(message, GrantReturned):
-            node.grantor.returned(sender, message.number)
+            node.grantor.release(sender, message.number)
             if self.counts(node):
-                node.holdings.ask_all_again()
+                node.holdings.request_all_again()
 
     # Callers.
 
@@ -281,7 +283,7 @@
             self.at(self.now + waits, lambda: self.give_back(home, receipt))
 
     def give_back(self, home: Node, receipt: int) -> None:
-        home.counter.give_back(HOT, receipt, self.now)
+        home.counter.refund(HOT, receipt, self.now)
 
     # Troubles.
 
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -6,11 +6,11 @@
 from bramblebeam.core.failover.lease import (OrderedChange)
 from bramblebeam.core.failover.target import (CandidateStatus, choose_target, covers_acknowledged, may_promote_without_log)
 from bramblebeam.core.feed.messages import (FollowReply)
-from bramblebeam.core.gateway import (lives as lives_module)
+from bramblebeam.core.gateway import (incarnations as lives_module)
 from bramblebeam.core.gateway.directory import (DatabaseDirectory, DatabaseEntry)
-from bramblebeam.core.gateway.lives import (Lives)
-from bramblebeam.core.gateway.member_memory import (MemberMemory, Told)
+from bramblebeam.core.gateway.incarnations import (Incarnations)
 from bramblebeam.core.gateway.registry import (Registry)
+from bramblebeam.core.gateway.restart_tracker import (ReportedPosition, RestartTracker)
 from bramblebeam.core.gateway.routes import (GroupSettings)
 from bramblebeam.core.gateway.served_position import (ServedPosition)
 from bramblebeam.core.identity import (Address, GroupId, InstanceId, Position, ServerName, UNKNOWN_INCARNATION, ZERO_POSITION, ZoneId, incarnation_of, instance_id, server_name)
@@ -115,9 +115,9 @@
 
 def test_only_so_many_names_are_remembered(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(lives_module, "MAXIMUM_NAMES", 2)
-    lives = Lives()
+    lives = Incarnations()
     for name in ("a", "b", "c"):
-        assert lives.take(instance_id(name, BORN))
+        assert lives.observe(instance_id(name, BORN))
     assert not lives.is_former(instance_id("a", 1))
     assert lives.is_former(instance_id("c", 1))
 
@@ -278,25 +278,35 @@
     served: Position, told: Position, asked_at: float, is_beyond: bool
 ) -> None:
     position = ServedPosition()
-    position.take(served, heard_at=1.0)
+    position.observe(served, heard_at=1.0)
     assert position.is_beyond(told, asked_at, term=3) is is_beyond
 
 
 def test_an_answer_that_was_under_way_does_not_tell_of_a_start() -> None:
-    memory = MemberMemory()
-    memory.take_position(SECOND, Told(Position(1, 4), heard_at=2.0), asked_at=1.0, newest_term=1)
-    memory.take_position(SECOND, Told(Position(1, 0), heard_at=3.0), asked_at=1.5, newest_term=1)
+    memory = RestartTracker()
+    memory.observe_position(
+        SECOND, ReportedPosition(Position(1, 4), received_at=2.0), asked_at=1.0, newest_term=1
+    )
+    memory.observe_position(
+        SECOND, ReportedPosition(Position(1, 0), received_at=3.0), asked_at=1.5, newest_term=1
+    )
     assert memory.may_confirm(SECOND, 1, Position(1, 4))
-    memory.take_position(SECOND, Told(Position(1, 0), heard_at=4.0), asked_at=3.5, newest_term=1)
+    memory.observe_position(
+        SECOND, ReportedPosition(Position(1, 0), received_at=4.0), asked_at=3.5, newest_term=1
+    )
     assert not memory.may_confirm(SECOND, 1, Position(1, 4))
 
 
 def test_a_member_without_a_log_that_tells_no_start_is_as_before() -> None:
-    memory = MemberMemory()
+    memory = RestartTracker()
     member = InstanceId("db-b")
-    memory.take_position(member, Told(Position(1, 0), 2.0), asked_at=1.0, newest_term=1)
+    memory.observe_position(
+        member, ReportedPosition(Position(1, 0), 2.0), asked_at=1.0, newest_term=1
+    )
     assert memory.may_confirm(member, 1, Position(1, 4))
-    memory.take_position(SECOND, Told(Position(1, 0), 2.0), asked_at=1.0, newest_term=1)
+    memory.observe_position(
+        SECOND, ReportedPosition(Position(1, 0), 2.0), asked_at=1.0, newest_term=1
+    )
     assert not memory.may_confirm(SECOND, 1, Position(1, 4))
 
 
@@ -346,13 +356,13 @@
 
 
 def test_it_does_so_again_once_it_has_what_the_leader_had_since() -> None:
-    memory = MemberMemory()
-    memory.take_proof(Position(1, 4))
+    memory = RestartTracker()
+    memory.observe_proof(Position(1, 4))
     assert memory.has_caught_up(SECOND, ZERO_POSITION)
-    memory.take_members([FIRST, SECOND_AGAIN], [SECOND_AGAIN], newest_term=1)
+    memory.update_members([FIRST, SECOND_AGAIN], [SECOND_AGAIN], newest_term=1)
     assert not memory.has_caught_up(SECOND_AGAIN, Position(1, 9))
-    memory.take_proof(Position(1, 6))
-    memory.take_proof(Position(1, 9))
+    memory.observe_proof(Position(1, 6))
+    memory.observe_proof(Position(1, 9))
     assert not memory.has_caught_up(SECOND_AGAIN, Position(1, 5))
     assert memory.has_caught_up(SECOND_AGAIN, Position(1, 6))
 
@@ -482,7 +492,7 @@
         members = world.group.members
         members["db-c"].deaf = True
         tracker = tracker_of(world)
-        tracker.lease.note_proof(tracker._newest_proof)
+        tracker.lease.record_proof(tracker._newest_proof)
         members["db-b"].deaf = True
         await members["db-b"].restart_empty()
         world.register("db-b")
--- a/tests/test_gateway_owners.py
+++ b/tests/test_gateway_owners.py
@@ -4,13 +4,13 @@
 
 from bramblebeam.core.gateway.owners import (
     GroupSize,
-    NodePlace,
+    NodeLocation,
     OwnerTable,
     Regions,
     group_owners,
+    maximum_owners,
     nodes_by_region,
-    owners_allowed,
-    owners_wanted,
+    target_owners,
 )
 from bramblebeam.core.identity import GroupId, NodeId, ZoneId
 from member_views import Nodes, nodes_in, view_of
@@ -99,7 +99,7 @@
     nodes = nodes_in(6, 12)
     zone = ZoneId("zone-2")
     for node in nodes[zone]:
-        table = OwnerTable(NodePlace(node, zone, "region-1"))
+        table = OwnerTable(NodeLocation(node, zone, "region-1"))
         table.update(view_of(nodes, lambda zone: zone // 2))
         for group in GROUPS[:10]:
             found = table.nearest(group, SIZE)
@@ -111,12 +111,12 @@
 
 
 def test_a_node_that_knows_of_no_other_serves_everything() -> None:
-    table = OwnerTable(NodePlace(NodeId("node-0-0"), ZoneId("zone-0"), "region-0"))
+    table = OwnerTable(NodeLocation(NodeId("node-0-0"), ZoneId("zone-0"), "region-0"))
     assert table.serves(GROUPS[0], SIZE)
     assert table.nearest(GROUPS[0], SIZE) == ()
 
 
 def test_a_group_has_two_owners_at_least() -> None:
-    assert owners_allowed(GroupSize(0)) == owners_allowed(GroupSize(3)) == 2
-    assert owners_allowed(GroupSize(36)) == 7
-    assert owners_wanted(GroupSize(3), regions=3) == 2
+    assert maximum_owners(GroupSize(0)) == maximum_owners(GroupSize(3)) == 2
+    assert maximum_owners(GroupSize(36)) == 7
+    assert target_owners(GroupSize(3), regions=3) == 2
--- a/tests/test_leader_lease.py
+++ b/tests/test_leader_lease.py
@@ -6,8 +6,8 @@
 from bramblebeam.core.gateway.leader_lease import (
     LEASE_SECONDS,
     MAXIMUM_PROOFS,
-    RENEWAL_SECONDS,
     SEND_MARGIN,
+    STATUS_RENEWAL_SECONDS,
     WAIT_SECONDS,
     LeaderLease,
 )
@@ -20,7 +20,7 @@
 def lease_with_proofs(*proofs: Watermark) -> LeaderLease:
     lease = LeaderLease(TERM)
     for proof in proofs:
-        lease.note_proof(proof)
+        lease.record_proof(proof)
     return lease
 
 
@@ -39,7 +39,7 @@
     follows: int, held: int, confirms: bool
 ) -> None:
     lease = LeaderLease(TERM)
-    assert lease.note_status(follows, held, NOW) is confirms
+    assert lease.record_status(follows, held, NOW) is confirms
     assert lease.covers(NOW) is confirms
 
 
@@ -62,21 +62,21 @@
     lease = lease_with_proofs(
         Watermark(Position(TERM, 10), NOW), Watermark(Position(TERM, 12), NOW + 1)
     )
-    assert lease.note_received(received)
+    assert lease.record_received(received)
     expected = float("-inf") if confirmed_at is None else confirmed_at
     assert lease.confirmed_at == expected
 
 
 def test_a_position_of_a_newer_term_speaks_against_the_leader() -> None:
     lease = lease_with_proofs(Watermark(Position(TERM, 10), NOW))
-    assert not lease.note_received(Position(TERM + 1, 1))
+    assert not lease.record_received(Position(TERM + 1, 1))
     assert not lease.covers(NOW)
 
 
 def test_an_older_word_does_not_shorten_the_lease() -> None:
     lease = LeaderLease(TERM)
-    lease.note_status(TERM, 0, NOW)
-    lease.note_status(TERM, 0, NOW - 1)
+    lease.record_status(TERM, 0, NOW)
+    lease.record_status(TERM, 0, NOW - 1)
     assert lease.confirmed_at == NOW
 
 
@@ -91,13 +91,13 @@
 )
 def test_nothing_is_sent_at_the_end_of_a_lease(age: float, covers: bool, may_send: bool) -> None:
     lease = LeaderLease(TERM)
-    lease.note_status(TERM, 0, NOW)
+    lease.record_status(TERM, 0, NOW)
     assert lease.covers(NOW + age) is covers
     assert lease.may_send(NOW + age) is may_send
 
 
 def test_a_change_waits_for_longer_than_any_lease_holds() -> None:
-    assert WAIT_SECONDS > LEASE_SECONDS > RENEWAL_SECONDS + SEND_MARGIN
+    assert WAIT_SECONDS > LEASE_SECONDS > STATUS_RENEWAL_SECONDS + SEND_MARGIN
 
 
 def test_only_so_many_proofs_are_kept() -> None:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,35 +1,19 @@
 """Limits of tenants: what is admitted in any span, whoever counts and whatever is cut."""
 
 import asyncio
-import random
-
 import pytest
-
-from bramblebeam.core.gateway.owners import GroupSize, NodePlace, OwnerTable
-from bramblebeam.core.identity import NodeId, ZoneId
-from bramblebeam.core.quota.bucket import (
-    FIRST_OPERATIONS,
-    HOME_SHARE,
-    LIMIT_SECONDS,
-    RETURN_SHARE,
-    TokenBucket,
-)
-from bramblebeam.core.quota.counter import QuotaCounter
-from bramblebeam.core.quota.holdings import ASK_SECONDS
-from bramblebeam.core.quota.messages import NO_RECEIPT
-from bramblebeam.core.tenants import RateLimit, TenantId
-from member_views import nodes_in, view_of
-from platform_standins.world import running_world, until
-from quota_search import allowed, most_in_any_span
-from test_tenants import (
-    ACME,
-    BOLT,
-    OTHER_SECRET,
-    SECRET,
-    open_session,
-    put_configuration,
-    tenant_entry,
-)
+import random
+from bramblebeam.core.gateway.owners import (GroupSize, NodeLocation, OwnerTable)
+from bramblebeam.core.identity import (NodeId, ZoneId)
+from bramblebeam.core.quota.bucket import (ADMITTED_SHARE, INITIAL_TOKENS, LIMIT_SECONDS, REFUND_SHARE, TokenBucket)
+from bramblebeam.core.quota.counter import (QuotaCounter)
+from bramblebeam.core.quota.held_grants import (REQUEST_INTERVAL)
+from bramblebeam.core.quota.messages import (NO_RECEIPT)
+from bramblebeam.core.tenants import (RateLimit, TenantId)
+from member_views import (nodes_in, view_of)
+from platform_standins.world import (running_world, until)
+from quota_search import (allowed, most_in_any_span)
+from test_tenants import (ACME, BOLT, OTHER_SECRET, SECRET, open_session, put_configuration, tenant_entry)
 
 LIMIT = RateLimit(20.0, 20.0)
 
@@ -42,8 +26,8 @@
     """Let the buckets follow, as a process does that runs."""
     now = begin
     while now < end:
-        counter.follow(lambda tenant: LIMIT, lambda tenant: share, now)
-        now += ASK_SECONDS
+        counter.update_shares(lambda tenant: LIMIT, lambda tenant: share, now)
+        now += REQUEST_INTERVAL
 
 
 def admitted(
@@ -60,9 +44,9 @@
     found = []
     followed_at = begin
     for at in moments:
-        while at - followed_at >= ASK_SECONDS:
-            followed_at += ASK_SECONDS
-            counter.follow(lambda tenant: limit, lambda tenant: share, followed_at)
+        while at - followed_at >= REQUEST_INTERVAL:
+            followed_at += REQUEST_INTERVAL
+            counter.update_shares(lambda tenant: limit, lambda tenant: share, followed_at)
         if counter.admit(ACME, limit, share, at).admitted:
             found.append(at)
     return found
@@ -75,7 +59,7 @@
 ) -> None:
     moments = admitted(counter_of(), limit.rate * times, 0.0, 40.0, limit)
     assert most_in_any_span(moments) <= allowed(limit)
-    assert len(moments) >= 40 * limit.rate * HOME_SHARE * 0.97
+    assert len(moments) >= 40 * limit.rate * ADMITTED_SHARE * 0.97
 
 
 def test_a_tenant_below_its_limit_is_never_refused() -> None:
@@ -114,7 +98,7 @@
         for part in parts
         for at in admitted(counter_of(), 500.0, 0.0, 10.0, limit, part / sum(parts))
     ]
-    first = FIRST_OPERATIONS * len(parts)
+    first = INITIAL_TOKENS * len(parts)
     assert len(moments) <= 10 * limit.rate + first + len(parts)
 
 
@@ -131,7 +115,7 @@
     low = admitted(counter, 100.0, 10.0, 20.0, lowered)
     assert len(low) <= lowered.rate * 10 + lowered.burst + 1
     high = admitted(counter, 100.0, 20.0, 30.0, raised)
-    assert len(high) >= raised.rate * 10 * HOME_SHARE * 0.97
+    assert len(high) >= raised.rate * 10 * ADMITTED_SHARE * 0.97
 
 
 def test_a_limit_of_zero_admits_nothing_and_names_no_time() -> None:
@@ -141,7 +125,7 @@
 
 def test_the_wait_is_until_there_is_room() -> None:
     bucket = TokenBucket(1.0, 0.0)
-    limit = RateLimit(2.0 / HOME_SHARE, 1.0 / HOME_SHARE)
+    limit = RateLimit(2.0 / ADMITTED_SHARE, 1.0 / ADMITTED_SHARE)
     assert bucket.take(limit, 1.0, 1, 0.0).admitted
     refused = bucket.take(limit, 1.0, 2, 0.0)
     assert not refused.admitted
@@ -157,7 +141,7 @@
     for step in range(4_000):
         now = step / 100
         while waiting and now - waiting[0][0] >= 0.3:
-            counter.give_back(ACME, waiting.pop(0)[1], now)
+            counter.refund(ACME, waiting.pop(0)[1], now)
         if step % 2:
             admission = counter.admit(ACME, LIMIT, 1.0, now)
             refused += not admission.admitted and now > 2.0
@@ -172,7 +156,7 @@
     for number in range(1_000):
         admission = counter.admit(ACME, LIMIT, 1.0, number / 1_000)
         assert admission.admitted
-        assert counter.give_back(ACME, admission.receipt, number / 1_000)
+        assert counter.refund(ACME, admission.receipt, number / 1_000)
 
 
 # Operations that wait for a leader are given back after others were refused. All that took their
@@ -187,13 +171,13 @@
         now = step / 100
         for receipt, since in list(waiting.items()):
             if now - since >= seconds:
-                counter.give_back(ACME, receipt, now)
+                counter.refund(ACME, receipt, now)
                 del waiting[receipt]
         for _ in range(2):
             admission = counter.admit(ACME, LIMIT, 1.0, now)
             if admission.admitted:
                 waiting[admission.receipt] = now
-        assert len(waiting) <= (1 + RETURN_SHARE) * HOME_SHARE * (LIMIT.rate * 5 + LIMIT.burst)
+        assert len(waiting) <= (1 + REFUND_SHARE) * ADMITTED_SHARE * (LIMIT.rate * 5 + LIMIT.burst)
 
 
 @pytest.mark.parametrize(
@@ -209,12 +193,12 @@
     counter = counter_of()
     taken = counter.admit(ACME, LIMIT, 1.0, 0.0).receipt
     if not later:
-        assert counter.give_back(ACME, taken, 0.0)
+        assert counter.refund(ACME, taken, 0.0)
     keep_following(counter, 1.0, 0.0, later)
     later_counts = counter.admit(ACME, LIMIT, 1.0, later)
     assert later_counts.admitted
-    assert not counter.give_back(ACME, taken if receipt is None else receipt, later)
-    assert not counter.give_back(TenantId("nobody"), taken, later)
+    assert not counter.refund(ACME, taken if receipt is None else receipt, later)
+    assert not counter.refund(TenantId("nobody"), taken, later)
 
 
 # A share that moves.
@@ -232,9 +216,9 @@
     counter = counter_of()
     admitted(counter, 1.0, 0.0, 10.0)
     assert not admitted(counter, 100.0, 10.0, 10.1, share=0.0)
-    counter.follow(lambda tenant: LIMIT, lambda tenant: 0.0, 10.1)
+    counter.update_shares(lambda tenant: LIMIT, lambda tenant: 0.0, 10.1)
     assert len(admitted(counter, 1_000.0, 20.0, 20.02)) <= 1
-    assert len(admitted(counter, 1_000.0, 21.0, 21.02)) <= HOME_SHARE * LIMIT.rate + 1
+    assert len(admitted(counter, 1_000.0, 21.0, 21.02)) <= ADMITTED_SHARE * LIMIT.rate + 1
 
 
 @pytest.mark.parametrize("asked_meanwhile", [True, False], ids=["asked", "not asked"])
@@ -263,7 +247,7 @@
     found = []
     for zone, names in nodes.items():
         for name in names:
-            table = OwnerTable(NodePlace(name, zone, ""))
+            table = OwnerTable(NodeLocation(name, zone, ""))
             table.update(view)
             found.append(table)
     return found
@@ -307,7 +291,7 @@
         refused = [answer for answer in answers if answer.code]
         assert {answer.code for answer in refused} == {"BUSY"}
         assert all("past its limit; retry after" in answer.text for answer in refused)
-        assert len(answers) - len(refused) <= FIRST_OPERATIONS
+        assert len(answers) - len(refused) <= INITIAL_TOKENS
         assert len(world.group.primary.log) == len(answers) - len(refused)
         assert (await other.run("READ k0")).code == ""
         await hot.run("BEGIN")
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -5,17 +5,17 @@
 import pytest
 
 from bramblebeam.core.identity import NodeId
-from bramblebeam.core.quota.bucket import HOME_SHARE
+from bramblebeam.core.quota.bucket import ADMITTED_SHARE
 from bramblebeam.core.quota.grantor import (
     CLOCK_MARGIN,
-    FRESH_PART,
     GRANT_SECONDS,
-    MOST_GRANTORS,
+    MAXIMUM_GRANTORS,
+    RESTART_PART,
     Fleet,
     Grantor,
-    grantors_among,
+    select_grantors,
 )
-from bramblebeam.core.quota.holdings import ASK_SECONDS, Holdings
+from bramblebeam.core.quota.held_grants import REQUEST_INTERVAL, HeldGrants
 from bramblebeam.core.quota.messages import (
     NO_GRANT,
     AdmissionRequest,
@@ -52,13 +52,13 @@
     def __init__(self, lender: Grantor, node: NodeId) -> None:
         self.lender = lender
         self.node = node
-        self.holdings = Holdings(node)
+        self.holdings = HeldGrants(node)
 
     def ask(self, known: Fleet, now: float, late: float = 0.0) -> Grant:
         """Ask, and take the answer `late` seconds after the question was sent."""
-        request = self.holdings.ask(LENDER, now)
+        request = self.holdings.request(LENDER, now)
         grant = self.lender.answer(self.node, request, known, now + late)
-        self.holdings.take(LENDER, grant, now + late)
+        self.holdings.handle_grant(LENDER, grant, now + late)
         return grant
 
     def tenants(self, now: float) -> set[TenantId]:
@@ -117,7 +117,7 @@
     a, b = Loan(lender, A), Loan(lender, B)
     a.ask(fleet(A), 0.0)
     assert a.tenants(0.1) == set(TENANTS)
-    assert b.ask(fleet(A, B), 0.2).bars
+    assert b.ask(fleet(A, B), 0.2).blocking
     assert not b.tenants(0.2)
     a.ask(fleet(A, B), 0.3)
     b.ask(fleet(A, B), 0.4)
@@ -132,9 +132,9 @@
     lender = grantor()
     a, b = Loan(lender, A), Loan(lender, B)
     a.ask(fleet(A, B), 0.0)
-    ((grantor_of_it, returned),) = a.holdings.let_go()
+    ((grantor_of_it, returned),) = a.holdings.release_all()
     assert grantor_of_it == LENDER
-    lender.returned(A, returned.number)
+    lender.release(A, returned.number)
     b.ask(fleet(A, B), 0.1)
     assert b.tenants(0.1) == set(TENANTS)
     assert not a.tenants(0.1)
@@ -148,9 +148,9 @@
     lender = grantor()
     a, b = Loan(lender, A), Loan(lender, B)
     a.ask(fleet(A), 0.0)
-    ((_, returned),) = a.holdings.let_go()
+    ((_, returned),) = a.holdings.release_all()
     a.ask(fleet(A), 0.1)
-    lender.returned(A, returned.number)
+    lender.release(A, returned.number)
     b.ask(fleet(B), 0.2)
     assert a.tenants(0.2) == set(TENANTS)
     assert not b.tenants(0.2)
@@ -158,17 +158,17 @@
 
 def test_right_after_its_start_a_grantor_lends_less() -> None:
     a = Loan(grantor(started_at=0.0), A)
-    assert a.ask(fleet(A), 0.1).part == FRESH_PART
+    assert a.ask(fleet(A), 0.1).part == RESTART_PART
     assert a.ask(fleet(A), GRANT_SECONDS + CLOCK_MARGIN).part == 1.0
     never_started = Loan(Grantor(LENDER, 1), A)
-    assert never_started.ask(fleet(A), 9.0).part == FRESH_PART
+    assert never_started.ask(fleet(A), 9.0).part == RESTART_PART
 
 
 def test_three_of_five_grantors_that_start_at_once_stay_within_a_tenth_over_the_limit() -> None:
     """Guards against a whole part that is lent anew while its former holder still counts by it."""
     names = tuple(NodeId(f"grantor-{number}") for number in range(5))
     lenders = {name: Grantor(name, 7_000) for name in names}
-    old, new = Holdings(A), Holdings(B)
+    old, new = HeldGrants(A), HeldGrants(B)
     for name, lender in lenders.items():
         lender.start(LONG_AGO)
         lend(lender, name, A, old, Fleet(frozenset({A}), names, len(names)), 0.0)
@@ -178,15 +178,15 @@
         lend(lenders[name], name, B, new, Fleet(frozenset({B}), names, len(names)), 0.2)
     for tenant in TENANTS:
         lent = sum(holdings.share(tenant, len(names), 0.3) for holdings in (old, new))
-        assert 1.0 < lent <= MOST_OVER_LIMIT / HOME_SHARE
+        assert 1.0 < lent <= MOST_OVER_LIMIT / ADMITTED_SHARE
 
 
 def lend(
-    lender: Grantor, name: NodeId, holder: NodeId, holdings: Holdings, known: Fleet, now: float
+    lender: Grantor, name: NodeId, holder: NodeId, holdings: HeldGrants, known: Fleet, now: float
 ) -> None:
     """Let a holder ask a grantor, and take its answer."""
-    grant = lender.answer(holder, holdings.ask(name, now), known, now)
-    holdings.take(name, grant, now)
+    grant = lender.answer(holder, holdings.request(name, now), known, now)
+    holdings.handle_grant(name, grant, now)
 
 
 # Answers that nobody asked for, late ones, and absurd ones.
@@ -204,35 +204,35 @@
     ],
 )
 def test_an_answer_that_lends_nothing_changes_nothing(grant: Grant) -> None:
-    holdings = Holdings(A)
-    assert holdings.ask(LENDER, 0.0).number == 1
-    holdings.take(LENDER, grant, 0.0)
+    holdings = HeldGrants(A)
+    assert holdings.request(LENDER, 0.0).number == 1
+    holdings.handle_grant(LENDER, grant, 0.0)
     assert not any(holdings.share(tenant, 1, 0.1) for tenant in TENANTS)
 
 
 def test_one_grantor_never_lends_more_than_its_part() -> None:
-    holdings = Holdings(A)
-    holdings.ask(LENDER, 0.0)
-    holdings.take(LENDER, Grant(1, 5, (A,), 1e9, 0), 0.0)
-    assert holdings.share(TENANTS[0], MOST_GRANTORS, 0.1) == pytest.approx(1 / MOST_GRANTORS)
+    holdings = HeldGrants(A)
+    holdings.request(LENDER, 0.0)
+    holdings.handle_grant(LENDER, Grant(1, 5, (A,), 1e9, 0), 0.0)
+    assert holdings.share(TENANTS[0], MAXIMUM_GRANTORS, 0.1) == pytest.approx(1 / MAXIMUM_GRANTORS)
 
 
 def test_an_older_answer_that_comes_later_changes_nothing() -> None:
     lender = grantor()
-    holdings = Holdings(A)
-    first, second = holdings.ask(LENDER, 0.0), holdings.ask(LENDER, 1.0)
+    holdings = HeldGrants(A)
+    first, second = holdings.request(LENDER, 0.0), holdings.request(LENDER, 1.0)
     older = lender.answer(A, first, fleet(A), 0.0)
     newer = lender.answer(A, second, fleet(A), 1.0)
-    holdings.take(LENDER, newer, 1.1)
-    holdings.take(LENDER, older, 1.2)
+    holdings.handle_grant(LENDER, newer, 1.1)
+    holdings.handle_grant(LENDER, older, 1.2)
     assert holdings.share(TENANTS[0], 1, GRANT_SECONDS + 0.9) == 1.0
 
 
 def test_the_parts_that_others_know_of_count_where_they_are_more() -> None:
     """A node that has just started knows few others, and would take one part for the whole."""
-    holdings = Holdings(A)
-    holdings.ask(LENDER, 0.0)
-    holdings.take(LENDER, Grant(1, 5, (A,), 1.0, 32), 0.0)
+    holdings = HeldGrants(A)
+    holdings.request(LENDER, 0.0)
+    holdings.handle_grant(LENDER, Grant(1, 5, (A,), 1.0, 32), 0.0)
     assert holdings.share(TENANTS[0], 1, 0.1) == pytest.approx(1 / 32)
 
 
@@ -242,16 +242,16 @@
     a.ask(fleet(A), 0.0)
     assert a.holdings.due([LENDER], 0.0) == [LENDER]
     a.ask(fleet(A), 0.0)
-    assert a.holdings.due([LENDER], ASK_SECONDS - 0.01) == []
-    assert a.holdings.due([LENDER], ASK_SECONDS) == [LENDER]
+    assert a.holdings.due([LENDER], REQUEST_INTERVAL - 0.01) == []
+    assert a.holdings.due([LENDER], REQUEST_INTERVAL) == [LENDER]
 
 
 def test_limits_are_divided_over_a_bounded_number_of_nodes_the_same_at_all() -> None:
     nodes = frozenset(NodeId(f"n{number}") for number in range(5_200))
-    chosen = grantors_among(nodes)
-    assert len(chosen) == MOST_GRANTORS
-    lost = grantors_among(nodes - {chosen[0]})
-    assert len(set(chosen) & set(lost)) == MOST_GRANTORS - 1
+    chosen = select_grantors(nodes)
+    assert len(chosen) == MAXIMUM_GRANTORS
+    lost = select_grantors(nodes - {chosen[0]})
+    assert len(set(chosen) & set(lost)) == MAXIMUM_GRANTORS - 1
 
 
 def test_messages_travel_and_an_earlier_version_s_are_read() -> None:
@@ -260,7 +260,7 @@
     lender = grantor()
     lender.answer(B, GrantRequest(1), fleet(B), 0.0)
     granted = lender.answer(A, GrantRequest(3, NO_GRANT), fleet(A, B), 0.1)
-    assert granted.bars
+    assert granted.blocking
     for message in (asked, GrantRequest(3, 9), granted):
         assert codec.decode(codec.encode(message)) == message
     before = Codec({703: _FormerRequest})
