--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -11,7 +11,7 @@
 from bramblebeam.core.overload.completion import Candidate, ReadChooser
 from bramblebeam.core.overload.ejection import Cause, Ejector, Standing, StandingChanged
 from bramblebeam.core.overload.load import DatabaseLoad
-from bramblebeam.core.overload.told_loads import SentSince, ToldLoads
+from bramblebeam.core.overload.reported_loads import SentSince, ToldLoads
 from bramblebeam.core.role import Role
 from bramblebeam.core.tenants import TenantId
 from bramblebeam.core.verdict import Reason, Refusal
--- a/tests/placement_world.py
+++ b/tests/placement_world.py
@@ -20,7 +20,7 @@
 from bramblebeam.core.gateway.owners import Distance
 from bramblebeam.core.identity import Address, GroupId, InstanceId, ZoneId
 from bramblebeam.core.overload.load import DatabaseLoad
-from bramblebeam.core.overload.told_loads import SentSince
+from bramblebeam.core.overload.reported_loads import SentSince
 from bramblebeam.core.role import Role
 from bramblebeam.core.tenants import NO_TENANT, TenantId
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
--- a/tests/test_overload_told_loads.py
+++ b/tests/test_overload_told_loads.py
@@ -8,7 +8,7 @@
 
 from bramblebeam.core.identity import InstanceId
 from bramblebeam.core.overload.load import DatabaseLoad
-from bramblebeam.core.overload.told_loads import (
+from bramblebeam.core.overload.reported_loads import (
     FORGOTTEN_HALF_LIVES,
     MOST_TOLD,
     TOLD_HALF_LIFE,
