--- a/src/bramblebeam/services/gateway/transaction_gates.py
+++ b/src/bramblebeam/services/gateway/transaction_gates.py
@@ -9,13 +9,13 @@
 
 from bramblebeam.core.identity import InstanceId
 from bramblebeam.core.overload.admission import RefusalCause
-from bramblebeam.core.overload.ports import Refused
-from bramblebeam.core.overload.resting import (
+from bramblebeam.core.overload.idle_transactions import (
     Connections,
     OpenTransactions,
     TransactionGate,
     Waiting,
 )
+from bramblebeam.core.overload.ports import Refused
 from bramblebeam.core.tenants import NO_TENANT, TenantId
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
 from bramblebeam.events import log_event
--- a/tests/test_overload_gateway.py
+++ b/tests/test_overload_gateway.py
@@ -20,8 +20,8 @@
 from bramblebeam.core.identity import GroupId, NodeId
 from bramblebeam.core.overload.admission import KnownWait
 from bramblebeam.core.overload.budget import OVERLOADED_WAIT, SECOND_ATTEMPTS
+from bramblebeam.core.overload.idle_transactions import OpenTransactions
 from bramblebeam.core.overload.ports import Estimate
-from bramblebeam.core.overload.resting import OpenTransactions
 from bramblebeam.core.tenants import NO_TENANT, TenantId
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
 from bramblebeam.platform.sources import parse_table
--- a/tests/test_overload_resting.py
+++ b/tests/test_overload_resting.py
@@ -5,8 +5,7 @@
 
 import pytest
 
-from bramblebeam.core.overload.ports import Refused
-from bramblebeam.core.overload.resting import (
+from bramblebeam.core.overload.idle_transactions import (
     ASSUMED_SECONDS,
     DATABASE_SHARE,
     NODE_TRANSACTIONS,
@@ -15,6 +14,7 @@
     TransactionGate,
     Waiting,
 )
+from bramblebeam.core.overload.ports import Refused
 from bramblebeam.core.tenants import TenantId
 
 MOST = 40
