--- a/src/bramblebeam/core/overload/reported_loads.py
+++ b/src/bramblebeam/core/overload/reported_loads.py
@@ -46,7 +46,7 @@
         self.sent = 0
 
 
-class ToldLoads:
+class ReportedLoads:
     """The loads of databases that other nodes serve. Times: steady clock, seconds."""
 
     def __init__(self, half_life: float = TOLD_HALF_LIFE, most: int = MOST_TOLD) -> None:
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -11,7 +11,7 @@
 from bramblebeam.core.overload.completion import Candidate, ReadChooser
 from bramblebeam.core.overload.ejection import Cause, Ejector, Standing, StandingChanged
 from bramblebeam.core.overload.load import DatabaseLoad
-from bramblebeam.core.overload.reported_loads import SentSince, ToldLoads
+from bramblebeam.core.overload.reported_loads import ReportedLoads, SentSince
 from bramblebeam.core.role import Role
 from bramblebeam.core.tenants import TenantId
 from bramblebeam.core.verdict import Reason, Refusal
@@ -63,7 +63,7 @@
     def __init__(self, surroundings: Surroundings, metrics: GatewayMetrics) -> None:
         self._surroundings = surroundings
         self._metrics = metrics
-        self._told = ToldLoads()
+        self._told = ReportedLoads()
         self._ejector = Ejector()
         self._choosers: dict[GroupId, ReadChooser] = {}
         self._behind_until: dict[InstanceId, float] = {}
--- a/tests/test_overload_told_loads.py
+++ b/tests/test_overload_told_loads.py
@@ -12,7 +12,7 @@
     FORGOTTEN_HALF_LIVES,
     MOST_TOLD,
     TOLD_HALF_LIFE,
-    ToldLoads,
+    ReportedLoads,
 )
 
 NEAR = InstanceId("near")
@@ -30,14 +30,14 @@
     ],
 )
 def test_what_is_old_counts_for_less(age: float, weight: float | None) -> None:
-    told = ToldLoads()
+    told = ReportedLoads()
     told.take([LOAD], 10.0)
     found = told.find(NEAR, 10.0 + age)
     assert (None if found is None else found.weight) == (weight and pytest.approx(weight))
 
 
 def test_what_is_too_old_is_not_kept() -> None:
-    told = ToldLoads()
+    told = ReportedLoads()
     told.take([LOAD], 0.0)
     told.find(NEAR, 60.0)
     assert len(told) == 0
@@ -57,7 +57,7 @@
     ],
 )
 def test_a_load_that_can_not_be_leaves_the_last_one_in_force(load: DatabaseLoad) -> None:
-    told = ToldLoads()
+    told = ReportedLoads()
     told.take([LOAD], 0.0)
     told.take([load], 0.1)
     found = told.find(NEAR, 0.1)
@@ -66,7 +66,7 @@
 
 
 def test_what_was_sent_counts_until_more_is_told() -> None:
-    told = ToldLoads()
+    told = ReportedLoads()
     assert told.note_sent(NEAR) is None
     assert told.find(NEAR, 0.0) is None
     told.take([LOAD], 0.0)
@@ -84,7 +84,7 @@
 
 
 def test_the_loads_of_many_databases_are_bounded_and_the_oldest_go_first() -> None:
-    told = ToldLoads(most=3)
+    told = ReportedLoads(most=3)
     names = [InstanceId(f"db-{number}") for number in range(5)]
     for at, name in enumerate(names):
         told.take([LOAD._replace(instance=name)], at / 100)
@@ -94,7 +94,7 @@
 
 
 def test_databases_that_are_gone_are_forgotten() -> None:
-    told = ToldLoads()
+    told = ReportedLoads()
     told.take([LOAD, LOAD._replace(instance=InstanceId("gone"))], 0.0)
     told.keep_only({NEAR})
     assert len(told) == 1
