--- a/src/bramblebeam/core/overload/reported_loads.py
+++ b/src/bramblebeam/core/overload/reported_loads.py
@@ -21,7 +21,7 @@
 """Databases whose loads are kept: the members of more groups than one node has callers for."""
 
 
-class ToldLoad(NamedTuple):
+class ReportedLoad(NamedTuple):
     """A load that was told. `weight`: how much of it counts by its age, 1 (now) to 0.
 
     `sent`: statements that this node has sent there since and that were not answered yet.
@@ -80,7 +80,7 @@
         if counted is not None:
             counted.sent -= 1
 
-    def find(self, instance: InstanceId, now: float) -> ToldLoad | None:
+    def find(self, instance: InstanceId, now: float) -> ReportedLoad | None:
         """Return what counts of a database's load; None: nothing was told, or it is too old."""
         told = self._told.get(instance)
         if told is None:
@@ -89,7 +89,7 @@
         if half_lives > FORGOTTEN_HALF_LIVES:
             del self._told[instance]
             return None
-        return ToldLoad(told.load, 0.5**half_lives, told.sent)
+        return ReportedLoad(told.load, 0.5**half_lives, told.sent)
 
     def keep_only(self, known: Iterable[InstanceId]) -> None:
         """Forget databases that are gone."""
