--- a/src/bramblebeam/services/gateway/load_control.py
+++ b/src/bramblebeam/services/gateway/load_control.py
@@ -17,7 +17,7 @@
 )
 from bramblebeam.core.overload.budget import AttemptBudgets
 from bramblebeam.core.overload.ports import Refused
-from bramblebeam.core.overload.returns import (
+from bramblebeam.core.overload.retry_schedule import (
     LONGEST_TIMEOUTS,
     Outlook,
     ReturnSchedules,
--- a/tests/overload_callers.py
+++ b/tests/overload_callers.py
@@ -15,7 +15,7 @@
 from bramblebeam.core.gateway.statements import Action
 from bramblebeam.core.overload.admission import AdmissionRecord, KnownWait, refuse_early
 from bramblebeam.core.overload.ports import Estimate
-from bramblebeam.core.overload.returns import (
+from bramblebeam.core.overload.retry_schedule import (
     LONGEST_TIMEOUTS,
     Outlook,
     Return,
--- a/tests/test_overload_returns.py
+++ b/tests/test_overload_returns.py
@@ -6,7 +6,7 @@
 import pytest
 
 from bramblebeam.core.identity import GroupId
-from bramblebeam.core.overload.returns import (
+from bramblebeam.core.overload.retry_schedule import (
     PUNCTUAL_SECONDS,
     RETURN_SHARE,
     Outlook,
