--- a/src/bramblebeam/core/overload/retry_schedule.py
+++ b/src/bramblebeam/core/overload/retry_schedule.py
@@ -73,7 +73,7 @@
         return self._beyond * _GOLDEN_SHARE % 1.0
 
 
-class ReturnSchedules:
+class RetrySchedules:
     """One schedule for each queue: a group's leader has one, its replicas have another."""
 
     def __init__(self) -> None:
--- a/src/bramblebeam/services/gateway/load_control.py
+++ b/src/bramblebeam/services/gateway/load_control.py
@@ -20,7 +20,7 @@
 from bramblebeam.core.overload.retry_schedule import (
     LONGEST_TIMEOUTS,
     Outlook,
-    ReturnSchedules,
+    RetrySchedules,
     is_punctual,
 )
 from bramblebeam.core.session.errors import DEFAULT_RETRY_AFTER_MS
@@ -51,7 +51,7 @@
         self.enabled = context.overload.enabled
         self.known: KnownLoads = NothingKnown()
         self._context = context
-        self._returns = ReturnSchedules()
+        self._returns = RetrySchedules()
         self._budgets = AttemptBudgets()
         self._lowest_priority = 0
 
--- a/tests/test_overload_returns.py
+++ b/tests/test_overload_returns.py
@@ -10,8 +10,8 @@
     PUNCTUAL_SECONDS,
     RETURN_SHARE,
     Outlook,
+    RetrySchedules,
     ReturnSchedule,
-    ReturnSchedules,
     is_punctual,
 )
 from overload_callers import CAPACITY, Callers, Policy, arrivals
@@ -82,7 +82,7 @@
 
 
 def test_each_queue_has_its_schedule_and_former_groups_are_forgotten() -> None:
-    schedules = ReturnSchedules()
+    schedules = RetrySchedules()
     group, other = GroupId("one"), GroupId("two")
     leader = schedules.of(group, at_leader=True)
     assert schedules.of(group, at_leader=True) is leader
