--- a/src/bramblebeam/core/overload/retry_schedule.py
+++ b/src/bramblebeam/core/overload/retry_schedule.py
@@ -47,7 +47,7 @@
     promised: bool
 
 
-class ReturnSchedule:
+class RetrySchedule:
     """Hands out the moments at which refused callers of one database come back."""
 
     def __init__(self) -> None:
@@ -77,11 +77,11 @@
     """One schedule for each queue: a group's leader has one, its replicas have another."""
 
     def __init__(self) -> None:
-        self._schedules: dict[tuple[GroupId, bool], ReturnSchedule] = {}
+        self._schedules: dict[tuple[GroupId, bool], RetrySchedule] = {}
 
-    def of(self, group: GroupId, at_leader: bool) -> ReturnSchedule:
+    def of(self, group: GroupId, at_leader: bool) -> RetrySchedule:
         """Return the schedule for what a group's leader, or any of its databases, has to run."""
-        return self._schedules.setdefault((group, at_leader), ReturnSchedule())
+        return self._schedules.setdefault((group, at_leader), RetrySchedule())
 
     def keep_only(self, groups: frozenset[GroupId]) -> None:
         """Forget groups that are configured no more."""
--- a/tests/overload_callers.py
+++ b/tests/overload_callers.py
@@ -18,8 +18,8 @@
 from bramblebeam.core.overload.retry_schedule import (
     LONGEST_TIMEOUTS,
     Outlook,
+    RetrySchedule,
     Return,
-    ReturnSchedule,
     is_punctual,
 )
 from bramblebeam.core.overload.work import Work, WorkKind
@@ -101,7 +101,7 @@
         self._queue: deque[Attempt] = deque()
         self._running = 0
         self._told = KnownWait(0.0, Estimate(SERVICE, 0.0), 0.0)
-        self._schedule = ReturnSchedule()
+        self._schedule = RetrySchedule()
 
     def play(self, callers: Iterable[Caller], until: float) -> Seen:
         for caller in callers:
@@ -214,12 +214,12 @@
 def note_moments(monkeypatch: pytest.MonkeyPatch) -> list[HandedOut]:
     """Return a list to which each moment is added that refused callers are told from now on."""
     moments: list[HandedOut] = []
-    hand_out = ReturnSchedule.hand_out
+    hand_out = RetrySchedule.hand_out
 
-    def noted(schedule: ReturnSchedule, outlook: Outlook, longest: float, now: float) -> Return:
+    def noted(schedule: RetrySchedule, outlook: Outlook, longest: float, now: float) -> Return:
         told = hand_out(schedule, outlook, longest, now)
         moments.append(HandedOut(now, told.after))
         return told
 
-    monkeypatch.setattr(ReturnSchedule, "hand_out", noted)
+    monkeypatch.setattr(RetrySchedule, "hand_out", noted)
     return moments
--- a/tests/test_overload_returns.py
+++ b/tests/test_overload_returns.py
@@ -10,8 +10,8 @@
     PUNCTUAL_SECONDS,
     RETURN_SHARE,
     Outlook,
+    RetrySchedule,
     RetrySchedules,
-    ReturnSchedule,
     is_punctual,
 )
 from overload_callers import CAPACITY, Callers, Policy, arrivals
@@ -25,7 +25,7 @@
 
 
 def test_who_was_refused_first_comes_back_first() -> None:
-    schedule = ReturnSchedule()
+    schedule = RetrySchedule()
     moments = [schedule.hand_out(Outlook(0.3, PACE), FAR_OFF, NOW).after for _ in range(50)]
     assert moments[0] == pytest.approx(0.3)
     for earlier, later in pairwise(moments):
@@ -33,7 +33,7 @@
 
 
 def test_moments_that_have_passed_are_not_handed_out_again() -> None:
-    schedule = ReturnSchedule()
+    schedule = RetrySchedule()
     for _ in range(10):
         schedule.hand_out(Outlook(0.3, PACE), FAR_OFF, NOW)
     later = NOW + 10.0
@@ -41,7 +41,7 @@
 
 
 def test_an_outlook_that_gets_better_does_not_pass_those_who_were_told_before() -> None:
-    schedule = ReturnSchedule()
+    schedule = RetrySchedule()
     first = schedule.hand_out(Outlook(1.0, PACE), FAR_OFF, NOW).after
     second = schedule.hand_out(Outlook(0.1, PACE), FAR_OFF, NOW + 0.1).after + 0.1
     assert second > first
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("refused", [500, 5_000])
 def test_whom_there_is_no_room_for_is_told_a_later_moment_and_no_promise(refused: int) -> None:
-    schedule = ReturnSchedule()
+    schedule = RetrySchedule()
     told = [schedule.hand_out(Outlook(0.2, PACE), 1.0, NOW) for _ in range(refused)]
     promised = [found for found in told if found.promised]
     assert len(promised) == pytest.approx(0.8 * RETURN_SHARE / PACE, abs=1.0)
@@ -62,7 +62,7 @@
 
 def test_those_without_a_promise_keep_nobody_from_one() -> None:
     """A burst that ended long ago must not keep the next refused caller away."""
-    schedule = ReturnSchedule()
+    schedule = RetrySchedule()
     for _ in range(10_000):
         schedule.hand_out(Outlook(0.2, PACE), 1.0, NOW)
     assert schedule.hand_out(Outlook(0.2, PACE), 1.0, NOW + 1.0).after == pytest.approx(0.2)
@@ -77,7 +77,7 @@
     ],
 )
 def test_absurd_figures_hand_out_no_moment_in_the_past(outlook: Outlook, longest: float) -> None:
-    schedule = ReturnSchedule()
+    schedule = RetrySchedule()
     assert all(schedule.hand_out(outlook, longest, NOW).after >= 0.0 for _ in range(5))
 
 
