--- a/src/bramblebeam/core/overload/admission.py
+++ b/src/bramblebeam/core/overload/admission.py
@@ -89,7 +89,7 @@
     wait = _shortest_wait(known, ranks_below, now)
     service = max(0.0, known.service.mean - known.service.spread)
     share = RETURN_WAIT_SHARE if returns else WAIT_SHARE
-    wanted_within = min(work.aim, work.deadline) - work.arrived
+    wanted_within = min(work.soft_deadline, work.deadline) - work.arrived
     is_soon = wait <= share * wanted_within
     if is_soon and now + wait + service <= work.deadline:
         return None
@@ -126,7 +126,7 @@
         """Watch a statement that was refused as it arrived."""
         self._forget(now)
         if len(self._latest_begins) < MOST_WATCHED:
-            heapq.heappush(self._latest_begins, min(work.aim, work.deadline) - service)
+            heapq.heappush(self._latest_begins, min(work.soft_deadline, work.deadline) - service)
 
     def saw_idle(self, now: float) -> None:
         """A slot is free and nobody waits: whatever could still begin was refused wrongly."""
--- a/src/bramblebeam/core/overload/scheduler.py
+++ b/src/bramblebeam/core/overload/scheduler.py
@@ -300,7 +300,7 @@
         if place.tier is _Tier.INSIDE:
             self._inside[waiting.number] = waiting
         elif place.tier is _Tier.TIMELY:
-            self._timely.add(waiting, waiting.work.aim, now)
+            self._timely.add(waiting, waiting.work.soft_deadline, now)
             leaves_at = min(place.aim_start, place.last_start)
         else:
             self._late.add(waiting, waiting.work.deadline, now)
@@ -345,7 +345,7 @@
     """Return where a statement waits."""
     work = waiting.work
     needed = estimate.mean + SPREADS * estimate.spread
-    aim_start = work.aim - needed - WAY_BACK_SHARE * (work.aim - work.arrived)
+    aim_start = work.soft_deadline - needed - WAY_BACK_SHARE * (work.soft_deadline - work.arrived)
     last_start = work.deadline - needed - WAY_BACK_SHARE * (work.deadline - work.arrived)
     if work.inside:
         return _Place(_Tier.INSIDE, waiting, aim_start, last_start)
--- a/src/bramblebeam/core/overload/work.py
+++ b/src/bramblebeam/core/overload/work.py
@@ -25,6 +25,6 @@
     tenant: TenantId
     priority: int
     arrived: float
-    aim: float
+    soft_deadline: float
     deadline: float
     inside: bool = False
