--- a/src/bramblebeam/core/overload/scheduler.py
+++ b/src/bramblebeam/core/overload/scheduler.py
@@ -227,7 +227,7 @@
         self._running[waiting.number] = _Running(waiting, now)
         overdue_at = now + max(OVERDUE_SECONDS, OVERDUE_FACTOR * waiting.cost)
         heapq.heappush(self._overdue_at, _Overdue(overdue_at, waiting.number))
-        self._running_inside += waiting.work.inside
+        self._running_inside += waiting.work.in_transaction
         return waiting.number
 
     # Ends.
@@ -256,7 +256,7 @@
         while self._overdue_at and self._overdue_at[0].number not in self._running:
             heapq.heappop(self._overdue_at)
         work = running.waiting.work
-        self._running_inside -= work.inside
+        self._running_inside -= work.in_transaction
         if seconds is not None:
             self._times.note(work.kind, seconds)
             self._limit.answered(seconds, len(self._running) + 1, now)
@@ -347,7 +347,7 @@
     needed = estimate.mean + SPREADS * estimate.spread
     aim_start = work.soft_deadline - needed - WAY_BACK_SHARE * (work.soft_deadline - work.arrived)
     last_start = work.deadline - needed - WAY_BACK_SHARE * (work.deadline - work.arrived)
-    if work.inside:
+    if work.in_transaction:
         return _Place(_Tier.INSIDE, waiting, aim_start, last_start)
     tier = _Tier.TIMELY if now < aim_start else _Tier.LATE
     return _Place(tier, waiting, aim_start, last_start)
--- a/src/bramblebeam/core/overload/work.py
+++ b/src/bramblebeam/core/overload/work.py
@@ -27,4 +27,4 @@
     arrived: float
     soft_deadline: float
     deadline: float
-    inside: bool = False
+    in_transaction: bool = False
--- a/src/bramblebeam/services/gateway/slot_queue.py
+++ b/src/bramblebeam/services/gateway/slot_queue.py
@@ -94,7 +94,7 @@
             raise NoSlotError(refused)
         begun = self._scheduler.next(now)
         if begun != number:
-            if not work.inside:
+            if not work.in_transaction:
                 self._may_leave.add(number)
             try:
                 await self._wait(number, begun, now)
