--- a/src/bramblebeam/core/overload/retry_schedule.py
+++ b/src/bramblebeam/core/overload/retry_schedule.py
@@ -54,7 +54,7 @@
         self._last = float("-inf")
         self._beyond = 0
 
-    def hand_out(self, outlook: Outlook, longest: float, now: float) -> Return:
+    def assign(self, outlook: Outlook, longest: float, now: float) -> Return:
         """Return when a caller that is refused now comes back.
 
         `longest`: moments that are further away are not promised (seconds), as whoever asks has
--- a/src/bramblebeam/services/gateway/load_control.py
+++ b/src/bramblebeam/services/gateway/load_control.py
@@ -134,7 +134,7 @@
         schedule = self._returns.of(group, at_leader)
         outlook = Outlook(room_in, self._pace(group, at_leader))
         longest = LONGEST_TIMEOUTS * request.route.timeout
-        told = schedule.hand_out(outlook, longest, self._context.now())
+        told = schedule.assign(outlook, longest, self._context.now())
         return max(1, round(told.after * _MILLISECONDS))
 
     def _pace(self, group: GroupId, at_leader: bool) -> float:
--- a/tests/overload_callers.py
+++ b/tests/overload_callers.py
@@ -147,7 +147,7 @@
         if self._policy.spreads:
             outlook = Outlook(room_in, SERVICE / SLOTS)
             longest = LONGEST_TIMEOUTS * TIMEOUT
-            pause, promised = self._schedule.hand_out(outlook, longest, self._now)
+            pause, promised = self._schedule.assign(outlook, longest, self._now)
         caller.told = self._now + pause if promised else None
         if promised or not self._policy.spreads:
             self.seen.returns.append(self._now + pause)
@@ -214,12 +214,12 @@
 def note_moments(monkeypatch: pytest.MonkeyPatch) -> list[HandedOut]:
     """Return a list to which each moment is added that refused callers are told from now on."""
     moments: list[HandedOut] = []
-    hand_out = RetrySchedule.hand_out
+    hand_out = RetrySchedule.assign
 
     def noted(schedule: RetrySchedule, outlook: Outlook, longest: float, now: float) -> Return:
         told = hand_out(schedule, outlook, longest, now)
         moments.append(HandedOut(now, told.after))
         return told
 
-    monkeypatch.setattr(RetrySchedule, "hand_out", noted)
+    monkeypatch.setattr(RetrySchedule, "assign", noted)
     return moments
