--- a/src/bramblebeam/core/overload/retry_schedule.py
+++ b/src/bramblebeam/core/overload/retry_schedule.py
@@ -44,7 +44,7 @@
     """When a refused caller comes back. `after`: seconds. `promised`: there is room for it then."""
 
     after: float
-    promised: bool
+    reserved: bool
 
 
 class RetrySchedule:
@@ -63,9 +63,9 @@
         step = max(0.0, outlook.pace) / RETURN_SHARE
         moment = max(self._last + step, now + max(0.0, outlook.room_in))
         if moment > now + longest:
-            return Return(longest * (1.0 + self._spread()), promised=False)
+            return Return(longest * (1.0 + self._spread()), reserved=False)
         self._last = moment
-        return Return(moment - now, promised=True)
+        return Return(moment - now, reserved=True)
 
     def _spread(self) -> float:
         """Return the next of numbers that lie evenly between 0 and 1."""
--- a/tests/test_overload_returns.py
+++ b/tests/test_overload_returns.py
@@ -51,10 +51,10 @@
 def test_whom_there_is_no_room_for_is_told_a_later_moment_and_no_promise(refused: int) -> None:
     schedule = RetrySchedule()
     told = [schedule.assign(Outlook(0.2, PACE), 1.0, NOW) for _ in range(refused)]
-    promised = [found for found in told if found.promised]
+    promised = [found for found in told if found.reserved]
     assert len(promised) == pytest.approx(0.8 * RETURN_SHARE / PACE, abs=1.0)
     assert all(found.after <= 1.0 for found in promised)
-    later = [found.after for found in told if not found.promised]
+    later = [found.after for found in told if not found.reserved]
     tenths = [sum(1.0 + k / 10 <= after < 1.1 + k / 10 for after in later) for k in range(10)]
     assert sum(tenths) == len(later)
     assert max(tenths) <= 1.2 * len(later) / 10 + 1
