--- a/src/bramblebeam/core/overload/retry_schedule.py
+++ b/src/bramblebeam/core/overload/retry_schedule.py
@@ -40,7 +40,7 @@
     pace: float
 
 
-class Return(NamedTuple):
+class ScheduledRetry(NamedTuple):
     """When a refused caller comes back. `after`: seconds. `promised`: there is room for it then."""
 
     after: float
@@ -54,7 +54,7 @@
         self._last = float("-inf")
         self._beyond = 0
 
-    def assign(self, outlook: Outlook, longest: float, now: float) -> Return:
+    def assign(self, outlook: Outlook, longest: float, now: float) -> ScheduledRetry:
         """Return when a caller that is refused now comes back.
 
         `longest`: moments that are further away are not promised (seconds), as whoever asks has
@@ -63,9 +63,9 @@
         step = max(0.0, outlook.pace) / RETURN_SHARE
         moment = max(self._last + step, now + max(0.0, outlook.room_in))
         if moment > now + longest:
-            return Return(longest * (1.0 + self._spread()), reserved=False)
+            return ScheduledRetry(longest * (1.0 + self._spread()), reserved=False)
         self._last = moment
-        return Return(moment - now, reserved=True)
+        return ScheduledRetry(moment - now, reserved=True)
 
     def _spread(self) -> float:
         """Return the next of numbers that lie evenly between 0 and 1."""
--- a/tests/overload_callers.py
+++ b/tests/overload_callers.py
@@ -19,7 +19,7 @@
     LONGEST_TIMEOUTS,
     Outlook,
     RetrySchedule,
-    Return,
+    ScheduledRetry,
     is_punctual,
 )
 from bramblebeam.core.overload.work import Work, WorkKind
@@ -216,7 +216,9 @@
     moments: list[HandedOut] = []
     hand_out = RetrySchedule.assign
 
-    def noted(schedule: RetrySchedule, outlook: Outlook, longest: float, now: float) -> Return:
+    def noted(
+        schedule: RetrySchedule, outlook: Outlook, longest: float, now: float
+    ) -> ScheduledRetry:
         told = hand_out(schedule, outlook, longest, now)
         moments.append(HandedOut(now, told.after))
         return told
