--- a/src/bramblebeam/core/overload/retry_schedule.py
+++ b/src/bramblebeam/core/overload/retry_schedule.py
@@ -30,7 +30,7 @@
 """Multiples of it, taken modulo 1, lie evenly in a span however many there are."""
 
 
-class Outlook(NamedTuple):
+class CapacityEstimate(NamedTuple):
     """What is known of a database as it refuses (seconds).
 
     `room_in`: until there is room. `pace`: between two statements that end there.
@@ -54,7 +54,7 @@
         self._last = float("-inf")
         self._beyond = 0
 
-    def assign(self, outlook: Outlook, longest: float, now: float) -> ScheduledRetry:
+    def assign(self, outlook: CapacityEstimate, longest: float, now: float) -> ScheduledRetry:
         """Return when a caller that is refused now comes back.
 
         `longest`: moments that are further away are not promised (seconds), as whoever asks has
--- a/src/bramblebeam/services/gateway/load_control.py
+++ b/src/bramblebeam/services/gateway/load_control.py
@@ -19,7 +19,7 @@
 from bramblebeam.core.overload.ports import Refused
 from bramblebeam.core.overload.retry_schedule import (
     LONGEST_TIMEOUTS,
-    Outlook,
+    CapacityEstimate,
     RetrySchedules,
     is_punctual,
 )
@@ -132,7 +132,7 @@
         group = request.route.group
         at_leader = self._context.runs_at_leader(request.route, request.writes)
         schedule = self._returns.of(group, at_leader)
-        outlook = Outlook(room_in, self._pace(group, at_leader))
+        outlook = CapacityEstimate(room_in, self._pace(group, at_leader))
         longest = LONGEST_TIMEOUTS * request.route.timeout
         told = schedule.assign(outlook, longest, self._context.now())
         return max(1, round(told.after * _MILLISECONDS))
--- a/tests/overload_callers.py
+++ b/tests/overload_callers.py
@@ -17,7 +17,7 @@
 from bramblebeam.core.overload.ports import Estimate
 from bramblebeam.core.overload.retry_schedule import (
     LONGEST_TIMEOUTS,
-    Outlook,
+    CapacityEstimate,
     RetrySchedule,
     ScheduledRetry,
     is_punctual,
@@ -145,7 +145,7 @@
             return
         pause, promised = FIXED_PAUSE, False
         if self._policy.spreads:
-            outlook = Outlook(room_in, SERVICE / SLOTS)
+            outlook = CapacityEstimate(room_in, SERVICE / SLOTS)
             longest = LONGEST_TIMEOUTS * TIMEOUT
             pause, promised = self._schedule.assign(outlook, longest, self._now)
         caller.told = self._now + pause if promised else None
@@ -217,7 +217,7 @@
     hand_out = RetrySchedule.assign
 
     def noted(
-        schedule: RetrySchedule, outlook: Outlook, longest: float, now: float
+        schedule: RetrySchedule, outlook: CapacityEstimate, longest: float, now: float
     ) -> ScheduledRetry:
         told = hand_out(schedule, outlook, longest, now)
         moments.append(HandedOut(now, told.after))
--- a/tests/test_overload_returns.py
+++ b/tests/test_overload_returns.py
@@ -9,7 +9,7 @@
 from bramblebeam.core.overload.retry_schedule import (
     PUNCTUAL_SECONDS,
     RETURN_SHARE,
-    Outlook,
+    CapacityEstimate,
     RetrySchedule,
     RetrySchedules,
     is_punctual,
@@ -26,7 +26,7 @@
 
 def test_who_was_refused_first_comes_back_first() -> None:
     schedule = RetrySchedule()
-    moments = [schedule.assign(Outlook(0.3, PACE), FAR_OFF, NOW).after for _ in range(50)]
+    moments = [schedule.assign(CapacityEstimate(0.3, PACE), FAR_OFF, NOW).after for _ in range(50)]
     assert moments[0] == pytest.approx(0.3)
     for earlier, later in pairwise(moments):
         assert later - earlier == pytest.approx(PACE / RETURN_SHARE)
@@ -35,22 +35,22 @@
 def test_moments_that_have_passed_are_not_handed_out_again() -> None:
     schedule = RetrySchedule()
     for _ in range(10):
-        schedule.assign(Outlook(0.3, PACE), FAR_OFF, NOW)
+        schedule.assign(CapacityEstimate(0.3, PACE), FAR_OFF, NOW)
     later = NOW + 10.0
-    assert schedule.assign(Outlook(0.2, PACE), FAR_OFF, later).after == pytest.approx(0.2)
+    assert schedule.assign(CapacityEstimate(0.2, PACE), FAR_OFF, later).after == pytest.approx(0.2)
 
 
 def test_an_outlook_that_gets_better_does_not_pass_those_who_were_told_before() -> None:
     schedule = RetrySchedule()
-    first = schedule.assign(Outlook(1.0, PACE), FAR_OFF, NOW).after
-    second = schedule.assign(Outlook(0.1, PACE), FAR_OFF, NOW + 0.1).after + 0.1
+    first = schedule.assign(CapacityEstimate(1.0, PACE), FAR_OFF, NOW).after
+    second = schedule.assign(CapacityEstimate(0.1, PACE), FAR_OFF, NOW + 0.1).after + 0.1
     assert second > first
 
 
 @pytest.mark.parametrize("refused", [500, 5_000])
 def test_whom_there_is_no_room_for_is_told_a_later_moment_and_no_promise(refused: int) -> None:
     schedule = RetrySchedule()
-    told = [schedule.assign(Outlook(0.2, PACE), 1.0, NOW) for _ in range(refused)]
+    told = [schedule.assign(CapacityEstimate(0.2, PACE), 1.0, NOW) for _ in range(refused)]
     promised = [found for found in told if found.reserved]
     assert len(promised) == pytest.approx(0.8 * RETURN_SHARE / PACE, abs=1.0)
     assert all(found.after <= 1.0 for found in promised)
@@ -64,19 +64,21 @@
     """A burst that ended long ago must not keep the next refused caller away."""
     schedule = RetrySchedule()
     for _ in range(10_000):
-        schedule.assign(Outlook(0.2, PACE), 1.0, NOW)
-    assert schedule.assign(Outlook(0.2, PACE), 1.0, NOW + 1.0).after == pytest.approx(0.2)
+        schedule.assign(CapacityEstimate(0.2, PACE), 1.0, NOW)
+    assert schedule.assign(CapacityEstimate(0.2, PACE), 1.0, NOW + 1.0).after == pytest.approx(0.2)
 
 
 @pytest.mark.parametrize(
     ("outlook", "longest"),
     [
-        pytest.param(Outlook(-5.0, -1.0), 1.0, id="negative figures"),
-        pytest.param(Outlook(0.0, 0.0), 0.0, id="no time left"),
-        pytest.param(Outlook(3.0, 1.0), 0.5, id="room is far off"),
+        pytest.param(CapacityEstimate(-5.0, -1.0), 1.0, id="negative figures"),
+        pytest.param(CapacityEstimate(0.0, 0.0), 0.0, id="no time left"),
+        pytest.param(CapacityEstimate(3.0, 1.0), 0.5, id="room is far off"),
     ],
 )
-def test_absurd_figures_hand_out_no_moment_in_the_past(outlook: Outlook, longest: float) -> None:
+def test_absurd_figures_hand_out_no_moment_in_the_past(
+    outlook: CapacityEstimate, longest: float
+) -> None:
     schedule = RetrySchedule()
     assert all(schedule.assign(outlook, longest, NOW).after >= 0.0 for _ in range(5))
 
