--- a/src/bramblebeam/core/overload/retry_schedule.py
+++ b/src/bramblebeam/core/overload/retry_schedule.py
@@ -89,6 +89,6 @@
         self._schedules = kept
 
 
-def is_punctual(told: float | None, now: float) -> bool:
+def is_scheduled_retry(told: float | None, now: float) -> bool:
     """Whether a caller comes back at the moment that it was told (steady clock, seconds)."""
     return told is not None and abs(now - told) <= PUNCTUAL_SECONDS
--- a/src/bramblebeam/services/gateway/load_control.py
+++ b/src/bramblebeam/services/gateway/load_control.py
@@ -21,7 +21,7 @@
     LONGEST_TIMEOUTS,
     CapacityEstimate,
     RetrySchedules,
-    is_punctual,
+    is_scheduled_retry,
 )
 from bramblebeam.core.session.errors import DEFAULT_RETRY_AFTER_MS
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
@@ -79,7 +79,7 @@
             record.saw_idle(now)
             return None
         work = request.work()
-        returns = is_punctual(request.session.returns_at, now)
+        returns = is_scheduled_retry(request.session.returns_at, now)
         ranks_below = self._lowest_priority - request.route.priority
         refused = refuse_early(work, known, ranks_below, now, returns)
         if refused is None:
--- a/tests/overload_callers.py
+++ b/tests/overload_callers.py
@@ -20,7 +20,7 @@
     CapacityEstimate,
     RetrySchedule,
     ScheduledRetry,
-    is_punctual,
+    is_scheduled_retry,
 )
 from bramblebeam.core.overload.work import Work, WorkKind
 from bramblebeam.core.tenants import TenantId
@@ -130,7 +130,7 @@
         deadline = self._now + TIMEOUT
         work = Work(KIND, TENANT, 0, self._now, self._now + AIM, deadline)
         if self._policy.admits:
-            returns = is_punctual(caller.told, self._now)
+            returns = is_scheduled_retry(caller.told, self._now)
             refused = refuse_early(work, self._told, 0, self._now, returns)
             if refused is not None:
                 self.record.refused(work, SERVICE, self._now)
--- a/tests/test_overload_returns.py
+++ b/tests/test_overload_returns.py
@@ -12,7 +12,7 @@
     CapacityEstimate,
     RetrySchedule,
     RetrySchedules,
-    is_punctual,
+    is_scheduled_retry,
 )
 from overload_callers import CAPACITY, Callers, Policy, arrivals
 
@@ -105,7 +105,7 @@
     ],
 )
 def test_only_who_keeps_its_moment_returns(told: float | None, punctual: bool) -> None:
-    assert is_punctual(told, NOW) == punctual
+    assert is_scheduled_retry(told, NOW) == punctual
 
 
 # Load: 0.8 of the capacity, and 1.8 for 2.5 s; each refused caller repeats twice.
