--- a/src/bramblebeam/core/overload/retry_schedule.py
+++ b/src/bramblebeam/core/overload/retry_schedule.py
@@ -16,7 +16,7 @@
 
 from bramblebeam.core.identity import GroupId
 
-RETURN_SHARE = 0.2
+RETRY_SHARE = 0.2
 """The part of a database's work that is promised to those who come back. New callers keep coming
 while the refused wait, and can still have their answers when they want them; a larger part would
 turn as many of them away, so that a burst goes on after its end."""
@@ -60,7 +60,7 @@
         `longest`: moments that are further away are not promised (seconds), as whoever asks has
         given up by then. Callers beyond are spread over as long a time after that.
         """
-        step = max(0.0, outlook.pace) / RETURN_SHARE
+        step = max(0.0, outlook.pace) / RETRY_SHARE
         moment = max(self._last + step, now + max(0.0, outlook.room_in))
         if moment > now + longest:
             return ScheduledRetry(longest * (1.0 + self._spread()), reserved=False)
--- a/tests/test_overload_returns.py
+++ b/tests/test_overload_returns.py
@@ -8,7 +8,7 @@
 from bramblebeam.core.identity import GroupId
 from bramblebeam.core.overload.retry_schedule import (
     PUNCTUAL_SECONDS,
-    RETURN_SHARE,
+    RETRY_SHARE,
     CapacityEstimate,
     RetrySchedule,
     RetrySchedules,
@@ -29,7 +29,7 @@
     moments = [schedule.assign(CapacityEstimate(0.3, PACE), FAR_OFF, NOW).after for _ in range(50)]
     assert moments[0] == pytest.approx(0.3)
     for earlier, later in pairwise(moments):
-        assert later - earlier == pytest.approx(PACE / RETURN_SHARE)
+        assert later - earlier == pytest.approx(PACE / RETRY_SHARE)
 
 
 def test_moments_that_have_passed_are_not_handed_out_again() -> None:
@@ -52,7 +52,7 @@
     schedule = RetrySchedule()
     told = [schedule.assign(CapacityEstimate(0.2, PACE), 1.0, NOW) for _ in range(refused)]
     promised = [found for found in told if found.reserved]
-    assert len(promised) == pytest.approx(0.8 * RETURN_SHARE / PACE, abs=1.0)
+    assert len(promised) == pytest.approx(0.8 * RETRY_SHARE / PACE, abs=1.0)
     assert all(found.after <= 1.0 for found in promised)
     later = [found.after for found in told if not found.reserved]
     tenths = [sum(1.0 + k / 10 <= after < 1.1 + k / 10 for after in later) for k in range(10)]
@@ -133,5 +133,5 @@
         seen = Callers(Policy(spreads=spreads)).play(arrivals(seed, _burst, 12.0), 14.0)
         moments = [int(moment * 10) for moment in seen.returns]
         peaks[spreads] = max(Counter(moments).values())
-    assert peaks[True] <= 0.1 * CAPACITY * RETURN_SHARE + 1
+    assert peaks[True] <= 0.1 * CAPACITY * RETRY_SHARE + 1
     assert peaks[False] > 2 * peaks[True]
