--- a/src/bramblebeam/core/overload/retry_schedule.py
+++ b/src/bramblebeam/core/overload/retry_schedule.py
@@ -20,7 +20,7 @@
 """The part of a database's work that is promised to those who come back. New callers keep coming
 while the refused wait, and can still have their answers when they want them; a larger part would
 turn as many of them away, so that a burst goes on after its end."""
-LONGEST_TIMEOUTS = 3.0
+MAX_RETRY_TIMEOUTS = 3.0
 """Moments are promised for so many times a statement's time-out: whoever has waited for three of
 them has gone, or found another way."""
 PUNCTUAL_SECONDS = 0.25
--- a/src/bramblebeam/services/gateway/load_control.py
+++ b/src/bramblebeam/services/gateway/load_control.py
@@ -18,7 +18,7 @@
 from bramblebeam.core.overload.budget import AttemptBudgets
 from bramblebeam.core.overload.ports import Refused
 from bramblebeam.core.overload.retry_schedule import (
-    LONGEST_TIMEOUTS,
+    MAX_RETRY_TIMEOUTS,
     CapacityEstimate,
     RetrySchedules,
     is_scheduled_retry,
@@ -133,7 +133,7 @@
         at_leader = self._context.runs_at_leader(request.route, request.writes)
         schedule = self._returns.of(group, at_leader)
         outlook = CapacityEstimate(room_in, self._pace(group, at_leader))
-        longest = LONGEST_TIMEOUTS * request.route.timeout
+        longest = MAX_RETRY_TIMEOUTS * request.route.timeout
         told = schedule.assign(outlook, longest, self._context.now())
         return max(1, round(told.after * _MILLISECONDS))
 
--- a/tests/overload_callers.py
+++ b/tests/overload_callers.py
@@ -16,7 +16,7 @@
 from bramblebeam.core.overload.admission import AdmissionRecord, KnownWait, refuse_early
 from bramblebeam.core.overload.ports import Estimate
 from bramblebeam.core.overload.retry_schedule import (
-    LONGEST_TIMEOUTS,
+    MAX_RETRY_TIMEOUTS,
     CapacityEstimate,
     RetrySchedule,
     ScheduledRetry,
@@ -146,7 +146,7 @@
         pause, promised = FIXED_PAUSE, False
         if self._policy.spreads:
             outlook = CapacityEstimate(room_in, SERVICE / SLOTS)
-            longest = LONGEST_TIMEOUTS * TIMEOUT
+            longest = MAX_RETRY_TIMEOUTS * TIMEOUT
             pause, promised = self._schedule.assign(outlook, longest, self._now)
         caller.told = self._now + pause if promised else None
         if promised or not self._policy.spreads:
