--- a/src/bramblebeam/core/overload/retry_schedule.py
+++ b/src/bramblebeam/core/overload/retry_schedule.py
@@ -23,7 +23,7 @@
 MAX_RETRY_TIMEOUTS = 3.0
 """Moments are promised for so many times a statement's time-out: whoever has waited for three of
 them has gone, or found another way."""
-PUNCTUAL_SECONDS = 0.25
+RETRY_TOLERANCE = 0.25
 """So much before and after its moment a caller counts as returning: its clock, its way and its own
 pause are not exact."""
 _GOLDEN_SHARE = (math.sqrt(5.0) - 1.0) / 2.0
@@ -91,4 +91,4 @@
 
 def is_scheduled_retry(told: float | None, now: float) -> bool:
     """Whether a caller comes back at the moment that it was told (steady clock, seconds)."""
-    return told is not None and abs(now - told) <= PUNCTUAL_SECONDS
+    return told is not None and abs(now - told) <= RETRY_TOLERANCE
--- a/tests/test_overload_returns.py
+++ b/tests/test_overload_returns.py
@@ -7,8 +7,8 @@
 
 from bramblebeam.core.identity import GroupId
 from bramblebeam.core.overload.retry_schedule import (
-    PUNCTUAL_SECONDS,
     RETRY_SHARE,
+    RETRY_TOLERANCE,
     CapacityEstimate,
     RetrySchedule,
     RetrySchedules,
@@ -98,10 +98,10 @@
     [
         pytest.param(None, False, id="it was told nothing"),
         pytest.param(NOW, True, id="to the moment"),
-        pytest.param(NOW + 0.9 * PUNCTUAL_SECONDS, True, id="a little early"),
-        pytest.param(NOW - 0.9 * PUNCTUAL_SECONDS, True, id="a little late"),
-        pytest.param(NOW + 2 * PUNCTUAL_SECONDS, False, id="too early: it did not wait"),
-        pytest.param(NOW - 2 * PUNCTUAL_SECONDS, False, id="its moment has passed"),
+        pytest.param(NOW + 0.9 * RETRY_TOLERANCE, True, id="a little early"),
+        pytest.param(NOW - 0.9 * RETRY_TOLERANCE, True, id="a little late"),
+        pytest.param(NOW + 2 * RETRY_TOLERANCE, False, id="too early: it did not wait"),
+        pytest.param(NOW - 2 * RETRY_TOLERANCE, False, id="its moment has passed"),
     ],
 )
 def test_only_who_keeps_its_moment_returns(told: float | None, punctual: bool) -> None:
