--- a/src/bramblebeam/core/overload/ejection.py
+++ b/src/bramblebeam/core/overload/ejection.py
@@ -166,7 +166,7 @@
         found = [instance for instance in instances if self._admits(instance, now)]
         return found or list(instances)
 
-    def is_silent(self, instance: InstanceId, now: float) -> bool:
+    def is_unresponsive(self, instance: InstanceId, now: float) -> bool:
         """Whether a database is ejected as it gave no answers."""
         is_ejected = self.standing(instance, now) is Standing.EJECTED
         return is_ejected and self._records[instance].cause is Cause.SILENT
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -154,7 +154,7 @@
         """Whether a database gets no reads as it gave no answers."""
         now = loop_time()
         self._look_at(pool, (), now)
-        return self._ejector.is_silent(pool.entry.instance, now)
+        return self._ejector.is_unresponsive(pool.entry.instance, now)
 
     def loads(self, pools: Iterable[DatabasePool]) -> tuple[DatabaseLoad, ...]:
         """Return what other nodes are told of the databases whose statements this node runs.
