--- a/src/bramblebeam/core/overload/ejection.py
+++ b/src/bramblebeam/core/overload/ejection.py
@@ -207,7 +207,9 @@
             return None
         return self._eject(instance, record, Cause.FAILING, now)
 
-    def silent(self, instance: InstanceId, began: float, now: float) -> StandingChanged | None:
+    def record_unresponsive(
+        self, instance: InstanceId, began: float, now: float
+    ) -> StandingChanged | None:
         """Note that nothing at all has come from a database since then, too long for an answer."""
         record = self._record(instance, now)
         if began <= record.changed_at:
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -224,7 +224,7 @@
             self._silences[instance] = silent_since
             if silent_since - pool.heard_at >= PATIENCE:
                 asked_at = silent_since - PATIENCE
-                self._log(pool, self._ejector.silent(instance, asked_at, now))
+                self._log(pool, self._ejector.record_unresponsive(instance, asked_at, now))
         if pool.entry.role is Role.REPLICA and self._is_own(pool):
             likes = self._services_of_likes(pool, group, now)
             self._log(pool, self._ejector.compare(instance, likes, now))
--- a/tests/test_overload_ejection.py
+++ b/tests/test_overload_ejection.py
@@ -46,7 +46,7 @@
             elif outcome == "-":
                 change = self.ejector.failed(A, began, self.now)
             else:
-                change = self.ejector.silent(A, began, self.now)
+                change = self.ejector.record_unresponsive(A, began, self.now)
             if change is not None:
                 self.changes.append(change)
 
@@ -168,7 +168,7 @@
     found = {
         "+": lambda: bench.ejector.served(A, SERVICE, sent_at, bench.now),
         "-": lambda: bench.ejector.failed(A, sent_at, bench.now),
-        "~": lambda: bench.ejector.silent(A, sent_at, bench.now),
+        "~": lambda: bench.ejector.record_unresponsive(A, sent_at, bench.now),
     }
     assert [found[outcome]() for _ in range(20)] == [None] * 20
     assert bench.standing is Standing.ON_PROBATION
@@ -208,7 +208,7 @@
     bench = Bench()
     bench.play("~")
     assert bench.ejector.usable([A], bench.now) == [A]
-    bench.ejector.silent(B, bench.now, bench.now + GAP)
+    bench.ejector.record_unresponsive(B, bench.now, bench.now + GAP)
     assert bench.ejector.usable([A, B], bench.now) == [A, B]
 
 
--- a/tests/test_overload_read_path.py
+++ b/tests/test_overload_read_path.py
@@ -135,11 +135,11 @@
         far_targets = far.placement.targets
         assert far_targets is not None
         pool = far.placement.pools[InstanceId(OTHER)]
-        far_targets._ejector.silent(InstanceId(OTHER), now, now + 0.001)
+        far_targets._ejector.record_unresponsive(InstanceId(OTHER), now, now + 0.001)
         await asyncio.sleep(0.01)
         assert far_targets.is_silent(pool)
         near = targets(world)
-        near._ejector.silent(InstanceId(NEAR), now, now + 0.001)
+        near._ejector.record_unresponsive(InstanceId(NEAR), now, now + 0.001)
         assert await read(world, 5) == [""] * 5
 
 
