--- a/src/bramblebeam/core/overload/ejection.py
+++ b/src/bramblebeam/core/overload/ejection.py
@@ -177,7 +177,7 @@
         if record is not None and record.standing is Standing.ON_PROBATION:
             record.probed_at = now
 
-    def served(
+    def record_served(
         self, instance: InstanceId, seconds: float, began: float, now: float
     ) -> StandingChanged | None:
         """Note a statement that was begun then, and took a slot for `seconds`."""
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -108,7 +108,7 @@
         slots = max(1, pool.entry.slots)
         own_work = seconds / max(1.0, _under_way(pool) / slots)
         began = now - seconds
-        self._log(pool, self._ejector.served(pool.entry.instance, own_work, began, now))
+        self._log(pool, self._ejector.record_served(pool.entry.instance, own_work, began, now))
 
     def failed(self, pool: DatabasePool, refusal: Refusal, began: float) -> None:
         """Note an attempt in vain that was begun then (steady clock, seconds)."""
--- a/tests/test_overload_ejection.py
+++ b/tests/test_overload_ejection.py
@@ -42,7 +42,7 @@
         for outcome in outcomes:
             began, self.now = self.now, self.now + gap
             if outcome == "+":
-                change = self.ejector.served(A, SERVICE, began, self.now)
+                change = self.ejector.record_served(A, SERVICE, began, self.now)
             elif outcome == "-":
                 change = self.ejector.failed(A, began, self.now)
             else:
@@ -110,7 +110,7 @@
 ) -> None:
     ejector = Ejector()
     for number in range(int(LEAST_SERVED)):
-        ejector.served(A, SERVICE * times, number * GAP, number * GAP + GAP)
+        ejector.record_served(A, SERVICE * times, number * GAP, number * GAP + GAP)
     change = ejector.compare(A, others, 1.0)
     assert (change is not None and change.cause is Cause.SLOW) is is_slow
 
@@ -118,7 +118,7 @@
 def test_a_few_answers_say_nothing_of_speed() -> None:
     ejector = Ejector()
     for number in range(int(LEAST_SERVED) - 1):
-        ejector.served(A, 1.0, number * GAP, number * GAP + GAP)
+        ejector.record_served(A, 1.0, number * GAP, number * GAP + GAP)
     assert ejector.service(A) is None
     assert ejector.compare(A, [SERVICE], 1.0) is None
 
@@ -166,7 +166,7 @@
     bench.play("~")
     bench.wait_for_probation()
     found = {
-        "+": lambda: bench.ejector.served(A, SERVICE, sent_at, bench.now),
+        "+": lambda: bench.ejector.record_served(A, SERVICE, sent_at, bench.now),
         "-": lambda: bench.ejector.failed(A, sent_at, bench.now),
         "~": lambda: bench.ejector.record_unresponsive(A, sent_at, bench.now),
     }
