--- a/src/bramblebeam/core/overload/ejection.py
+++ b/src/bramblebeam/core/overload/ejection.py
@@ -171,7 +171,7 @@
         is_ejected = self.standing(instance, now) is Standing.EJECTED
         return is_ejected and self._records[instance].cause is Cause.SILENT
 
-    def note_sent(self, instance: InstanceId, now: float) -> None:
+    def record_sent(self, instance: InstanceId, now: float) -> None:
         """Note that a read goes to a database."""
         record = self._records.get(instance)
         if record is not None and record.standing is Standing.ON_PROBATION:
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -147,7 +147,7 @@
         chosen = chooser.choose(candidates)
         if chosen is None:
             return None
-        self._ejector.note_sent(chosen.instance, now)
+        self._ejector.record_sent(chosen.instance, now)
         return next(pool for pool in usable if pool.entry.instance == chosen.instance)
 
     def is_silent(self, pool: DatabasePool) -> bool:
--- a/tests/test_overload_ejection.py
+++ b/tests/test_overload_ejection.py
@@ -138,7 +138,7 @@
     bench = Bench()
     bench.play("~")
     bench.wait_for_probation()
-    bench.ejector.note_sent(A, bench.now)
+    bench.ejector.record_sent(A, bench.now)
     assert not bench.is_usable()
     bench.now += PROBE_INTERVAL
     assert bench.is_usable()
