--- a/src/bramblebeam/core/overload/ejection.py
+++ b/src/bramblebeam/core/overload/ejection.py
@@ -135,7 +135,7 @@
         for instance in self._records.keys() - set(known):
             del self._records[instance]
 
-    def standing(self, instance: InstanceId, now: float) -> Standing:
+    def state(self, instance: InstanceId, now: float) -> Standing:
         """Return how a database stands."""
         record = self._records.get(instance)
         if record is None:
@@ -168,7 +168,7 @@
 
     def is_unresponsive(self, instance: InstanceId, now: float) -> bool:
         """Whether a database is ejected as it gave no answers."""
-        is_ejected = self.standing(instance, now) is Standing.EJECTED
+        is_ejected = self.state(instance, now) is Standing.EJECTED
         return is_ejected and self._records[instance].cause is Cause.SILENT
 
     def record_sent(self, instance: InstanceId, now: float) -> None:
@@ -201,7 +201,7 @@
             # It was sent before the last ejection, and says nothing of the time after it.
             return None
         record.count(True, now)
-        if self.standing(instance, now) is Standing.ON_PROBATION:
+        if self.state(instance, now) is Standing.ON_PROBATION:
             return self._eject(instance, record, Cause.FAILING, now)
         if record.attempts < LEAST_ATTEMPTS or record.error_share(now) < FAILED_SHARE:
             return None
@@ -234,7 +234,7 @@
         return min(1.0, max(SLOW_START_SHARE, grown))
 
     def _admits(self, instance: InstanceId, now: float) -> bool:
-        standing = self.standing(instance, now)
+        standing = self.state(instance, now)
         if standing is Standing.ON_PROBATION:
             return now - self._records[instance].probed_at >= PROBE_INTERVAL
         return standing is Standing.IN_SERVICE and self._has_turn(instance, now)
@@ -254,7 +254,7 @@
     def _eject(
         self, instance: InstanceId, record: _Record, cause: Cause, now: float
     ) -> StandingChanged | None:
-        if self.standing(instance, now) is Standing.EJECTED:
+        if self.state(instance, now) is Standing.EJECTED:
             return None
         if record.standing is Standing.IN_SERVICE and record.level > 0:
             forgotten = int((now - record.back_at) / CALM_SECONDS)
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -204,7 +204,7 @@
         """Return a database's load as far as this node sees it."""
         instance = pool.entry.instance
         service = self._ejector.service(instance) or ASSUMED_SERVICE
-        is_in_service = self._ejector.standing(instance, now) is Standing.IN_SERVICE
+        is_in_service = self._ejector.state(instance, now) is Standing.IN_SERVICE
         usable = is_in_service and not pool.entry.leaving and not self._is_behind(pool, now)
         return DatabaseLoad(
             instance,
--- a/tests/test_overload_ejection.py
+++ b/tests/test_overload_ejection.py
@@ -52,7 +52,7 @@
 
     @property
     def standing(self) -> Standing:
-        return self.ejector.standing(A, self.now)
+        return self.ejector.state(A, self.now)
 
     def is_usable(self) -> bool:
         return A in self.ejector.usable([A, B], self.now)
--- a/tests/test_overload_read_path.py
+++ b/tests/test_overload_read_path.py
@@ -75,7 +75,7 @@
 def standing(world: World, name: str) -> Standing:
     """Return how a database stands at the callers' node."""
     now = asyncio.get_running_loop().time()
-    return targets(world)._ejector.standing(InstanceId(name), now)
+    return targets(world)._ejector.state(InstanceId(name), now)
 
 
 async def read(world: World, times: int = 1) -> list[str]:
