--- a/src/bramblebeam/core/overload/ejection.py
+++ b/src/bramblebeam/core/overload/ejection.py
@@ -73,7 +73,7 @@
     """A database was ejected or is back. `seconds`: how long at least, or how long it was gone."""
 
     instance: InstanceId
-    standing: Standing
+    state: Standing
     cause: Cause
     seconds: float
 
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -251,7 +251,7 @@
     def _log(self, pool: DatabasePool, change: StandingChanged | None) -> None:
         if change is None:
             return
-        is_back = change.standing is Standing.IN_SERVICE
+        is_back = change.state is Standing.IN_SERVICE
         event = DATABASE_BACK if is_back else DATABASE_EJECTED
         log_event(
             logger,
--- a/tests/test_overload_ejection.py
+++ b/tests/test_overload_ejection.py
@@ -179,7 +179,7 @@
     for _ in range(6):
         bench.play("~")
         bench.come_back()
-    seconds = [found.seconds for found in bench.changes if found.standing is Standing.EJECTED]
+    seconds = [found.seconds for found in bench.changes if found.state is Standing.EJECTED]
     assert seconds[:3] == [FIRST_EJECTION, 2 * FIRST_EJECTION, 4 * FIRST_EJECTION]
     assert max(seconds) == LONGEST_EJECTION
 
