--- a/src/bramblebeam/core/overload/ejection.py
+++ b/src/bramblebeam/core/overload/ejection.py
@@ -69,7 +69,7 @@
     ON_PROBATION = 3
 
 
-class StandingChanged(NamedTuple):
+class EjectionStateChange(NamedTuple):
     """A database was ejected or is back. `seconds`: how long at least, or how long it was gone."""
 
     instance: InstanceId
@@ -179,7 +179,7 @@
 
     def record_served(
         self, instance: InstanceId, seconds: float, began: float, now: float
-    ) -> StandingChanged | None:
+    ) -> EjectionStateChange | None:
         """Note a statement that was begun then, and took a slot for `seconds`."""
         record = self._record(instance, now)
         if began <= record.changed_at:
@@ -194,7 +194,7 @@
         record.probes_served += 1
         return self._take_back(instance, record, now) if record.probes_served >= PROBES else None
 
-    def failed(self, instance: InstanceId, began: float, now: float) -> StandingChanged | None:
+    def failed(self, instance: InstanceId, began: float, now: float) -> EjectionStateChange | None:
         """Note an attempt in vain, begun then. A full database, or one that is behind, is none."""
         record = self._record(instance, now)
         if began <= record.changed_at:
@@ -209,7 +209,7 @@
 
     def record_unresponsive(
         self, instance: InstanceId, began: float, now: float
-    ) -> StandingChanged | None:
+    ) -> EjectionStateChange | None:
         """Note that nothing at all has come from a database since then, too long for an answer."""
         record = self._record(instance, now)
         if began <= record.changed_at:
@@ -218,7 +218,7 @@
 
     def compare(
         self, instance: InstanceId, others: Sequence[float], now: float
-    ) -> StandingChanged | None:
+    ) -> EjectionStateChange | None:
         """Compare a database with the usual times of its group's others (seconds)."""
         own = self.service(instance)
         if own is None or not others or own < SLOW_FACTOR * min(others):
@@ -253,7 +253,7 @@
 
     def _eject(
         self, instance: InstanceId, record: _Record, cause: Cause, now: float
-    ) -> StandingChanged | None:
+    ) -> EjectionStateChange | None:
         if self.state(instance, now) is Standing.EJECTED:
             return None
         if record.standing is Standing.IN_SERVICE and record.level > 0:
@@ -268,16 +268,16 @@
         record.changed_at = now
         record.until = now + seconds
         record.forget_attempts()
-        return StandingChanged(instance, Standing.EJECTED, cause, seconds)
+        return EjectionStateChange(instance, Standing.EJECTED, cause, seconds)
 
     @staticmethod
-    def _take_back(instance: InstanceId, record: _Record, now: float) -> StandingChanged:
+    def _take_back(instance: InstanceId, record: _Record, now: float) -> EjectionStateChange:
         record.standing = Standing.IN_SERVICE
         record.back_at = now
         record.credit = 0.0
         record.forget_attempts()
         gone = now - record.ejected_at
-        return StandingChanged(instance, Standing.IN_SERVICE, record.cause, gone)
+        return EjectionStateChange(instance, Standing.IN_SERVICE, record.cause, gone)
 
     def _record(self, instance: InstanceId, now: float) -> _Record:
         record = self._records.get(instance)
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -9,7 +9,7 @@
 from bramblebeam.core.gateway.owners import Distance
 from bramblebeam.core.identity import GroupId, InstanceId, ZoneId
 from bramblebeam.core.overload.completion import Candidate, ReadChooser
-from bramblebeam.core.overload.ejection import Cause, Ejector, Standing, StandingChanged
+from bramblebeam.core.overload.ejection import Cause, EjectionStateChange, Ejector, Standing
 from bramblebeam.core.overload.load import DatabaseLoad
 from bramblebeam.core.overload.reported_loads import ReportedLoads, SentSince
 from bramblebeam.core.role import Role
@@ -248,7 +248,7 @@
                 found.append(own)
         return found
 
-    def _log(self, pool: DatabasePool, change: StandingChanged | None) -> None:
+    def _log(self, pool: DatabasePool, change: EjectionStateChange | None) -> None:
         if change is None:
             return
         is_back = change.state is Standing.IN_SERVICE
--- a/tests/test_overload_ejection.py
+++ b/tests/test_overload_ejection.py
@@ -18,9 +18,9 @@
     SLOW_START,
     SLOW_START_SHARE,
     Cause,
+    EjectionStateChange,
     Ejector,
     Standing,
-    StandingChanged,
 )
 
 A, B = InstanceId("a"), InstanceId("b")
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self.ejector = Ejector()
         self.now = 10.0
-        self.changes: list[StandingChanged] = []
+        self.changes: list[EjectionStateChange] = []
 
     def play(self, outcomes: str, gap: float = GAP) -> None:
         """Play statements: '+' served, '-' in vain, '~' silence."""
