--- a/src/bramblebeam/core/overload/ejection.py
+++ b/src/bramblebeam/core/overload/ejection.py
@@ -61,7 +61,7 @@
     SLOW = "slow"
 
 
-class Standing(IntEnum):
+class EjectionState(IntEnum):
     """How a database stands at this node."""
 
     IN_SERVICE = 1
@@ -73,7 +73,7 @@
     """A database was ejected or is back. `seconds`: how long at least, or how long it was gone."""
 
     instance: InstanceId
-    state: Standing
+    state: EjectionState
     cause: Cause
     seconds: float
 
@@ -82,7 +82,7 @@
     """What this node has seen of one database. Times: steady clock, seconds."""
 
     def __init__(self, now: float) -> None:
-        self.standing = Standing.IN_SERVICE
+        self.standing = EjectionState.IN_SERVICE
         self.cause = Cause.FAILING
         self.attempts = 0.0
         self.failures = 0.0
@@ -135,13 +135,13 @@
         for instance in self._records.keys() - set(known):
             del self._records[instance]
 
-    def state(self, instance: InstanceId, now: float) -> Standing:
+    def state(self, instance: InstanceId, now: float) -> EjectionState:
         """Return how a database stands."""
         record = self._records.get(instance)
         if record is None:
-            return Standing.IN_SERVICE
-        if record.standing is Standing.EJECTED and now >= record.until:
-            record.standing = Standing.ON_PROBATION
+            return EjectionState.IN_SERVICE
+        if record.standing is EjectionState.EJECTED and now >= record.until:
+            record.standing = EjectionState.ON_PROBATION
             record.probes_served = 0
         return record.standing
 
@@ -168,13 +168,13 @@
 
     def is_unresponsive(self, instance: InstanceId, now: float) -> bool:
         """Whether a database is ejected as it gave no answers."""
-        is_ejected = self.state(instance, now) is Standing.EJECTED
+        is_ejected = self.state(instance, now) is EjectionState.EJECTED
         return is_ejected and self._records[instance].cause is Cause.SILENT
 
     def record_sent(self, instance: InstanceId, now: float) -> None:
         """Note that a read goes to a database."""
         record = self._records.get(instance)
-        if record is not None and record.standing is Standing.ON_PROBATION:
+        if record is not None and record.standing is EjectionState.ON_PROBATION:
             record.probed_at = now
 
     def record_served(
@@ -189,7 +189,7 @@
         # The first few count evenly: one of them alone says nothing of the rest.
         weight = max(SPEED_SMOOTHING, 1.0 / record.served)
         record.seconds += weight * (max(0.0, seconds) - record.seconds)
-        if record.standing is not Standing.ON_PROBATION:
+        if record.standing is not EjectionState.ON_PROBATION:
             return None
         record.probes_served += 1
         return self._take_back(instance, record, now) if record.probes_served >= PROBES else None
@@ -201,7 +201,7 @@
             # It was sent before the last ejection, and says nothing of the time after it.
             return None
         record.count(True, now)
-        if self.state(instance, now) is Standing.ON_PROBATION:
+        if self.state(instance, now) is EjectionState.ON_PROBATION:
             return self._eject(instance, record, Cause.FAILING, now)
         if record.attempts < LEAST_ATTEMPTS or record.error_share(now) < FAILED_SHARE:
             return None
@@ -235,9 +235,9 @@
 
     def _admits(self, instance: InstanceId, now: float) -> bool:
         standing = self.state(instance, now)
-        if standing is Standing.ON_PROBATION:
+        if standing is EjectionState.ON_PROBATION:
             return now - self._records[instance].probed_at >= PROBE_INTERVAL
-        return standing is Standing.IN_SERVICE and self._has_turn(instance, now)
+        return standing is EjectionState.IN_SERVICE and self._has_turn(instance, now)
 
     def _has_turn(self, instance: InstanceId, now: float) -> bool:
         """Whether the next read is one of those that a database gets while it starts slowly."""
@@ -254,30 +254,30 @@
     def _eject(
         self, instance: InstanceId, record: _Record, cause: Cause, now: float
     ) -> EjectionStateChange | None:
-        if self.state(instance, now) is Standing.EJECTED:
+        if self.state(instance, now) is EjectionState.EJECTED:
             return None
-        if record.standing is Standing.IN_SERVICE and record.level > 0:
+        if record.standing is EjectionState.IN_SERVICE and record.level > 0:
             forgotten = int((now - record.back_at) / CALM_SECONDS)
             record.level = max(0, record.level - forgotten)
         seconds = min(LONGEST_EJECTION, FIRST_EJECTION * EJECTION_GROWTH**record.level)
         record.level += 1
-        if record.standing is Standing.IN_SERVICE:
+        if record.standing is EjectionState.IN_SERVICE:
             record.ejected_at = now
-        record.standing = Standing.EJECTED
+        record.standing = EjectionState.EJECTED
         record.cause = cause
         record.changed_at = now
         record.until = now + seconds
         record.forget_attempts()
-        return EjectionStateChange(instance, Standing.EJECTED, cause, seconds)
+        return EjectionStateChange(instance, EjectionState.EJECTED, cause, seconds)
 
     @staticmethod
     def _take_back(instance: InstanceId, record: _Record, now: float) -> EjectionStateChange:
-        record.standing = Standing.IN_SERVICE
+        record.standing = EjectionState.IN_SERVICE
         record.back_at = now
         record.credit = 0.0
         record.forget_attempts()
         gone = now - record.ejected_at
-        return EjectionStateChange(instance, Standing.IN_SERVICE, record.cause, gone)
+        return EjectionStateChange(instance, EjectionState.IN_SERVICE, record.cause, gone)
 
     def _record(self, instance: InstanceId, now: float) -> _Record:
         record = self._records.get(instance)
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -9,7 +9,7 @@
 from bramblebeam.core.gateway.owners import Distance
 from bramblebeam.core.identity import GroupId, InstanceId, ZoneId
 from bramblebeam.core.overload.completion import Candidate, ReadChooser
-from bramblebeam.core.overload.ejection import Cause, EjectionStateChange, Ejector, Standing
+from bramblebeam.core.overload.ejection import Cause, EjectionState, EjectionStateChange, Ejector
 from bramblebeam.core.overload.load import DatabaseLoad
 from bramblebeam.core.overload.reported_loads import ReportedLoads, SentSince
 from bramblebeam.core.role import Role
@@ -204,7 +204,7 @@
         """Return a database's load as far as this node sees it."""
         instance = pool.entry.instance
         service = self._ejector.service(instance) or ASSUMED_SERVICE
-        is_in_service = self._ejector.state(instance, now) is Standing.IN_SERVICE
+        is_in_service = self._ejector.state(instance, now) is EjectionState.IN_SERVICE
         usable = is_in_service and not pool.entry.leaving and not self._is_behind(pool, now)
         return DatabaseLoad(
             instance,
@@ -251,7 +251,7 @@
     def _log(self, pool: DatabasePool, change: EjectionStateChange | None) -> None:
         if change is None:
             return
-        is_back = change.state is Standing.IN_SERVICE
+        is_back = change.state is EjectionState.IN_SERVICE
         event = DATABASE_BACK if is_back else DATABASE_EJECTED
         log_event(
             logger,
--- a/tests/test_overload_ejection.py
+++ b/tests/test_overload_ejection.py
@@ -18,9 +18,9 @@
     SLOW_START,
     SLOW_START_SHARE,
     Cause,
+    EjectionState,
     EjectionStateChange,
     Ejector,
-    Standing,
 )
 
 A, B = InstanceId("a"), InstanceId("b")
@@ -51,20 +51,20 @@
                 self.changes.append(change)
 
     @property
-    def standing(self) -> Standing:
+    def standing(self) -> EjectionState:
         return self.ejector.state(A, self.now)
 
     def is_usable(self) -> bool:
         return A in self.ejector.usable([A, B], self.now)
 
     def wait_for_probation(self) -> None:
-        while self.standing is Standing.EJECTED:
+        while self.standing is EjectionState.EJECTED:
             self.now += GAP
 
     def come_back(self) -> None:
         self.wait_for_probation()
         self.play("+" * PROBES)
-        assert self.standing is Standing.IN_SERVICE
+        assert self.standing is EjectionState.IN_SERVICE
 
 
 @pytest.mark.parametrize(
@@ -130,7 +130,7 @@
     bench.now += FIRST_EJECTION - GAP
     assert not bench.is_usable()
     bench.now += 2 * GAP
-    assert bench.standing is Standing.ON_PROBATION
+    assert bench.standing is EjectionState.ON_PROBATION
     assert bench.is_usable()
 
 
@@ -143,10 +143,10 @@
     bench.now += PROBE_INTERVAL
     assert bench.is_usable()
     bench.play("+" * (PROBES - 1))
-    assert bench.standing is Standing.ON_PROBATION
+    assert bench.standing is EjectionState.ON_PROBATION
     bench.play("+")
-    assert bench.standing is Standing.IN_SERVICE
-    assert bench.changes[-1].standing is Standing.IN_SERVICE
+    assert bench.standing is EjectionState.IN_SERVICE
+    assert bench.changes[-1].standing is EjectionState.IN_SERVICE
 
 
 @pytest.mark.parametrize("outcome", ["-", "~"])
@@ -155,7 +155,7 @@
     bench.play("~")
     bench.wait_for_probation()
     bench.play("+" + outcome)
-    assert bench.standing is Standing.EJECTED
+    assert bench.standing is EjectionState.EJECTED
     assert [change.seconds for change in bench.changes] == [FIRST_EJECTION, 2 * FIRST_EJECTION]
 
 
@@ -171,7 +171,7 @@
         "~": lambda: bench.ejector.record_unresponsive(A, sent_at, bench.now),
     }
     assert [found[outcome]() for _ in range(20)] == [None] * 20
-    assert bench.standing is Standing.ON_PROBATION
+    assert bench.standing is EjectionState.ON_PROBATION
 
 
 def test_ejections_in_a_row_last_longer_up_to_a_bound() -> None:
@@ -179,7 +179,7 @@
     for _ in range(6):
         bench.play("~")
         bench.come_back()
-    seconds = [found.seconds for found in bench.changes if found.state is Standing.EJECTED]
+    seconds = [found.seconds for found in bench.changes if found.state is EjectionState.EJECTED]
     assert seconds[:3] == [FIRST_EJECTION, 2 * FIRST_EJECTION, 4 * FIRST_EJECTION]
     assert max(seconds) == LONGEST_EJECTION
 
@@ -216,4 +216,4 @@
     bench = Bench()
     bench.play("~")
     bench.ejector.keep_only([B])
-    assert bench.standing is Standing.IN_SERVICE
+    assert bench.standing is EjectionState.IN_SERVICE
--- a/tests/test_overload_read_path.py
+++ b/tests/test_overload_read_path.py
@@ -14,7 +14,7 @@
 import pytest
 
 from bramblebeam.core.identity import GroupId, InstanceId
-from bramblebeam.core.overload.ejection import Standing
+from bramblebeam.core.overload.ejection import EjectionState
 from bramblebeam.platform.node import PlatformNode
 from bramblebeam.services.gateway import forwarding
 from bramblebeam.services.gateway.read_targets import ReadTargets
@@ -72,7 +72,7 @@
     return found
 
 
-def standing(world: World, name: str) -> Standing:
+def standing(world: World, name: str) -> EjectionState:
     """Return how a database stands at the callers' node."""
     now = asyncio.get_running_loop().time()
     return targets(world)._ejector.state(InstanceId(name), now)
@@ -121,7 +121,7 @@
         member.fault.silent = False
 
         async with asyncio.timeout(FAR_TOO_LONG):
-            while standing(world, NEAR) is not Standing.IN_SERVICE:
+            while standing(world, NEAR) is not EjectionState.IN_SERVICE:
                 assert await read(world) == [""]
 
 
