--- a/src/bramblebeam/core/overload/ejection.py
+++ b/src/bramblebeam/core/overload/ejection.py
@@ -28,7 +28,7 @@
 FAILED_SHARE = 0.25
 """A database that fails so much of its attempts is ejected: each of these costs a second attempt,
 and its caller the time of both. What is below is a matter of the expected completion."""
-LEAST_ATTEMPTS = 6.0
+MIN_ATTEMPTS = 6.0
 """Attempts (the latest ones) before a share of failures means anything: two in vain out of two
 happen to a healthy database whose connections were reset."""
 ATTEMPTS_HALF_LIFE = 1.0
@@ -108,7 +108,7 @@
     def error_share(self, now: float) -> float:
         """Return the part of the latest attempts that was in vain; few of them tell little."""
         kept = self._kept(now)
-        return self.failures * kept / max(LEAST_ATTEMPTS, self.attempts * kept)
+        return self.failures * kept / max(MIN_ATTEMPTS, self.attempts * kept)
 
     def _kept(self, now: float) -> float:
         """Return how much of the attempts counted so far still counts."""
@@ -203,7 +203,7 @@
         record.count(True, now)
         if self.state(instance, now) is EjectionState.ON_PROBATION:
             return self._eject(instance, record, Cause.FAILING, now)
-        if record.attempts < LEAST_ATTEMPTS or record.error_share(now) < FAILED_SHARE:
+        if record.attempts < MIN_ATTEMPTS or record.error_share(now) < FAILED_SHARE:
             return None
         return self._eject(instance, record, Cause.FAILING, now)
 
--- a/tests/test_overload_ejection.py
+++ b/tests/test_overload_ejection.py
@@ -9,9 +9,9 @@
 from bramblebeam.core.identity import InstanceId
 from bramblebeam.core.overload.ejection import (
     FIRST_EJECTION,
-    LEAST_ATTEMPTS,
     LEAST_SERVED,
     LONGEST_EJECTION,
+    MIN_ATTEMPTS,
     PROBE_INTERVAL,
     PROBES,
     SLOW_FACTOR,
@@ -74,7 +74,7 @@
         pytest.param("--", None, id="two in vain out of two"),
         pytest.param("+" * 20 + "---", None, id="three in vain after many"),
         pytest.param("+++++++++-" * 10, None, id="a tenth in vain"),
-        pytest.param("-" * int(LEAST_ATTEMPTS + 2), Cause.FAILING, id="all in vain"),
+        pytest.param("-" * int(MIN_ATTEMPTS + 2), Cause.FAILING, id="all in vain"),
         pytest.param("+-" * 10, Cause.FAILING, id="half in vain"),
         pytest.param("+++-" * 30, Cause.FAILING, id="a quarter in vain"),
         pytest.param("+" * 20 + "~", Cause.SILENT, id="silence"),
