--- a/src/bramblebeam/core/overload/ejection.py
+++ b/src/bramblebeam/core/overload/ejection.py
@@ -36,7 +36,7 @@
 SLOW_FACTOR = 4.0
 """One that takes so many times as long as the fastest of its group is ejected: a read there lasts
 longer than an attempt in each other database of the group, one after the other."""
-LEAST_SERVED = 8.0
+MIN_SERVED = 8.0
 """Answers (the latest ones) before a database's speed means anything."""
 SPEED_SMOOTHING = 0.1
 """Weight of an answer in a database's usual time: a kind of statement that takes ten times as long
@@ -153,7 +153,7 @@
     def service(self, instance: InstanceId) -> float | None:
         """Return how long a statement usually takes there (seconds); None: too few were seen."""
         record = self._records.get(instance)
-        if record is None or record.served < LEAST_SERVED:
+        if record is None or record.served < MIN_SERVED:
             return None
         return record.seconds
 
--- a/tests/test_overload_ejection.py
+++ b/tests/test_overload_ejection.py
@@ -9,9 +9,9 @@
 from bramblebeam.core.identity import InstanceId
 from bramblebeam.core.overload.ejection import (
     FIRST_EJECTION,
-    LEAST_SERVED,
     LONGEST_EJECTION,
     MIN_ATTEMPTS,
+    MIN_SERVED,
     PROBE_INTERVAL,
     PROBES,
     SLOW_FACTOR,
@@ -109,7 +109,7 @@
     times: float, others: list[float], is_slow: bool
 ) -> None:
     ejector = Ejector()
-    for number in range(int(LEAST_SERVED)):
+    for number in range(int(MIN_SERVED)):
         ejector.record_served(A, SERVICE * times, number * GAP, number * GAP + GAP)
     change = ejector.compare(A, others, 1.0)
     assert (change is not None and change.cause is Cause.SLOW) is is_slow
@@ -117,7 +117,7 @@
 
 def test_a_few_answers_say_nothing_of_speed() -> None:
     ejector = Ejector()
-    for number in range(int(LEAST_SERVED) - 1):
+    for number in range(int(MIN_SERVED) - 1):
         ejector.record_served(A, 1.0, number * GAP, number * GAP + GAP)
     assert ejector.service(A) is None
     assert ejector.compare(A, [SERVICE], 1.0) is None
