--- a/src/bramblebeam/core/overload/ejection.py
+++ b/src/bramblebeam/core/overload/ejection.py
@@ -16,7 +16,7 @@
 FIRST_EJECTION = 0.5
 """Seconds of a first ejection: about as long as a caller that is refused waits before it asks
 again, and long enough for the reads under way there to be answered elsewhere."""
-LONGEST_EJECTION = 2.0
+MAX_EJECTION = 2.0
 """Seconds: one that recovered for good is missed for no longer, however often it had failed. A
 probation in vain costs one read a part of its time; a database that is missed costs each read of
 its region the way to another one."""
@@ -259,7 +259,7 @@
         if record.standing is EjectionState.IN_SERVICE and record.level > 0:
             forgotten = int((now - record.back_at) / CALM_SECONDS)
             record.level = max(0, record.level - forgotten)
-        seconds = min(LONGEST_EJECTION, FIRST_EJECTION * EJECTION_GROWTH**record.level)
+        seconds = min(MAX_EJECTION, FIRST_EJECTION * EJECTION_GROWTH**record.level)
         record.level += 1
         if record.standing is EjectionState.IN_SERVICE:
             record.ejected_at = now
--- a/tests/test_overload_ejection.py
+++ b/tests/test_overload_ejection.py
@@ -9,7 +9,7 @@
 from bramblebeam.core.identity import InstanceId
 from bramblebeam.core.overload.ejection import (
     FIRST_EJECTION,
-    LONGEST_EJECTION,
+    MAX_EJECTION,
     MIN_ATTEMPTS,
     MIN_SERVED,
     PROBE_INTERVAL,
@@ -181,7 +181,7 @@
         bench.come_back()
     seconds = [found.seconds for found in bench.changes if found.state is EjectionState.EJECTED]
     assert seconds[:3] == [FIRST_EJECTION, 2 * FIRST_EJECTION, 4 * FIRST_EJECTION]
-    assert max(seconds) == LONGEST_EJECTION
+    assert max(seconds) == MAX_EJECTION
 
 
 def test_after_a_calm_time_an_ejection_is_as_short_as_the_first() -> None:
