--- a/src/bramblebeam/core/overload/admission.py
+++ b/src/bramblebeam/core/overload/admission.py
@@ -58,7 +58,7 @@
         """Return the shortest wait at a database that may serve it; None: one is not known."""
 
 
-class NothingKnown:
+class NoKnownLoads:
     """Stands for the loads of a node that nobody has told any."""
 
     def wait(self, group: GroupId, at_leader: bool, now: float) -> KnownWait | None:
--- a/src/bramblebeam/services/gateway/load_control.py
+++ b/src/bramblebeam/services/gateway/load_control.py
@@ -11,7 +11,7 @@
 from bramblebeam.core.overload.admission import (
     KnownLoads,
     KnownWait,
-    NothingKnown,
+    NoKnownLoads,
     RefusalCause,
     refuse_early,
 )
@@ -49,7 +49,7 @@
 
     def __init__(self, context: GatewayContext) -> None:
         self.enabled = context.overload.enabled
-        self.known: KnownLoads = NothingKnown()
+        self.known: KnownLoads = NoKnownLoads()
         self._context = context
         self._returns = RetrySchedules()
         self._budgets = AttemptBudgets()
--- a/tests/test_overload_admission.py
+++ b/tests/test_overload_admission.py
@@ -12,7 +12,7 @@
     AdmissionRecord,
     AdmissionRecords,
     KnownWait,
-    NothingKnown,
+    NoKnownLoads,
     refuse_early,
 )
 from bramblebeam.core.overload.ports import Estimate
@@ -91,7 +91,7 @@
 
 
 def test_a_node_that_nobody_told_anything_knows_no_wait() -> None:
-    assert NothingKnown().wait(group=None, at_leader=True, now=NOW) is None  # type: ignore[arg-type]
+    assert NoKnownLoads().wait(group=None, at_leader=True, now=NOW) is None  # type: ignore[arg-type]
 
 
 def test_a_refusal_was_wrong_if_a_slot_was_free_while_it_could_still_begin() -> None:
