--- a/src/bramblebeam/core/overload/admission.py
+++ b/src/bramblebeam/core/overload/admission.py
@@ -48,7 +48,7 @@
 
     wait: float
     service: Estimate
-    told_at: float
+    reported_at: float
 
 
 class KnownLoads(Protocol):
@@ -84,7 +84,7 @@
     by the ratio of their weights. `known` None: nothing was told. `returns`: its caller was refused
     before, and comes back at the moment that it was promised.
     """
-    if known is None or known.wait <= 0.0 or now - known.told_at > STALE_SECONDS:
+    if known is None or known.wait <= 0.0 or now - known.reported_at > STALE_SECONDS:
         return None
     wait = _shortest_wait(known, ranks_below, now)
     service = max(0.0, known.service.mean - known.service.spread)
@@ -99,7 +99,7 @@
 def _shortest_wait(known: KnownWait, ranks_below: int, now: float) -> float:
     """Return the wait if nobody has joined the queue since it was told of (seconds)."""
     ahead = known.wait / CLASS_WEIGHT_RATIO ** max(0, ranks_below)
-    return max(0.0, ahead - max(0.0, now - known.told_at))
+    return max(0.0, ahead - max(0.0, now - known.reported_at))
 
 
 class AdmissionFigures(NamedTuple):
--- a/src/bramblebeam/services/gateway/load_control.py
+++ b/src/bramblebeam/services/gateway/load_control.py
@@ -100,7 +100,7 @@
             group=request.route.group,
             cause=cause.value,
             wait_ms=round(known.wait * _MILLISECONDS),
-            told_ms_ago=round((self._context.now() - known.told_at) * _MILLISECONDS),
+            told_ms_ago=round((self._context.now() - known.reported_at) * _MILLISECONDS),
             returns=returns,
             retry_after_ms=retry_after_ms,
         )
