--- a/src/bramblebeam/core/overload/admission.py
+++ b/src/bramblebeam/core/overload/admission.py
@@ -111,7 +111,7 @@
     """
 
     refused_wrongly: int
-    held_in_vain: int
+    wasted_waits: int
 
 
 class AdmissionRecord:
@@ -177,4 +177,4 @@
 
 def _sum(told: list[AdmissionFigures]) -> AdmissionFigures:
     wrongly = sum(figures.refused_wrongly for figures in told)
-    return AdmissionFigures(wrongly, sum(figures.held_in_vain for figures in told))
+    return AdmissionFigures(wrongly, sum(figures.wasted_waits for figures in told))
--- a/src/bramblebeam/services/gateway/metrics.py
+++ b/src/bramblebeam/services/gateway/metrics.py
@@ -241,7 +241,7 @@
             "bramblebeam_held_in_vain",
             "Statements refused after a quarter and more of the time in which they were wanted.",
             (),
-            {(): figures.held_in_vain},
+            {(): figures.wasted_waits},
         )
         yield self._counter(
             "bramblebeam_withdrawn",
--- a/tests/test_overload_admission.py
+++ b/tests/test_overload_admission.py
@@ -119,7 +119,7 @@
 def test_who_waits_long_and_is_refused_was_held_in_vain(waited: float, in_vain: int) -> None:
     record = AdmissionRecord()
     record.ended_without_begin(waited, wanted_within=0.4)
-    assert record.figures().held_in_vain == in_vain
+    assert record.figures().wasted_waits == in_vain
 
 
 def test_a_slot_that_is_free_elsewhere_makes_no_refusal_wrong() -> None:
@@ -172,7 +172,7 @@
     for name, policy in policies.items():
         callers = Callers(policy)
         seen = callers.play(arrivals(seed, lambda now: load, 10.0), 10.0)
-        held[name] = callers.record.figures().held_in_vain
+        held[name] = callers.record.figures().wasted_waits
         wrong[name] = callers.record.figures().refused_wrongly
         refused[name] = seen.refused.total()
     offered = load * CAPACITY * 10.0
