--- a/src/bramblebeam/core/overload/admission.py
+++ b/src/bramblebeam/core/overload/admission.py
@@ -110,7 +110,7 @@
     a repeat.
     """
 
-    refused_wrongly: int
+    wrong_refusals: int
     wasted_waits: int
 
 
@@ -176,5 +176,5 @@
 
 
 def _sum(told: list[AdmissionFigures]) -> AdmissionFigures:
-    wrongly = sum(figures.refused_wrongly for figures in told)
+    wrongly = sum(figures.wrong_refusals for figures in told)
     return AdmissionFigures(wrongly, sum(figures.wasted_waits for figures in told))
--- a/src/bramblebeam/services/gateway/metrics.py
+++ b/src/bramblebeam/services/gateway/metrics.py
@@ -235,7 +235,7 @@
             "bramblebeam_refused_wrongly",
             "Of those, such as a database would have had room for in time.",
             (),
-            {(): figures.refused_wrongly},
+            {(): figures.wrong_refusals},
         )
         yield self._counter(
             "bramblebeam_held_in_vain",
--- a/tests/test_overload_admission.py
+++ b/tests/test_overload_admission.py
@@ -99,9 +99,9 @@
     record.refused(work(timeout=1.0, aim=1.5), 0.02, NOW)
     record.refused(work(timeout=3.0, aim=2.5), 0.02, NOW)
     record.saw_idle(NOW + 2.0)
-    assert record.figures().refused_wrongly == 1
+    assert record.figures().wrong_refusals == 1
     record.saw_idle(NOW + 2.5)
-    assert record.figures().refused_wrongly == 1, "each is counted once"
+    assert record.figures().wrong_refusals == 1, "each is counted once"
 
 
 def test_refusals_without_end_are_remembered_up_to_a_bound() -> None:
@@ -109,7 +109,7 @@
     for _ in range(10 * MOST_WATCHED):
         record.refused(work(), 0.02, NOW)
     record.saw_idle(NOW)
-    assert record.figures().refused_wrongly == MOST_WATCHED
+    assert record.figures().wrong_refusals == MOST_WATCHED
 
 
 @pytest.mark.parametrize(
@@ -128,10 +128,10 @@
     records.of(first, at_leader=True).refused(work(), 0.02, NOW)
     records.of(first, at_leader=False).saw_idle(NOW)
     records.of(second, at_leader=True).saw_idle(NOW)
-    assert records.figures().refused_wrongly == 0
+    assert records.figures().wrong_refusals == 0
     records.of(first, at_leader=True).saw_idle(NOW)
     records.keep_only(frozenset({second}))
-    assert records.figures().refused_wrongly == 1, "what was counted stays counted"
+    assert records.figures().wrong_refusals == 1, "what was counted stays counted"
 
 
 # Loads, against a database of five slots that serves first come.
@@ -173,7 +173,7 @@
         callers = Callers(policy)
         seen = callers.play(arrivals(seed, lambda now: load, 10.0), 10.0)
         held[name] = callers.record.figures().wasted_waits
-        wrong[name] = callers.record.figures().refused_wrongly
+        wrong[name] = callers.record.figures().wrong_refusals
         refused[name] = seen.refused.total()
     offered = load * CAPACITY * 10.0
     assert held["with"] <= 0.01 * offered
