--- a/src/bramblebeam/core/overload/admission.py
+++ b/src/bramblebeam/core/overload/admission.py
@@ -128,7 +128,7 @@
         if len(self._latest_begins) < MOST_WATCHED:
             heapq.heappush(self._latest_begins, min(work.soft_deadline, work.deadline) - service)
 
-    def saw_idle(self, now: float) -> None:
+    def record_idle_slot(self, now: float) -> None:
         """A slot is free and nobody waits: whatever could still begin was refused wrongly."""
         self._forget(now)
         self._refused_wrongly += len(self._latest_begins)
--- a/src/bramblebeam/services/gateway/load_control.py
+++ b/src/bramblebeam/services/gateway/load_control.py
@@ -76,7 +76,7 @@
             return None
         record = self._context.metrics.admission.of(request.route.group, at_leader)
         if known.wait <= 0.0:
-            record.saw_idle(now)
+            record.record_idle_slot(now)
             return None
         work = request.work()
         returns = is_scheduled_retry(request.session.returns_at, now)
--- a/tests/overload_callers.py
+++ b/tests/overload_callers.py
@@ -167,7 +167,7 @@
             self.seen.begun_for_nobody += caller.has_left(self._now)
             self._at(self._now + caller.service, lambda found=attempt: self._end(found))  # type: ignore[misc]
         if self._running < SLOTS:
-            self.record.saw_idle(self._now)
+            self.record.record_idle_slot(self._now)
 
     def _end(self, attempt: Attempt) -> None:
         self._running -= 1
--- a/tests/test_overload_admission.py
+++ b/tests/test_overload_admission.py
@@ -98,9 +98,9 @@
     record = AdmissionRecord()
     record.refused(work(timeout=1.0, aim=1.5), 0.02, NOW)
     record.refused(work(timeout=3.0, aim=2.5), 0.02, NOW)
-    record.saw_idle(NOW + 2.0)
+    record.record_idle_slot(NOW + 2.0)
     assert record.figures().wrong_refusals == 1
-    record.saw_idle(NOW + 2.5)
+    record.record_idle_slot(NOW + 2.5)
     assert record.figures().wrong_refusals == 1, "each is counted once"
 
 
@@ -108,7 +108,7 @@
     record = AdmissionRecord()
     for _ in range(10 * MOST_WATCHED):
         record.refused(work(), 0.02, NOW)
-    record.saw_idle(NOW)
+    record.record_idle_slot(NOW)
     assert record.figures().wrong_refusals == MOST_WATCHED
 
 
@@ -126,10 +126,10 @@
     records = AdmissionRecords()
     first, second = GroupId("first"), GroupId("second")
     records.of(first, at_leader=True).refused(work(), 0.02, NOW)
-    records.of(first, at_leader=False).saw_idle(NOW)
-    records.of(second, at_leader=True).saw_idle(NOW)
+    records.of(first, at_leader=False).record_idle_slot(NOW)
+    records.of(second, at_leader=True).record_idle_slot(NOW)
     assert records.figures().wrong_refusals == 0
-    records.of(first, at_leader=True).saw_idle(NOW)
+    records.of(first, at_leader=True).record_idle_slot(NOW)
     records.keep_only(frozenset({second}))
     assert records.figures().wrong_refusals == 1, "what was counted stays counted"
 
