--- a/src/bramblebeam/core/overload/admission.py
+++ b/src/bramblebeam/core/overload/admission.py
@@ -134,7 +134,7 @@
         self._refused_wrongly += len(self._latest_begins)
         self._latest_begins.clear()
 
-    def ended_without_begin(self, waited: float, wanted_within: float) -> None:
+    def record_unstarted(self, waited: float, wanted_within: float) -> None:
         """Count a statement that was refused without having begun if it waited for long.
 
         `wanted_within`: from its arrival to when its answer was wanted (seconds).
--- a/src/bramblebeam/services/gateway/load_control.py
+++ b/src/bramblebeam/services/gateway/load_control.py
@@ -159,7 +159,7 @@
         session.returns_at = now + refusal.retry_after_ms / _MILLISECONDS
         wanted_within = min(route.target, route.timeout)
         record = self._context.metrics.admission.of(route.group, self._context.needs_leader(route))
-        record.ended_without_begin(now - arrived, wanted_within)
+        record.record_unstarted(now - arrived, wanted_within)
 
     # Second attempts.
 
--- a/tests/overload_callers.py
+++ b/tests/overload_callers.py
@@ -160,7 +160,7 @@
             if self._policy.withdraws and caller.has_left(self._now):
                 continue
             if self._now + SERVICE > attempt.work.deadline:
-                self.record.ended_without_begin(self._now - attempt.work.arrived, AIM)
+                self.record.record_unstarted(self._now - attempt.work.arrived, AIM)
                 self._refuse(caller, "after_waiting", 0.0)
                 continue
             self._running += 1
--- a/tests/test_overload_admission.py
+++ b/tests/test_overload_admission.py
@@ -118,7 +118,7 @@
 )
 def test_who_waits_long_and_is_refused_was_held_in_vain(waited: float, in_vain: int) -> None:
     record = AdmissionRecord()
-    record.ended_without_begin(waited, wanted_within=0.4)
+    record.record_unstarted(waited, wanted_within=0.4)
     assert record.figures().wasted_waits == in_vain
 
 
