--- a/src/bramblebeam/core/overload/admission.py
+++ b/src/bramblebeam/core/overload/admission.py
@@ -142,7 +142,7 @@
         if waited > VAIN_SHARE * wanted_within:
             self._held_in_vain += 1
 
-    def figures(self) -> AdmissionFigures:
+    def counts(self) -> AdmissionFigures:
         """Return the counts so far."""
         return AdmissionFigures(self._refused_wrongly, self._held_in_vain)
 
@@ -166,12 +166,12 @@
     def keep_only(self, groups: frozenset[GroupId]) -> None:
         """Forget groups that are configured no more, but for what was counted."""
         gone = [found for key, found in self._records.items() if key[0] not in groups]
-        self._forgotten = _sum([self._forgotten, *(found.figures() for found in gone)])
+        self._forgotten = _sum([self._forgotten, *(found.counts() for found in gone)])
         self._records = {key: found for key, found in self._records.items() if key[0] in groups}
 
     def figures(self) -> AdmissionFigures:
         """Return the counts of all queues so far."""
-        told = [found.figures() for found in self._records.values()]
+        told = [found.counts() for found in self._records.values()]
         return _sum([self._forgotten, *told])
 
 
--- a/tests/test_overload_admission.py
+++ b/tests/test_overload_admission.py
@@ -99,9 +99,9 @@
     record.refused(work(timeout=1.0, aim=1.5), 0.02, NOW)
     record.refused(work(timeout=3.0, aim=2.5), 0.02, NOW)
     record.record_idle_slot(NOW + 2.0)
-    assert record.figures().wrong_refusals == 1
+    assert record.counts().wrong_refusals == 1
     record.record_idle_slot(NOW + 2.5)
-    assert record.figures().wrong_refusals == 1, "each is counted once"
+    assert record.counts().wrong_refusals == 1, "each is counted once"
 
 
 def test_refusals_without_end_are_remembered_up_to_a_bound() -> None:
@@ -109,7 +109,7 @@
     for _ in range(10 * MOST_WATCHED):
         record.refused(work(), 0.02, NOW)
     record.record_idle_slot(NOW)
-    assert record.figures().wrong_refusals == MOST_WATCHED
+    assert record.counts().wrong_refusals == MOST_WATCHED
 
 
 @pytest.mark.parametrize(
@@ -119,7 +119,7 @@
 def test_who_waits_long_and_is_refused_was_held_in_vain(waited: float, in_vain: int) -> None:
     record = AdmissionRecord()
     record.record_unstarted(waited, wanted_within=0.4)
-    assert record.figures().wasted_waits == in_vain
+    assert record.counts().wasted_waits == in_vain
 
 
 def test_a_slot_that_is_free_elsewhere_makes_no_refusal_wrong() -> None:
@@ -172,8 +172,8 @@
     for name, policy in policies.items():
         callers = Callers(policy)
         seen = callers.play(arrivals(seed, lambda now: load, 10.0), 10.0)
-        held[name] = callers.record.figures().wasted_waits
-        wrong[name] = callers.record.figures().wrong_refusals
+        held[name] = callers.record.counts().wasted_waits
+        wrong[name] = callers.record.counts().wrong_refusals
         refused[name] = seen.refused.total()
     offered = load * CAPACITY * 10.0
     assert held["with"] <= 0.01 * offered
