--- a/src/bramblebeam/core/overload/admission.py
+++ b/src/bramblebeam/core/overload/admission.py
@@ -169,7 +169,7 @@
         self._forgotten = _sum([self._forgotten, *(found.counts() for found in gone)])
         self._records = {key: found for key, found in self._records.items() if key[0] in groups}
 
-    def figures(self) -> AdmissionFigures:
+    def counts(self) -> AdmissionFigures:
         """Return the counts of all queues so far."""
         told = [found.counts() for found in self._records.values()]
         return _sum([self._forgotten, *told])
--- a/src/bramblebeam/services/gateway/metrics.py
+++ b/src/bramblebeam/services/gateway/metrics.py
@@ -224,7 +224,7 @@
 
     def _load_families(self) -> Iterator[CounterMetricFamily]:
         """Yield what was decided under load."""
-        figures = self.admission.figures()
+        figures = self.admission.counts()
         yield self._counter(
             "bramblebeam_refused_early",
             "Statements refused as they arrived.",
--- a/tests/test_overload_admission.py
+++ b/tests/test_overload_admission.py
@@ -128,10 +128,10 @@
     records.of(first, at_leader=True).refused(work(), 0.02, NOW)
     records.of(first, at_leader=False).record_idle_slot(NOW)
     records.of(second, at_leader=True).record_idle_slot(NOW)
-    assert records.figures().wrong_refusals == 0
+    assert records.counts().wrong_refusals == 0
     records.of(first, at_leader=True).record_idle_slot(NOW)
     records.keep_only(frozenset({second}))
-    assert records.figures().wrong_refusals == 1, "what was counted stays counted"
+    assert records.counts().wrong_refusals == 1, "what was counted stays counted"
 
 
 # Loads, against a database of five slots that serves first come.
