--- a/src/bramblebeam/core/overload/admission.py
+++ b/src/bramblebeam/core/overload/admission.py
@@ -102,7 +102,7 @@
     return max(0.0, ahead - max(0.0, now - known.reported_at))
 
 
-class AdmissionFigures(NamedTuple):
+class AdmissionCounts(NamedTuple):
     """Counts of one node. Each refusal is counted by its cause elsewhere.
 
     `refused_wrongly`: a database had a free slot and nobody waiting while a refused statement could
@@ -142,9 +142,9 @@
         if waited > VAIN_SHARE * wanted_within:
             self._held_in_vain += 1
 
-    def counts(self) -> AdmissionFigures:
+    def counts(self) -> AdmissionCounts:
         """Return the counts so far."""
-        return AdmissionFigures(self._refused_wrongly, self._held_in_vain)
+        return AdmissionCounts(self._refused_wrongly, self._held_in_vain)
 
     def _forget(self, now: float) -> None:
         """Drop the refused that could not begin any more: they were refused rightly."""
@@ -157,7 +157,7 @@
 
     def __init__(self) -> None:
         self._records: dict[tuple[GroupId, bool], AdmissionRecord] = {}
-        self._forgotten = AdmissionFigures(0, 0)
+        self._forgotten = AdmissionCounts(0, 0)
 
     def of(self, group: GroupId, at_leader: bool) -> AdmissionRecord:
         """Return the record of what a group's leader, or any of its databases, has to run."""
@@ -169,12 +169,12 @@
         self._forgotten = _sum([self._forgotten, *(found.counts() for found in gone)])
         self._records = {key: found for key, found in self._records.items() if key[0] in groups}
 
-    def counts(self) -> AdmissionFigures:
+    def counts(self) -> AdmissionCounts:
         """Return the counts of all queues so far."""
         told = [found.counts() for found in self._records.values()]
         return _sum([self._forgotten, *told])
 
 
-def _sum(told: list[AdmissionFigures]) -> AdmissionFigures:
+def _sum(told: list[AdmissionCounts]) -> AdmissionCounts:
     wrongly = sum(figures.wrong_refusals for figures in told)
-    return AdmissionFigures(wrongly, sum(figures.wasted_waits for figures in told))
+    return AdmissionCounts(wrongly, sum(figures.wasted_waits for figures in told))
