--- a/src/bramblebeam/core/overload/admission.py
+++ b/src/bramblebeam/core/overload/admission.py
@@ -26,7 +26,7 @@
 STALE_SECONDS = 0.5
 """A wait that was told so long ago refuses nothing: a queue that is longer than that has been told
 of again since by any answer, and one without an answer may be another one by now."""
-WAIT_SHARE = 0.4
+MAX_WAIT_SHARE = 0.4
 """So much of the time within which its answer is wanted a statement may wait: the rest is for the
 way, the service, and what joins the queue until its length is told again."""
 RETURN_WAIT_SHARE = 0.5
@@ -88,12 +88,12 @@
         return None
     wait = _shortest_wait(known, ranks_below, now)
     service = max(0.0, known.service.mean - known.service.spread)
-    share = RETURN_WAIT_SHARE if returns else WAIT_SHARE
+    share = RETURN_WAIT_SHARE if returns else MAX_WAIT_SHARE
     wanted_within = min(work.soft_deadline, work.deadline) - work.arrived
     is_soon = wait <= share * wanted_within
     if is_soon and now + wait + service <= work.deadline:
         return None
-    return Refused(max(0.0, wait - WAIT_SHARE * wanted_within))
+    return Refused(max(0.0, wait - MAX_WAIT_SHARE * wanted_within))
 
 
 def _shortest_wait(known: KnownWait, ranks_below: int, now: float) -> float:
--- a/tests/test_overload_admission.py
+++ b/tests/test_overload_admission.py
@@ -6,9 +6,9 @@
 
 from bramblebeam.core.identity import GroupId
 from bramblebeam.core.overload.admission import (
+    MAX_WAIT_SHARE,
     MOST_WATCHED,
     STALE_SECONDS,
-    WAIT_SHARE,
     AdmissionRecord,
     AdmissionRecords,
     KnownWait,
@@ -29,7 +29,7 @@
 )
 
 NOW = 100.0
-MOST_WAIT = WAIT_SHARE * 0.4
+MOST_WAIT = MAX_WAIT_SHARE * 0.4
 """Of `work()`, whose answer is wanted within 0.4 s."""
 SEEDS = range(5)
 
@@ -200,5 +200,5 @@
 
 def test_a_deadline_before_the_aim_bounds_the_wait() -> None:
     early = work(timeout=0.2, aim=9.0)
-    assert refuse_early(early, told(0.9 * WAIT_SHARE * 0.2), 0, NOW) is None
-    assert refuse_early(early, told(1.1 * WAIT_SHARE * 0.2), 0, NOW) is not None
+    assert refuse_early(early, told(0.9 * MAX_WAIT_SHARE * 0.2), 0, NOW) is None
+    assert refuse_early(early, told(1.1 * MAX_WAIT_SHARE * 0.2), 0, NOW) is not None
