--- a/src/bramblebeam/core/overload/admission.py
+++ b/src/bramblebeam/core/overload/admission.py
@@ -35,7 +35,7 @@
 VAIN_SHARE = 0.25
 """Whoever is refused after so much of the time within which the answer was wanted was held in vain:
 a repeat that begins so late has three quarters of it left, of which the way takes a part."""
-MOST_WATCHED = 1_024
+MAX_TRACKED_REFUSALS = 1_024
 """Refusals that are remembered until it is known whether there was room after all."""
 
 
@@ -125,7 +125,7 @@
     def refused(self, work: Work, service: float, now: float) -> None:
         """Watch a statement that was refused as it arrived."""
         self._forget(now)
-        if len(self._latest_begins) < MOST_WATCHED:
+        if len(self._latest_begins) < MAX_TRACKED_REFUSALS:
             heapq.heappush(self._latest_begins, min(work.soft_deadline, work.deadline) - service)
 
     def record_idle_slot(self, now: float) -> None:
--- a/tests/test_overload_admission.py
+++ b/tests/test_overload_admission.py
@@ -6,8 +6,8 @@
 
 from bramblebeam.core.identity import GroupId
 from bramblebeam.core.overload.admission import (
+    MAX_TRACKED_REFUSALS,
     MAX_WAIT_SHARE,
-    MOST_WATCHED,
     STALE_SECONDS,
     AdmissionRecord,
     AdmissionRecords,
@@ -106,10 +106,10 @@
 
 def test_refusals_without_end_are_remembered_up_to_a_bound() -> None:
     record = AdmissionRecord()
-    for _ in range(10 * MOST_WATCHED):
+    for _ in range(10 * MAX_TRACKED_REFUSALS):
         record.refused(work(), 0.02, NOW)
     record.record_idle_slot(NOW)
-    assert record.counts().wrong_refusals == MOST_WATCHED
+    assert record.counts().wrong_refusals == MAX_TRACKED_REFUSALS
 
 
 @pytest.mark.parametrize(
