--- a/src/bramblebeam/core/overload/scheduler.py
+++ b/src/bramblebeam/core/overload/scheduler.py
@@ -118,7 +118,7 @@
         self._demands: dict[int, Demand] = {}
 
     @property
-    def under_way(self) -> int:
+    def in_flight(self) -> int:
         """Statements that have begun and not ended."""
         return len(self._running)
 
--- a/src/bramblebeam/services/gateway/slot_queue.py
+++ b/src/bramblebeam/services/gateway/slot_queue.py
@@ -73,7 +73,7 @@
     @property
     def under_way(self) -> int:
         """Statements that hold a permit."""
-        return self._scheduler.under_way
+        return self._scheduler.in_flight
 
     def allow(self, slots: int, allowance: int) -> None:
         """Take other bounds, as the members or what the database tells of itself changed."""
--- a/tests/overload_slots.py
+++ b/tests/overload_slots.py
@@ -196,7 +196,7 @@
         self._statements[number] = statement
         refused = self.scheduler.offer(number, statement.work, now)
         if refused is not None:
-            self.outcome.refused_with_room += self.scheduler.under_way < SLOTS
+            self.outcome.refused_with_room += self.scheduler.in_flight < SLOTS
             self._refused(number, refused.room_in, now)
         elif (due := self.scheduler.due) is not None:
             self.at(max(now, due), lambda moment: None)
@@ -223,7 +223,7 @@
 
     def _begin(self, number: int, now: float) -> None:
         self._began[number] = now
-        self.outcome.most_under_way = max(self.outcome.most_under_way, self.scheduler.under_way)
+        self.outcome.most_under_way = max(self.outcome.most_under_way, self.scheduler.in_flight)
         self.at(now + WAY / 2, lambda moment: self._reach(number, moment))
 
     def _reach(self, number: int, now: float) -> None:
