--- a/src/bramblebeam/core/overload/scheduler.py
+++ b/src/bramblebeam/core/overload/scheduler.py
@@ -232,7 +232,7 @@
 
     # Ends.
 
-    def expired(self, now: float) -> list[tuple[int, Refused]]:
+    def pop_expired(self, now: float) -> list[tuple[int, Refused]]:
         """Return and forget those that can't begin in time any more."""
         self._review(now)
         expired = self._expired
--- a/src/bramblebeam/services/gateway/slot_queue.py
+++ b/src/bramblebeam/services/gateway/slot_queue.py
@@ -186,7 +186,7 @@
     def _refuse_expired(self) -> None:
         self._timer = None
         now = loop_time()
-        for number, refused in self._scheduler.expired(now):
+        for number, refused in self._scheduler.pop_expired(now):
             future = self._waiting.pop(number, None)
             if future is not None and not future.done():
                 future.set_exception(NoSlotError(refused))
--- a/tests/overload_slots.py
+++ b/tests/overload_slots.py
@@ -216,7 +216,7 @@
     def _step(self, now: float) -> None:
         while (number := self.scheduler.next(now)) is not None:
             self._begin(number, now)
-        for number, refused in self.scheduler.expired(now):
+        for number, refused in self.scheduler.pop_expired(now):
             self._refused(number, refused.room_in, now)
         if (due := self.scheduler.due) is not None and not self._events:
             self.at(max(now, due), lambda moment: None)
--- a/tests/test_overload_scheduler.py
+++ b/tests/test_overload_scheduler.py
@@ -266,12 +266,12 @@
     assert found.next(0.0) == 0
     assert found.offer(1, work(aim=1.0, deadline=1.0), 0.0) is None
     assert found.due is not None
-    assert found.expired(0.5) == []
+    assert found.pop_expired(0.5) == []
     # It stood still meanwhile: nothing that expired begins.
     found.finished(0, None, 1.0)
     assert found.next(1.0) is None
-    assert [number for number, _ in found.expired(1.0)] == [1]
-    assert found.expired(1.0) == []
+    assert [number for number, _ in found.pop_expired(1.0)] == [1]
+    assert found.pop_expired(1.0) == []
     assert (found.waiting, found.due) == (0, None)
 
 
