--- a/src/bramblebeam/core/overload/scheduler.py
+++ b/src/bramblebeam/core/overload/scheduler.py
@@ -38,7 +38,7 @@
 likely than it still runs: of usual service times one in a thousand is as long."""
 OVERDUE_SECONDS = 0.15
 """Sooner no statement is overdue, however short its kind: a pause of a process lasts as long."""
-OVERDUE_LIMITS = 3
+OVERDUE_LIMIT_FACTOR = 3
 """Statements that are overdue free their slots for others, so many times the limit at most: a
 database that hangs gets no more than that beside its limit."""
 SPARE_DUE = 64
@@ -277,7 +277,7 @@
         if begun < allowed:
             return True
         self._note_overdue(now)
-        return begun - min(len(self._overdue), OVERDUE_LIMITS * allowed) < allowed
+        return begun - min(len(self._overdue), OVERDUE_LIMIT_FACTOR * allowed) < allowed
 
     def _note_overdue(self, now: float) -> None:
         while self._overdue_at and self._overdue_at[0].at <= now:
--- a/tests/test_overload_scheduler.py
+++ b/tests/test_overload_scheduler.py
@@ -8,7 +8,7 @@
 from bramblebeam.core.identity import InstanceId
 from bramblebeam.core.overload.limits import AdaptiveLimit, SlotAllowance
 from bramblebeam.core.overload.ports import SlotLimit
-from bramblebeam.core.overload.scheduler import OVERDUE_LIMITS, OVERDUE_SECONDS, SlotScheduler
+from bramblebeam.core.overload.scheduler import OVERDUE_LIMIT_FACTOR, OVERDUE_SECONDS, SlotScheduler
 from bramblebeam.core.overload.service_times import ASSUMED_SECONDS, KindTimes
 from bramblebeam.core.overload.settings import OverloadSettings
 from bramblebeam.core.overload.work import Work, WorkKind
@@ -84,7 +84,7 @@
         now = number * OVERDUE_SECONDS
         if scheduler.offer(number, a_work(now), now) is None:
             under_way += begun(scheduler, now)
-    assert len(under_way) == 2 + OVERDUE_LIMITS * 2
+    assert len(under_way) == 2 + OVERDUE_LIMIT_FACTOR * 2
 
 
 # Whole loads, played in virtual time.
