--- a/src/bramblebeam/core/overload/scheduler.py
+++ b/src/bramblebeam/core/overload/scheduler.py
@@ -14,7 +14,7 @@
 from bramblebeam.core.overload.service_times import KindTimes
 from bramblebeam.core.overload.settings import OverloadSettings
 from bramblebeam.core.overload.work import Work
-from bramblebeam.core.overload.work_queue import ClassedQueue, Waiting, class_of
+from bramblebeam.core.overload.work_queue import ClassedQueue, WaitingStatement, class_of
 
 RESERVED_INSIDE = 2
 """Statements of open transactions that may be under way beside a full limit. Those that hold the
@@ -60,7 +60,7 @@
     """One that waits, and the last moments to begin by its aim and by its deadline."""
 
     tier: _Tier
-    waiting: Waiting
+    waiting: WaitingStatement
     aim_start: float
     last_start: float
 
@@ -68,7 +68,7 @@
 class _Running(NamedTuple):
     """One that has begun."""
 
-    waiting: Waiting
+    waiting: WaitingStatement
     began: float
 
 
@@ -105,8 +105,8 @@
         self._times = times
         self._longest_queue = settings.longest_queue
         self._places: dict[int, _Place] = {}
-        self._at_once: deque[Waiting] = deque()
-        self._inside: dict[int, Waiting] = {}
+        self._at_once: deque[WaitingStatement] = deque()
+        self._inside: dict[int, WaitingStatement] = {}
         self._timely = ClassedQueue(settings.class_weight_ratio)
         self._late = ClassedQueue(settings.class_weight_ratio)
         self._due: list[_Due] = []
@@ -139,7 +139,7 @@
     def offer(self, number: int, work: Work, now: float) -> Refused | None:
         """Let a statement wait, or refuse it at once."""
         estimate = self._times.expect(work.kind)
-        waiting = Waiting(number, work, estimate.mean)
+        waiting = WaitingStatement(number, work, estimate.mean)
         if not self._places and self._has_room(now):
             self._note_demand(waiting, now)
             self._at_once.append(waiting)
@@ -191,7 +191,7 @@
         others = sum(rate for known, rate in demands.items() if known != own)
         return max(allowed - others, allowed * self._timely.share_of(own, demands))
 
-    def _note_demand(self, waiting: Waiting, now: float) -> None:
+    def _note_demand(self, waiting: WaitingStatement, now: float) -> None:
         demand = self._demands.setdefault(class_of(waiting.work), Demand())
         demand.note(waiting.cost, now)
 
@@ -223,7 +223,7 @@
         del self._places[waiting.number]
         return self._begin(waiting, now)
 
-    def _begin(self, waiting: Waiting, now: float) -> int:
+    def _begin(self, waiting: WaitingStatement, now: float) -> int:
         self._running[waiting.number] = _Running(waiting, now)
         overdue_at = now + max(OVERDUE_SECONDS, OVERDUE_FACTOR * waiting.cost)
         heapq.heappush(self._overdue_at, _Overdue(overdue_at, waiting.number))
@@ -341,7 +341,7 @@
                 self._expired.append((due.number, self._refused(place, wait, now)))
 
 
-def _place_of(waiting: Waiting, estimate: Estimate, now: float) -> _Place:
+def _place_of(waiting: WaitingStatement, estimate: Estimate, now: float) -> _Place:
     """Return where a statement waits."""
     work = waiting.work
     needed = estimate.mean + SPREADS * estimate.spread
--- a/src/bramblebeam/core/overload/work_queue.py
+++ b/src/bramblebeam/core/overload/work_queue.py
@@ -23,7 +23,7 @@
 """Lower ones share this class: its weight is a small part of a thousandth already."""
 
 
-class Waiting(NamedTuple):
+class WaitingStatement(NamedTuple):
     """A statement that waits. `cost`: its expected time at the database (seconds)."""
 
     number: int
@@ -39,12 +39,12 @@
         self._since = since
         self._begun = Demand()
         self._order: list[tuple[float, int]] = []
-        self._waiting: dict[int, Waiting] = {}
+        self._waiting: dict[int, WaitingStatement] = {}
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def add(self, waiting: Waiting, ends: float) -> None:
+    def add(self, waiting: WaitingStatement, ends: float) -> None:
         self._waiting[waiting.number] = waiting
         self.work += waiting.cost
         heapq.heappush(self._order, (ends, waiting.number))
@@ -52,7 +52,7 @@
     def remove(self, number: int) -> None:
         self.work -= self._waiting.pop(number).cost
 
-    def take(self, waiting: Waiting, now: float) -> None:
+    def take(self, waiting: WaitingStatement, now: float) -> None:
         self._begun.note(waiting.cost, now)
         self.remove(waiting.number)
 
@@ -66,7 +66,7 @@
         pace = self._begun.rate(now) / -math.expm1(-(now - self._since) / MEMORY_SECONDS)
         return self.work / pace if pace else math.inf
 
-    def first(self) -> Waiting:
+    def first(self) -> WaitingStatement:
         while self._order[0][1] not in self._waiting:
             heapq.heappop(self._order)
         return self._waiting[self._order[0][1]]
@@ -83,7 +83,7 @@
     def __len__(self) -> int:
         return len(self.turns)
 
-    def add(self, waiting: Waiting, ends: float, now: float) -> None:
+    def add(self, waiting: WaitingStatement, ends: float, now: float) -> None:
         tenant = waiting.work.tenant
         if tenant not in self._tenants:
             self._tenants[tenant] = _TenantQueue(now)
@@ -91,21 +91,21 @@
         self._tenants[tenant].add(waiting, ends)
         self.work += waiting.cost
 
-    def remove(self, waiting: Waiting) -> None:
+    def remove(self, waiting: WaitingStatement) -> None:
         tenant = waiting.work.tenant
         self._tenants[tenant].remove(waiting.number)
         self._left(waiting)
 
-    def first(self) -> Waiting:
+    def first(self) -> WaitingStatement:
         return self._tenants[self.turns.next()].first()
 
-    def take(self, waiting: Waiting, now: float) -> None:
+    def take(self, waiting: WaitingStatement, now: float) -> None:
         tenant = waiting.work.tenant
         self.turns.charge(tenant, waiting.cost)
         self._tenants[tenant].take(waiting, now)
         self._left(waiting)
 
-    def _left(self, waiting: Waiting) -> None:
+    def _left(self, waiting: WaitingStatement) -> None:
         self.work -= waiting.cost
         tenant = waiting.work.tenant
         if not self._tenants[tenant]:
@@ -144,7 +144,7 @@
     def __bool__(self) -> bool:
         return bool(self._classes)
 
-    def add(self, waiting: Waiting, ends: float, now: float) -> None:
+    def add(self, waiting: WaitingStatement, ends: float, now: float) -> None:
         """Let one wait whose time ends at `ends`."""
         priority = class_of(waiting.work)
         if priority not in self._classes:
@@ -153,13 +153,13 @@
         self._classes[priority].add(waiting, ends, now)
         self.work += waiting.cost
 
-    def remove(self, waiting: Waiting) -> None:
+    def remove(self, waiting: WaitingStatement) -> None:
         """Take one out that does not wait any more."""
         priority = class_of(waiting.work)
         self._classes[priority].remove(waiting)
         self._left(priority, waiting.cost)
 
-    def take(self, now: float) -> Waiting:
+    def take(self, now: float) -> WaitingStatement:
         """Take out the one that begins next; there must be one."""
         priority = self._turns.next()
         found = self._classes[priority]
--- a/tests/test_overload_work_queue.py
+++ b/tests/test_overload_work_queue.py
@@ -5,16 +5,16 @@
 from bramblebeam.core.gateway.statements import Action
 from bramblebeam.core.overload.shares import TurnsByShare
 from bramblebeam.core.overload.work import Work, WorkKind
-from bramblebeam.core.overload.work_queue import ClassedQueue, Waiting
+from bramblebeam.core.overload.work_queue import ClassedQueue, WaitingStatement
 from bramblebeam.core.tenants import TenantId
 
 COST = 0.02
 
 
-def waiting(number: int, priority: int, tenant: str = "t", cost: float = COST) -> Waiting:
+def waiting(number: int, priority: int, tenant: str = "t", cost: float = COST) -> WaitingStatement:
     kind = WorkKind(f"route{priority}", Action.READ)
     work = Work(kind, TenantId(tenant), priority, 0.0, 1.0, 1.0)
-    return Waiting(number, work, cost)
+    return WaitingStatement(number, work, cost)
 
 
 def taken(queue: ClassedQueue, count: int) -> list[int]:
