--- a/src/bramblebeam/core/overload/scheduler.py
+++ b/src/bramblebeam/core/overload/scheduler.py
@@ -14,7 +14,7 @@
 from bramblebeam.core.overload.service_times import KindTimes
 from bramblebeam.core.overload.settings import OverloadSettings
 from bramblebeam.core.overload.work import Work
-from bramblebeam.core.overload.work_queue import ClassedQueue, WaitingStatement, class_of
+from bramblebeam.core.overload.work_queue import FairQueue, WaitingStatement, class_of
 
 RESERVED_INSIDE = 2
 """Statements of open transactions that may be under way beside a full limit. Those that hold the
@@ -107,8 +107,8 @@
         self._places: dict[int, _Place] = {}
         self._at_once: deque[WaitingStatement] = deque()
         self._inside: dict[int, WaitingStatement] = {}
-        self._timely = ClassedQueue(settings.class_weight_ratio)
-        self._late = ClassedQueue(settings.class_weight_ratio)
+        self._timely = FairQueue(settings.class_weight_ratio)
+        self._late = FairQueue(settings.class_weight_ratio)
         self._due: list[_Due] = []
         self._expired: list[tuple[int, Refused]] = []
         self._running: dict[int, _Running] = {}
--- a/src/bramblebeam/core/overload/work_queue.py
+++ b/src/bramblebeam/core/overload/work_queue.py
@@ -129,7 +129,7 @@
         return self.work * len(self._tenants) / max(1, waiting)
 
 
-class ClassedQueue:
+class FairQueue:
     """Statements in classes by priority, each with a share of the slot time.
 
     `weight_ratio`: the share of a class against that of the next lower priority. `work`: seconds.
--- a/tests/test_overload_work_queue.py
+++ b/tests/test_overload_work_queue.py
@@ -5,7 +5,7 @@
 from bramblebeam.core.gateway.statements import Action
 from bramblebeam.core.overload.shares import TurnsByShare
 from bramblebeam.core.overload.work import Work, WorkKind
-from bramblebeam.core.overload.work_queue import ClassedQueue, WaitingStatement
+from bramblebeam.core.overload.work_queue import FairQueue, WaitingStatement
 from bramblebeam.core.tenants import TenantId
 
 COST = 0.02
@@ -17,13 +17,13 @@
     return WaitingStatement(number, work, cost)
 
 
-def taken(queue: ClassedQueue, count: int) -> list[int]:
+def taken(queue: FairQueue, count: int) -> list[int]:
     return [queue.take(0.0).number for _ in range(count)]
 
 
 def test_turns_cost_time_and_not_a_count() -> None:
     """A kind whose statements take four times as long gets a quarter of the turns."""
-    queue = ClassedQueue(1.0)
+    queue = FairQueue(1.0)
     for number in range(100):
         queue.add(waiting(number, number % 2, cost=(4 - 3 * (number % 2)) * COST), 1.0, 0.0)
     begun = taken(queue, 50)
@@ -81,14 +81,14 @@
 
 @pytest.mark.parametrize("priority", [-5, 10**9])
 def test_a_priority_out_of_bounds_is_a_class_like_any_other(priority: int) -> None:
-    queue = ClassedQueue(2.0)
+    queue = FairQueue(2.0)
     queue.add(waiting(1, priority), 1.0, 0.0)
     assert taken(queue, 1) == [1]
     assert not queue
 
 
 def test_the_work_of_a_queue_that_is_empty_is_zero() -> None:
-    queue = ClassedQueue(2.0)
+    queue = FairQueue(2.0)
     first, second = waiting(1, 0, cost=0.1), waiting(2, 1, cost=0.2)
     queue.add(first, 1.0, 0.0)
     queue.add(second, 1.0, 0.0)
