--- a/src/bramblebeam/core/overload/scheduler.py
+++ b/src/bramblebeam/core/overload/scheduler.py
@@ -138,7 +138,7 @@
 
     def offer(self, number: int, work: Work, now: float) -> Refused | None:
         """Let a statement wait, or refuse it at once."""
-        estimate = self._times.expect(work.kind)
+        estimate = self._times.estimate(work.kind)
         waiting = WaitingStatement(number, work, estimate.mean)
         if not self._places and self._has_room(now):
             self._note_demand(waiting, now)
--- a/src/bramblebeam/core/overload/service_times.py
+++ b/src/bramblebeam/core/overload/service_times.py
@@ -62,7 +62,7 @@
         elif len(self._kinds) < MOST_KINDS:
             self._kinds[kind] = _UNKNOWN.with_time(seconds)
 
-    def expect(self, kind: WorkKind) -> Estimate:
+    def estimate(self, kind: WorkKind) -> Estimate:
         """Return what is to be expected of the next one; the mean of all where none was seen."""
         learned = self._kinds.get(kind, self._all)
         return Estimate(learned.mean, learned.deviation)
--- a/tests/test_overload_limits.py
+++ b/tests/test_overload_limits.py
@@ -75,7 +75,7 @@
 
 
 def test_an_unknown_kind_is_assumed_to_be_short() -> None:
-    assert KindTimes().expect(kind("new")).mean == ASSUMED_SECONDS
+    assert KindTimes().estimate(kind("new")).mean == ASSUMED_SECONDS
 
 
 def test_each_kind_has_its_own_times_and_a_new_one_those_of_all() -> None:
@@ -83,10 +83,10 @@
     for _ in range(100):
         times.note(kind("short"), 0.01)
         times.note(kind("long"), 0.05)
-    assert times.expect(kind("short")).mean == pytest.approx(0.01)
-    assert times.expect(kind("long")).mean == pytest.approx(0.05)
-    assert 0.02 < times.expect(kind("new")).mean < 0.04
-    assert times.expect(kind("new")).spread > 0.01
+    assert times.estimate(kind("short")).mean == pytest.approx(0.01)
+    assert times.estimate(kind("long")).mean == pytest.approx(0.05)
+    assert 0.02 < times.estimate(kind("new")).mean < 0.04
+    assert times.estimate(kind("new")).spread > 0.01
 
 
 def test_a_database_that_became_slow_is_known_after_some_twenty_statements() -> None:
@@ -95,7 +95,7 @@
         times.note(kind("a"), 0.01)
     for _ in range(20):
         times.note(kind("a"), 0.05)
-    assert times.expect(kind("a")).mean > 0.04
+    assert times.estimate(kind("a")).mean > 0.04
 
 
 @pytest.mark.parametrize("seconds", [-0.1, math.nan, math.inf, 1e9])
@@ -103,7 +103,7 @@
     times = KindTimes()
     times.note(kind("a"), 0.01)
     times.note(kind("a"), seconds)
-    assert times.expect(kind("a")).mean == pytest.approx(0.01)
+    assert times.estimate(kind("a")).mean == pytest.approx(0.01)
 
 
 def test_callers_cannot_fill_the_memory_with_kinds() -> None:
