--- a/src/bramblebeam/core/overload/scheduler.py
+++ b/src/bramblebeam/core/overload/scheduler.py
@@ -267,7 +267,7 @@
         if not self._has_room(now) or self._places:
             ahead = self._running_work(now) + self._timely.work
             wait = ahead / self._limit.allowed(now)
-        return DatabaseLoad(self._instance, wait, self._times.usual)
+        return DatabaseLoad(self._instance, wait, self._times.mean)
 
     # Places.
 
--- a/src/bramblebeam/core/overload/service_times.py
+++ b/src/bramblebeam/core/overload/service_times.py
@@ -68,6 +68,6 @@
         return Estimate(learned.mean, learned.deviation)
 
     @property
-    def usual(self) -> float:
+    def mean(self) -> float:
         """The mean time of all statements (seconds)."""
         return self._all.mean
