--- a/src/bramblebeam/core/overload/scheduler.py
+++ b/src/bramblebeam/core/overload/scheduler.py
@@ -11,7 +11,7 @@
 from bramblebeam.core.overload.demand import Demand
 from bramblebeam.core.overload.load import DatabaseLoad
 from bramblebeam.core.overload.ports import Estimate, Refused, SlotLimit
-from bramblebeam.core.overload.service_times import KindTimes
+from bramblebeam.core.overload.service_times import ServiceTimes
 from bramblebeam.core.overload.settings import OverloadSettings
 from bramblebeam.core.overload.work import Work
 from bramblebeam.core.overload.work_queue import FairQueue, WaitingStatement, class_of
@@ -98,7 +98,11 @@
     """
 
     def __init__(
-        self, instance: InstanceId, limit: SlotLimit, times: KindTimes, settings: OverloadSettings
+        self,
+        instance: InstanceId,
+        limit: SlotLimit,
+        times: ServiceTimes,
+        settings: OverloadSettings,
     ) -> None:
         self._instance = instance
         self._limit = limit
--- a/src/bramblebeam/core/overload/service_times.py
+++ b/src/bramblebeam/core/overload/service_times.py
@@ -44,7 +44,7 @@
 _UNKNOWN = _Learned(ASSUMED_SECONDS, 0.0, 0)
 
 
-class KindTimes:
+class ServiceTimes:
     """Running mean and spread of the service times of each kind."""
 
     def __init__(self) -> None:
--- a/src/bramblebeam/services/gateway/slot_queue.py
+++ b/src/bramblebeam/services/gateway/slot_queue.py
@@ -10,7 +10,7 @@
 from bramblebeam.core.overload.load import DatabaseLoad
 from bramblebeam.core.overload.ports import Refused
 from bramblebeam.core.overload.scheduler import SlotScheduler
-from bramblebeam.core.overload.service_times import KindTimes
+from bramblebeam.core.overload.service_times import ServiceTimes
 from bramblebeam.core.overload.settings import OverloadSettings
 from bramblebeam.core.overload.work import Work
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
@@ -59,7 +59,7 @@
     def __init__(self, instance: InstanceId, settings: OverloadSettings, slots: int) -> None:
         self._allowance = settings.slot_allowance
         self._limit = SlotAllowance(slots, self._allowance)
-        self._scheduler = SlotScheduler(instance, self._limit, KindTimes(), settings)
+        self._scheduler = SlotScheduler(instance, self._limit, ServiceTimes(), settings)
         self._numbers = itertools.count(1)
         self._waiting: dict[int, asyncio.Future[None]] = {}
         self._may_leave: set[int] = set()
--- a/tests/overload_slots.py
+++ b/tests/overload_slots.py
@@ -14,7 +14,7 @@
 from bramblebeam.core.overload.limits import SlotAllowance
 from bramblebeam.core.overload.ports import SlotLimit
 from bramblebeam.core.overload.scheduler import SlotScheduler
-from bramblebeam.core.overload.service_times import KindTimes
+from bramblebeam.core.overload.service_times import ServiceTimes
 from bramblebeam.core.overload.settings import OverloadSettings
 from bramblebeam.core.overload.work import Work, WorkKind
 from bramblebeam.core.tenants import TenantId
@@ -149,7 +149,7 @@
         returns: int = RETURNS,
     ) -> None:
         chosen = limit or SlotAllowance(SLOTS, ALLOWANCE)
-        self.times = KindTimes()
+        self.times = ServiceTimes()
         known = settings or OverloadSettings(enabled=True)
         self.scheduler = SlotScheduler(InstanceId("db"), chosen, self.times, known)
         self.outcome = Outcome()
--- a/tests/test_overload_limits.py
+++ b/tests/test_overload_limits.py
@@ -6,7 +6,7 @@
 
 from bramblebeam.core.gateway.statements import Action
 from bramblebeam.core.overload.limits import RECOVERY_SECONDS, AdaptiveLimit, SlotAllowance
-from bramblebeam.core.overload.service_times import ASSUMED_SECONDS, MOST_KINDS, KindTimes
+from bramblebeam.core.overload.service_times import ASSUMED_SECONDS, MOST_KINDS, ServiceTimes
 from bramblebeam.core.overload.work import WorkKind
 
 
@@ -75,11 +75,11 @@
 
 
 def test_an_unknown_kind_is_assumed_to_be_short() -> None:
-    assert KindTimes().estimate(kind("new")).mean == ASSUMED_SECONDS
+    assert ServiceTimes().estimate(kind("new")).mean == ASSUMED_SECONDS
 
 
 def test_each_kind_has_its_own_times_and_a_new_one_those_of_all() -> None:
-    times = KindTimes()
+    times = ServiceTimes()
     for _ in range(100):
         times.note(kind("short"), 0.01)
         times.note(kind("long"), 0.05)
@@ -90,7 +90,7 @@
 
 
 def test_a_database_that_became_slow_is_known_after_some_twenty_statements() -> None:
-    times = KindTimes()
+    times = ServiceTimes()
     for _ in range(100):
         times.note(kind("a"), 0.01)
     for _ in range(20):
@@ -100,14 +100,14 @@
 
 @pytest.mark.parametrize("seconds", [-0.1, math.nan, math.inf, 1e9])
 def test_an_absurd_time_is_not_taken(seconds: float) -> None:
-    times = KindTimes()
+    times = ServiceTimes()
     times.note(kind("a"), 0.01)
     times.note(kind("a"), seconds)
     assert times.estimate(kind("a")).mean == pytest.approx(0.01)
 
 
 def test_callers_cannot_fill_the_memory_with_kinds() -> None:
-    times = KindTimes()
+    times = ServiceTimes()
     for number in range(2 * MOST_KINDS):
         times.note(kind(f"k{number}"), 0.01)
     assert len(times._kinds) == MOST_KINDS
--- a/tests/test_overload_scheduler.py
+++ b/tests/test_overload_scheduler.py
@@ -9,7 +9,7 @@
 from bramblebeam.core.overload.limits import AdaptiveLimit, SlotAllowance
 from bramblebeam.core.overload.ports import SlotLimit
 from bramblebeam.core.overload.scheduler import OVERDUE_LIMIT_FACTOR, OVERDUE_SECONDS, SlotScheduler
-from bramblebeam.core.overload.service_times import ASSUMED_SECONDS, KindTimes
+from bramblebeam.core.overload.service_times import ASSUMED_SECONDS, ServiceTimes
 from bramblebeam.core.overload.settings import OverloadSettings
 from bramblebeam.core.overload.work import Work, WorkKind
 from bramblebeam.core.tenants import TenantId
@@ -41,7 +41,7 @@
 
 def a_scheduler(limit: int) -> SlotScheduler:
     slots = SlotAllowance(limit, 0)
-    return SlotScheduler(InstanceId("db"), slots, KindTimes(), OverloadSettings(enabled=True))
+    return SlotScheduler(InstanceId("db"), slots, ServiceTimes(), OverloadSettings(enabled=True))
 
 
 def a_work(now: float) -> Work:
@@ -182,7 +182,7 @@
 
 def scheduler(limit: int = 1, longest_queue: int = 256) -> SlotScheduler:
     settings = OverloadSettings(enabled=True, longest_queue=longest_queue)
-    return SlotScheduler(InstanceId("db"), SlotAllowance(limit, 0), KindTimes(), settings)
+    return SlotScheduler(InstanceId("db"), SlotAllowance(limit, 0), ServiceTimes(), settings)
 
 
 def work(
