--- a/src/bramblebeam/core/overload/service_times.py
+++ b/src/bramblebeam/core/overload/service_times.py
@@ -13,7 +13,7 @@
 be refused for nothing, one guessed too short costs a single late answer."""
 LONGEST_SECONDS = 60.0
 """No caller waits for a minute: what is said to have taken longer is an error of measurement."""
-MOST_KINDS = 256
+MAX_KINDS = 256
 """Kinds that are kept: routes times actions of a large configuration. Further ones share the mean
 of all, so that callers can't fill the memory."""
 SMOOTHING = 0.1
@@ -59,7 +59,7 @@
         known = self._kinds.get(kind)
         if known is not None:
             self._kinds[kind] = known.with_time(seconds)
-        elif len(self._kinds) < MOST_KINDS:
+        elif len(self._kinds) < MAX_KINDS:
             self._kinds[kind] = _UNKNOWN.with_time(seconds)
 
     def estimate(self, kind: WorkKind) -> Estimate:
--- a/tests/test_overload_limits.py
+++ b/tests/test_overload_limits.py
@@ -6,7 +6,7 @@
 
 from bramblebeam.core.gateway.statements import Action
 from bramblebeam.core.overload.limits import RECOVERY_SECONDS, AdaptiveLimit, SlotAllowance
-from bramblebeam.core.overload.service_times import ASSUMED_SECONDS, MOST_KINDS, ServiceTimes
+from bramblebeam.core.overload.service_times import ASSUMED_SECONDS, MAX_KINDS, ServiceTimes
 from bramblebeam.core.overload.work import WorkKind
 
 
@@ -108,6 +108,6 @@
 
 def test_callers_cannot_fill_the_memory_with_kinds() -> None:
     times = ServiceTimes()
-    for number in range(2 * MOST_KINDS):
+    for number in range(2 * MAX_KINDS):
         times.note(kind(f"k{number}"), 0.01)
-    assert len(times._kinds) == MOST_KINDS
+    assert len(times._kinds) == MAX_KINDS
