--- a/src/bramblebeam/core/gateway/messages.py
+++ b/src/bramblebeam/core/gateway/messages.py
@@ -6,7 +6,7 @@
 from bramblebeam.core.gateway.routes import Route
 from bramblebeam.core.gateway.statements import Action, PreparedStatement, Statement
 from bramblebeam.core.identity import ZERO_POSITION, Position
-from bramblebeam.core.overload.load import NOTHING_TOLD, DatabaseLoad
+from bramblebeam.core.overload.load import NO_LOADS, DatabaseLoad
 from bramblebeam.core.tenants import NO_TENANT, TenantId
 
 NO_TRANSACTION = 0
@@ -62,7 +62,7 @@
 
     reply: Reply
     declined: bool = False
-    loads: tuple[DatabaseLoad, ...] = NOTHING_TOLD
+    loads: tuple[DatabaseLoad, ...] = NO_LOADS
     surely_not_run: bool = False
 
 
--- a/src/bramblebeam/core/overload/load.py
+++ b/src/bramblebeam/core/overload/load.py
@@ -4,7 +4,7 @@
 
 from bramblebeam.core.identity import InstanceId
 
-NOTHING_TOLD = ()
+NO_LOADS = ()
 
 
 class DatabaseLoad(NamedTuple):
--- a/src/bramblebeam/services/gateway/placement.py
+++ b/src/bramblebeam/services/gateway/placement.py
@@ -10,7 +10,7 @@
 from bramblebeam.core.gateway.owners import Distance
 from bramblebeam.core.gateway.routes import RouteTable
 from bramblebeam.core.identity import GroupId, InstanceId, ServerName, ZoneId, server_name
-from bramblebeam.core.overload.load import NOTHING_TOLD, DatabaseLoad
+from bramblebeam.core.overload.load import NO_LOADS, DatabaseLoad
 from bramblebeam.core.overload.settings import SWITCHED_OFF, OverloadSettings
 from bramblebeam.core.role import Role
 from bramblebeam.core.tenants import TenantId
@@ -267,7 +267,7 @@
 
     def loads(self, group: GroupId) -> tuple[DatabaseLoad, ...]:
         """Return what other nodes are told of the group's databases, where load decides."""
-        return NOTHING_TOLD if self.targets is None else self.targets.loads(self.members(group))
+        return NO_LOADS if self.targets is None else self.targets.loads(self.members(group))
 
     def served(self, pool: DatabasePool, seconds: float) -> None:
         """Note a read that was served within `seconds`."""
