--- a/src/bramblebeam/core/overload/idle_transactions.py
+++ b/src/bramblebeam/core/overload/idle_transactions.py
@@ -43,7 +43,7 @@
         return self.in_use >= SCARCE_SHARE * self.most
 
 
-class Waiting(NamedTuple):
+class WaitingTransaction(NamedTuple):
     """A transaction that waits for its turn. `number`: the user's ticket."""
 
     number: int
@@ -68,7 +68,7 @@
     def __init__(self, node: OpenTransactions) -> None:
         self._node = node
         self._open: Counter[TenantId] = Counter()
-        self._waiting: list[Waiting] = []
+        self._waiting: list[WaitingTransaction] = []
         self._usual_seconds = ASSUMED_SECONDS
 
     @property
@@ -81,7 +81,9 @@
         """Whether a transaction waits for its turn."""
         return bool(self._waiting)
 
-    def ask(self, asker: Waiting, connections: Connections, time_left: float) -> Refused | None:
+    def ask(
+        self, asker: WaitingTransaction, connections: Connections, time_left: float
+    ) -> Refused | None:
         """Let a transaction wait for its turn, or refuse it as that would come too late.
 
         It begins once `next` returns its number. `time_left`: for how long it may wait (seconds).
--- a/src/bramblebeam/services/gateway/transaction_gates.py
+++ b/src/bramblebeam/services/gateway/transaction_gates.py
@@ -13,7 +13,7 @@
     Connections,
     OpenTransactions,
     TransactionGate,
-    Waiting,
+    WaitingTransaction,
 )
 from bramblebeam.core.overload.ports import Refused
 from bramblebeam.core.tenants import NO_TENANT, TenantId
@@ -84,7 +84,7 @@
         """Wait for the turn of a transaction; return why it may not begin."""
         number = next(self._numbers)
         time_left = time_to_hold(self._context, request)
-        asker = Waiting(number, request.tenant)
+        asker = WaitingTransaction(number, request.tenant)
         refused = self._gate.ask(asker, self.connections, time_left)
         if refused is not None:
             return self._refuse(request, refused)
