--- a/src/bramblebeam/core/overload/idle_transactions.py
+++ b/src/bramblebeam/core/overload/idle_transactions.py
@@ -81,7 +81,7 @@
         """Whether a transaction waits for its turn."""
         return bool(self._waiting)
 
-    def ask(
+    def enqueue(
         self, asker: WaitingTransaction, connections: Connections, time_left: float
     ) -> Refused | None:
         """Let a transaction wait for its turn, or refuse it as that would come too late.
--- a/src/bramblebeam/services/gateway/transaction_gates.py
+++ b/src/bramblebeam/services/gateway/transaction_gates.py
@@ -85,7 +85,7 @@
         number = next(self._numbers)
         time_left = time_to_hold(self._context, request)
         asker = WaitingTransaction(number, request.tenant)
-        refused = self._gate.ask(asker, self.connections, time_left)
+        refused = self._gate.enqueue(asker, self.connections, time_left)
         if refused is not None:
             return self._refuse(request, refused)
         turn = self._turns[number] = asyncio.get_running_loop().create_future()
--- a/tests/test_overload_resting.py
+++ b/tests/test_overload_resting.py
@@ -29,7 +29,7 @@
     """Return how many of so many transactions begin now; the others wait."""
     began = 0
     for number in range(count):
-        gate.ask(WaitingTransaction(number, tenant), connections, LONG)
+        gate.enqueue(WaitingTransaction(number, tenant), connections, LONG)
         began += gate.next(connections) is not None
     return began
 
@@ -53,7 +53,7 @@
     gate = TransactionGate(OpenTransactions())
     opened(gate, LOUD, 60, SCARCE)
     for number in range(100, 104):
-        assert gate.ask(WaitingTransaction(number, QUIET), SCARCE, LONG) is None
+        assert gate.enqueue(WaitingTransaction(number, QUIET), SCARCE, LONG) is None
     begun = []
     for _ in range(4):
         gate.ended(LOUD, 0.2)
@@ -76,7 +76,7 @@
         tenant = numbers.choices(tenants, weights)[0]
         owners[number] = tenant
         asked[tenant] += 1
-        gate.ask(WaitingTransaction(number, tenant), SCARCE, 10 * LONG)
+        gate.enqueue(WaitingTransaction(number, tenant), SCARCE, 10 * LONG)
         if running and numbers.random() < 0.6:
             gate.ended(running.pop(0), 0.2)
         while (started := gate.next(SCARCE)) is not None:
@@ -96,9 +96,9 @@
 def test_one_whose_turn_comes_too_late_is_refused_at_once(time_left: float, refused: bool) -> None:
     gate = TransactionGate(OpenTransactions())
     for number in range(BOUND):
-        gate.ask(WaitingTransaction(number, LOUD), SCARCE, LONG)
+        gate.enqueue(WaitingTransaction(number, LOUD), SCARCE, LONG)
         assert gate.next(SCARCE) is not None
-    answer = gate.ask(WaitingTransaction(900, LOUD), SCARCE, time_left)
+    answer = gate.enqueue(WaitingTransaction(900, LOUD), SCARCE, time_left)
     assert isinstance(answer, Refused) == refused
     if answer is not None:
         assert answer.room_in == pytest.approx(ASSUMED_SECONDS / BOUND)
@@ -108,8 +108,8 @@
 def test_one_that_gives_up_is_not_begun() -> None:
     gate = TransactionGate(OpenTransactions())
     opened(gate, LOUD, BOUND, SCARCE)
-    gate.ask(WaitingTransaction(800, QUIET), SCARCE, LONG)
-    gate.ask(WaitingTransaction(801, QUIET), SCARCE, LONG)
+    gate.enqueue(WaitingTransaction(800, QUIET), SCARCE, LONG)
+    gate.enqueue(WaitingTransaction(801, QUIET), SCARCE, LONG)
     gate.withdraw(800)
     gate.ended(LOUD, 0.1)
     assert gate.next(SCARCE) == 801
@@ -136,5 +136,5 @@
     for _ in range(BOUND):
         gate.ended(LOUD, -5.0)
         opened(gate, LOUD, 1, SCARCE)
-    answer = gate.ask(WaitingTransaction(900, LOUD), SCARCE, 0.0)
+    answer = gate.enqueue(WaitingTransaction(900, LOUD), SCARCE, 0.0)
     assert answer is None or answer.room_in >= 0.0
