--- a/src/bramblebeam/core/overload/idle_transactions.py
+++ b/src/bramblebeam/core/overload/idle_transactions.py
@@ -22,7 +22,7 @@
 """So many of a database's connections transactions may hold while connections are scarce: a
 statement outside one needs its connection for milliseconds, so that a quarter of them carries most
 of what is asked."""
-NODE_TRANSACTIONS = 512
+MAX_NODE_TRANSACTIONS = 512
 """Transactions that hold connections of one node at all databases together: each takes a descriptor
 on both sides and a few kilobytes, of the thousands that the smallest machines have."""
 ASSUMED_SECONDS = 0.5
@@ -59,7 +59,7 @@
     @property
     def is_full(self) -> bool:
         """Whether the node's bound is reached."""
-        return self.count >= NODE_TRANSACTIONS
+        return self.count >= MAX_NODE_TRANSACTIONS
 
 
 class TransactionGate:
--- a/tests/test_overload_resting.py
+++ b/tests/test_overload_resting.py
@@ -8,7 +8,7 @@
 from bramblebeam.core.overload.idle_transactions import (
     ASSUMED_SECONDS,
     DATABASE_SHARE,
-    NODE_TRANSACTIONS,
+    MAX_NODE_TRANSACTIONS,
     Connections,
     OpenTransactions,
     TransactionGate,
@@ -118,8 +118,8 @@
 def test_the_bound_of_a_node_holds_over_all_databases() -> None:
     node = OpenTransactions()
     first, second = TransactionGate(node), TransactionGate(node)
-    wide = Connections(0, 10 * NODE_TRANSACTIONS)
-    assert opened(first, LOUD, NODE_TRANSACTIONS, wide) == NODE_TRANSACTIONS
+    wide = Connections(0, 10 * MAX_NODE_TRANSACTIONS)
+    assert opened(first, LOUD, MAX_NODE_TRANSACTIONS, wide) == MAX_NODE_TRANSACTIONS
     assert opened(second, QUIET, 1, wide) == 0
     first.ended(LOUD, 0.1)
     assert second.next(wide) is not None
