--- a/src/bramblebeam/core/overload/idle_transactions.py
+++ b/src/bramblebeam/core/overload/idle_transactions.py
@@ -18,7 +18,7 @@
 SCARCE_SHARE = 0.9
 """Connections are scarce while so many of those that there may be are in use: the rest is what
 statements outside transactions need while another connection is opened."""
-DATABASE_SHARE = 0.75
+MAX_TRANSACTION_SHARE = 0.75
 """So many of a database's connections transactions may hold while connections are scarce: a
 statement outside one needs its connection for milliseconds, so that a quarter of them carries most
 of what is asked."""
@@ -153,4 +153,4 @@
 
 def _bound(connections: Connections) -> int:
     """Return how many transactions may be open while connections are scarce, at least one."""
-    return max(1, int(DATABASE_SHARE * connections.most))
+    return max(1, int(MAX_TRANSACTION_SHARE * connections.most))
--- a/tests/test_overload_resting.py
+++ b/tests/test_overload_resting.py
@@ -7,8 +7,8 @@
 
 from bramblebeam.core.overload.idle_transactions import (
     ASSUMED_SECONDS,
-    DATABASE_SHARE,
     MAX_NODE_TRANSACTIONS,
+    MAX_TRANSACTION_SHARE,
     Connections,
     OpenTransactions,
     TransactionGate,
@@ -18,7 +18,7 @@
 from bramblebeam.core.tenants import TenantId
 
 MOST = 40
-BOUND = int(DATABASE_SHARE * MOST)
+BOUND = int(MAX_TRANSACTION_SHARE * MOST)
 SCARCE = Connections(MOST, MOST)
 PLENTY = Connections(MOST // 2, MOST)
 LONG = 60.0
