--- a/src/bramblebeam/core/overload/reported_loads.py
+++ b/src/bramblebeam/core/overload/reported_loads.py
@@ -57,7 +57,7 @@
     def __len__(self) -> int:
         return len(self._told)
 
-    def take(self, loads: Iterable[DatabaseLoad], now: float) -> None:
+    def update(self, loads: Iterable[DatabaseLoad], now: float) -> None:
         """Keep what was told; numbers that no load can have are left out."""
         for load in loads:
             if not _is_sound(load):
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -82,7 +82,7 @@
 
     def take_told(self, loads: Iterable[DatabaseLoad]) -> None:
         """Take what another node told of databases that it serves."""
-        self._told.take(loads, loop_time())
+        self._told.update(loads, loop_time())
 
     def passed_on(self, instance: InstanceId) -> SentSince | None:
         """Note that a read was sent to the node that runs a database's statements."""
--- a/tests/test_overload_told_loads.py
+++ b/tests/test_overload_told_loads.py
@@ -31,14 +31,14 @@
 )
 def test_what_is_old_counts_for_less(age: float, weight: float | None) -> None:
     told = ReportedLoads()
-    told.take([LOAD], 10.0)
+    told.update([LOAD], 10.0)
     found = told.find(NEAR, 10.0 + age)
     assert (None if found is None else found.weight) == (weight and pytest.approx(weight))
 
 
 def test_what_is_too_old_is_not_kept() -> None:
     told = ReportedLoads()
-    told.take([LOAD], 0.0)
+    told.update([LOAD], 0.0)
     told.find(NEAR, 60.0)
     assert len(told) == 0
 
@@ -58,8 +58,8 @@
 )
 def test_a_load_that_can_not_be_leaves_the_last_one_in_force(load: DatabaseLoad) -> None:
     told = ReportedLoads()
-    told.take([LOAD], 0.0)
-    told.take([load], 0.1)
+    told.update([LOAD], 0.0)
+    told.update([load], 0.1)
     found = told.find(NEAR, 0.1)
     assert found is not None
     assert found.load == LOAD
@@ -69,13 +69,13 @@
     told = ReportedLoads()
     assert told.note_sent(NEAR) is None
     assert told.find(NEAR, 0.0) is None
-    told.take([LOAD], 0.0)
+    told.update([LOAD], 0.0)
     counted = [told.note_sent(NEAR) for _ in range(3)]
     told.note_done(counted[0])
     found = told.find(NEAR, 0.0)
     assert found is not None
     assert found.sent == 2
-    told.take([LOAD], 0.1)
+    told.update([LOAD], 0.1)
     told.note_sent(NEAR)
     told.note_done(counted[1])
     found = told.find(NEAR, 0.1)
@@ -87,7 +87,7 @@
     told = ReportedLoads(most=3)
     names = [InstanceId(f"db-{number}") for number in range(5)]
     for at, name in enumerate(names):
-        told.take([LOAD._replace(instance=name)], at / 100)
+        told.update([LOAD._replace(instance=name)], at / 100)
     assert len(told) == 3
     assert [told.find(name, 0.05) is not None for name in names] == [False, False, True, True, True]
     assert MOST_TOLD > 3
@@ -95,6 +95,6 @@
 
 def test_databases_that_are_gone_are_forgotten() -> None:
     told = ReportedLoads()
-    told.take([LOAD, LOAD._replace(instance=InstanceId("gone"))], 0.0)
+    told.update([LOAD, LOAD._replace(instance=InstanceId("gone"))], 0.0)
     told.keep_only({NEAR})
     assert len(told) == 1
