--- a/src/bramblebeam/core/overload/reported_loads.py
+++ b/src/bramblebeam/core/overload/reported_loads.py
@@ -67,7 +67,7 @@
         while len(self._told) > self._most:
             self._told.pop(next(iter(self._told)))
 
-    def note_sent(self, instance: InstanceId) -> SentSince | None:
+    def record_sent(self, instance: InstanceId) -> SentSince | None:
         """Note that this node has sent a statement to a database; return what counts it."""
         told = self._told.get(instance)
         if told is not None:
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -86,7 +86,7 @@
 
     def passed_on(self, instance: InstanceId) -> SentSince | None:
         """Note that a read was sent to the node that runs a database's statements."""
-        return self._told.note_sent(instance)
+        return self._told.record_sent(instance)
 
     def answered(self, counted: SentSince | None) -> None:
         """Note that a read that was passed on has ended."""
--- a/tests/test_overload_told_loads.py
+++ b/tests/test_overload_told_loads.py
@@ -67,16 +67,16 @@
 
 def test_what_was_sent_counts_until_more_is_told() -> None:
     told = ReportedLoads()
-    assert told.note_sent(NEAR) is None
+    assert told.record_sent(NEAR) is None
     assert told.find(NEAR, 0.0) is None
     told.update([LOAD], 0.0)
-    counted = [told.note_sent(NEAR) for _ in range(3)]
+    counted = [told.record_sent(NEAR) for _ in range(3)]
     told.note_done(counted[0])
     found = told.find(NEAR, 0.0)
     assert found is not None
     assert found.sent == 2
     told.update([LOAD], 0.1)
-    told.note_sent(NEAR)
+    told.record_sent(NEAR)
     told.note_done(counted[1])
     found = told.find(NEAR, 0.1)
     assert found is not None
