--- a/src/bramblebeam/core/overload/reported_loads.py
+++ b/src/bramblebeam/core/overload/reported_loads.py
@@ -75,7 +75,7 @@
         return told
 
     @staticmethod
-    def note_done(counted: SentSince | None) -> None:
+    def record_done(counted: SentSince | None) -> None:
         """Note that a statement has ended, where it still counts: nothing was told since."""
         if counted is not None:
             counted.sent -= 1
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -90,7 +90,7 @@
 
     def answered(self, counted: SentSince | None) -> None:
         """Note that a read that was passed on has ended."""
-        self._told.note_done(counted)
+        self._told.record_done(counted)
 
     def was_behind(self, pool: DatabasePool) -> None:
         """Note that a replica's log lacked what every reader needs."""
--- a/tests/test_overload_told_loads.py
+++ b/tests/test_overload_told_loads.py
@@ -71,13 +71,13 @@
     assert told.find(NEAR, 0.0) is None
     told.update([LOAD], 0.0)
     counted = [told.record_sent(NEAR) for _ in range(3)]
-    told.note_done(counted[0])
+    told.record_done(counted[0])
     found = told.find(NEAR, 0.0)
     assert found is not None
     assert found.sent == 2
     told.update([LOAD], 0.1)
     told.record_sent(NEAR)
-    told.note_done(counted[1])
+    told.record_done(counted[1])
     found = told.find(NEAR, 0.1)
     assert found is not None
     assert found.sent == 1, "what was sent before takes nothing from what was sent since"
