--- a/src/bramblebeam/core/overload/reported_loads.py
+++ b/src/bramblebeam/core/overload/reported_loads.py
@@ -32,7 +32,7 @@
     sent: int
 
 
-class SentSince:
+class LoadReport:
     """The latest that was told of one database, and what was sent there since.
 
     `at`: steady clock, seconds.
@@ -52,7 +52,7 @@
     def __init__(self, half_life: float = TOLD_HALF_LIFE, most: int = MOST_TOLD) -> None:
         self._half_life = half_life
         self._most = most
-        self._told: dict[InstanceId, SentSince] = {}
+        self._told: dict[InstanceId, LoadReport] = {}
 
     def __len__(self) -> int:
         return len(self._told)
@@ -63,11 +63,11 @@
             if not _is_sound(load):
                 continue
             self._told.pop(load.instance, None)
-            self._told[load.instance] = SentSince(load, now)
+            self._told[load.instance] = LoadReport(load, now)
         while len(self._told) > self._most:
             self._told.pop(next(iter(self._told)))
 
-    def record_sent(self, instance: InstanceId) -> SentSince | None:
+    def record_sent(self, instance: InstanceId) -> LoadReport | None:
         """Note that this node has sent a statement to a database; return what counts it."""
         told = self._told.get(instance)
         if told is not None:
@@ -75,7 +75,7 @@
         return told
 
     @staticmethod
-    def record_done(counted: SentSince | None) -> None:
+    def record_done(counted: LoadReport | None) -> None:
         """Note that a statement has ended, where it still counts: nothing was told since."""
         if counted is not None:
             counted.sent -= 1
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -11,7 +11,7 @@
 from bramblebeam.core.overload.completion import Candidate, ReadChooser
 from bramblebeam.core.overload.ejection import Cause, EjectionState, EjectionStateChange, Ejector
 from bramblebeam.core.overload.load import DatabaseLoad
-from bramblebeam.core.overload.reported_loads import ReportedLoads, SentSince
+from bramblebeam.core.overload.reported_loads import LoadReport, ReportedLoads
 from bramblebeam.core.role import Role
 from bramblebeam.core.tenants import TenantId
 from bramblebeam.core.verdict import Reason, Refusal
@@ -84,11 +84,11 @@
         """Take what another node told of databases that it serves."""
         self._told.update(loads, loop_time())
 
-    def passed_on(self, instance: InstanceId) -> SentSince | None:
+    def passed_on(self, instance: InstanceId) -> LoadReport | None:
         """Note that a read was sent to the node that runs a database's statements."""
         return self._told.record_sent(instance)
 
-    def answered(self, counted: SentSince | None) -> None:
+    def answered(self, counted: LoadReport | None) -> None:
         """Note that a read that was passed on has ended."""
         self._told.record_done(counted)
 
--- a/tests/placement_world.py
+++ b/tests/placement_world.py
@@ -20,7 +20,7 @@
 from bramblebeam.core.gateway.owners import Distance
 from bramblebeam.core.identity import Address, GroupId, InstanceId, ZoneId
 from bramblebeam.core.overload.load import DatabaseLoad
-from bramblebeam.core.overload.reported_loads import SentSince
+from bramblebeam.core.overload.reported_loads import LoadReport
 from bramblebeam.core.role import Role
 from bramblebeam.core.tenants import NO_TENANT, TenantId
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
@@ -73,7 +73,7 @@
         self.region = region
         self.arrived = arrived
         self.tried: set[InstanceId] = set()
-        self.counted: dict[int, SentSince | None] = {}
+        self.counted: dict[int, LoadReport | None] = {}
         self.pending = 0
         self.done = False
 
