--- a/src/bramblebeam/core/overload/reported_loads.py
+++ b/src/bramblebeam/core/overload/reported_loads.py
@@ -13,7 +13,7 @@
 from bramblebeam.core.identity import InstanceId
 from bramblebeam.core.overload.load import DatabaseLoad
 
-TOLD_HALF_LIFE = 0.4
+REPORT_HALF_LIFE = 0.4
 """A queue of a few dozen statements of 20 ms at six slots forms or drains in so long (seconds)."""
 FORGOTTEN_HALF_LIVES = 4
 """After so many half-lives a sixteenth of what was told would count: nothing is known then."""
@@ -49,7 +49,7 @@
 class ReportedLoads:
     """The loads of databases that other nodes serve. Times: steady clock, seconds."""
 
-    def __init__(self, half_life: float = TOLD_HALF_LIFE, most: int = MOST_TOLD) -> None:
+    def __init__(self, half_life: float = REPORT_HALF_LIFE, most: int = MOST_TOLD) -> None:
         self._half_life = half_life
         self._most = most
         self._told: dict[InstanceId, LoadReport] = {}
--- a/tests/test_overload_told_loads.py
+++ b/tests/test_overload_told_loads.py
@@ -11,7 +11,7 @@
 from bramblebeam.core.overload.reported_loads import (
     FORGOTTEN_HALF_LIVES,
     MOST_TOLD,
-    TOLD_HALF_LIFE,
+    REPORT_HALF_LIFE,
     ReportedLoads,
 )
 
@@ -23,10 +23,10 @@
     ("age", "weight"),
     [
         pytest.param(0.0, 1.0, id="now"),
-        pytest.param(TOLD_HALF_LIFE, 0.5, id="a half-life"),
-        pytest.param(2 * TOLD_HALF_LIFE, 0.25, id="two"),
+        pytest.param(REPORT_HALF_LIFE, 0.5, id="a half-life"),
+        pytest.param(2 * REPORT_HALF_LIFE, 0.25, id="two"),
         pytest.param(-1.0, 1.0, id="a clock that went back"),
-        pytest.param(TOLD_HALF_LIFE * (FORGOTTEN_HALF_LIVES + 0.1), None, id="too old"),
+        pytest.param(REPORT_HALF_LIFE * (FORGOTTEN_HALF_LIVES + 0.1), None, id="too old"),
     ],
 )
 def test_what_is_old_counts_for_less(age: float, weight: float | None) -> None:
