--- a/src/bramblebeam/core/overload/reported_loads.py
+++ b/src/bramblebeam/core/overload/reported_loads.py
@@ -15,7 +15,7 @@
 
 REPORT_HALF_LIFE = 0.4
 """A queue of a few dozen statements of 20 ms at six slots forms or drains in so long (seconds)."""
-FORGOTTEN_HALF_LIVES = 4
+MAX_REPORT_HALF_LIVES = 4
 """After so many half-lives a sixteenth of what was told would count: nothing is known then."""
 MOST_TOLD = 4096
 """Databases whose loads are kept: the members of more groups than one node has callers for."""
@@ -86,7 +86,7 @@
         if told is None:
             return None
         half_lives = max(0.0, now - told.at) / self._half_life
-        if half_lives > FORGOTTEN_HALF_LIVES:
+        if half_lives > MAX_REPORT_HALF_LIVES:
             del self._told[instance]
             return None
         return ReportedLoad(told.load, 0.5**half_lives, told.sent)
--- a/tests/test_overload_told_loads.py
+++ b/tests/test_overload_told_loads.py
@@ -9,7 +9,7 @@
 from bramblebeam.core.identity import InstanceId
 from bramblebeam.core.overload.load import DatabaseLoad
 from bramblebeam.core.overload.reported_loads import (
-    FORGOTTEN_HALF_LIVES,
+    MAX_REPORT_HALF_LIVES,
     MOST_TOLD,
     REPORT_HALF_LIFE,
     ReportedLoads,
@@ -26,7 +26,7 @@
         pytest.param(REPORT_HALF_LIFE, 0.5, id="a half-life"),
         pytest.param(2 * REPORT_HALF_LIFE, 0.25, id="two"),
         pytest.param(-1.0, 1.0, id="a clock that went back"),
-        pytest.param(REPORT_HALF_LIFE * (FORGOTTEN_HALF_LIVES + 0.1), None, id="too old"),
+        pytest.param(REPORT_HALF_LIFE * (MAX_REPORT_HALF_LIVES + 0.1), None, id="too old"),
     ],
 )
 def test_what_is_old_counts_for_less(age: float, weight: float | None) -> None:
