--- a/src/bramblebeam/core/overload/reported_loads.py
+++ b/src/bramblebeam/core/overload/reported_loads.py
@@ -17,7 +17,7 @@
 """A queue of a few dozen statements of 20 ms at six slots forms or drains in so long (seconds)."""
 MAX_REPORT_HALF_LIVES = 4
 """After so many half-lives a sixteenth of what was told would count: nothing is known then."""
-MOST_TOLD = 4096
+MAX_REPORTED_LOADS = 4096
 """Databases whose loads are kept: the members of more groups than one node has callers for."""
 
 
@@ -49,7 +49,7 @@
 class ReportedLoads:
     """The loads of databases that other nodes serve. Times: steady clock, seconds."""
 
-    def __init__(self, half_life: float = REPORT_HALF_LIFE, most: int = MOST_TOLD) -> None:
+    def __init__(self, half_life: float = REPORT_HALF_LIFE, most: int = MAX_REPORTED_LOADS) -> None:
         self._half_life = half_life
         self._most = most
         self._told: dict[InstanceId, LoadReport] = {}
--- a/tests/test_overload_told_loads.py
+++ b/tests/test_overload_told_loads.py
@@ -10,7 +10,7 @@
 from bramblebeam.core.overload.load import DatabaseLoad
 from bramblebeam.core.overload.reported_loads import (
     MAX_REPORT_HALF_LIVES,
-    MOST_TOLD,
+    MAX_REPORTED_LOADS,
     REPORT_HALF_LIFE,
     ReportedLoads,
 )
@@ -90,7 +90,7 @@
         told.update([LOAD._replace(instance=name)], at / 100)
     assert len(told) == 3
     assert [told.find(name, 0.05) is not None for name in names] == [False, False, True, True, True]
-    assert MOST_TOLD > 3
+    assert MAX_REPORTED_LOADS > 3
 
 
 def test_databases_that_are_gone_are_forgotten() -> None:
