--- a/src/bramblebeam/core/overload/completion.py
+++ b/src/bramblebeam/core/overload/completion.py
@@ -43,7 +43,7 @@
     instance: InstanceId
     wait: float
     service: float
-    way: float = 0.0
+    network_cost: float = 0.0
     opening: float = 0.0
     slots: int = 1
     sent: int = 0
@@ -60,7 +60,7 @@
     wait = candidate.wait + candidate.sent * candidate.service / max(1, candidate.slots)
     if candidate.is_leader:
         wait *= LEADER_QUEUE_WEIGHT
-    attempt = wait + candidate.service + candidate.way
+    attempt = wait + candidate.service + candidate.network_cost
     return attempt * (1.0 + candidate.error_share) + candidate.opening
 
 
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -191,7 +191,7 @@
             entry.instance,
             wait=load.wait * weight,
             service=load.service * weight + ASSUMED_SERVICE * (1.0 - weight),
-            way=WAY[self._surroundings.distance(entry.zone)],
+            network_cost=WAY[self._surroundings.distance(entry.zone)],
             opening=pool.open_seconds if opens else 0.0,
             slots=entry.slots,
             sent=0 if told is None else told.sent,
--- a/tests/test_overload_completion.py
+++ b/tests/test_overload_completion.py
@@ -22,7 +22,7 @@
 SERVICE = 0.03
 WAY = 0.06
 NEAR = Candidate(A, wait=0.0, service=SERVICE, slots=6)
-FAR = Candidate(B, wait=0.0, service=SERVICE, way=WAY, slots=6, is_far=True)
+FAR = Candidate(B, wait=0.0, service=SERVICE, network_cost=WAY, slots=6, is_far=True)
 
 
 def choices(candidates: list[Candidate], number: int = 100) -> Counter[InstanceId]:
