--- a/src/bramblebeam/core/overload/completion.py
+++ b/src/bramblebeam/core/overload/completion.py
@@ -44,7 +44,7 @@
     wait: float
     service: float
     network_cost: float = 0.0
-    opening: float = 0.0
+    connect_time: float = 0.0
     slots: int = 1
     sent: int = 0
     error_share: float = 0.0
@@ -61,7 +61,7 @@
     if candidate.is_leader:
         wait *= LEADER_QUEUE_WEIGHT
     attempt = wait + candidate.service + candidate.network_cost
-    return attempt * (1.0 + candidate.error_share) + candidate.opening
+    return attempt * (1.0 + candidate.error_share) + candidate.connect_time
 
 
 class ReadChooser:
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -192,7 +192,7 @@
             wait=load.wait * weight,
             service=load.service * weight + ASSUMED_SERVICE * (1.0 - weight),
             network_cost=WAY[self._surroundings.distance(entry.zone)],
-            opening=pool.open_seconds if opens else 0.0,
+            connect_time=pool.open_seconds if opens else 0.0,
             slots=entry.slots,
             sent=0 if told is None else told.sent,
             error_share=load.error_share * weight,
--- a/tests/test_overload_completion.py
+++ b/tests/test_overload_completion.py
@@ -41,7 +41,7 @@
         pytest.param(NEAR, SERVICE, id="idle"),
         pytest.param(NEAR._replace(wait=0.1), 0.1 + SERVICE, id="a queue"),
         pytest.param(FAR, SERVICE + WAY, id="far"),
-        pytest.param(NEAR._replace(opening=0.02), SERVICE + 0.02, id="a connection to open"),
+        pytest.param(NEAR._replace(connect_time=0.02), SERVICE + 0.02, id="a connection to open"),
         pytest.param(NEAR._replace(sent=12), 2 * SERVICE + SERVICE, id="two rounds sent since"),
         pytest.param(NEAR._replace(error_share=0.2), 1.2 * SERVICE, id="a fifth in vain"),
         pytest.param(
