--- a/src/bramblebeam/core/overload/completion.py
+++ b/src/bramblebeam/core/overload/completion.py
@@ -23,7 +23,7 @@
 STAY_MARGIN = 0.0
 """Reads go on leaving while it saves more than this (seconds): the gap between both margins keeps
 a region from changing its mind with each statement."""
-MOST_LEAVING = 0.5
+MAX_LEAVING_SHARE = 0.5
 """Part of a region's reads that may leave it because its own database has a queue. What leaves
 shortens the queue here and lengthens one elsewhere, and both are known with a delay."""
 LEAVING_MEMORY = 32.0
@@ -83,7 +83,7 @@
     def _must_leave(self, near: list[Candidate], far: list[Candidate]) -> bool:
         saved = min(map(expected_completion, near)) - min(map(expected_completion, far))
         self._leaves = saved > (STAY_MARGIN if self._leaves else LEAVE_MARGIN)
-        leaves = self._leaves and self._leaving_share < MOST_LEAVING
+        leaves = self._leaves and self._leaving_share < MAX_LEAVING_SHARE
         self._leaving_share += (leaves - self._leaving_share) / LEAVING_MEMORY
         return leaves
 
--- a/tests/test_overload_completion.py
+++ b/tests/test_overload_completion.py
@@ -11,7 +11,7 @@
 from bramblebeam.core.identity import InstanceId
 from bramblebeam.core.overload.completion import (
     LEAVE_MARGIN,
-    MOST_LEAVING,
+    MAX_LEAVING_SHARE,
     STAY_MARGIN,
     Candidate,
     ReadChooser,
@@ -71,7 +71,7 @@
 
 def test_no_more_than_a_part_of_the_reads_leaves_for_a_queue() -> None:
     left = choices([NEAR._replace(wait=1.0), FAR], 1000)[B]
-    assert 0.9 * MOST_LEAVING * 1000 <= left <= 1.05 * MOST_LEAVING * 1000
+    assert 0.9 * MAX_LEAVING_SHARE * 1000 <= left <= 1.05 * MAX_LEAVING_SHARE * 1000
 
 
 def test_all_reads_leave_where_no_near_database_can_serve() -> None:
