--- a/src/bramblebeam/core/overload/budget.py
+++ b/src/bramblebeam/core/overload/budget.py
@@ -10,7 +10,7 @@
 from bramblebeam.core.identity import GroupId
 from bramblebeam.core.routing.budget import RetryBudget, RetryLimits
 
-SECOND_ATTEMPTS = RetryLimits(share=0.1, floor=2.0, capacity=10.0)
+SECOND_ATTEMPT_LIMITS = RetryLimits(share=0.1, floor=2.0, capacity=10.0)
 """A tenth more work than was asked for: a database that runs at nine tenths of its capacity bears
 it. In quiet times 2 a second, and ten that were saved up: as many callers as have a statement at
 one node when that one is lost."""
@@ -23,7 +23,7 @@
     """The second attempts of one node at one group's databases."""
 
     def __init__(self) -> None:
-        self._budget = RetryBudget(SECOND_ATTEMPTS)
+        self._budget = RetryBudget(SECOND_ATTEMPT_LIMITS)
         self.denied = 0
 
     def first(self) -> None:
--- a/tests/test_overload_budget.py
+++ b/tests/test_overload_budget.py
@@ -5,7 +5,7 @@
 from bramblebeam.core.identity import GroupId
 from bramblebeam.core.overload.budget import (
     OVERLOADED_WAIT,
-    SECOND_ATTEMPTS,
+    SECOND_ATTEMPT_LIMITS,
     AttemptBudget,
     AttemptBudgets,
 )
@@ -23,17 +23,19 @@
     for number in range(rate * seconds):
         budget.first()
         granted += budget.take(QUIET, number / rate)
-    earned = SECOND_ATTEMPTS.share * rate * seconds + SECOND_ATTEMPTS.floor * seconds
-    assert granted <= earned + SECOND_ATTEMPTS.capacity
+    earned = SECOND_ATTEMPT_LIMITS.share * rate * seconds + SECOND_ATTEMPT_LIMITS.floor * seconds
+    assert granted <= earned + SECOND_ATTEMPT_LIMITS.capacity
     assert granted >= earned - 1
     assert budget.denied == rate * seconds - granted
 
 
 def test_in_quiet_times_the_few_statements_of_a_lost_node_go_elsewhere() -> None:
     budget = AttemptBudget()
-    assert all(budget.take(QUIET, 0.0) for _ in range(int(SECOND_ATTEMPTS.capacity)))
+    assert all(budget.take(QUIET, 0.0) for _ in range(int(SECOND_ATTEMPT_LIMITS.capacity)))
     assert not budget.take(QUIET, 0.0)
-    assert budget.take(QUIET, 1.0 / SECOND_ATTEMPTS.floor), "the floor is there without traffic"
+    assert budget.take(QUIET, 1.0 / SECOND_ATTEMPT_LIMITS.floor), (
+        "the floor is there without traffic"
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_overload_gateway.py
+++ b/tests/test_overload_gateway.py
@@ -19,7 +19,7 @@
 from bramblebeam.core.gateway.statements import Action, Statement
 from bramblebeam.core.identity import GroupId, NodeId
 from bramblebeam.core.overload.admission import KnownWait
-from bramblebeam.core.overload.budget import OVERLOADED_WAIT, SECOND_ATTEMPTS
+from bramblebeam.core.overload.budget import OVERLOADED_WAIT, SECOND_ATTEMPT_LIMITS
 from bramblebeam.core.overload.idle_transactions import OpenTransactions
 from bramblebeam.core.overload.ports import Estimate
 from bramblebeam.core.tenants import NO_TENANT, TenantId
@@ -280,7 +280,7 @@
 
 @pytest.mark.parametrize(
     ("wait", "granted"),
-    [(0.0, int(SECOND_ATTEMPTS.capacity)), (2 * OVERLOADED_WAIT, 0)],
+    [(0.0, int(SECOND_ATTEMPT_LIMITS.capacity)), (2 * OVERLOADED_WAIT, 0)],
     ids=["quiet", "callers queue"],
 )
 async def test_second_attempts_are_bounded(
