--- a/src/bramblebeam/core/overload/work_queue.py
+++ b/src/bramblebeam/core/overload/work_queue.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from bramblebeam.core.overload.demand import MEMORY_SECONDS, Demand
-from bramblebeam.core.overload.shares import TurnsByShare
+from bramblebeam.core.overload.stride import TurnsByShare
 from bramblebeam.core.overload.work import Work
 from bramblebeam.core.tenants import TenantId
 
--- a/tests/test_overload_work_queue.py
+++ b/tests/test_overload_work_queue.py
@@ -3,7 +3,7 @@
 import pytest
 
 from bramblebeam.core.gateway.statements import Action
-from bramblebeam.core.overload.shares import TurnsByShare
+from bramblebeam.core.overload.stride import TurnsByShare
 from bramblebeam.core.overload.work import Work, WorkKind
 from bramblebeam.core.overload.work_queue import FairQueue, WaitingStatement
 from bramblebeam.core.tenants import TenantId
