--- a/src/bramblebeam/core/overload/stride.py
+++ b/src/bramblebeam/core/overload/stride.py
@@ -12,7 +12,7 @@
 """Keys that have nothing to do, but whose last turns still count."""
 
 
-class TurnsByShare(Generic[Key]):
+class StrideScheduler(Generic[Key]):
     """Keys that wait for turns, each with a weight.
 
     A key's `pass` grows by what its turns cost, divided by its weight; the smallest one is next.
--- a/src/bramblebeam/core/overload/work_queue.py
+++ b/src/bramblebeam/core/overload/work_queue.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from bramblebeam.core.overload.demand import MEMORY_SECONDS, Demand
-from bramblebeam.core.overload.stride import TurnsByShare
+from bramblebeam.core.overload.stride import StrideScheduler
 from bramblebeam.core.overload.work import Work
 from bramblebeam.core.tenants import TenantId
 
@@ -77,7 +77,7 @@
 
     def __init__(self) -> None:
         self.work = 0.0
-        self.turns: TurnsByShare[TenantId] = TurnsByShare()
+        self.turns: StrideScheduler[TenantId] = StrideScheduler()
         self._tenants: dict[TenantId, _TenantQueue] = {}
 
     def __len__(self) -> int:
@@ -138,7 +138,7 @@
     def __init__(self, weight_ratio: float) -> None:
         self.work = 0.0
         self._ratio = weight_ratio
-        self._turns: TurnsByShare[int] = TurnsByShare()
+        self._turns: StrideScheduler[int] = StrideScheduler()
         self._classes: dict[int, _ClassQueue] = {}
 
     def __bool__(self) -> bool:
--- a/tests/test_overload_work_queue.py
+++ b/tests/test_overload_work_queue.py
@@ -3,7 +3,7 @@
 import pytest
 
 from bramblebeam.core.gateway.statements import Action
-from bramblebeam.core.overload.stride import TurnsByShare
+from bramblebeam.core.overload.stride import StrideScheduler
 from bramblebeam.core.overload.work import Work, WorkKind
 from bramblebeam.core.overload.work_queue import FairQueue, WaitingStatement
 from bramblebeam.core.tenants import TenantId
@@ -31,7 +31,7 @@
 
 
 def test_a_rest_saves_nothing_up() -> None:
-    turns: TurnsByShare[str] = TurnsByShare()
+    turns: StrideScheduler[str] = StrideScheduler()
     turns.add("busy", 1.0)
     for _ in range(100):
         assert turns.next() == "busy"
@@ -45,7 +45,7 @@
 
 
 def test_one_that_leaves_and_comes_back_owes_what_it_took() -> None:
-    turns: TurnsByShare[str] = TurnsByShare()
+    turns: StrideScheduler[str] = StrideScheduler()
     turns.add("a", 1.0)
     turns.add("b", 1.0)
     turns.charge("a", 5.0)
@@ -57,7 +57,7 @@
 
 
 def test_keys_that_come_and_go_leave_nothing_behind() -> None:
-    turns: TurnsByShare[int] = TurnsByShare()
+    turns: StrideScheduler[int] = StrideScheduler()
     for key in range(5_000):
         turns.add(key, 1.0)
         turns.next()
@@ -69,7 +69,7 @@
 
 
 def test_keys_that_come_and_go_beside_one_that_stays_are_forgotten() -> None:
-    turns: TurnsByShare[int] = TurnsByShare()
+    turns: StrideScheduler[int] = StrideScheduler()
     turns.add(-1, 1.0)
     for key in range(5_000):
         turns.add(key, 1.0)
