--- a/src/bramblebeam/services/pool/service.py
+++ b/src/bramblebeam/services/pool/service.py
@@ -14,7 +14,7 @@
 from bramblebeam.core.membership.view import MembersChanged
 from bramblebeam.core.ownership.messages import ReleaseReply, ReleaseRequest
 from bramblebeam.core.pool.admission import not_run
-from bramblebeam.core.pool.news import is_news
+from bramblebeam.core.pool.status_changes import is_news
 from bramblebeam.core.statement import (
     AbandonRequest,
     ExecuteReply,
--- a/tests/test_pool_news.py
+++ b/tests/test_pool_news.py
@@ -5,7 +5,7 @@
 import pytest
 
 from bramblebeam.core.identity import GroupId, InstanceId, NodeId, Position
-from bramblebeam.core.pool.news import is_news
+from bramblebeam.core.pool.status_changes import is_news
 from bramblebeam.core.role import Role
 from bramblebeam.core.routing.choice import NEAR_LAG_MS
 from bramblebeam.core.statement import InstanceStatus
