--- a/src/bramblebeam/core/pool/status_changes.py
+++ b/src/bramblebeam/core/pool/status_changes.py
@@ -5,7 +5,7 @@
 from bramblebeam.core.statement import InstanceStatus
 
 
-def is_news(status: InstanceStatus, before: InstanceStatus) -> bool:
+def must_notify(status: InstanceStatus, before: InstanceStatus) -> bool:
     """Whether the edges must hear of the change now; the rest travels on answers.
 
     A replica that has caught up is news because it gets no reads, and so gives no answers, for as
--- a/src/bramblebeam/services/pool/service.py
+++ b/src/bramblebeam/services/pool/service.py
@@ -14,7 +14,7 @@
 from bramblebeam.core.membership.view import MembersChanged
 from bramblebeam.core.ownership.messages import ReleaseReply, ReleaseRequest
 from bramblebeam.core.pool.admission import not_run
-from bramblebeam.core.pool.status_changes import is_news
+from bramblebeam.core.pool.status_changes import must_notify
 from bramblebeam.core.statement import (
     AbandonRequest,
     ExecuteReply,
@@ -254,7 +254,7 @@
 
     def _status_changed(self, status: InstanceStatus, before: InstanceStatus | None) -> None:
         self.kernel.publish(status)
-        if before is not None and not is_news(status, before):
+        if before is not None and not must_notify(status, before):
             return
         for node in self._subscribers.of(status.instance, self._now()):
             try:
--- a/tests/test_pool_news.py
+++ b/tests/test_pool_news.py
@@ -5,7 +5,7 @@
 import pytest
 
 from bramblebeam.core.identity import GroupId, InstanceId, NodeId, Position
-from bramblebeam.core.pool.status_changes import is_news
+from bramblebeam.core.pool.status_changes import must_notify
 from bramblebeam.core.role import Role
 from bramblebeam.core.routing.choice import NEAR_LAG_MS
 from bramblebeam.core.statement import InstanceStatus
@@ -29,17 +29,17 @@
     "change", [{"term": 3}, {"role": Role.PRIMARY}, {"leaving": True}, {"reachable": False}]
 )
 def test_another_standing_is_news(change: dict[str, object]) -> None:
-    assert is_news(replace(FAR, **change), FAR)  # type: ignore[arg-type]
+    assert must_notify(replace(FAR, **change), FAR)  # type: ignore[arg-type]
 
 
 def test_a_replica_that_has_caught_up_is_news_once() -> None:
     near = replace(FAR, lag_ms=NEAR_LAG_MS, applied=Position(2, 9))
-    assert is_news(near, FAR)
-    assert not is_news(replace(near, lag_ms=0), near)
+    assert must_notify(near, FAR)
+    assert not must_notify(replace(near, lag_ms=0), near)
 
 
 def test_progress_and_growing_lag_travel_on_answers() -> None:
-    assert not is_news(replace(FAR, applied=Position(2, 7), lag_ms=NEAR_LAG_MS + 200), FAR)
-    assert not is_news(FAR, replace(FAR, lag_ms=0))
+    assert not must_notify(replace(FAR, applied=Position(2, 7), lag_ms=NEAR_LAG_MS + 200), FAR)
+    assert not must_notify(FAR, replace(FAR, lag_ms=0))
     primary = replace(FAR, role=Role.PRIMARY)
-    assert not is_news(replace(primary, lag_ms=0), primary)
+    assert not must_notify(replace(primary, lag_ms=0), primary)
