--- a/src/bramblebeam/core/pool/limits.py
+++ b/src/bramblebeam/core/pool/limits.py
@@ -21,7 +21,7 @@
     """Longest time of one statement (seconds)."""
 
     @property
-    def most(self) -> int:
+    def max_slots(self) -> int:
         """The most slots the service may hold, borrowed ones included."""
         return self.slots + self.burst
 
--- a/src/bramblebeam/core/pool/slots.py
+++ b/src/bramblebeam/core/pool/slots.py
@@ -100,9 +100,9 @@
         if not self.is_open:
             return [Refuse(event.ticket, self._closed_reason, SHORTEST_RETRY_MS)]
         queue = self._queue(event.service)
-        if queue.limit.most == 0:
+        if queue.limit.max_slots == 0:
             return [Refuse(event.ticket, Reason.NO_CONFIGURATION, CONFIGURATION_RETRY_MS)]
-        if self.free > 0 and not len(queue) and queue.used < queue.limit.most:
+        if self.free > 0 and not len(queue) and queue.used < queue.limit.max_slots:
             return [self._grant(queue, event.ticket, now)]
         expired = self._expire(now)
         if len(queue) >= queue.limit.queue:
@@ -158,7 +158,7 @@
         queue = self._queues.get(service)
         if queue is None:
             queue = ServiceQueue(self.limits.services.get(service, NO_LIMIT))
-            if queue.limit.most:
+            if queue.limit.max_slots:
                 self._queues[service] = queue
         return queue
 
@@ -189,7 +189,9 @@
     def _next_queue(self) -> ServiceQueue | None:
         """Return the queue whose oldest statement has the first right to a free slot."""
         eligible = [
-            queue for queue in self._queues.values() if len(queue) and queue.used < queue.limit.most
+            queue
+            for queue in self._queues.values()
+            if len(queue) and queue.used < queue.limit.max_slots
         ]
         return min(eligible, key=ServiceQueue.precedence, default=None)
 
--- a/tests/test_pool_slots.py
+++ b/tests/test_pool_slots.py
@@ -172,7 +172,7 @@
             if isinstance(effect, Grant):
                 held[effect.ticket] = arrived[effect.ticket]
                 service = ServiceId(arrived[effect.ticket])
-                assert machine.used_by(service) <= machine.limits.services[service].most
+                assert machine.used_by(service) <= machine.limits.services[service].max_slots
             else:
                 assert isinstance(effect, Refuse)
         granted = any(isinstance(effect, Grant) for effect in effects)
@@ -181,5 +181,5 @@
             assert machine.in_use + machine.occupied <= machine.total
         if not shrunk and machine.free > 0:
             for service, row in machine.limits.services.items():
-                idle_right = machine.used_by(service) < row.most
+                idle_right = machine.used_by(service) < row.max_slots
                 assert not (idle_right and machine.waiting_of(service))
