--- a/src/bramblebeam/core/pool/slots.py
+++ b/src/bramblebeam/core/pool/slots.py
@@ -68,7 +68,7 @@
         return len(queue) if queue else 0
 
     @property
-    def lent(self) -> int:
+    def borrowed(self) -> int:
         """Slots that services hold beyond their own."""
         return sum(max(0, queue.used - queue.limit.slots) for queue in self._queues.values())
 
--- a/tests/test_pool_slots.py
+++ b/tests/test_pool_slots.py
@@ -42,7 +42,7 @@
     machine = opened(tracking=limit(2, burst=2), dispatch=limit(4))
     effects = [effect for ticket in range(5) for effect in arrive(machine, ticket, TRACKING)]
     assert effects == [Grant(0), Grant(1), Grant(2), Grant(3)]
-    assert machine.lent == 2
+    assert machine.borrowed == 2
     assert machine.waiting_of(TRACKING) == 1
 
 
