--- a/src/bramblebeam/core/pool/admission.py
+++ b/src/bramblebeam/core/pool/admission.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NotYet:
+class Deferred:
     """A later status may let the statement run; `refusal` is its answer if none does in time.
 
     `next_status_only`: only the next status that is read can help; there is no use in more.
@@ -38,7 +38,7 @@
 
 def admit(
     request: ExecuteRequest, status: InstanceStatus | None, age: float, drained: bool
-) -> Admission | NotYet | Refusal:
+) -> Admission | Deferred | Refusal:
     """Judge a request that begins new work by a status that was asked for `age` seconds ago.
 
     `drained`: the operators' row says that the instance gets no new work.
@@ -54,24 +54,26 @@
     return _admit_write(request, status)
 
 
-def _admit_write(request: ExecuteRequest, status: InstanceStatus) -> Admission | NotYet:
+def _admit_write(request: ExecuteRequest, status: InstanceStatus) -> Admission | Deferred:
     if status.role is not Role.PRIMARY:
         detail = f"back end {request.instance} is a replica of term {status.term}"
-        return NotYet(not_run(Reason.NO_PRIMARY, detail, NO_PRIMARY_RETRY_MS), True)
+        return Deferred(not_run(Reason.NO_PRIMARY, detail, NO_PRIMARY_RETRY_MS), True)
     if status.term < request.minimum_term:
         detail = f"term {status.term} is lower than {request.minimum_term}"
-        return NotYet(not_run(Reason.STALE_TERM, detail, NO_PRIMARY_RETRY_MS), True)
+        return Deferred(not_run(Reason.STALE_TERM, detail, NO_PRIMARY_RETRY_MS), True)
     return Admission.RUN
 
 
-def _admit_read(request: ExecuteRequest, status: InstanceStatus, age: float) -> Admission | NotYet:
+def _admit_read(
+    request: ExecuteRequest, status: InstanceStatus, age: float
+) -> Admission | Deferred:
     if not reached(status, request.floor):
         detail = f"applied {_text(status.applied)}, asked for {_text(request.floor)}"
-        return NotYet(not_run(Reason.REPLICA_BEHIND, detail, BEHIND_RETRY_MS))
+        return Deferred(not_run(Reason.REPLICA_BEHIND, detail, BEHIND_RETRY_MS))
     behind_ms = status.lag_ms + age * 1000
     if 0 <= request.staleness_ms < behind_ms:
         detail = f"{behind_ms:.0f} ms behind, {request.staleness_ms} ms allowed"
-        return NotYet(not_run(Reason.REPLICA_BEHIND, detail, BEHIND_RETRY_MS))
+        return Deferred(not_run(Reason.REPLICA_BEHIND, detail, BEHIND_RETRY_MS))
     return Admission.RUN
 
 
--- a/src/bramblebeam/services/pool/statements.py
+++ b/src/bramblebeam/services/pool/statements.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from bramblebeam.core.identity import ServiceId
-from bramblebeam.core.pool.admission import Admission, NotYet, admit
+from bramblebeam.core.pool.admission import Admission, Deferred, admit
 from bramblebeam.core.pool.failure import ends_transaction, refusal_of_gone_transaction
 from bramblebeam.core.pool.statements import leaves_session_state
 from bramblebeam.core.statement import (
@@ -85,7 +85,7 @@
         if judged is Admission.RUN:
             return acquired
         self._give_back(acquired, False)
-        return judged.refusal if isinstance(judged, NotYet) else judged
+        return judged.refusal if isinstance(judged, Deferred) else judged
 
     async def _admit(self, request: ExecuteRequest, wait_until: float) -> Refusal | None:
         """Wait until the instance's state lets the request run; None: it may."""
@@ -97,7 +97,7 @@
             judged = self._judge(request)
             if judged is Admission.RUN:
                 return None
-            if isinstance(judged, NotYet):
+            if isinstance(judged, Deferred):
                 refusal = judged.refusal
                 may_help = not (judged.next_status_only and asked_once)
             else:
@@ -109,7 +109,7 @@
             if not await instance.next_status(wait_until):
                 return refusal if instance.owned else instance.not_owner()
 
-    def _judge(self, request: ExecuteRequest) -> Admission | NotYet | Refusal:
+    def _judge(self, request: ExecuteRequest) -> Admission | Deferred | Refusal:
         instance = self.instance
         if not instance.owned:
             return instance.not_owner()
