--- a/src/bramblebeam/core/pool/failure.py
+++ b/src/bramblebeam/core/pool/failure.py
@@ -25,7 +25,9 @@
     return Refusal(Verdict.NOT_RUN, Reason.BACKEND_ERROR, message, 0, code, sqlstate)
 
 
-def refusal_of_cut(reason: Reason, detail: str, *, in_doubt: bool, in_transaction: bool) -> Refusal:
+def refusal_of_interrupted(
+    reason: Reason, detail: str, *, in_doubt: bool, in_transaction: bool
+) -> Refusal:
     """Return the verdict on a statement that was sent and got no whole answer.
 
     `in_doubt`: it may have taken effect all the same. Otherwise it did not and cannot, because the
--- a/src/bramblebeam/lab/simulator/mutations.py
+++ b/src/bramblebeam/lab/simulator/mutations.py
@@ -104,7 +104,7 @@
     def make(real: Any) -> Any:
         return lambda *arguments, **options: real(*arguments, **(options | {"in_doubt": False}))
 
-    _replace(pool_execution, "refusal_of_cut", make)
+    _replace(pool_execution, "refusal_of_interrupted", make)
 
 
 def _use_leaving() -> None:
--- a/src/bramblebeam/services/pool/execution.py
+++ b/src/bramblebeam/services/pool/execution.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from bramblebeam.core.identity import ZERO_POSITION, Position
-from bramblebeam.core.pool.failure import refusal_of_cut, refusal_of_error
+from bramblebeam.core.pool.failure import refusal_of_error, refusal_of_interrupted
 from bramblebeam.core.pool.statements import in_doubt_when_cut
 from bramblebeam.core.statement import ExecuteRequest, StatementKind
 from bramblebeam.core.verdict import Reason, Refusal
@@ -62,7 +62,7 @@
             return refusal_of_error(error.code, error.sqlstate, error.message)
         except ConnectionLostError as error:
             reason, detail, sent = Reason.CONNECTION_LOST, str(error), error.sent
-        return refusal_of_cut(
+        return refusal_of_interrupted(
             reason, detail, in_doubt=in_doubt and sent, in_transaction=in_transaction
         )
 
