--- a/src/bramblebeam/core/pool/failure.py
+++ b/src/bramblebeam/core/pool/failure.py
@@ -41,7 +41,7 @@
     return Refusal(Verdict.NOT_RUN, reason, detail, LOST_RETRY_MS)
 
 
-def refusal_of_gone_transaction(request: ExecuteRequest) -> Refusal:
+def refusal_of_unknown_transaction(request: ExecuteRequest) -> Refusal:
     """Return the verdict on a statement of a transaction that the owner does not know (more).
 
     Without its COMMIT, a transaction is rolled back with its connection. A COMMIT that was sent
--- a/src/bramblebeam/services/pool/statements.py
+++ b/src/bramblebeam/services/pool/statements.py
@@ -10,7 +10,7 @@
 
 from bramblebeam.core.identity import ServiceId
 from bramblebeam.core.pool.admission import Admission, Deferred, admit
-from bramblebeam.core.pool.failure import ends_transaction, refusal_of_gone_transaction
+from bramblebeam.core.pool.failure import ends_transaction, refusal_of_unknown_transaction
 from bramblebeam.core.pool.statements import leaves_session_state
 from bramblebeam.core.statement import (
     ExecuteReply,
@@ -154,15 +154,15 @@
     async def _execute_pinned(self, request: ExecuteRequest, deadline: float) -> ExecuteReply:
         pinned = self.transactions.find(request.transaction)
         if pinned is None:
-            return self._refuse(request, refusal_of_gone_transaction(request))
+            return self._refuse(request, refusal_of_unknown_transaction(request))
         async with pinned.turn:
             if pinned.ended:
-                return self._refuse(request, refusal_of_gone_transaction(request))
+                return self._refuse(request, refusal_of_unknown_transaction(request))
             pinned.used_at = self._loop.time()
             connection = pinned.slot.connection
             if connection.busy or connection.broken:
                 self._end_transaction(pinned)
-                return self._refuse(request, refusal_of_gone_transaction(request))
+                return self._refuse(request, refusal_of_unknown_transaction(request))
             try:
                 answer = await self._run(connection, request, deadline)
             except asyncio.CancelledError:
