--- a/src/bramblebeam/core/pool/statements.py
+++ b/src/bramblebeam/core/pool/statements.py
@@ -21,7 +21,7 @@
     return not _is_plain_write(request.sql) or _SESSION_STATE.search(request.sql) is not None
 
 
-def in_doubt_when_cut(request: ExecuteRequest) -> bool:
+def in_doubt_when_interrupted(request: ExecuteRequest) -> bool:
     """Tell whether a statement that was sent, and got no answer, may have taken effect.
 
     Inside a transaction only what may commit it can take effect: COMMIT itself, and statements
--- a/src/bramblebeam/services/pool/execution.py
+++ b/src/bramblebeam/services/pool/execution.py
@@ -6,7 +6,7 @@
 
 from bramblebeam.core.identity import ZERO_POSITION, Position
 from bramblebeam.core.pool.failure import refusal_of_error, refusal_of_interrupted
-from bramblebeam.core.pool.statements import in_doubt_when_cut
+from bramblebeam.core.pool.statements import in_doubt_when_interrupted
 from bramblebeam.core.statement import ExecuteRequest, StatementKind
 from bramblebeam.core.verdict import Reason, Refusal
 from bramblebeam.edges.backend import (
@@ -44,7 +44,7 @@
         request = self.request
         work = self.connection.execute(request.sql, FIRST_ROWS)
         in_transaction = bool(request.transaction) and request.kind is not StatementKind.BEGIN
-        in_doubt = in_doubt_when_cut(request)
+        in_doubt = in_doubt_when_interrupted(request)
         return await self.guard(work, in_doubt=in_doubt, in_transaction=in_transaction)
 
     async def guard(
