--- a/src/bramblebeam/core/overload/ejection.py
+++ b/src/bramblebeam/core/overload/ejection.py
@@ -194,7 +194,9 @@
         record.probes_served += 1
         return self._take_back(instance, record, now) if record.probes_served >= PROBES else None
 
-    def failed(self, instance: InstanceId, began: float, now: float) -> EjectionStateChange | None:
+    def record_failed(
+        self, instance: InstanceId, began: float, now: float
+    ) -> EjectionStateChange | None:
         """Note an attempt in vain, begun then. A full database, or one that is behind, is none."""
         record = self._record(instance, now)
         if began <= record.changed_at:
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -115,7 +115,7 @@
         is_full = refusal.reason is Reason.QUEUE_FULL
         is_idle = _under_way(pool) <= pool.entry.slots
         if refusal.reason in _TELLS_OF_DATABASE or (is_full and is_idle):
-            change = self._ejector.failed(pool.entry.instance, began, loop_time())
+            change = self._ejector.record_failed(pool.entry.instance, began, loop_time())
             self._log(pool, change)
 
     # Choices.
--- a/tests/test_overload_ejection.py
+++ b/tests/test_overload_ejection.py
@@ -44,7 +44,7 @@
             if outcome == "+":
                 change = self.ejector.record_served(A, SERVICE, began, self.now)
             elif outcome == "-":
-                change = self.ejector.failed(A, began, self.now)
+                change = self.ejector.record_failed(A, began, self.now)
             else:
                 change = self.ejector.record_unresponsive(A, began, self.now)
             if change is not None:
@@ -167,7 +167,7 @@
     bench.wait_for_probation()
     found = {
         "+": lambda: bench.ejector.record_served(A, SERVICE, sent_at, bench.now),
-        "-": lambda: bench.ejector.failed(A, sent_at, bench.now),
+        "-": lambda: bench.ejector.record_failed(A, sent_at, bench.now),
         "~": lambda: bench.ejector.record_unresponsive(A, sent_at, bench.now),
     }
     assert [found[outcome]() for _ in range(20)] == [None] * 20
