--- a/src/bramblebeam/core/overload/ejection.py
+++ b/src/bramblebeam/core/overload/ejection.py
@@ -150,7 +150,7 @@
         record = self._records.get(instance)
         return 0.0 if record is None else record.error_share(now)
 
-    def service(self, instance: InstanceId) -> float | None:
+    def service_time(self, instance: InstanceId) -> float | None:
         """Return how long a statement usually takes there (seconds); None: too few were seen."""
         record = self._records.get(instance)
         if record is None or record.served < MIN_SERVED:
@@ -222,7 +222,7 @@
         self, instance: InstanceId, others: Sequence[float], now: float
     ) -> EjectionStateChange | None:
         """Compare a database with the usual times of its group's others (seconds)."""
-        own = self.service(instance)
+        own = self.service_time(instance)
         if own is None or not others or own < SLOW_FACTOR * min(others):
             return None
         return self._eject(instance, self._record(instance, now), Cause.SLOW, now)
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -166,7 +166,7 @@
         return tuple(load for load in loads if self._is_worth_telling(load))
 
     def _is_worth_telling(self, load: DatabaseLoad) -> bool:
-        return not load.usable or self._ejector.service(load.instance) is not None
+        return not load.usable or self._ejector.service_time(load.instance) is not None
 
     def _usable(self, pools: list[DatabasePool], now: float) -> list[DatabasePool]:
         """Return the pools of databases that are not ejected, here or where they are served."""
@@ -203,7 +203,7 @@
     def _own_load(self, pool: DatabasePool, now: float) -> DatabaseLoad:
         """Return a database's load as far as this node sees it."""
         instance = pool.entry.instance
-        service = self._ejector.service(instance) or ASSUMED_SERVICE
+        service = self._ejector.service_time(instance) or ASSUMED_SERVICE
         is_in_service = self._ejector.state(instance, now) is EjectionState.IN_SERVICE
         usable = is_in_service and not pool.entry.leaving and not self._is_behind(pool, now)
         return DatabaseLoad(
@@ -241,7 +241,7 @@
             if other is pool or other.entry.role is not Role.REPLICA:
                 continue
             told = self._told.find(other.entry.instance, now)
-            own = self._ejector.service(other.entry.instance) if self._is_own(other) else None
+            own = self._ejector.service_time(other.entry.instance) if self._is_own(other) else None
             if told is not None and told.load.usable:
                 found.append(told.load.service)
             elif own is not None:
--- a/tests/test_overload_ejection.py
+++ b/tests/test_overload_ejection.py
@@ -119,7 +119,7 @@
     ejector = Ejector()
     for number in range(int(MIN_SERVED) - 1):
         ejector.record_served(A, 1.0, number * GAP, number * GAP + GAP)
-    assert ejector.service(A) is None
+    assert ejector.service_time(A) is None
     assert ejector.compare(A, [SERVICE], 1.0) is None
 
 
