--- a/src/bramblebeam/core/overload/admission.py
+++ b/src/bramblebeam/core/overload/admission.py
@@ -122,7 +122,7 @@
         self._refused_wrongly = 0
         self._held_in_vain = 0
 
-    def refused(self, work: Work, service: float, now: float) -> None:
+    def record_refusal(self, work: Work, service: float, now: float) -> None:
         """Watch a statement that was refused as it arrived."""
         self._forget(now)
         if len(self._latest_begins) < MAX_TRACKED_REFUSALS:
--- a/src/bramblebeam/services/gateway/load_control.py
+++ b/src/bramblebeam/services/gateway/load_control.py
@@ -84,7 +84,7 @@
         refused = refuse_early(work, known, ranks_below, now, returns)
         if refused is None:
             return None
-        record.refused(work, known.service.mean, now)
+        record.record_refusal(work, known.service.mean, now)
         return self._refused(request, known, refused, returns)
 
     def _refused(
--- a/tests/overload_callers.py
+++ b/tests/overload_callers.py
@@ -133,7 +133,7 @@
             returns = is_scheduled_retry(caller.told, self._now)
             refused = refuse_early(work, self._told, 0, self._now, returns)
             if refused is not None:
-                self.record.refused(work, SERVICE, self._now)
+                self.record.record_refusal(work, SERVICE, self._now)
                 self._refuse(caller, "at_once", refused.room_in)
                 return
         self._queue.append(Attempt(caller, work))
--- a/tests/test_overload_admission.py
+++ b/tests/test_overload_admission.py
@@ -96,8 +96,8 @@
 
 def test_a_refusal_was_wrong_if_a_slot_was_free_while_it_could_still_begin() -> None:
     record = AdmissionRecord()
-    record.refused(work(timeout=1.0, aim=1.5), 0.02, NOW)
-    record.refused(work(timeout=3.0, aim=2.5), 0.02, NOW)
+    record.record_refusal(work(timeout=1.0, aim=1.5), 0.02, NOW)
+    record.record_refusal(work(timeout=3.0, aim=2.5), 0.02, NOW)
     record.record_idle_slot(NOW + 2.0)
     assert record.counts().wrong_refusals == 1
     record.record_idle_slot(NOW + 2.5)
@@ -107,7 +107,7 @@
 def test_refusals_without_end_are_remembered_up_to_a_bound() -> None:
     record = AdmissionRecord()
     for _ in range(10 * MAX_TRACKED_REFUSALS):
-        record.refused(work(), 0.02, NOW)
+        record.record_refusal(work(), 0.02, NOW)
     record.record_idle_slot(NOW)
     assert record.counts().wrong_refusals == MAX_TRACKED_REFUSALS
 
@@ -125,7 +125,7 @@
 def test_a_slot_that_is_free_elsewhere_makes_no_refusal_wrong() -> None:
     records = AdmissionRecords()
     first, second = GroupId("first"), GroupId("second")
-    records.of(first, at_leader=True).refused(work(), 0.02, NOW)
+    records.of(first, at_leader=True).record_refusal(work(), 0.02, NOW)
     records.of(first, at_leader=False).record_idle_slot(NOW)
     records.of(second, at_leader=True).record_idle_slot(NOW)
     assert records.counts().wrong_refusals == 0
