--- a/src/bramblebeam/core/overload/scheduler.py
+++ b/src/bramblebeam/core/overload/scheduler.py
@@ -132,7 +132,7 @@
         return len(self._places) + len(self._at_once)
 
     @property
-    def due(self) -> float | None:
+    def next_wakeup(self) -> float | None:
         """When `expired` and `next` should be asked again at the latest; None: nothing waits."""
         if not self._places or not self._due:
             return None
--- a/src/bramblebeam/services/gateway/slot_queue.py
+++ b/src/bramblebeam/services/gateway/slot_queue.py
@@ -176,7 +176,7 @@
 
     def _watch_due(self) -> None:
         """Have those refused in time that can't begin any more."""
-        due = self._scheduler.due
+        due = self._scheduler.next_wakeup
         if due is None or (self._timer is not None and self._timer.when() <= due + CLOCK_STEP):
             return
         if self._timer is not None:
--- a/tests/overload_slots.py
+++ b/tests/overload_slots.py
@@ -198,7 +198,7 @@
         if refused is not None:
             self.outcome.refused_with_room += self.scheduler.in_flight < SLOTS
             self._refused(number, refused.room_in, now)
-        elif (due := self.scheduler.due) is not None:
+        elif (due := self.scheduler.next_wakeup) is not None:
             self.at(max(now, due), lambda moment: None)
 
     def _refused(self, number: int, room_in: float, now: float) -> None:
@@ -218,7 +218,7 @@
             self._begin(number, now)
         for number, refused in self.scheduler.pop_expired(now):
             self._refused(number, refused.room_in, now)
-        if (due := self.scheduler.due) is not None and not self._events:
+        if (due := self.scheduler.next_wakeup) is not None and not self._events:
             self.at(max(now, due), lambda moment: None)
 
     def _begin(self, number: int, now: float) -> None:
--- a/tests/test_overload_scheduler.py
+++ b/tests/test_overload_scheduler.py
@@ -62,7 +62,7 @@
     for number in range(4):
         assert scheduler.offer(number, a_work(0.0), 0.0) is None
     assert begun(scheduler, 0.0) == [0, 1]
-    assert scheduler.due == pytest.approx(OVERDUE_SECONDS)
+    assert scheduler.next_wakeup == pytest.approx(OVERDUE_SECONDS)
     assert begun(scheduler, OVERDUE_SECONDS - 0.01) == []
     assert begun(scheduler, OVERDUE_SECONDS) == [2, 3]
 
@@ -265,14 +265,14 @@
     assert found.offer(0, work(), 0.0) is None
     assert found.next(0.0) == 0
     assert found.offer(1, work(aim=1.0, deadline=1.0), 0.0) is None
-    assert found.due is not None
+    assert found.next_wakeup is not None
     assert found.pop_expired(0.5) == []
     # It stood still meanwhile: nothing that expired begins.
     found.finished(0, None, 1.0)
     assert found.next(1.0) is None
     assert [number for number, _ in found.pop_expired(1.0)] == [1]
     assert found.pop_expired(1.0) == []
-    assert (found.waiting, found.due) == (0, None)
+    assert (found.waiting, found.next_wakeup) == (0, None)
 
 
 @pytest.mark.parametrize("inside", [False, True])
