--- a/src/bramblebeam/core/overload/scheduler.py
+++ b/src/bramblebeam/core/overload/scheduler.py
@@ -262,7 +262,7 @@
         work = running.waiting.work
         self._running_inside -= work.in_transaction
         if seconds is not None:
-            self._times.note(work.kind, seconds)
+            self._times.record(work.kind, seconds)
             self._limit.answered(seconds, len(self._running) + 1, now)
 
     def load(self, now: float) -> DatabaseLoad:
--- a/src/bramblebeam/core/overload/service_times.py
+++ b/src/bramblebeam/core/overload/service_times.py
@@ -51,7 +51,7 @@
         self._kinds: dict[WorkKind, _Learned] = {}
         self._all = _UNKNOWN
 
-    def note(self, kind: WorkKind, seconds: float) -> None:
+    def record(self, kind: WorkKind, seconds: float) -> None:
         """Take the time of a statement that was served; one that can't be is left out."""
         if not math.isfinite(seconds) or not 0.0 <= seconds <= LONGEST_SECONDS:
             return
--- a/tests/test_overload_limits.py
+++ b/tests/test_overload_limits.py
@@ -81,8 +81,8 @@
 def test_each_kind_has_its_own_times_and_a_new_one_those_of_all() -> None:
     times = ServiceTimes()
     for _ in range(100):
-        times.note(kind("short"), 0.01)
-        times.note(kind("long"), 0.05)
+        times.record(kind("short"), 0.01)
+        times.record(kind("long"), 0.05)
     assert times.estimate(kind("short")).mean == pytest.approx(0.01)
     assert times.estimate(kind("long")).mean == pytest.approx(0.05)
     assert 0.02 < times.estimate(kind("new")).mean < 0.04
@@ -92,22 +92,22 @@
 def test_a_database_that_became_slow_is_known_after_some_twenty_statements() -> None:
     times = ServiceTimes()
     for _ in range(100):
-        times.note(kind("a"), 0.01)
+        times.record(kind("a"), 0.01)
     for _ in range(20):
-        times.note(kind("a"), 0.05)
+        times.record(kind("a"), 0.05)
     assert times.estimate(kind("a")).mean > 0.04
 
 
 @pytest.mark.parametrize("seconds", [-0.1, math.nan, math.inf, 1e9])
 def test_an_absurd_time_is_not_taken(seconds: float) -> None:
     times = ServiceTimes()
-    times.note(kind("a"), 0.01)
-    times.note(kind("a"), seconds)
+    times.record(kind("a"), 0.01)
+    times.record(kind("a"), seconds)
     assert times.estimate(kind("a")).mean == pytest.approx(0.01)
 
 
 def test_callers_cannot_fill_the_memory_with_kinds() -> None:
     times = ServiceTimes()
     for number in range(2 * MAX_KINDS):
-        times.note(kind(f"k{number}"), 0.01)
+        times.record(kind(f"k{number}"), 0.01)
     assert len(times._kinds) == MAX_KINDS
