--- a/src/bramblebeam/core/overload/demand.py
+++ b/src/bramblebeam/core/overload/demand.py
@@ -14,7 +14,7 @@
         self._work = 0.0
         self._at = -math.inf
 
-    def note(self, cost: float, now: float) -> None:
+    def record(self, cost: float, now: float) -> None:
         """Take work of so many seconds that arrived."""
         self._work = self._remembered(now) + cost
         self._at = max(self._at, now)
--- a/src/bramblebeam/core/overload/scheduler.py
+++ b/src/bramblebeam/core/overload/scheduler.py
@@ -197,7 +197,7 @@
 
     def _note_demand(self, waiting: WaitingStatement, now: float) -> None:
         demand = self._demands.setdefault(class_of(waiting.work), Demand())
-        demand.note(waiting.cost, now)
+        demand.record(waiting.cost, now)
 
     def _refused(self, place: _Place, wait: float, now: float) -> Refused:
         too_long = wait - (place.last_start - now)
--- a/src/bramblebeam/core/overload/work_queue.py
+++ b/src/bramblebeam/core/overload/work_queue.py
@@ -53,7 +53,7 @@
         self.work -= self._waiting.pop(number).cost
 
     def take(self, waiting: WaitingStatement, now: float) -> None:
-        self._begun.note(waiting.cost, now)
+        self._begun.record(waiting.cost, now)
         self.remove(waiting.number)
 
     def seen_wait(self, now: float) -> float:
