--- a/src/bramblebeam/core/overload/idle_transactions.py
+++ b/src/bramblebeam/core/overload/idle_transactions.py
@@ -77,7 +77,7 @@
         return self._open.total()
 
     @property
-    def waits(self) -> bool:
+    def has_waiting(self) -> bool:
         """Whether a transaction waits for its turn."""
         return bool(self._waiting)
 
--- a/src/bramblebeam/services/gateway/transaction_gates.py
+++ b/src/bramblebeam/services/gateway/transaction_gates.py
@@ -120,7 +120,7 @@
             turn = self._turns.pop(number)
             if not turn.done():
                 turn.set_result(None)
-        if self._gate.waits and self._timer is None:
+        if self._gate.has_waiting and self._timer is None:
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(REVIEW_SECONDS, self._review_again)
 
--- a/tests/test_overload_resting.py
+++ b/tests/test_overload_resting.py
@@ -42,7 +42,7 @@
 def test_transactions_leave_a_part_of_scarce_connections_to_statements() -> None:
     gate = TransactionGate(OpenTransactions())
     assert opened(gate, LOUD, MOST, SCARCE) == BOUND
-    assert gate.waits
+    assert gate.has_waiting
     gate.ended(LOUD, 0.2)
     assert gate.next(SCARCE) is not None
     assert gate.next(SCARCE) is None
@@ -102,7 +102,7 @@
     assert isinstance(answer, Refused) == refused
     if answer is not None:
         assert answer.room_in == pytest.approx(ASSUMED_SECONDS / BOUND)
-    assert gate.waits != refused
+    assert gate.has_waiting != refused
 
 
 def test_one_that_gives_up_is_not_begun() -> None:
