--- a/src/bramblebeam/core/overload/budget.py
+++ b/src/bramblebeam/core/overload/budget.py
@@ -26,7 +26,7 @@
         self._budget = RetryBudget(SECOND_ATTEMPT_LIMITS)
         self.denied = 0
 
-    def first(self) -> None:
+    def record_first_attempt(self) -> None:
         """Note a first attempt, which earns a part of a second one."""
         self._budget.request()
 
--- a/src/bramblebeam/services/gateway/load_control.py
+++ b/src/bramblebeam/services/gateway/load_control.py
@@ -165,7 +165,7 @@
 
     def first_attempt(self, request: Request) -> None:
         """Note that a statement goes to a database for the first time."""
-        self._budgets.of(request.route.group).first()
+        self._budgets.of(request.route.group).record_first_attempt()
 
     def may_try_again(self, request: Request) -> bool:
         """Whether a statement without an answer may be sent once more, beside or after the first.
--- a/tests/test_overload_budget.py
+++ b/tests/test_overload_budget.py
@@ -21,7 +21,7 @@
     seconds = 20
     granted = 0
     for number in range(rate * seconds):
-        budget.first()
+        budget.record_first_attempt()
         granted += budget.take(QUIET, number / rate)
     earned = SECOND_ATTEMPT_LIMITS.share * rate * seconds + SECOND_ATTEMPT_LIMITS.floor * seconds
     assert granted <= earned + SECOND_ATTEMPT_LIMITS.capacity
