--- a/src/bramblebeam/core/pool/positions.py
+++ b/src/bramblebeam/core/pool/positions.py
@@ -42,7 +42,7 @@
         """Return the number of the latest event; taken before a round begins."""
         return self._events
 
-    def note(self, request: ExecuteRequest, reply: ExecuteReply) -> None:
+    def record(self, request: ExecuteRequest, reply: ExecuteReply) -> None:
         """Take a request's answer, before the edge gets it."""
         refusal = reply.refusal
         if request.kind not in _COMMITTING:
--- a/src/bramblebeam/services/pool/service.py
+++ b/src/bramblebeam/services/pool/service.py
@@ -175,7 +175,7 @@
             self._running.pop(request.request, None)
             if reply is None:
                 reply = failed(request, "the request was given up")
-            runner.instance.positions.note(request, reply)
+            runner.instance.positions.record(request, reply)
             count_read(request, reply, runner.instance.status)
             reply = self._subscribers.with_status(reply, runner.instance.status, sender)
             self._memory.finish(request, envelope, reply, self._now())
--- a/tests/test_pool_positions.py
+++ b/tests/test_pool_positions.py
@@ -32,7 +32,7 @@
     )
     refusal = None if verdict is None else Refusal(verdict, Reason.CONNECTION_LOST)
     reply = ExecuteReply(request.request, refusal, position=position, in_transaction=in_transaction)
-    positions.note(request, reply)
+    positions.record(request, reply)
 
 
 def ask(
