--- a/tests/overload_callers.py
+++ b/tests/overload_callers.py
@@ -211,7 +211,7 @@
         return self.asked + self.after
 
 
-def note_moments(monkeypatch: pytest.MonkeyPatch) -> list[HandedOut]:
+def record_retries(monkeypatch: pytest.MonkeyPatch) -> list[HandedOut]:
     """Return a list to which each moment is added that refused callers are told from now on."""
     moments: list[HandedOut] = []
     hand_out = RetrySchedule.assign
--- a/tests/test_overload_gateway.py
+++ b/tests/test_overload_gateway.py
@@ -30,7 +30,7 @@
 from bramblebeam.services.gateway.forwarding import Forwarder
 from bramblebeam.services.gateway.transaction_gates import Admitted, DatabaseGate
 from bramblebeam.services.transport.messages import PeerFailure
-from overload_callers import note_moments
+from overload_callers import record_retries
 from platform_standins import world as worlds
 from platform_standins.world import FAR_TOO_LONG, GROUP, World, configuration, proxied_world, until
 from test_gateway_pool import make_pool
@@ -258,7 +258,7 @@
         client = await served_once(world)
         context = context_of(world)
         context.load.known = ToldWait(3.0, context.now)
-        moments = note_moments(monkeypatch)
+        moments = record_retries(monkeypatch)
         for _ in range(5):
             text = (await client.run("READ x")).text
             assert f"retry after {round(moments[-1].after * 1000)} ms" in text
--- a/tests/test_slot_queue.py
+++ b/tests/test_slot_queue.py
@@ -17,7 +17,7 @@
 from bramblebeam.services.gateway.pool import DatabasePool
 from bramblebeam.services.gateway.ports import ConnectError
 from bramblebeam.services.gateway.slot_queue import NoSlotError, Permit, SlotQueue
-from overload_callers import note_moments
+from overload_callers import record_retries
 from platform_standins import world as worlds
 from platform_standins.world import FAR_TOO_LONG, World, running_world, until
 from test_silent_connections import pools, served
@@ -203,7 +203,7 @@
         client = await world.client("latest")
         assert (await served(client, "WRITE x 1")).code == ""
         refuse_all(pools(world).values())
-        moments = note_moments(monkeypatch)
+        moments = record_retries(monkeypatch)
         for text in ("READ x", "WRITE x 2"):
             answer = await served(client, text)
             assert answer.code == "BUSY"
