--- a/tests/overload_callers.py
+++ b/tests/overload_callers.py
@@ -207,7 +207,7 @@
     after: float
 
     @property
-    def moment(self) -> float:
+    def retry_at(self) -> float:
         return self.asked + self.after
 
 
--- a/tests/test_overload_gateway.py
+++ b/tests/test_overload_gateway.py
@@ -262,7 +262,7 @@
         for _ in range(5):
             text = (await client.run("READ x")).text
             assert f"retry after {round(moments[-1].after * 1000)} ms" in text
-        told = [found.moment for found in moments]
+        told = [found.retry_at for found in moments]
         assert told == sorted(told)
         assert len(set(told)) == 5
 
