--- a/tests/overload_callers.py
+++ b/tests/overload_callers.py
@@ -200,7 +200,7 @@
     return found
 
 
-class HandedOut(NamedTuple):
+class AssignedRetry(NamedTuple):
     """A moment of return. Times: seconds of the clock that the schedule was asked by."""
 
     asked: float
@@ -211,16 +211,16 @@
         return self.asked + self.after
 
 
-def record_retries(monkeypatch: pytest.MonkeyPatch) -> list[HandedOut]:
+def record_retries(monkeypatch: pytest.MonkeyPatch) -> list[AssignedRetry]:
     """Return a list to which each moment is added that refused callers are told from now on."""
-    moments: list[HandedOut] = []
+    moments: list[AssignedRetry] = []
     hand_out = RetrySchedule.assign
 
     def noted(
         schedule: RetrySchedule, outlook: CapacityEstimate, longest: float, now: float
     ) -> ScheduledRetry:
         told = hand_out(schedule, outlook, longest, now)
-        moments.append(HandedOut(now, told.after))
+        moments.append(AssignedRetry(now, told.after))
         return told
 
     monkeypatch.setattr(RetrySchedule, "assign", noted)
