--- a/src/bramblebeam/core/overload/admission.py
+++ b/src/bramblebeam/core/overload/admission.py
@@ -26,7 +26,7 @@
 STALE_SECONDS = 0.5
 """A wait that was told so long ago refuses nothing: a queue that is longer than that has been told
 of again since by any answer, and one without an answer may be another one by now."""
-WAIT_SHARE = 0.4
+MAX_WAIT_SHARE = 0.4
 """So much of the time within which its answer is wanted a statement may wait: the rest is for the
 way, the service, and what joins the queue until its length is told again."""
 RETURN_WAIT_SHARE = 0.5
@@ -35,7 +35,7 @@
 VAIN_SHARE = 0.25
 """Whoever is refused after so much of the time within which the answer was wanted was held in vain:
 a repeat that begins so late has three quarters of it left, of which the way takes a part."""
-MOST_WATCHED = 1_024
+MAX_TRACKED_REFUSALS = 1_024
 """Refusals that are remembered until it is known whether there was room after all."""
 
 
@@ -48,7 +48,7 @@
 
     wait: float
     service: Estimate
-    told_at: float
+    reported_at: float
 
 
 class KnownLoads(Protocol):
@@ -58,7 +58,7 @@
         """Return the shortest wait at a database that may serve it; None: one is not known."""
 
 
-class NothingKnown:
+class NoKnownLoads:
     """Stands for the loads of a node that nobody has told any."""
 
     def wait(self, group: GroupId, at_leader: bool, now: float) -> KnownWait | None:
@@ -84,25 +84,25 @@
     by the ratio of their weights. `known` None: nothing was told. `returns`: its caller was refused
     before, and comes back at the moment that it was promised.
     """
-    if known is None or known.wait <= 0.0 or now - known.told_at > STALE_SECONDS:
+    if known is None or known.wait <= 0.0 or now - known.reported_at > STALE_SECONDS:
         return None
     wait = _shortest_wait(known, ranks_below, now)
     service = max(0.0, known.service.mean - known.service.spread)
-    share = RETURN_WAIT_SHARE if returns else WAIT_SHARE
-    wanted_within = min(work.aim, work.deadline) - work.arrived
+    share = RETURN_WAIT_SHARE if returns else MAX_WAIT_SHARE
+    wanted_within = min(work.soft_deadline, work.deadline) - work.arrived
     is_soon = wait <= share * wanted_within
     if is_soon and now + wait + service <= work.deadline:
         return None
-    return Refused(max(0.0, wait - WAIT_SHARE * wanted_within))
+    return Refused(max(0.0, wait - MAX_WAIT_SHARE * wanted_within))
 
 
 def _shortest_wait(known: KnownWait, ranks_below: int, now: float) -> float:
     """Return the wait if nobody has joined the queue since it was told of (seconds)."""
     ahead = known.wait / CLASS_WEIGHT_RATIO ** max(0, ranks_below)
-    return max(0.0, ahead - max(0.0, now - known.told_at))
+    return max(0.0, ahead - max(0.0, now - known.reported_at))
 
 
-class AdmissionFigures(NamedTuple):
+class AdmissionCounts(NamedTuple):
     """Counts of one node. Each refusal is counted by its cause elsewhere.
 
     `refused_wrongly`: a database had a free slot and nobody waiting while a refused statement could
@@ -110,8 +110,8 @@
     a repeat.
     """
 
-    refused_wrongly: int
-    held_in_vain: int
+    wrong_refusals: int
+    wasted_waits: int
 
 
 class AdmissionRecord:
@@ -122,19 +122,19 @@
         self._refused_wrongly = 0
         self._held_in_vain = 0
 
-    def refused(self, work: Work, service: float, now: float) -> None:
+    def record_refusal(self, work: Work, service: float, now: float) -> None:
         """Watch a statement that was refused as it arrived."""
         self._forget(now)
-        if len(self._latest_begins) < MOST_WATCHED:
-            heapq.heappush(self._latest_begins, min(work.aim, work.deadline) - service)
+        if len(self._latest_begins) < MAX_TRACKED_REFUSALS:
+            heapq.heappush(self._latest_begins, min(work.soft_deadline, work.deadline) - service)
 
-    def saw_idle(self, now: float) -> None:
+    def record_idle_slot(self, now: float) -> None:
         """A slot is free and nobody waits: whatever could still begin was refused wrongly."""
         self._forget(now)
         self._refused_wrongly += len(self._latest_begins)
         self._latest_begins.clear()
 
-    def ended_without_begin(self, waited: float, wanted_within: float) -> None:
+    def record_unstarted(self, waited: float, wanted_within: float) -> None:
         """Count a statement that was refused without having begun if it waited for long.
 
         `wanted_within`: from its arrival to when its answer was wanted (seconds).
@@ -142,9 +142,9 @@
         if waited > VAIN_SHARE * wanted_within:
             self._held_in_vain += 1
 
-    def figures(self) -> AdmissionFigures:
+    def counts(self) -> AdmissionCounts:
         """Return the counts so far."""
-        return AdmissionFigures(self._refused_wrongly, self._held_in_vain)
+        return AdmissionCounts(self._refused_wrongly, self._held_in_vain)
 
     def _forget(self, now: float) -> None:
         """Drop the refused that could not begin any more: they were refused rightly."""
@@ -157,7 +157,7 @@
 
     def __init__(self) -> None:
         self._records: dict[tuple[GroupId, bool], AdmissionRecord] = {}
-        self._forgotten = AdmissionFigures(0, 0)
+        self._forgotten = AdmissionCounts(0, 0)
 
     def of(self, group: GroupId, at_leader: bool) -> AdmissionRecord:
         """Return the record of what a group's leader, or any of its databases, has to run."""
@@ -166,15 +166,15 @@
     def keep_only(self, groups: frozenset[GroupId]) -> None:
         """Forget groups that are configured no more, but for what was counted."""
         gone = [found for key, found in self._records.items() if key[0] not in groups]
-        self._forgotten = _sum([self._forgotten, *(found.figures() for found in gone)])
+        self._forgotten = _sum([self._forgotten, *(found.counts() for found in gone)])
         self._records = {key: found for key, found in self._records.items() if key[0] in groups}
 
-    def figures(self) -> AdmissionFigures:
+    def counts(self) -> AdmissionCounts:
         """Return the counts of all queues so far."""
-        told = [found.figures() for found in self._records.values()]
+        told = [found.counts() for found in self._records.values()]
         return _sum([self._forgotten, *told])
 
 
-def _sum(told: list[AdmissionFigures]) -> AdmissionFigures:
-    wrongly = sum(figures.refused_wrongly for figures in told)
-    return AdmissionFigures(wrongly, sum(figures.held_in_vain for figures in told))
+def _sum(told: list[AdmissionCounts]) -> AdmissionCounts:
+    wrongly = sum(figures.wrong_refusals for figures in told)
+    return AdmissionCounts(wrongly, sum(figures.wasted_waits for figures in told))
--- a/src/bramblebeam/core/overload/ejection.py
+++ b/src/bramblebeam/core/overload/ejection.py
@@ -16,7 +16,7 @@
 FIRST_EJECTION = 0.5
 """Seconds of a first ejection: about as long as a caller that is refused waits before it asks
 again, and long enough for the reads under way there to be answered elsewhere."""
-LONGEST_EJECTION = 2.0
+MAX_EJECTION = 2.0
 """Seconds: one that recovered for good is missed for no longer, however often it had failed. A
 probation in vain costs one read a part of its time; a database that is missed costs each read of
 its region the way to another one."""
@@ -28,7 +28,7 @@
 FAILED_SHARE = 0.25
 """A database that fails so much of its attempts is ejected: each of these costs a second attempt,
 and its caller the time of both. What is below is a matter of the expected completion."""
-LEAST_ATTEMPTS = 6.0
+MIN_ATTEMPTS = 6.0
 """Attempts (the latest ones) before a share of failures means anything: two in vain out of two
 happen to a healthy database whose connections were reset."""
 ATTEMPTS_HALF_LIFE = 1.0
@@ -36,7 +36,7 @@
 SLOW_FACTOR = 4.0
 """One that takes so many times as long as the fastest of its group is ejected: a read there lasts
 longer than an attempt in each other database of the group, one after the other."""
-LEAST_SERVED = 8.0
+MIN_SERVED = 8.0
 """Answers (the latest ones) before a database's speed means anything."""
 SPEED_SMOOTHING = 0.1
 """Weight of an answer in a database's usual time: a kind of statement that takes ten times as long
@@ -61,7 +61,7 @@
     SLOW = "slow"
 
 
-class Standing(IntEnum):
+class EjectionState(IntEnum):
     """How a database stands at this node."""
 
     IN_SERVICE = 1
@@ -69,11 +69,11 @@
     ON_PROBATION = 3
 
 
-class StandingChanged(NamedTuple):
+class EjectionStateChange(NamedTuple):
     """A database was ejected or is back. `seconds`: how long at least, or how long it was gone."""
 
     instance: InstanceId
-    standing: Standing
+    state: EjectionState
     cause: Cause
     seconds: float
 
@@ -82,7 +82,7 @@
     """What this node has seen of one database. Times: steady clock, seconds."""
 
     def __init__(self, now: float) -> None:
-        self.standing = Standing.IN_SERVICE
+        self.standing = EjectionState.IN_SERVICE
         self.cause = Cause.FAILING
         self.attempts = 0.0
         self.failures = 0.0
@@ -108,7 +108,7 @@
     def error_share(self, now: float) -> float:
         """Return the part of the latest attempts that was in vain; few of them tell little."""
         kept = self._kept(now)
-        return self.failures * kept / max(LEAST_ATTEMPTS, self.attempts * kept)
+        return self.failures * kept / max(MIN_ATTEMPTS, self.attempts * kept)
 
     def _kept(self, now: float) -> float:
         """Return how much of the attempts counted so far still counts."""
@@ -135,13 +135,13 @@
         for instance in self._records.keys() - set(known):
             del self._records[instance]
 
-    def standing(self, instance: InstanceId, now: float) -> Standing:
+    def state(self, instance: InstanceId, now: float) -> EjectionState:
         """Return how a database stands."""
         record = self._records.get(instance)
         if record is None:
-            return Standing.IN_SERVICE
-        if record.standing is Standing.EJECTED and now >= record.until:
-            record.standing = Standing.ON_PROBATION
+            return EjectionState.IN_SERVICE
+        if record.standing is EjectionState.EJECTED and now >= record.until:
+            record.standing = EjectionState.ON_PROBATION
             record.probes_served = 0
         return record.standing
 
@@ -150,10 +150,10 @@
         record = self._records.get(instance)
         return 0.0 if record is None else record.error_share(now)
 
-    def service(self, instance: InstanceId) -> float | None:
+    def service_time(self, instance: InstanceId) -> float | None:
         """Return how long a statement usually takes there (seconds); None: too few were seen."""
         record = self._records.get(instance)
-        if record is None or record.served < LEAST_SERVED:
+        if record is None or record.served < MIN_SERVED:
             return None
         return record.seconds
 
@@ -166,20 +166,20 @@
         found = [instance for instance in instances if self._admits(instance, now)]
         return found or list(instances)
 
-    def is_silent(self, instance: InstanceId, now: float) -> bool:
+    def is_unresponsive(self, instance: InstanceId, now: float) -> bool:
         """Whether a database is ejected as it gave no answers."""
-        is_ejected = self.standing(instance, now) is Standing.EJECTED
+        is_ejected = self.state(instance, now) is EjectionState.EJECTED
         return is_ejected and self._records[instance].cause is Cause.SILENT
 
-    def note_sent(self, instance: InstanceId, now: float) -> None:
+    def record_sent(self, instance: InstanceId, now: float) -> None:
         """Note that a read goes to a database."""
         record = self._records.get(instance)
-        if record is not None and record.standing is Standing.ON_PROBATION:
+        if record is not None and record.standing is EjectionState.ON_PROBATION:
             record.probed_at = now
 
-    def served(
+    def record_served(
         self, instance: InstanceId, seconds: float, began: float, now: float
-    ) -> StandingChanged | None:
+    ) -> EjectionStateChange | None:
         """Note a statement that was begun then, and took a slot for `seconds`."""
         record = self._record(instance, now)
         if began <= record.changed_at:
@@ -189,25 +189,29 @@
         # The first few count evenly: one of them alone says nothing of the rest.
         weight = max(SPEED_SMOOTHING, 1.0 / record.served)
         record.seconds += weight * (max(0.0, seconds) - record.seconds)
-        if record.standing is not Standing.ON_PROBATION:
+        if record.standing is not EjectionState.ON_PROBATION:
             return None
         record.probes_served += 1
         return self._take_back(instance, record, now) if record.probes_served >= PROBES else None
 
-    def failed(self, instance: InstanceId, began: float, now: float) -> StandingChanged | None:
+    def record_failed(
+        self, instance: InstanceId, began: float, now: float
+    ) -> EjectionStateChange | None:
         """Note an attempt in vain, begun then. A full database, or one that is behind, is none."""
         record = self._record(instance, now)
         if began <= record.changed_at:
             # It was sent before the last ejection, and says nothing of the time after it.
             return None
         record.count(True, now)
-        if self.standing(instance, now) is Standing.ON_PROBATION:
+        if self.state(instance, now) is EjectionState.ON_PROBATION:
             return self._eject(instance, record, Cause.FAILING, now)
-        if record.attempts < LEAST_ATTEMPTS or record.error_share(now) < FAILED_SHARE:
+        if record.attempts < MIN_ATTEMPTS or record.error_share(now) < FAILED_SHARE:
             return None
         return self._eject(instance, record, Cause.FAILING, now)
 
-    def silent(self, instance: InstanceId, began: float, now: float) -> StandingChanged | None:
+    def record_unresponsive(
+        self, instance: InstanceId, began: float, now: float
+    ) -> EjectionStateChange | None:
         """Note that nothing at all has come from a database since then, too long for an answer."""
         record = self._record(instance, now)
         if began <= record.changed_at:
@@ -216,9 +220,9 @@
 
     def compare(
         self, instance: InstanceId, others: Sequence[float], now: float
-    ) -> StandingChanged | None:
+    ) -> EjectionStateChange | None:
         """Compare a database with the usual times of its group's others (seconds)."""
-        own = self.service(instance)
+        own = self.service_time(instance)
         if own is None or not others or own < SLOW_FACTOR * min(others):
             return None
         return self._eject(instance, self._record(instance, now), Cause.SLOW, now)
@@ -232,10 +236,10 @@
         return min(1.0, max(SLOW_START_SHARE, grown))
 
     def _admits(self, instance: InstanceId, now: float) -> bool:
-        standing = self.standing(instance, now)
-        if standing is Standing.ON_PROBATION:
+        standing = self.state(instance, now)
+        if standing is EjectionState.ON_PROBATION:
             return now - self._records[instance].probed_at >= PROBE_INTERVAL
-        return standing is Standing.IN_SERVICE and self._has_turn(instance, now)
+        return standing is EjectionState.IN_SERVICE and self._has_turn(instance, now)
 
     def _has_turn(self, instance: InstanceId, now: float) -> bool:
         """Whether the next read is one of those that a database gets while it starts slowly."""
@@ -251,31 +255,31 @@
 
     def _eject(
         self, instance: InstanceId, record: _Record, cause: Cause, now: float
-    ) -> StandingChanged | None:
-        if self.standing(instance, now) is Standing.EJECTED:
+    ) -> EjectionStateChange | None:
+        if self.state(instance, now) is EjectionState.EJECTED:
             return None
-        if record.standing is Standing.IN_SERVICE and record.level > 0:
+        if record.standing is EjectionState.IN_SERVICE and record.level > 0:
             forgotten = int((now - record.back_at) / CALM_SECONDS)
             record.level = max(0, record.level - forgotten)
-        seconds = min(LONGEST_EJECTION, FIRST_EJECTION * EJECTION_GROWTH**record.level)
+        seconds = min(MAX_EJECTION, FIRST_EJECTION * EJECTION_GROWTH**record.level)
         record.level += 1
-        if record.standing is Standing.IN_SERVICE:
+        if record.standing is EjectionState.IN_SERVICE:
             record.ejected_at = now
-        record.standing = Standing.EJECTED
+        record.standing = EjectionState.EJECTED
         record.cause = cause
         record.changed_at = now
         record.until = now + seconds
         record.forget_attempts()
-        return StandingChanged(instance, Standing.EJECTED, cause, seconds)
+        return EjectionStateChange(instance, EjectionState.EJECTED, cause, seconds)
 
     @staticmethod
-    def _take_back(instance: InstanceId, record: _Record, now: float) -> StandingChanged:
-        record.standing = Standing.IN_SERVICE
+    def _take_back(instance: InstanceId, record: _Record, now: float) -> EjectionStateChange:
+        record.standing = EjectionState.IN_SERVICE
         record.back_at = now
         record.credit = 0.0
         record.forget_attempts()
         gone = now - record.ejected_at
-        return StandingChanged(instance, Standing.IN_SERVICE, record.cause, gone)
+        return EjectionStateChange(instance, EjectionState.IN_SERVICE, record.cause, gone)
 
     def _record(self, instance: InstanceId, now: float) -> _Record:
         record = self._records.get(instance)
--- a/src/bramblebeam/core/overload/resting.py
+++ b/src/bramblebeam/core/overload/idle_transactions.py
@@ -18,11 +18,11 @@
 SCARCE_SHARE = 0.9
 """Connections are scarce while so many of those that there may be are in use: the rest is what
 statements outside transactions need while another connection is opened."""
-DATABASE_SHARE = 0.75
+MAX_TRANSACTION_SHARE = 0.75
 """So many of a database's connections transactions may hold while connections are scarce: a
 statement outside one needs its connection for milliseconds, so that a quarter of them carries most
 of what is asked."""
-NODE_TRANSACTIONS = 512
+MAX_NODE_TRANSACTIONS = 512
 """Transactions that hold connections of one node at all databases together: each takes a descriptor
 on both sides and a few kilobytes, of the thousands that the smallest machines have."""
 ASSUMED_SECONDS = 0.5
@@ -43,7 +43,7 @@
         return self.in_use >= SCARCE_SHARE * self.most
 
 
-class Waiting(NamedTuple):
+class WaitingTransaction(NamedTuple):
     """A transaction that waits for its turn. `number`: the user's ticket."""
 
     number: int
@@ -59,7 +59,7 @@
     @property
     def is_full(self) -> bool:
         """Whether the node's bound is reached."""
-        return self.count >= NODE_TRANSACTIONS
+        return self.count >= MAX_NODE_TRANSACTIONS
 
 
 class TransactionGate:
@@ -68,7 +68,7 @@
     def __init__(self, node: OpenTransactions) -> None:
         self._node = node
         self._open: Counter[TenantId] = Counter()
-        self._waiting: list[Waiting] = []
+        self._waiting: list[WaitingTransaction] = []
         self._usual_seconds = ASSUMED_SECONDS
 
     @property
@@ -77,11 +77,13 @@
         return self._open.total()
 
     @property
-    def waits(self) -> bool:
+    def has_waiting(self) -> bool:
         """Whether a transaction waits for its turn."""
         return bool(self._waiting)
 
-    def ask(self, asker: Waiting, connections: Connections, time_left: float) -> Refused | None:
+    def enqueue(
+        self, asker: WaitingTransaction, connections: Connections, time_left: float
+    ) -> Refused | None:
         """Let a transaction wait for its turn, or refuse it as that would come too late.
 
         It begins once `next` returns its number. `time_left`: for how long it may wait (seconds).
@@ -151,4 +153,4 @@
 
 def _bound(connections: Connections) -> int:
     """Return how many transactions may be open while connections are scarce, at least one."""
-    return max(1, int(DATABASE_SHARE * connections.most))
+    return max(1, int(MAX_TRANSACTION_SHARE * connections.most))
--- a/src/bramblebeam/core/overload/told_loads.py
+++ b/src/bramblebeam/core/overload/reported_loads.py
@@ -13,15 +13,15 @@
 from bramblebeam.core.identity import InstanceId
 from bramblebeam.core.overload.load import DatabaseLoad
 
-TOLD_HALF_LIFE = 0.4
+REPORT_HALF_LIFE = 0.4
 """A queue of a few dozen statements of 20 ms at six slots forms or drains in so long (seconds)."""
-FORGOTTEN_HALF_LIVES = 4
+MAX_REPORT_HALF_LIVES = 4
 """After so many half-lives a sixteenth of what was told would count: nothing is known then."""
-MOST_TOLD = 4096
+MAX_REPORTED_LOADS = 4096
 """Databases whose loads are kept: the members of more groups than one node has callers for."""
 
 
-class ToldLoad(NamedTuple):
+class ReportedLoad(NamedTuple):
     """A load that was told. `weight`: how much of it counts by its age, 1 (now) to 0.
 
     `sent`: statements that this node has sent there since and that were not answered yet.
@@ -32,7 +32,7 @@
     sent: int
 
 
-class SentSince:
+class LoadReport:
     """The latest that was told of one database, and what was sent there since.
 
     `at`: steady clock, seconds.
@@ -46,28 +46,28 @@
         self.sent = 0
 
 
-class ToldLoads:
+class ReportedLoads:
     """The loads of databases that other nodes serve. Times: steady clock, seconds."""
 
-    def __init__(self, half_life: float = TOLD_HALF_LIFE, most: int = MOST_TOLD) -> None:
+    def __init__(self, half_life: float = REPORT_HALF_LIFE, most: int = MAX_REPORTED_LOADS) -> None:
         self._half_life = half_life
         self._most = most
-        self._told: dict[InstanceId, SentSince] = {}
+        self._told: dict[InstanceId, LoadReport] = {}
 
     def __len__(self) -> int:
         return len(self._told)
 
-    def take(self, loads: Iterable[DatabaseLoad], now: float) -> None:
+    def update(self, loads: Iterable[DatabaseLoad], now: float) -> None:
         """Keep what was told; numbers that no load can have are left out."""
         for load in loads:
             if not _is_sound(load):
                 continue
             self._told.pop(load.instance, None)
-            self._told[load.instance] = SentSince(load, now)
+            self._told[load.instance] = LoadReport(load, now)
         while len(self._told) > self._most:
             self._told.pop(next(iter(self._told)))
 
-    def note_sent(self, instance: InstanceId) -> SentSince | None:
+    def record_sent(self, instance: InstanceId) -> LoadReport | None:
         """Note that this node has sent a statement to a database; return what counts it."""
         told = self._told.get(instance)
         if told is not None:
@@ -75,21 +75,21 @@
         return told
 
     @staticmethod
-    def note_done(counted: SentSince | None) -> None:
+    def record_done(counted: LoadReport | None) -> None:
         """Note that a statement has ended, where it still counts: nothing was told since."""
         if counted is not None:
             counted.sent -= 1
 
-    def find(self, instance: InstanceId, now: float) -> ToldLoad | None:
+    def find(self, instance: InstanceId, now: float) -> ReportedLoad | None:
         """Return what counts of a database's load; None: nothing was told, or it is too old."""
         told = self._told.get(instance)
         if told is None:
             return None
         half_lives = max(0.0, now - told.at) / self._half_life
-        if half_lives > FORGOTTEN_HALF_LIVES:
+        if half_lives > MAX_REPORT_HALF_LIVES:
             del self._told[instance]
             return None
-        return ToldLoad(told.load, 0.5**half_lives, told.sent)
+        return ReportedLoad(told.load, 0.5**half_lives, told.sent)
 
     def keep_only(self, known: Iterable[InstanceId]) -> None:
         """Forget databases that are gone."""
--- a/src/bramblebeam/core/overload/returns.py
+++ b/src/bramblebeam/core/overload/retry_schedule.py
@@ -16,21 +16,21 @@
 
 from bramblebeam.core.identity import GroupId
 
-RETURN_SHARE = 0.2
+RETRY_SHARE = 0.2
 """The part of a database's work that is promised to those who come back. New callers keep coming
 while the refused wait, and can still have their answers when they want them; a larger part would
 turn as many of them away, so that a burst goes on after its end."""
-LONGEST_TIMEOUTS = 3.0
+MAX_RETRY_TIMEOUTS = 3.0
 """Moments are promised for so many times a statement's time-out: whoever has waited for three of
 them has gone, or found another way."""
-PUNCTUAL_SECONDS = 0.25
+RETRY_TOLERANCE = 0.25
 """So much before and after its moment a caller counts as returning: its clock, its way and its own
 pause are not exact."""
 _GOLDEN_SHARE = (math.sqrt(5.0) - 1.0) / 2.0
 """Multiples of it, taken modulo 1, lie evenly in a span however many there are."""
 
 
-class Outlook(NamedTuple):
+class CapacityEstimate(NamedTuple):
     """What is known of a database as it refuses (seconds).
 
     `room_in`: until there is room. `pace`: between two statements that end there.
@@ -40,32 +40,32 @@
     pace: float
 
 
-class Return(NamedTuple):
+class ScheduledRetry(NamedTuple):
     """When a refused caller comes back. `after`: seconds. `promised`: there is room for it then."""
 
     after: float
-    promised: bool
+    reserved: bool
 
 
-class ReturnSchedule:
+class RetrySchedule:
     """Hands out the moments at which refused callers of one database come back."""
 
     def __init__(self) -> None:
         self._last = float("-inf")
         self._beyond = 0
 
-    def hand_out(self, outlook: Outlook, longest: float, now: float) -> Return:
+    def assign(self, outlook: CapacityEstimate, longest: float, now: float) -> ScheduledRetry:
         """Return when a caller that is refused now comes back.
 
         `longest`: moments that are further away are not promised (seconds), as whoever asks has
         given up by then. Callers beyond are spread over as long a time after that.
         """
-        step = max(0.0, outlook.pace) / RETURN_SHARE
+        step = max(0.0, outlook.pace) / RETRY_SHARE
         moment = max(self._last + step, now + max(0.0, outlook.room_in))
         if moment > now + longest:
-            return Return(longest * (1.0 + self._spread()), promised=False)
+            return ScheduledRetry(longest * (1.0 + self._spread()), reserved=False)
         self._last = moment
-        return Return(moment - now, promised=True)
+        return ScheduledRetry(moment - now, reserved=True)
 
     def _spread(self) -> float:
         """Return the next of numbers that lie evenly between 0 and 1."""
@@ -73,15 +73,15 @@
         return self._beyond * _GOLDEN_SHARE % 1.0
 
 
-class ReturnSchedules:
+class RetrySchedules:
     """One schedule for each queue: a group's leader has one, its replicas have another."""
 
     def __init__(self) -> None:
-        self._schedules: dict[tuple[GroupId, bool], ReturnSchedule] = {}
+        self._schedules: dict[tuple[GroupId, bool], RetrySchedule] = {}
 
-    def of(self, group: GroupId, at_leader: bool) -> ReturnSchedule:
+    def of(self, group: GroupId, at_leader: bool) -> RetrySchedule:
         """Return the schedule for what a group's leader, or any of its databases, has to run."""
-        return self._schedules.setdefault((group, at_leader), ReturnSchedule())
+        return self._schedules.setdefault((group, at_leader), RetrySchedule())
 
     def keep_only(self, groups: frozenset[GroupId]) -> None:
         """Forget groups that are configured no more."""
@@ -89,6 +89,6 @@
         self._schedules = kept
 
 
-def is_punctual(told: float | None, now: float) -> bool:
+def is_scheduled_retry(told: float | None, now: float) -> bool:
     """Whether a caller comes back at the moment that it was told (steady clock, seconds)."""
-    return told is not None and abs(now - told) <= PUNCTUAL_SECONDS
+    return told is not None and abs(now - told) <= RETRY_TOLERANCE
--- a/src/bramblebeam/core/overload/scheduler.py
+++ b/src/bramblebeam/core/overload/scheduler.py
@@ -11,10 +11,10 @@
 from bramblebeam.core.overload.demand import Demand
 from bramblebeam.core.overload.load import DatabaseLoad
 from bramblebeam.core.overload.ports import Estimate, Refused, SlotLimit
-from bramblebeam.core.overload.service_times import KindTimes
+from bramblebeam.core.overload.service_times import ServiceTimes
 from bramblebeam.core.overload.settings import OverloadSettings
 from bramblebeam.core.overload.work import Work
-from bramblebeam.core.overload.work_queue import ClassedQueue, Waiting, class_of
+from bramblebeam.core.overload.work_queue import FairQueue, WaitingStatement, class_of
 
 RESERVED_INSIDE = 2
 """Statements of open transactions that may be under way beside a full limit. Those that hold the
@@ -38,7 +38,7 @@
 likely than it still runs: of usual service times one in a thousand is as long."""
 OVERDUE_SECONDS = 0.15
 """Sooner no statement is overdue, however short its kind: a pause of a process lasts as long."""
-OVERDUE_LIMITS = 3
+OVERDUE_LIMIT_FACTOR = 3
 """Statements that are overdue free their slots for others, so many times the limit at most: a
 database that hangs gets no more than that beside its limit."""
 SPARE_DUE = 64
@@ -60,7 +60,7 @@
     """One that waits, and the last moments to begin by its aim and by its deadline."""
 
     tier: _Tier
-    waiting: Waiting
+    waiting: WaitingStatement
     aim_start: float
     last_start: float
 
@@ -68,7 +68,7 @@
 class _Running(NamedTuple):
     """One that has begun."""
 
-    waiting: Waiting
+    waiting: WaitingStatement
     began: float
 
 
@@ -98,17 +98,21 @@
     """
 
     def __init__(
-        self, instance: InstanceId, limit: SlotLimit, times: KindTimes, settings: OverloadSettings
+        self,
+        instance: InstanceId,
+        limit: SlotLimit,
+        times: ServiceTimes,
+        settings: OverloadSettings,
     ) -> None:
         self._instance = instance
         self._limit = limit
         self._times = times
         self._longest_queue = settings.longest_queue
         self._places: dict[int, _Place] = {}
-        self._at_once: deque[Waiting] = deque()
-        self._inside: dict[int, Waiting] = {}
-        self._timely = ClassedQueue(settings.class_weight_ratio)
-        self._late = ClassedQueue(settings.class_weight_ratio)
+        self._at_once: deque[WaitingStatement] = deque()
+        self._inside: dict[int, WaitingStatement] = {}
+        self._timely = FairQueue(settings.class_weight_ratio)
+        self._late = FairQueue(settings.class_weight_ratio)
         self._due: list[_Due] = []
         self._expired: list[tuple[int, Refused]] = []
         self._running: dict[int, _Running] = {}
@@ -118,7 +122,7 @@
         self._demands: dict[int, Demand] = {}
 
     @property
-    def under_way(self) -> int:
+    def in_flight(self) -> int:
         """Statements that have begun and not ended."""
         return len(self._running)
 
@@ -128,7 +132,7 @@
         return len(self._places) + len(self._at_once)
 
     @property
-    def due(self) -> float | None:
+    def next_wakeup(self) -> float | None:
         """When `expired` and `next` should be asked again at the latest; None: nothing waits."""
         if not self._places or not self._due:
             return None
@@ -138,8 +142,8 @@
 
     def offer(self, number: int, work: Work, now: float) -> Refused | None:
         """Let a statement wait, or refuse it at once."""
-        estimate = self._times.expect(work.kind)
-        waiting = Waiting(number, work, estimate.mean)
+        estimate = self._times.estimate(work.kind)
+        waiting = WaitingStatement(number, work, estimate.mean)
         if not self._places and self._has_room(now):
             self._note_demand(waiting, now)
             self._at_once.append(waiting)
@@ -191,9 +195,9 @@
         others = sum(rate for known, rate in demands.items() if known != own)
         return max(allowed - others, allowed * self._timely.share_of(own, demands))
 
-    def _note_demand(self, waiting: Waiting, now: float) -> None:
+    def _note_demand(self, waiting: WaitingStatement, now: float) -> None:
         demand = self._demands.setdefault(class_of(waiting.work), Demand())
-        demand.note(waiting.cost, now)
+        demand.record(waiting.cost, now)
 
     def _refused(self, place: _Place, wait: float, now: float) -> Refused:
         too_long = wait - (place.last_start - now)
@@ -223,16 +227,16 @@
         del self._places[waiting.number]
         return self._begin(waiting, now)
 
-    def _begin(self, waiting: Waiting, now: float) -> int:
+    def _begin(self, waiting: WaitingStatement, now: float) -> int:
         self._running[waiting.number] = _Running(waiting, now)
         overdue_at = now + max(OVERDUE_SECONDS, OVERDUE_FACTOR * waiting.cost)
         heapq.heappush(self._overdue_at, _Overdue(overdue_at, waiting.number))
-        self._running_inside += waiting.work.inside
+        self._running_inside += waiting.work.in_transaction
         return waiting.number
 
     # Ends.
 
-    def expired(self, now: float) -> list[tuple[int, Refused]]:
+    def pop_expired(self, now: float) -> list[tuple[int, Refused]]:
         """Return and forget those that can't begin in time any more."""
         self._review(now)
         expired = self._expired
@@ -256,9 +260,9 @@
         while self._overdue_at and self._overdue_at[0].number not in self._running:
             heapq.heappop(self._overdue_at)
         work = running.waiting.work
-        self._running_inside -= work.inside
+        self._running_inside -= work.in_transaction
         if seconds is not None:
-            self._times.note(work.kind, seconds)
+            self._times.record(work.kind, seconds)
             self._limit.answered(seconds, len(self._running) + 1, now)
 
     def load(self, now: float) -> DatabaseLoad:
@@ -267,7 +271,7 @@
         if not self._has_room(now) or self._places:
             ahead = self._running_work(now) + self._timely.work
             wait = ahead / self._limit.allowed(now)
-        return DatabaseLoad(self._instance, wait, self._times.usual)
+        return DatabaseLoad(self._instance, wait, self._times.mean)
 
     # Places.
 
@@ -277,7 +281,7 @@
         if begun < allowed:
             return True
         self._note_overdue(now)
-        return begun - min(len(self._overdue), OVERDUE_LIMITS * allowed) < allowed
+        return begun - min(len(self._overdue), OVERDUE_LIMIT_FACTOR * allowed) < allowed
 
     def _note_overdue(self, now: float) -> None:
         while self._overdue_at and self._overdue_at[0].at <= now:
@@ -300,7 +304,7 @@
         if place.tier is _Tier.INSIDE:
             self._inside[waiting.number] = waiting
         elif place.tier is _Tier.TIMELY:
-            self._timely.add(waiting, waiting.work.aim, now)
+            self._timely.add(waiting, waiting.work.soft_deadline, now)
             leaves_at = min(place.aim_start, place.last_start)
         else:
             self._late.add(waiting, waiting.work.deadline, now)
@@ -341,13 +345,13 @@
                 self._expired.append((due.number, self._refused(place, wait, now)))
 
 
-def _place_of(waiting: Waiting, estimate: Estimate, now: float) -> _Place:
+def _place_of(waiting: WaitingStatement, estimate: Estimate, now: float) -> _Place:
     """Return where a statement waits."""
     work = waiting.work
     needed = estimate.mean + SPREADS * estimate.spread
-    aim_start = work.aim - needed - WAY_BACK_SHARE * (work.aim - work.arrived)
+    aim_start = work.soft_deadline - needed - WAY_BACK_SHARE * (work.soft_deadline - work.arrived)
     last_start = work.deadline - needed - WAY_BACK_SHARE * (work.deadline - work.arrived)
-    if work.inside:
+    if work.in_transaction:
         return _Place(_Tier.INSIDE, waiting, aim_start, last_start)
     tier = _Tier.TIMELY if now < aim_start else _Tier.LATE
     return _Place(tier, waiting, aim_start, last_start)
--- a/src/bramblebeam/core/overload/service_times.py
+++ b/src/bramblebeam/core/overload/service_times.py
@@ -13,7 +13,7 @@
 be refused for nothing, one guessed too short costs a single late answer."""
 LONGEST_SECONDS = 60.0
 """No caller waits for a minute: what is said to have taken longer is an error of measurement."""
-MOST_KINDS = 256
+MAX_KINDS = 256
 """Kinds that are kept: routes times actions of a large configuration. Further ones share the mean
 of all, so that callers can't fill the memory."""
 SMOOTHING = 0.1
@@ -44,14 +44,14 @@
 _UNKNOWN = _Learned(ASSUMED_SECONDS, 0.0, 0)
 
 
-class KindTimes:
+class ServiceTimes:
     """Running mean and spread of the service times of each kind."""
 
     def __init__(self) -> None:
         self._kinds: dict[WorkKind, _Learned] = {}
         self._all = _UNKNOWN
 
-    def note(self, kind: WorkKind, seconds: float) -> None:
+    def record(self, kind: WorkKind, seconds: float) -> None:
         """Take the time of a statement that was served; one that can't be is left out."""
         if not math.isfinite(seconds) or not 0.0 <= seconds <= LONGEST_SECONDS:
             return
@@ -59,15 +59,15 @@
         known = self._kinds.get(kind)
         if known is not None:
             self._kinds[kind] = known.with_time(seconds)
-        elif len(self._kinds) < MOST_KINDS:
+        elif len(self._kinds) < MAX_KINDS:
             self._kinds[kind] = _UNKNOWN.with_time(seconds)
 
-    def expect(self, kind: WorkKind) -> Estimate:
+    def estimate(self, kind: WorkKind) -> Estimate:
         """Return what is to be expected of the next one; the mean of all where none was seen."""
         learned = self._kinds.get(kind, self._all)
         return Estimate(learned.mean, learned.deviation)
 
     @property
-    def usual(self) -> float:
+    def mean(self) -> float:
         """The mean time of all statements (seconds)."""
         return self._all.mean
--- a/src/bramblebeam/core/pool/failure.py
+++ b/src/bramblebeam/core/pool/failure.py
@@ -25,7 +25,9 @@
     return Refusal(Verdict.NOT_RUN, Reason.BACKEND_ERROR, message, 0, code, sqlstate)
 
 
-def refusal_of_cut(reason: Reason, detail: str, *, in_doubt: bool, in_transaction: bool) -> Refusal:
+def refusal_of_interrupted(
+    reason: Reason, detail: str, *, in_doubt: bool, in_transaction: bool
+) -> Refusal:
     """Return the verdict on a statement that was sent and got no whole answer.
 
     `in_doubt`: it may have taken effect all the same. Otherwise it did not and cannot, because the
@@ -39,7 +41,7 @@
     return Refusal(Verdict.NOT_RUN, reason, detail, LOST_RETRY_MS)
 
 
-def refusal_of_gone_transaction(request: ExecuteRequest) -> Refusal:
+def refusal_of_unknown_transaction(request: ExecuteRequest) -> Refusal:
     """Return the verdict on a statement of a transaction that the owner does not know (more).
 
     Without its COMMIT, a transaction is rolled back with its connection. A COMMIT that was sent
--- a/src/bramblebeam/services/gateway/load_control.py
+++ b/src/bramblebeam/services/gateway/load_control.py
@@ -11,17 +11,17 @@
 from bramblebeam.core.overload.admission import (
     KnownLoads,
     KnownWait,
-    NothingKnown,
+    NoKnownLoads,
     RefusalCause,
     refuse_early,
 )
 from bramblebeam.core.overload.budget import AttemptBudgets
 from bramblebeam.core.overload.ports import Refused
-from bramblebeam.core.overload.returns import (
-    LONGEST_TIMEOUTS,
-    Outlook,
-    ReturnSchedules,
-    is_punctual,
+from bramblebeam.core.overload.retry_schedule import (
+    MAX_RETRY_TIMEOUTS,
+    CapacityEstimate,
+    RetrySchedules,
+    is_scheduled_retry,
 )
 from bramblebeam.core.session.errors import DEFAULT_RETRY_AFTER_MS
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
@@ -49,9 +49,9 @@
 
     def __init__(self, context: GatewayContext) -> None:
         self.enabled = context.overload.enabled
-        self.known: KnownLoads = NothingKnown()
+        self.known: KnownLoads = NoKnownLoads()
         self._context = context
-        self._returns = ReturnSchedules()
+        self._returns = RetrySchedules()
         self._budgets = AttemptBudgets()
         self._lowest_priority = 0
 
@@ -76,15 +76,15 @@
             return None
         record = self._context.metrics.admission.of(request.route.group, at_leader)
         if known.wait <= 0.0:
-            record.saw_idle(now)
+            record.record_idle_slot(now)
             return None
         work = request.work()
-        returns = is_punctual(request.session.returns_at, now)
+        returns = is_scheduled_retry(request.session.returns_at, now)
         ranks_below = self._lowest_priority - request.route.priority
         refused = refuse_early(work, known, ranks_below, now, returns)
         if refused is None:
             return None
-        record.refused(work, known.service.mean, now)
+        record.record_refusal(work, known.service.mean, now)
         return self._refused(request, known, refused, returns)
 
     def _refused(
@@ -100,7 +100,7 @@
             group=request.route.group,
             cause=cause.value,
             wait_ms=round(known.wait * _MILLISECONDS),
-            told_ms_ago=round((self._context.now() - known.told_at) * _MILLISECONDS),
+            told_ms_ago=round((self._context.now() - known.reported_at) * _MILLISECONDS),
             returns=returns,
             retry_after_ms=retry_after_ms,
         )
@@ -132,9 +132,9 @@
         group = request.route.group
         at_leader = self._context.runs_at_leader(request.route, request.writes)
         schedule = self._returns.of(group, at_leader)
-        outlook = Outlook(room_in, self._pace(group, at_leader))
-        longest = LONGEST_TIMEOUTS * request.route.timeout
-        told = schedule.hand_out(outlook, longest, self._context.now())
+        outlook = CapacityEstimate(room_in, self._pace(group, at_leader))
+        longest = MAX_RETRY_TIMEOUTS * request.route.timeout
+        told = schedule.assign(outlook, longest, self._context.now())
         return max(1, round(told.after * _MILLISECONDS))
 
     def _pace(self, group: GroupId, at_leader: bool) -> float:
@@ -159,13 +159,13 @@
         session.returns_at = now + refusal.retry_after_ms / _MILLISECONDS
         wanted_within = min(route.target, route.timeout)
         record = self._context.metrics.admission.of(route.group, self._context.needs_leader(route))
-        record.ended_without_begin(now - arrived, wanted_within)
+        record.record_unstarted(now - arrived, wanted_within)
 
     # Second attempts.
 
     def first_attempt(self, request: Request) -> None:
         """Note that a statement goes to a database for the first time."""
-        self._budgets.of(request.route.group).first()
+        self._budgets.of(request.route.group).record_first_attempt()
 
     def may_try_again(self, request: Request) -> bool:
         """Whether a statement without an answer may be sent once more, beside or after the first.
--- a/src/bramblebeam/services/gateway/metrics.py
+++ b/src/bramblebeam/services/gateway/metrics.py
@@ -224,7 +224,7 @@
 
     def _load_families(self) -> Iterator[CounterMetricFamily]:
         """Yield what was decided under load."""
-        figures = self.admission.figures()
+        figures = self.admission.counts()
         yield self._counter(
             "bramblebeam_refused_early",
             "Statements refused as they arrived.",
@@ -235,13 +235,13 @@
             "bramblebeam_refused_wrongly",
             "Of those, such as a database would have had room for in time.",
             (),
-            {(): figures.refused_wrongly},
+            {(): figures.wrong_refusals},
         )
         yield self._counter(
             "bramblebeam_held_in_vain",
             "Statements refused after a quarter and more of the time in which they were wanted.",
             (),
-            {(): figures.held_in_vain},
+            {(): figures.wasted_waits},
         )
         yield self._counter(
             "bramblebeam_withdrawn",
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -9,9 +9,9 @@
 from bramblebeam.core.gateway.owners import Distance
 from bramblebeam.core.identity import GroupId, InstanceId, ZoneId
 from bramblebeam.core.overload.completion import Candidate, ReadChooser
-from bramblebeam.core.overload.ejection import Cause, Ejector, Standing, StandingChanged
+from bramblebeam.core.overload.ejection import Cause, EjectionState, EjectionStateChange, Ejector
 from bramblebeam.core.overload.load import DatabaseLoad
-from bramblebeam.core.overload.told_loads import SentSince, ToldLoads
+from bramblebeam.core.overload.reported_loads import LoadReport, ReportedLoads
 from bramblebeam.core.role import Role
 from bramblebeam.core.tenants import TenantId
 from bramblebeam.core.verdict import Reason, Refusal
@@ -63,7 +63,7 @@
     def __init__(self, surroundings: Surroundings, metrics: GatewayMetrics) -> None:
         self._surroundings = surroundings
         self._metrics = metrics
-        self._told = ToldLoads()
+        self._told = ReportedLoads()
         self._ejector = Ejector()
         self._choosers: dict[GroupId, ReadChooser] = {}
         self._behind_until: dict[InstanceId, float] = {}
@@ -82,15 +82,15 @@
 
     def take_told(self, loads: Iterable[DatabaseLoad]) -> None:
         """Take what another node told of databases that it serves."""
-        self._told.take(loads, loop_time())
+        self._told.update(loads, loop_time())
 
-    def passed_on(self, instance: InstanceId) -> SentSince | None:
+    def passed_on(self, instance: InstanceId) -> LoadReport | None:
         """Note that a read was sent to the node that runs a database's statements."""
-        return self._told.note_sent(instance)
+        return self._told.record_sent(instance)
 
-    def answered(self, counted: SentSince | None) -> None:
+    def answered(self, counted: LoadReport | None) -> None:
         """Note that a read that was passed on has ended."""
-        self._told.note_done(counted)
+        self._told.record_done(counted)
 
     def was_behind(self, pool: DatabasePool) -> None:
         """Note that a replica's log lacked what every reader needs."""
@@ -108,14 +108,14 @@
         slots = max(1, pool.entry.slots)
         own_work = seconds / max(1.0, _under_way(pool) / slots)
         began = now - seconds
-        self._log(pool, self._ejector.served(pool.entry.instance, own_work, began, now))
+        self._log(pool, self._ejector.record_served(pool.entry.instance, own_work, began, now))
 
     def failed(self, pool: DatabasePool, refusal: Refusal, began: float) -> None:
         """Note an attempt in vain that was begun then (steady clock, seconds)."""
         is_full = refusal.reason is Reason.QUEUE_FULL
         is_idle = _under_way(pool) <= pool.entry.slots
         if refusal.reason in _TELLS_OF_DATABASE or (is_full and is_idle):
-            change = self._ejector.failed(pool.entry.instance, began, loop_time())
+            change = self._ejector.record_failed(pool.entry.instance, began, loop_time())
             self._log(pool, change)
 
     # Choices.
@@ -147,14 +147,14 @@
         chosen = chooser.choose(candidates)
         if chosen is None:
             return None
-        self._ejector.note_sent(chosen.instance, now)
+        self._ejector.record_sent(chosen.instance, now)
         return next(pool for pool in usable if pool.entry.instance == chosen.instance)
 
     def is_silent(self, pool: DatabasePool) -> bool:
         """Whether a database gets no reads as it gave no answers."""
         now = loop_time()
         self._look_at(pool, (), now)
-        return self._ejector.is_silent(pool.entry.instance, now)
+        return self._ejector.is_unresponsive(pool.entry.instance, now)
 
     def loads(self, pools: Iterable[DatabasePool]) -> tuple[DatabaseLoad, ...]:
         """Return what other nodes are told of the databases whose statements this node runs.
@@ -166,7 +166,7 @@
         return tuple(load for load in loads if self._is_worth_telling(load))
 
     def _is_worth_telling(self, load: DatabaseLoad) -> bool:
-        return not load.usable or self._ejector.service(load.instance) is not None
+        return not load.usable or self._ejector.service_time(load.instance) is not None
 
     def _usable(self, pools: list[DatabasePool], now: float) -> list[DatabasePool]:
         """Return the pools of databases that are not ejected, here or where they are served."""
@@ -191,8 +191,8 @@
             entry.instance,
             wait=load.wait * weight,
             service=load.service * weight + ASSUMED_SERVICE * (1.0 - weight),
-            way=WAY[self._surroundings.distance(entry.zone)],
-            opening=pool.open_seconds if opens else 0.0,
+            network_cost=WAY[self._surroundings.distance(entry.zone)],
+            connect_time=pool.open_seconds if opens else 0.0,
             slots=entry.slots,
             sent=0 if told is None else told.sent,
             error_share=load.error_share * weight,
@@ -203,8 +203,8 @@
     def _own_load(self, pool: DatabasePool, now: float) -> DatabaseLoad:
         """Return a database's load as far as this node sees it."""
         instance = pool.entry.instance
-        service = self._ejector.service(instance) or ASSUMED_SERVICE
-        is_in_service = self._ejector.standing(instance, now) is Standing.IN_SERVICE
+        service = self._ejector.service_time(instance) or ASSUMED_SERVICE
+        is_in_service = self._ejector.state(instance, now) is EjectionState.IN_SERVICE
         usable = is_in_service and not pool.entry.leaving and not self._is_behind(pool, now)
         return DatabaseLoad(
             instance,
@@ -224,7 +224,7 @@
             self._silences[instance] = silent_since
             if silent_since - pool.heard_at >= PATIENCE:
                 asked_at = silent_since - PATIENCE
-                self._log(pool, self._ejector.silent(instance, asked_at, now))
+                self._log(pool, self._ejector.record_unresponsive(instance, asked_at, now))
         if pool.entry.role is Role.REPLICA and self._is_own(pool):
             likes = self._services_of_likes(pool, group, now)
             self._log(pool, self._ejector.compare(instance, likes, now))
@@ -241,17 +241,17 @@
             if other is pool or other.entry.role is not Role.REPLICA:
                 continue
             told = self._told.find(other.entry.instance, now)
-            own = self._ejector.service(other.entry.instance) if self._is_own(other) else None
+            own = self._ejector.service_time(other.entry.instance) if self._is_own(other) else None
             if told is not None and told.load.usable:
                 found.append(told.load.service)
             elif own is not None:
                 found.append(own)
         return found
 
-    def _log(self, pool: DatabasePool, change: StandingChanged | None) -> None:
+    def _log(self, pool: DatabasePool, change: EjectionStateChange | None) -> None:
         if change is None:
             return
-        is_back = change.standing is Standing.IN_SERVICE
+        is_back = change.state is EjectionState.IN_SERVICE
         event = DATABASE_BACK if is_back else DATABASE_EJECTED
         log_event(
             logger,
--- a/src/bramblebeam/services/gateway/slot_queue.py
+++ b/src/bramblebeam/services/gateway/slot_queue.py
@@ -10,7 +10,7 @@
 from bramblebeam.core.overload.load import DatabaseLoad
 from bramblebeam.core.overload.ports import Refused
 from bramblebeam.core.overload.scheduler import SlotScheduler
-from bramblebeam.core.overload.service_times import KindTimes
+from bramblebeam.core.overload.service_times import ServiceTimes
 from bramblebeam.core.overload.settings import OverloadSettings
 from bramblebeam.core.overload.work import Work
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
@@ -59,7 +59,7 @@
     def __init__(self, instance: InstanceId, settings: OverloadSettings, slots: int) -> None:
         self._allowance = settings.slot_allowance
         self._limit = SlotAllowance(slots, self._allowance)
-        self._scheduler = SlotScheduler(instance, self._limit, KindTimes(), settings)
+        self._scheduler = SlotScheduler(instance, self._limit, ServiceTimes(), settings)
         self._numbers = itertools.count(1)
         self._waiting: dict[int, asyncio.Future[None]] = {}
         self._may_leave: set[int] = set()
@@ -73,7 +73,7 @@
     @property
     def under_way(self) -> int:
         """Statements that hold a permit."""
-        return self._scheduler.under_way
+        return self._scheduler.in_flight
 
     def allow(self, slots: int, allowance: int) -> None:
         """Take other bounds, as the members or what the database tells of itself changed."""
@@ -94,7 +94,7 @@
             raise NoSlotError(refused)
         begun = self._scheduler.next(now)
         if begun != number:
-            if not work.inside:
+            if not work.in_transaction:
                 self._may_leave.add(number)
             try:
                 await self._wait(number, begun, now)
@@ -176,7 +176,7 @@
 
     def _watch_due(self) -> None:
         """Have those refused in time that can't begin any more."""
-        due = self._scheduler.due
+        due = self._scheduler.next_wakeup
         if due is None or (self._timer is not None and self._timer.when() <= due + CLOCK_STEP):
             return
         if self._timer is not None:
@@ -186,7 +186,7 @@
     def _refuse_expired(self) -> None:
         self._timer = None
         now = loop_time()
-        for number, refused in self._scheduler.expired(now):
+        for number, refused in self._scheduler.pop_expired(now):
             future = self._waiting.pop(number, None)
             if future is not None and not future.done():
                 future.set_exception(NoSlotError(refused))
--- a/src/bramblebeam/services/gateway/transaction_gates.py
+++ b/src/bramblebeam/services/gateway/transaction_gates.py
@@ -9,13 +9,13 @@
 
 from bramblebeam.core.identity import InstanceId
 from bramblebeam.core.overload.admission import RefusalCause
-from bramblebeam.core.overload.ports import Refused
-from bramblebeam.core.overload.resting import (
+from bramblebeam.core.overload.idle_transactions import (
     Connections,
     OpenTransactions,
     TransactionGate,
-    Waiting,
+    WaitingTransaction,
 )
+from bramblebeam.core.overload.ports import Refused
 from bramblebeam.core.tenants import NO_TENANT, TenantId
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
 from bramblebeam.events import log_event
@@ -84,8 +84,8 @@
         """Wait for the turn of a transaction; return why it may not begin."""
         number = next(self._numbers)
         time_left = time_to_hold(self._context, request)
-        asker = Waiting(number, request.tenant)
-        refused = self._gate.ask(asker, self.connections, time_left)
+        asker = WaitingTransaction(number, request.tenant)
+        refused = self._gate.enqueue(asker, self.connections, time_left)
         if refused is not None:
             return self._refuse(request, refused)
         turn = self._turns[number] = asyncio.get_running_loop().create_future()
@@ -120,7 +120,7 @@
             turn = self._turns.pop(number)
             if not turn.done():
                 turn.set_result(None)
-        if self._gate.waits and self._timer is None:
+        if self._gate.has_waiting and self._timer is None:
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(REVIEW_SECONDS, self._review_again)
 
--- a/src/bramblebeam/services/pool/service.py
+++ b/src/bramblebeam/services/pool/service.py
@@ -14,7 +14,7 @@
 from bramblebeam.core.membership.view import MembersChanged
 from bramblebeam.core.ownership.messages import ReleaseReply, ReleaseRequest
 from bramblebeam.core.pool.admission import not_run
-from bramblebeam.core.pool.news import is_news
+from bramblebeam.core.pool.status_changes import must_notify
 from bramblebeam.core.statement import (
     AbandonRequest,
     ExecuteReply,
@@ -175,7 +175,7 @@
             self._running.pop(request.request, None)
             if reply is None:
                 reply = failed(request, "the request was given up")
-            runner.instance.positions.note(request, reply)
+            runner.instance.positions.record(request, reply)
             count_read(request, reply, runner.instance.status)
             reply = self._subscribers.with_status(reply, runner.instance.status, sender)
             self._memory.finish(request, envelope, reply, self._now())
@@ -254,7 +254,7 @@
 
     def _status_changed(self, status: InstanceStatus, before: InstanceStatus | None) -> None:
         self.kernel.publish(status)
-        if before is not None and not is_news(status, before):
+        if before is not None and not must_notify(status, before):
             return
         for node in self._subscribers.of(status.instance, self._now()):
             try:
--- a/tests/overload_callers.py
+++ b/tests/overload_callers.py
@@ -15,12 +15,12 @@
 from bramblebeam.core.gateway.statements import Action
 from bramblebeam.core.overload.admission import AdmissionRecord, KnownWait, refuse_early
 from bramblebeam.core.overload.ports import Estimate
-from bramblebeam.core.overload.returns import (
-    LONGEST_TIMEOUTS,
-    Outlook,
-    Return,
-    ReturnSchedule,
-    is_punctual,
+from bramblebeam.core.overload.retry_schedule import (
+    MAX_RETRY_TIMEOUTS,
+    CapacityEstimate,
+    RetrySchedule,
+    ScheduledRetry,
+    is_scheduled_retry,
 )
 from bramblebeam.core.overload.work import Work, WorkKind
 from bramblebeam.core.tenants import TenantId
@@ -101,7 +101,7 @@
         self._queue: deque[Attempt] = deque()
         self._running = 0
         self._told = KnownWait(0.0, Estimate(SERVICE, 0.0), 0.0)
-        self._schedule = ReturnSchedule()
+        self._schedule = RetrySchedule()
 
     def play(self, callers: Iterable[Caller], until: float) -> Seen:
         for caller in callers:
@@ -130,10 +130,10 @@
         deadline = self._now + TIMEOUT
         work = Work(KIND, TENANT, 0, self._now, self._now + AIM, deadline)
         if self._policy.admits:
-            returns = is_punctual(caller.told, self._now)
+            returns = is_scheduled_retry(caller.told, self._now)
             refused = refuse_early(work, self._told, 0, self._now, returns)
             if refused is not None:
-                self.record.refused(work, SERVICE, self._now)
+                self.record.record_refusal(work, SERVICE, self._now)
                 self._refuse(caller, "at_once", refused.room_in)
                 return
         self._queue.append(Attempt(caller, work))
@@ -145,9 +145,9 @@
             return
         pause, promised = FIXED_PAUSE, False
         if self._policy.spreads:
-            outlook = Outlook(room_in, SERVICE / SLOTS)
-            longest = LONGEST_TIMEOUTS * TIMEOUT
-            pause, promised = self._schedule.hand_out(outlook, longest, self._now)
+            outlook = CapacityEstimate(room_in, SERVICE / SLOTS)
+            longest = MAX_RETRY_TIMEOUTS * TIMEOUT
+            pause, promised = self._schedule.assign(outlook, longest, self._now)
         caller.told = self._now + pause if promised else None
         if promised or not self._policy.spreads:
             self.seen.returns.append(self._now + pause)
@@ -160,14 +160,14 @@
             if self._policy.withdraws and caller.has_left(self._now):
                 continue
             if self._now + SERVICE > attempt.work.deadline:
-                self.record.ended_without_begin(self._now - attempt.work.arrived, AIM)
+                self.record.record_unstarted(self._now - attempt.work.arrived, AIM)
                 self._refuse(caller, "after_waiting", 0.0)
                 continue
             self._running += 1
             self.seen.begun_for_nobody += caller.has_left(self._now)
             self._at(self._now + caller.service, lambda found=attempt: self._end(found))  # type: ignore[misc]
         if self._running < SLOTS:
-            self.record.saw_idle(self._now)
+            self.record.record_idle_slot(self._now)
 
     def _end(self, attempt: Attempt) -> None:
         self._running -= 1
@@ -200,26 +200,28 @@
     return found
 
 
-class HandedOut(NamedTuple):
+class AssignedRetry(NamedTuple):
     """A moment of return. Times: seconds of the clock that the schedule was asked by."""
 
     asked: float
     after: float
 
     @property
-    def moment(self) -> float:
+    def retry_at(self) -> float:
         return self.asked + self.after
 
 
-def note_moments(monkeypatch: pytest.MonkeyPatch) -> list[HandedOut]:
+def record_retries(monkeypatch: pytest.MonkeyPatch) -> list[AssignedRetry]:
     """Return a list to which each moment is added that refused callers are told from now on."""
-    moments: list[HandedOut] = []
-    hand_out = ReturnSchedule.hand_out
+    moments: list[AssignedRetry] = []
+    hand_out = RetrySchedule.assign
 
-    def noted(schedule: ReturnSchedule, outlook: Outlook, longest: float, now: float) -> Return:
+    def noted(
+        schedule: RetrySchedule, outlook: CapacityEstimate, longest: float, now: float
+    ) -> ScheduledRetry:
         told = hand_out(schedule, outlook, longest, now)
-        moments.append(HandedOut(now, told.after))
+        moments.append(AssignedRetry(now, told.after))
         return told
 
-    monkeypatch.setattr(ReturnSchedule, "hand_out", noted)
+    monkeypatch.setattr(RetrySchedule, "assign", noted)
     return moments
--- a/tests/overload_slots.py
+++ b/tests/overload_slots.py
@@ -14,7 +14,7 @@
 from bramblebeam.core.overload.limits import SlotAllowance
 from bramblebeam.core.overload.ports import SlotLimit
 from bramblebeam.core.overload.scheduler import SlotScheduler
-from bramblebeam.core.overload.service_times import KindTimes
+from bramblebeam.core.overload.service_times import ServiceTimes
 from bramblebeam.core.overload.settings import OverloadSettings
 from bramblebeam.core.overload.work import Work, WorkKind
 from bramblebeam.core.tenants import TenantId
@@ -149,7 +149,7 @@
         returns: int = RETURNS,
     ) -> None:
         chosen = limit or SlotAllowance(SLOTS, ALLOWANCE)
-        self.times = KindTimes()
+        self.times = ServiceTimes()
         known = settings or OverloadSettings(enabled=True)
         self.scheduler = SlotScheduler(InstanceId("db"), chosen, self.times, known)
         self.outcome = Outcome()
@@ -196,9 +196,9 @@
         self._statements[number] = statement
         refused = self.scheduler.offer(number, statement.work, now)
         if refused is not None:
-            self.outcome.refused_with_room += self.scheduler.under_way < SLOTS
+            self.outcome.refused_with_room += self.scheduler.in_flight < SLOTS
             self._refused(number, refused.room_in, now)
-        elif (due := self.scheduler.due) is not None:
+        elif (due := self.scheduler.next_wakeup) is not None:
             self.at(max(now, due), lambda moment: None)
 
     def _refused(self, number: int, room_in: float, now: float) -> None:
@@ -216,14 +216,14 @@
     def _step(self, now: float) -> None:
         while (number := self.scheduler.next(now)) is not None:
             self._begin(number, now)
-        for number, refused in self.scheduler.expired(now):
+        for number, refused in self.scheduler.pop_expired(now):
             self._refused(number, refused.room_in, now)
-        if (due := self.scheduler.due) is not None and not self._events:
+        if (due := self.scheduler.next_wakeup) is not None and not self._events:
             self.at(max(now, due), lambda moment: None)
 
     def _begin(self, number: int, now: float) -> None:
         self._began[number] = now
-        self.outcome.most_under_way = max(self.outcome.most_under_way, self.scheduler.under_way)
+        self.outcome.most_under_way = max(self.outcome.most_under_way, self.scheduler.in_flight)
         self.at(now + WAY / 2, lambda moment: self._reach(number, moment))
 
     def _reach(self, number: int, now: float) -> None:
--- a/tests/test_overload_admission.py
+++ b/tests/test_overload_admission.py
@@ -6,13 +6,13 @@
 
 from bramblebeam.core.identity import GroupId
 from bramblebeam.core.overload.admission import (
-    MOST_WATCHED,
+    MAX_TRACKED_REFUSALS,
+    MAX_WAIT_SHARE,
     STALE_SECONDS,
-    WAIT_SHARE,
     AdmissionRecord,
     AdmissionRecords,
     KnownWait,
-    NothingKnown,
+    NoKnownLoads,
     refuse_early,
 )
 from bramblebeam.core.overload.ports import Estimate
@@ -29,7 +29,7 @@
 )
 
 NOW = 100.0
-MOST_WAIT = WAIT_SHARE * 0.4
+MOST_WAIT = MAX_WAIT_SHARE * 0.4
 """Of `work()`, whose answer is wanted within 0.4 s."""
 SEEDS = range(5)
 
@@ -91,25 +91,25 @@
 
 
 def test_a_node_that_nobody_told_anything_knows_no_wait() -> None:
-    assert NothingKnown().wait(group=None, at_leader=True, now=NOW) is None  # type: ignore[arg-type]
+    assert NoKnownLoads().wait(group=None, at_leader=True, now=NOW) is None  # type: ignore[arg-type]
 
 
 def test_a_refusal_was_wrong_if_a_slot_was_free_while_it_could_still_begin() -> None:
     record = AdmissionRecord()
-    record.refused(work(timeout=1.0, aim=1.5), 0.02, NOW)
-    record.refused(work(timeout=3.0, aim=2.5), 0.02, NOW)
-    record.saw_idle(NOW + 2.0)
-    assert record.figures().refused_wrongly == 1
-    record.saw_idle(NOW + 2.5)
-    assert record.figures().refused_wrongly == 1, "each is counted once"
+    record.record_refusal(work(timeout=1.0, aim=1.5), 0.02, NOW)
+    record.record_refusal(work(timeout=3.0, aim=2.5), 0.02, NOW)
+    record.record_idle_slot(NOW + 2.0)
+    assert record.counts().wrong_refusals == 1
+    record.record_idle_slot(NOW + 2.5)
+    assert record.counts().wrong_refusals == 1, "each is counted once"
 
 
 def test_refusals_without_end_are_remembered_up_to_a_bound() -> None:
     record = AdmissionRecord()
-    for _ in range(10 * MOST_WATCHED):
-        record.refused(work(), 0.02, NOW)
-    record.saw_idle(NOW)
-    assert record.figures().refused_wrongly == MOST_WATCHED
+    for _ in range(10 * MAX_TRACKED_REFUSALS):
+        record.record_refusal(work(), 0.02, NOW)
+    record.record_idle_slot(NOW)
+    assert record.counts().wrong_refusals == MAX_TRACKED_REFUSALS
 
 
 @pytest.mark.parametrize(
@@ -118,20 +118,20 @@
 )
 def test_who_waits_long_and_is_refused_was_held_in_vain(waited: float, in_vain: int) -> None:
     record = AdmissionRecord()
-    record.ended_without_begin(waited, wanted_within=0.4)
-    assert record.figures().held_in_vain == in_vain
+    record.record_unstarted(waited, wanted_within=0.4)
+    assert record.counts().wasted_waits == in_vain
 
 
 def test_a_slot_that_is_free_elsewhere_makes_no_refusal_wrong() -> None:
     records = AdmissionRecords()
     first, second = GroupId("first"), GroupId("second")
-    records.of(first, at_leader=True).refused(work(), 0.02, NOW)
-    records.of(first, at_leader=False).saw_idle(NOW)
-    records.of(second, at_leader=True).saw_idle(NOW)
-    assert records.figures().refused_wrongly == 0
-    records.of(first, at_leader=True).saw_idle(NOW)
+    records.of(first, at_leader=True).record_refusal(work(), 0.02, NOW)
+    records.of(first, at_leader=False).record_idle_slot(NOW)
+    records.of(second, at_leader=True).record_idle_slot(NOW)
+    assert records.counts().wrong_refusals == 0
+    records.of(first, at_leader=True).record_idle_slot(NOW)
     records.keep_only(frozenset({second}))
-    assert records.figures().refused_wrongly == 1, "what was counted stays counted"
+    assert records.counts().wrong_refusals == 1, "what was counted stays counted"
 
 
 # Loads, against a database of five slots that serves first come.
@@ -172,8 +172,8 @@
     for name, policy in policies.items():
         callers = Callers(policy)
         seen = callers.play(arrivals(seed, lambda now: load, 10.0), 10.0)
-        held[name] = callers.record.figures().held_in_vain
-        wrong[name] = callers.record.figures().refused_wrongly
+        held[name] = callers.record.counts().wasted_waits
+        wrong[name] = callers.record.counts().wrong_refusals
         refused[name] = seen.refused.total()
     offered = load * CAPACITY * 10.0
     assert held["with"] <= 0.01 * offered
@@ -200,5 +200,5 @@
 
 def test_a_deadline_before_the_aim_bounds_the_wait() -> None:
     early = work(timeout=0.2, aim=9.0)
-    assert refuse_early(early, told(0.9 * WAIT_SHARE * 0.2), 0, NOW) is None
-    assert refuse_early(early, told(1.1 * WAIT_SHARE * 0.2), 0, NOW) is not None
+    assert refuse_early(early, told(0.9 * MAX_WAIT_SHARE * 0.2), 0, NOW) is None
+    assert refuse_early(early, told(1.1 * MAX_WAIT_SHARE * 0.2), 0, NOW) is not None
--- a/tests/test_overload_completion.py
+++ b/tests/test_overload_completion.py
@@ -11,7 +11,7 @@
 from bramblebeam.core.identity import InstanceId
 from bramblebeam.core.overload.completion import (
     LEAVE_MARGIN,
-    MOST_LEAVING,
+    MAX_LEAVING_SHARE,
     STAY_MARGIN,
     Candidate,
     ReadChooser,
@@ -22,7 +22,7 @@
 SERVICE = 0.03
 WAY = 0.06
 NEAR = Candidate(A, wait=0.0, service=SERVICE, slots=6)
-FAR = Candidate(B, wait=0.0, service=SERVICE, way=WAY, slots=6, is_far=True)
+FAR = Candidate(B, wait=0.0, service=SERVICE, network_cost=WAY, slots=6, is_far=True)
 
 
 def choices(candidates: list[Candidate], number: int = 100) -> Counter[InstanceId]:
@@ -41,7 +41,7 @@
         pytest.param(NEAR, SERVICE, id="idle"),
         pytest.param(NEAR._replace(wait=0.1), 0.1 + SERVICE, id="a queue"),
         pytest.param(FAR, SERVICE + WAY, id="far"),
-        pytest.param(NEAR._replace(opening=0.02), SERVICE + 0.02, id="a connection to open"),
+        pytest.param(NEAR._replace(connect_time=0.02), SERVICE + 0.02, id="a connection to open"),
         pytest.param(NEAR._replace(sent=12), 2 * SERVICE + SERVICE, id="two rounds sent since"),
         pytest.param(NEAR._replace(error_share=0.2), 1.2 * SERVICE, id="a fifth in vain"),
         pytest.param(
@@ -71,7 +71,7 @@
 
 def test_no_more_than_a_part_of_the_reads_leaves_for_a_queue() -> None:
     left = choices([NEAR._replace(wait=1.0), FAR], 1000)[B]
-    assert 0.9 * MOST_LEAVING * 1000 <= left <= 1.05 * MOST_LEAVING * 1000
+    assert 0.9 * MAX_LEAVING_SHARE * 1000 <= left <= 1.05 * MAX_LEAVING_SHARE * 1000
 
 
 def test_all_reads_leave_where_no_near_database_can_serve() -> None:
--- a/tests/test_overload_ejection.py
+++ b/tests/test_overload_ejection.py
@@ -9,18 +9,18 @@
 from bramblebeam.core.identity import InstanceId
 from bramblebeam.core.overload.ejection import (
     FIRST_EJECTION,
-    LEAST_ATTEMPTS,
-    LEAST_SERVED,
-    LONGEST_EJECTION,
+    MAX_EJECTION,
+    MIN_ATTEMPTS,
+    MIN_SERVED,
     PROBE_INTERVAL,
     PROBES,
     SLOW_FACTOR,
     SLOW_START,
     SLOW_START_SHARE,
     Cause,
+    EjectionState,
+    EjectionStateChange,
     Ejector,
-    Standing,
-    StandingChanged,
 )
 
 A, B = InstanceId("a"), InstanceId("b")
@@ -35,36 +35,36 @@
     def __init__(self) -> None:
         self.ejector = Ejector()
         self.now = 10.0
-        self.changes: list[StandingChanged] = []
+        self.changes: list[EjectionStateChange] = []
 
     def play(self, outcomes: str, gap: float = GAP) -> None:
         """Play statements: '+' served, '-' in vain, '~' silence."""
         for outcome in outcomes:
             began, self.now = self.now, self.now + gap
             if outcome == "+":
-                change = self.ejector.served(A, SERVICE, began, self.now)
+                change = self.ejector.record_served(A, SERVICE, began, self.now)
             elif outcome == "-":
-                change = self.ejector.failed(A, began, self.now)
+                change = self.ejector.record_failed(A, began, self.now)
             else:
-                change = self.ejector.silent(A, began, self.now)
+                change = self.ejector.record_unresponsive(A, began, self.now)
             if change is not None:
                 self.changes.append(change)
 
     @property
-    def standing(self) -> Standing:
-        return self.ejector.standing(A, self.now)
+    def standing(self) -> EjectionState:
+        return self.ejector.state(A, self.now)
 
     def is_usable(self) -> bool:
         return A in self.ejector.usable([A, B], self.now)
 
     def wait_for_probation(self) -> None:
-        while self.standing is Standing.EJECTED:
+        while self.standing is EjectionState.EJECTED:
             self.now += GAP
 
     def come_back(self) -> None:
         self.wait_for_probation()
         self.play("+" * PROBES)
-        assert self.standing is Standing.IN_SERVICE
+        assert self.standing is EjectionState.IN_SERVICE
 
 
 @pytest.mark.parametrize(
@@ -74,7 +74,7 @@
         pytest.param("--", None, id="two in vain out of two"),
         pytest.param("+" * 20 + "---", None, id="three in vain after many"),
         pytest.param("+++++++++-" * 10, None, id="a tenth in vain"),
-        pytest.param("-" * int(LEAST_ATTEMPTS + 2), Cause.FAILING, id="all in vain"),
+        pytest.param("-" * int(MIN_ATTEMPTS + 2), Cause.FAILING, id="all in vain"),
         pytest.param("+-" * 10, Cause.FAILING, id="half in vain"),
         pytest.param("+++-" * 30, Cause.FAILING, id="a quarter in vain"),
         pytest.param("+" * 20 + "~", Cause.SILENT, id="silence"),
@@ -109,17 +109,17 @@
     times: float, others: list[float], is_slow: bool
 ) -> None:
     ejector = Ejector()
-    for number in range(int(LEAST_SERVED)):
-        ejector.served(A, SERVICE * times, number * GAP, number * GAP + GAP)
+    for number in range(int(MIN_SERVED)):
+        ejector.record_served(A, SERVICE * times, number * GAP, number * GAP + GAP)
     change = ejector.compare(A, others, 1.0)
     assert (change is not None and change.cause is Cause.SLOW) is is_slow
 
 
 def test_a_few_answers_say_nothing_of_speed() -> None:
     ejector = Ejector()
-    for number in range(int(LEAST_SERVED) - 1):
-        ejector.served(A, 1.0, number * GAP, number * GAP + GAP)
-    assert ejector.service(A) is None
+    for number in range(int(MIN_SERVED) - 1):
+        ejector.record_served(A, 1.0, number * GAP, number * GAP + GAP)
+    assert ejector.service_time(A) is None
     assert ejector.compare(A, [SERVICE], 1.0) is None
 
 
@@ -130,7 +130,7 @@
     bench.now += FIRST_EJECTION - GAP
     assert not bench.is_usable()
     bench.now += 2 * GAP
-    assert bench.standing is Standing.ON_PROBATION
+    assert bench.standing is EjectionState.ON_PROBATION
     assert bench.is_usable()
 
 
@@ -138,15 +138,15 @@
     bench = Bench()
     bench.play("~")
     bench.wait_for_probation()
-    bench.ejector.note_sent(A, bench.now)
+    bench.ejector.record_sent(A, bench.now)
     assert not bench.is_usable()
     bench.now += PROBE_INTERVAL
     assert bench.is_usable()
     bench.play("+" * (PROBES - 1))
-    assert bench.standing is Standing.ON_PROBATION
+    assert bench.standing is EjectionState.ON_PROBATION
     bench.play("+")
-    assert bench.standing is Standing.IN_SERVICE
-    assert bench.changes[-1].standing is Standing.IN_SERVICE
+    assert bench.standing is EjectionState.IN_SERVICE
+    assert bench.changes[-1].standing is EjectionState.IN_SERVICE
 
 
 @pytest.mark.parametrize("outcome", ["-", "~"])
@@ -155,7 +155,7 @@
     bench.play("~")
     bench.wait_for_probation()
     bench.play("+" + outcome)
-    assert bench.standing is Standing.EJECTED
+    assert bench.standing is EjectionState.EJECTED
     assert [change.seconds for change in bench.changes] == [FIRST_EJECTION, 2 * FIRST_EJECTION]
 
 
@@ -166,12 +166,12 @@
     bench.play("~")
     bench.wait_for_probation()
     found = {
-        "+": lambda: bench.ejector.served(A, SERVICE, sent_at, bench.now),
-        "-": lambda: bench.ejector.failed(A, sent_at, bench.now),
-        "~": lambda: bench.ejector.silent(A, sent_at, bench.now),
+        "+": lambda: bench.ejector.record_served(A, SERVICE, sent_at, bench.now),
+        "-": lambda: bench.ejector.record_failed(A, sent_at, bench.now),
+        "~": lambda: bench.ejector.record_unresponsive(A, sent_at, bench.now),
     }
     assert [found[outcome]() for _ in range(20)] == [None] * 20
-    assert bench.standing is Standing.ON_PROBATION
+    assert bench.standing is EjectionState.ON_PROBATION
 
 
 def test_ejections_in_a_row_last_longer_up_to_a_bound() -> None:
@@ -179,9 +179,9 @@
     for _ in range(6):
         bench.play("~")
         bench.come_back()
-    seconds = [found.seconds for found in bench.changes if found.standing is Standing.EJECTED]
+    seconds = [found.seconds for found in bench.changes if found.state is EjectionState.EJECTED]
     assert seconds[:3] == [FIRST_EJECTION, 2 * FIRST_EJECTION, 4 * FIRST_EJECTION]
-    assert max(seconds) == LONGEST_EJECTION
+    assert max(seconds) == MAX_EJECTION
 
 
 def test_after_a_calm_time_an_ejection_is_as_short_as_the_first() -> None:
@@ -208,7 +208,7 @@
     bench = Bench()
     bench.play("~")
     assert bench.ejector.usable([A], bench.now) == [A]
-    bench.ejector.silent(B, bench.now, bench.now + GAP)
+    bench.ejector.record_unresponsive(B, bench.now, bench.now + GAP)
     assert bench.ejector.usable([A, B], bench.now) == [A, B]
 
 
@@ -216,4 +216,4 @@
     bench = Bench()
     bench.play("~")
     bench.ejector.keep_only([B])
-    assert bench.standing is Standing.IN_SERVICE
+    assert bench.standing is EjectionState.IN_SERVICE
--- a/tests/test_overload_gateway.py
+++ b/tests/test_overload_gateway.py
@@ -19,9 +19,9 @@
 from bramblebeam.core.gateway.statements import Action, Statement
 from bramblebeam.core.identity import GroupId, NodeId
 from bramblebeam.core.overload.admission import KnownWait
-from bramblebeam.core.overload.budget import OVERLOADED_WAIT, SECOND_ATTEMPTS
+from bramblebeam.core.overload.budget import OVERLOADED_WAIT, SECOND_ATTEMPT_LIMITS
+from bramblebeam.core.overload.idle_transactions import OpenTransactions
 from bramblebeam.core.overload.ports import Estimate
-from bramblebeam.core.overload.resting import OpenTransactions
 from bramblebeam.core.tenants import NO_TENANT, TenantId
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
 from bramblebeam.platform.sources import parse_table
@@ -30,7 +30,7 @@
 from bramblebeam.services.gateway.forwarding import Forwarder
 from bramblebeam.services.gateway.transaction_gates import Admitted, DatabaseGate
 from bramblebeam.services.transport.messages import PeerFailure
-from overload_callers import note_moments
+from overload_callers import record_retries
 from platform_standins import world as worlds
 from platform_standins.world import FAR_TOO_LONG, GROUP, World, configuration, proxied_world, until
 from test_gateway_pool import make_pool
@@ -258,11 +258,11 @@
         client = await served_once(world)
         context = context_of(world)
         context.load.known = ToldWait(3.0, context.now)
-        moments = note_moments(monkeypatch)
+        moments = record_retries(monkeypatch)
         for _ in range(5):
             text = (await client.run("READ x")).text
             assert f"retry after {round(moments[-1].after * 1000)} ms" in text
-        told = [found.moment for found in moments]
+        told = [found.retry_at for found in moments]
         assert told == sorted(told)
         assert len(set(told)) == 5
 
@@ -280,7 +280,7 @@
 
 @pytest.mark.parametrize(
     ("wait", "granted"),
-    [(0.0, int(SECOND_ATTEMPTS.capacity)), (2 * OVERLOADED_WAIT, 0)],
+    [(0.0, int(SECOND_ATTEMPT_LIMITS.capacity)), (2 * OVERLOADED_WAIT, 0)],
     ids=["quiet", "callers queue"],
 )
 async def test_second_attempts_are_bounded(
--- a/tests/test_overload_resting.py
+++ b/tests/test_overload_idle_transactions.py
@@ -5,20 +5,20 @@
 
 import pytest
 
-from bramblebeam.core.overload.ports import Refused
-from bramblebeam.core.overload.resting import (
+from bramblebeam.core.overload.idle_transactions import (
     ASSUMED_SECONDS,
-    DATABASE_SHARE,
-    NODE_TRANSACTIONS,
+    MAX_NODE_TRANSACTIONS,
+    MAX_TRANSACTION_SHARE,
     Connections,
     OpenTransactions,
     TransactionGate,
-    Waiting,
+    WaitingTransaction,
 )
+from bramblebeam.core.overload.ports import Refused
 from bramblebeam.core.tenants import TenantId
 
 MOST = 40
-BOUND = int(DATABASE_SHARE * MOST)
+BOUND = int(MAX_TRANSACTION_SHARE * MOST)
 SCARCE = Connections(MOST, MOST)
 PLENTY = Connections(MOST // 2, MOST)
 LONG = 60.0
@@ -29,7 +29,7 @@
     """Return how many of so many transactions begin now; the others wait."""
     began = 0
     for number in range(count):
-        gate.ask(Waiting(number, tenant), connections, LONG)
+        gate.enqueue(WaitingTransaction(number, tenant), connections, LONG)
         began += gate.next(connections) is not None
     return began
 
@@ -42,7 +42,7 @@
 def test_transactions_leave_a_part_of_scarce_connections_to_statements() -> None:
     gate = TransactionGate(OpenTransactions())
     assert opened(gate, LOUD, MOST, SCARCE) == BOUND
-    assert gate.waits
+    assert gate.has_waiting
     gate.ended(LOUD, 0.2)
     assert gate.next(SCARCE) is not None
     assert gate.next(SCARCE) is None
@@ -53,7 +53,7 @@
     gate = TransactionGate(OpenTransactions())
     opened(gate, LOUD, 60, SCARCE)
     for number in range(100, 104):
-        assert gate.ask(Waiting(number, QUIET), SCARCE, LONG) is None
+        assert gate.enqueue(WaitingTransaction(number, QUIET), SCARCE, LONG) is None
     begun = []
     for _ in range(4):
         gate.ended(LOUD, 0.2)
@@ -76,7 +76,7 @@
         tenant = numbers.choices(tenants, weights)[0]
         owners[number] = tenant
         asked[tenant] += 1
-        gate.ask(Waiting(number, tenant), SCARCE, 10 * LONG)
+        gate.enqueue(WaitingTransaction(number, tenant), SCARCE, 10 * LONG)
         if running and numbers.random() < 0.6:
             gate.ended(running.pop(0), 0.2)
         while (started := gate.next(SCARCE)) is not None:
@@ -96,20 +96,20 @@
 def test_one_whose_turn_comes_too_late_is_refused_at_once(time_left: float, refused: bool) -> None:
     gate = TransactionGate(OpenTransactions())
     for number in range(BOUND):
-        gate.ask(Waiting(number, LOUD), SCARCE, LONG)
+        gate.enqueue(WaitingTransaction(number, LOUD), SCARCE, LONG)
         assert gate.next(SCARCE) is not None
-    answer = gate.ask(Waiting(900, LOUD), SCARCE, time_left)
+    answer = gate.enqueue(WaitingTransaction(900, LOUD), SCARCE, time_left)
     assert isinstance(answer, Refused) == refused
     if answer is not None:
         assert answer.room_in == pytest.approx(ASSUMED_SECONDS / BOUND)
-    assert gate.waits != refused
+    assert gate.has_waiting != refused
 
 
 def test_one_that_gives_up_is_not_begun() -> None:
     gate = TransactionGate(OpenTransactions())
     opened(gate, LOUD, BOUND, SCARCE)
-    gate.ask(Waiting(800, QUIET), SCARCE, LONG)
-    gate.ask(Waiting(801, QUIET), SCARCE, LONG)
+    gate.enqueue(WaitingTransaction(800, QUIET), SCARCE, LONG)
+    gate.enqueue(WaitingTransaction(801, QUIET), SCARCE, LONG)
     gate.withdraw(800)
     gate.ended(LOUD, 0.1)
     assert gate.next(SCARCE) == 801
@@ -118,8 +118,8 @@
 def test_the_bound_of_a_node_holds_over_all_databases() -> None:
     node = OpenTransactions()
     first, second = TransactionGate(node), TransactionGate(node)
-    wide = Connections(0, 10 * NODE_TRANSACTIONS)
-    assert opened(first, LOUD, NODE_TRANSACTIONS, wide) == NODE_TRANSACTIONS
+    wide = Connections(0, 10 * MAX_NODE_TRANSACTIONS)
+    assert opened(first, LOUD, MAX_NODE_TRANSACTIONS, wide) == MAX_NODE_TRANSACTIONS
     assert opened(second, QUIET, 1, wide) == 0
     first.ended(LOUD, 0.1)
     assert second.next(wide) is not None
@@ -136,5 +136,5 @@
     for _ in range(BOUND):
         gate.ended(LOUD, -5.0)
         opened(gate, LOUD, 1, SCARCE)
-    answer = gate.ask(Waiting(900, LOUD), SCARCE, 0.0)
+    answer = gate.enqueue(WaitingTransaction(900, LOUD), SCARCE, 0.0)
     assert answer is None or answer.room_in >= 0.0
--- a/tests/test_overload_read_path.py
+++ b/tests/test_overload_read_path.py
@@ -14,7 +14,7 @@
 import pytest
 
 from bramblebeam.core.identity import GroupId, InstanceId
-from bramblebeam.core.overload.ejection import Standing
+from bramblebeam.core.overload.ejection import EjectionState
 from bramblebeam.platform.node import PlatformNode
 from bramblebeam.services.gateway import forwarding
 from bramblebeam.services.gateway.read_targets import ReadTargets
@@ -72,10 +72,10 @@
     return found
 
 
-def standing(world: World, name: str) -> Standing:
+def standing(world: World, name: str) -> EjectionState:
     """Return how a database stands at the callers' node."""
     now = asyncio.get_running_loop().time()
-    return targets(world)._ejector.standing(InstanceId(name), now)
+    return targets(world)._ejector.state(InstanceId(name), now)
 
 
 async def read(world: World, times: int = 1) -> list[str]:
@@ -121,7 +121,7 @@
         member.fault.silent = False
 
         async with asyncio.timeout(FAR_TOO_LONG):
-            while standing(world, NEAR) is not Standing.IN_SERVICE:
+            while standing(world, NEAR) is not EjectionState.IN_SERVICE:
                 assert await read(world) == [""]
 
 
@@ -135,11 +135,11 @@
         far_targets = far.placement.targets
         assert far_targets is not None
         pool = far.placement.pools[InstanceId(OTHER)]
-        far_targets._ejector.silent(InstanceId(OTHER), now, now + 0.001)
+        far_targets._ejector.record_unresponsive(InstanceId(OTHER), now, now + 0.001)
         await asyncio.sleep(0.01)
         assert far_targets.is_silent(pool)
         near = targets(world)
-        near._ejector.silent(InstanceId(NEAR), now, now + 0.001)
+        near._ejector.record_unresponsive(InstanceId(NEAR), now, now + 0.001)
         assert await read(world, 5) == [""] * 5
 
 
--- a/tests/test_overload_told_loads.py
+++ b/tests/test_overload_reported_loads.py
@@ -8,11 +8,11 @@
 
 from bramblebeam.core.identity import InstanceId
 from bramblebeam.core.overload.load import DatabaseLoad
-from bramblebeam.core.overload.told_loads import (
-    FORGOTTEN_HALF_LIVES,
-    MOST_TOLD,
-    TOLD_HALF_LIFE,
-    ToldLoads,
+from bramblebeam.core.overload.reported_loads import (
+    MAX_REPORT_HALF_LIVES,
+    MAX_REPORTED_LOADS,
+    REPORT_HALF_LIFE,
+    ReportedLoads,
 )
 
 NEAR = InstanceId("near")
@@ -23,22 +23,22 @@
     ("age", "weight"),
     [
         pytest.param(0.0, 1.0, id="now"),
-        pytest.param(TOLD_HALF_LIFE, 0.5, id="a half-life"),
-        pytest.param(2 * TOLD_HALF_LIFE, 0.25, id="two"),
+        pytest.param(REPORT_HALF_LIFE, 0.5, id="a half-life"),
+        pytest.param(2 * REPORT_HALF_LIFE, 0.25, id="two"),
         pytest.param(-1.0, 1.0, id="a clock that went back"),
-        pytest.param(TOLD_HALF_LIFE * (FORGOTTEN_HALF_LIVES + 0.1), None, id="too old"),
+        pytest.param(REPORT_HALF_LIFE * (MAX_REPORT_HALF_LIVES + 0.1), None, id="too old"),
     ],
 )
 def test_what_is_old_counts_for_less(age: float, weight: float | None) -> None:
-    told = ToldLoads()
-    told.take([LOAD], 10.0)
+    told = ReportedLoads()
+    told.update([LOAD], 10.0)
     found = told.find(NEAR, 10.0 + age)
     assert (None if found is None else found.weight) == (weight and pytest.approx(weight))
 
 
 def test_what_is_too_old_is_not_kept() -> None:
-    told = ToldLoads()
-    told.take([LOAD], 0.0)
+    told = ReportedLoads()
+    told.update([LOAD], 0.0)
     told.find(NEAR, 60.0)
     assert len(told) == 0
 
@@ -57,44 +57,44 @@
     ],
 )
 def test_a_load_that_can_not_be_leaves_the_last_one_in_force(load: DatabaseLoad) -> None:
-    told = ToldLoads()
-    told.take([LOAD], 0.0)
-    told.take([load], 0.1)
+    told = ReportedLoads()
+    told.update([LOAD], 0.0)
+    told.update([load], 0.1)
     found = told.find(NEAR, 0.1)
     assert found is not None
     assert found.load == LOAD
 
 
 def test_what_was_sent_counts_until_more_is_told() -> None:
-    told = ToldLoads()
-    assert told.note_sent(NEAR) is None
+    told = ReportedLoads()
+    assert told.record_sent(NEAR) is None
     assert told.find(NEAR, 0.0) is None
-    told.take([LOAD], 0.0)
-    counted = [told.note_sent(NEAR) for _ in range(3)]
-    told.note_done(counted[0])
+    told.update([LOAD], 0.0)
+    counted = [told.record_sent(NEAR) for _ in range(3)]
+    told.record_done(counted[0])
     found = told.find(NEAR, 0.0)
     assert found is not None
     assert found.sent == 2
-    told.take([LOAD], 0.1)
-    told.note_sent(NEAR)
-    told.note_done(counted[1])
+    told.update([LOAD], 0.1)
+    told.record_sent(NEAR)
+    told.record_done(counted[1])
     found = told.find(NEAR, 0.1)
     assert found is not None
     assert found.sent == 1, "what was sent before takes nothing from what was sent since"
 
 
 def test_the_loads_of_many_databases_are_bounded_and_the_oldest_go_first() -> None:
-    told = ToldLoads(most=3)
+    told = ReportedLoads(most=3)
     names = [InstanceId(f"db-{number}") for number in range(5)]
     for at, name in enumerate(names):
-        told.take([LOAD._replace(instance=name)], at / 100)
+        told.update([LOAD._replace(instance=name)], at / 100)
     assert len(told) == 3
     assert [told.find(name, 0.05) is not None for name in names] == [False, False, True, True, True]
-    assert MOST_TOLD > 3
+    assert MAX_REPORTED_LOADS > 3
 
 
 def test_databases_that_are_gone_are_forgotten() -> None:
-    told = ToldLoads()
-    told.take([LOAD, LOAD._replace(instance=InstanceId("gone"))], 0.0)
+    told = ReportedLoads()
+    told.update([LOAD, LOAD._replace(instance=InstanceId("gone"))], 0.0)
     told.keep_only({NEAR})
     assert len(told) == 1
--- a/tests/test_overload_scheduler.py
+++ b/tests/test_overload_scheduler.py
@@ -8,8 +8,8 @@
 from bramblebeam.core.identity import InstanceId
 from bramblebeam.core.overload.limits import AdaptiveLimit, SlotAllowance
 from bramblebeam.core.overload.ports import SlotLimit
-from bramblebeam.core.overload.scheduler import OVERDUE_LIMITS, OVERDUE_SECONDS, SlotScheduler
-from bramblebeam.core.overload.service_times import ASSUMED_SECONDS, KindTimes
+from bramblebeam.core.overload.scheduler import OVERDUE_LIMIT_FACTOR, OVERDUE_SECONDS, SlotScheduler
+from bramblebeam.core.overload.service_times import ASSUMED_SECONDS, ServiceTimes
 from bramblebeam.core.overload.settings import OverloadSettings
 from bramblebeam.core.overload.work import Work, WorkKind
 from bramblebeam.core.tenants import TenantId
@@ -41,7 +41,7 @@
 
 def a_scheduler(limit: int) -> SlotScheduler:
     slots = SlotAllowance(limit, 0)
-    return SlotScheduler(InstanceId("db"), slots, KindTimes(), OverloadSettings(enabled=True))
+    return SlotScheduler(InstanceId("db"), slots, ServiceTimes(), OverloadSettings(enabled=True))
 
 
 def a_work(now: float) -> Work:
@@ -62,7 +62,7 @@
     for number in range(4):
         assert scheduler.offer(number, a_work(0.0), 0.0) is None
     assert begun(scheduler, 0.0) == [0, 1]
-    assert scheduler.due == pytest.approx(OVERDUE_SECONDS)
+    assert scheduler.next_wakeup == pytest.approx(OVERDUE_SECONDS)
     assert begun(scheduler, OVERDUE_SECONDS - 0.01) == []
     assert begun(scheduler, OVERDUE_SECONDS) == [2, 3]
 
@@ -84,7 +84,7 @@
         now = number * OVERDUE_SECONDS
         if scheduler.offer(number, a_work(now), now) is None:
             under_way += begun(scheduler, now)
-    assert len(under_way) == 2 + OVERDUE_LIMITS * 2
+    assert len(under_way) == 2 + OVERDUE_LIMIT_FACTOR * 2
 
 
 # Whole loads, played in virtual time.
@@ -182,7 +182,7 @@
 
 def scheduler(limit: int = 1, longest_queue: int = 256) -> SlotScheduler:
     settings = OverloadSettings(enabled=True, longest_queue=longest_queue)
-    return SlotScheduler(InstanceId("db"), SlotAllowance(limit, 0), KindTimes(), settings)
+    return SlotScheduler(InstanceId("db"), SlotAllowance(limit, 0), ServiceTimes(), settings)
 
 
 def work(
@@ -265,14 +265,14 @@
     assert found.offer(0, work(), 0.0) is None
     assert found.next(0.0) == 0
     assert found.offer(1, work(aim=1.0, deadline=1.0), 0.0) is None
-    assert found.due is not None
-    assert found.expired(0.5) == []
+    assert found.next_wakeup is not None
+    assert found.pop_expired(0.5) == []
     # It stood still meanwhile: nothing that expired begins.
     found.finished(0, None, 1.0)
     assert found.next(1.0) is None
-    assert [number for number, _ in found.expired(1.0)] == [1]
-    assert found.expired(1.0) == []
-    assert (found.waiting, found.due) == (0, None)
+    assert [number for number, _ in found.pop_expired(1.0)] == [1]
+    assert found.pop_expired(1.0) == []
+    assert (found.waiting, found.next_wakeup) == (0, None)
 
 
 @pytest.mark.parametrize("inside", [False, True])
