--- a/src/bramblebeam/core/feed/plan.py
+++ b/src/bramblebeam/core/feed/plan.py
@@ -5,12 +5,13 @@
 each other across regions, so that a region whose readers cannot reach the store still gets changes.
 """
 
-from bramblebeam.core.gateway.owners import (NodeLocation)
-from bramblebeam.core.identity import (NodeId)
-from bramblebeam.core.membership.view import (MembersView)
-from bramblebeam.core.ownership.rendezvous import (ranked_owners)
-from collections.abc import (Mapping)
-from typing import (NamedTuple)
+from collections.abc import Mapping
+from typing import NamedTuple
+
+from bramblebeam.core.gateway.owners import NodeLocation
+from bramblebeam.core.identity import NodeId
+from bramblebeam.core.membership.view import MembersView
+from bramblebeam.core.ownership.rendezvous import ranked_owners
 
 READERS_PER_REGION = 2
 MAX_DIRECT_READERS = 12
--- a/src/bramblebeam/core/gateway/incarnations.py
+++ b/src/bramblebeam/core/gateway/incarnations.py
@@ -1,6 +1,12 @@
 """Which start of each database is the newest: one that is older has ended."""
 
-from bramblebeam.core.identity import (InstanceId, ServerName, UNKNOWN_INCARNATION, incarnation_of, server_name)
+from bramblebeam.core.identity import (
+    UNKNOWN_INCARNATION,
+    InstanceId,
+    ServerName,
+    incarnation_of,
+    server_name,
+)
 
 MAXIMUM_NAMES = 10_000
 """So many names are remembered, as many as a system has databases: beyond that the one that was
--- a/src/bramblebeam/core/gateway/restart_tracker.py
+++ b/src/bramblebeam/core/gateway/restart_tracker.py
@@ -5,9 +5,16 @@
 what it had received, so that it stands for no acknowledged commit until it has caught up.
 """
 
-from bramblebeam.core.identity import (InstanceId, Position, UNKNOWN_INCARNATION, ZERO_POSITION, incarnation_of)
-from collections.abc import (Collection)
-from typing import (NamedTuple)
+from collections.abc import Collection
+from typing import NamedTuple
+
+from bramblebeam.core.identity import (
+    UNKNOWN_INCARNATION,
+    ZERO_POSITION,
+    InstanceId,
+    Position,
+    incarnation_of,
+)
 
 
 class ReportedPosition(NamedTuple):
--- a/src/bramblebeam/core/overload/budget.py
+++ b/src/bramblebeam/core/overload/budget.py
@@ -6,8 +6,9 @@
 """
 
 from __future__ import annotations
-from bramblebeam.core.identity import (GroupId)
-from bramblebeam.core.routing.budget import (RetryBudget, RetryLimits)
+
+from bramblebeam.core.identity import GroupId
+from bramblebeam.core.routing.budget import RetryBudget, RetryLimits
 
 SECOND_ATTEMPT_LIMITS = RetryLimits(share=0.1, minimum_rate=2.0, capacity=10.0)
 """A tenth more work than was asked for: a database that runs at nine tenths of its capacity bears
--- a/src/bramblebeam/core/routing/pinned.py
+++ b/src/bramblebeam/core/routing/pinned.py
@@ -4,15 +4,33 @@
 COMMIT was sent is certainly rolled back; a COMMIT without a reply has an uncertain outcome.
 """
 
-from bramblebeam.core.identity import (ZERO_POSITION)
-from bramblebeam.core.machine import (Wakeup)
-from bramblebeam.core.routing.attempt import (REPEAT_INTERVAL, REPEAT_WINDOW, REPLY_MARGIN, answer_term, repeated)
-from bramblebeam.core.routing.directory import (Directory)
-from bramblebeam.core.routing.effects import (Abandon, Answered, AttemptFailed, Effect, Finish, GroupUpdated, Hold, SendRequest, Started, StatementRequest)
-from bramblebeam.core.session.session import (Session, Transaction)
-from bramblebeam.core.statement import (ExecuteReply, ExecuteRequest, StatementKind)
-from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
-from typing import (Any)
+from typing import Any
+
+from bramblebeam.core.identity import ZERO_POSITION
+from bramblebeam.core.machine import Wakeup
+from bramblebeam.core.routing.attempt import (
+    REPEAT_INTERVAL,
+    REPEAT_WINDOW,
+    REPLY_MARGIN,
+    answer_term,
+    repeated,
+)
+from bramblebeam.core.routing.directory import Directory
+from bramblebeam.core.routing.effects import (
+    Abandon,
+    Answered,
+    AttemptFailed,
+    Effect,
+    Finish,
+    GroupUpdated,
+    Hold,
+    SendRequest,
+    Started,
+    StatementRequest,
+)
+from bramblebeam.core.session.session import Session, Transaction
+from bramblebeam.core.statement import ExecuteReply, ExecuteRequest, StatementKind
+from bramblebeam.core.verdict import Reason, Refusal, Verdict
 
 
 class PinnedExecution:
--- a/src/bramblebeam/platform/node.py
+++ b/src/bramblebeam/platform/node.py
@@ -1,30 +1,32 @@
 """Puts a node together from the product's services and this package's adapters."""
 
 from __future__ import annotations
-from bramblebeam.core.gateway.owners import (NodeLocation)
-from bramblebeam.core.identity import (Address)
-from bramblebeam.core.membership.timing import (MembershipTiming)
-from bramblebeam.kernel import (Kernel)
-from bramblebeam.platform.caller_listener import (CallerListener)
-from bramblebeam.platform.database_connection import (LineDatabaseConnector)
-from bramblebeam.platform.eras import (StoreEras)
-from bramblebeam.platform.http import (HttpAnswer, HttpServer)
-from bramblebeam.platform.leases import (ObjectLeaseStore)
-from bramblebeam.platform.promotions import (PromotionClient)
-from bramblebeam.platform.settings import (PlatformNodeSettings)
-from bramblebeam.platform.sources import (database_source, route_source)
-from bramblebeam.platform.store import (StoreClient)
-from bramblebeam.platform.store_calls import (StoreCalls)
-from bramblebeam.services.failover.service import (FailoverService)
-from bramblebeam.services.feed.service import (FeedService)
-from bramblebeam.services.gateway.queue_view import (queues_as_json)
-from bramblebeam.services.gateway.service import (GatewayService)
-from bramblebeam.services.gateway.tenant_view import (tenants_as_json)
-from bramblebeam.services.membership.service import (MembershipService)
-from bramblebeam.services.transport.service import (TransportService)
-from bramblebeam.wire.codec import (Codec)
-from bramblebeam.wire.gateway_registry import (GATEWAY_NODE_MESSAGES)
-from dataclasses import (dataclass)
+
+from dataclasses import dataclass
+
+from bramblebeam.core.gateway.owners import NodeLocation
+from bramblebeam.core.identity import Address
+from bramblebeam.core.membership.timing import MembershipTiming
+from bramblebeam.kernel import Kernel
+from bramblebeam.platform.caller_listener import CallerListener
+from bramblebeam.platform.database_connection import LineDatabaseConnector
+from bramblebeam.platform.eras import StoreEras
+from bramblebeam.platform.http import HttpAnswer, HttpServer
+from bramblebeam.platform.leases import ObjectLeaseStore
+from bramblebeam.platform.promotions import PromotionClient
+from bramblebeam.platform.settings import PlatformNodeSettings
+from bramblebeam.platform.sources import database_source, route_source
+from bramblebeam.platform.store import StoreClient
+from bramblebeam.platform.store_calls import StoreCalls
+from bramblebeam.services.failover.service import FailoverService
+from bramblebeam.services.feed.service import FeedService
+from bramblebeam.services.gateway.queue_view import queues_as_json
+from bramblebeam.services.gateway.service import GatewayService
+from bramblebeam.services.gateway.tenant_view import tenants_as_json
+from bramblebeam.services.membership.service import MembershipService
+from bramblebeam.services.transport.service import TransportService
+from bramblebeam.wire.codec import Codec
+from bramblebeam.wire.gateway_registry import GATEWAY_NODE_MESSAGES
 
 READINESS_PATH = "/bramblebeam/readiness"
 METRICS_PATH = "/metrics"
--- a/tests/test_overload_budget.py
+++ b/tests/test_overload_budget.py
@@ -1,8 +1,14 @@
 """Our own second attempts: few, and none while callers queue."""
 
 import pytest
-from bramblebeam.core.identity import (GroupId)
-from bramblebeam.core.overload.budget import (AttemptBudget, AttemptBudgets, OVERLOADED_WAIT, SECOND_ATTEMPT_LIMITS)
+
+from bramblebeam.core.identity import GroupId
+from bramblebeam.core.overload.budget import (
+    OVERLOADED_WAIT,
+    SECOND_ATTEMPT_LIMITS,
+    AttemptBudget,
+    AttemptBudgets,
+)
 
 GROUP, OTHER = GroupId("one"), GroupId("two")
 QUIET = 0.0
@@ -17,7 +23,9 @@
     for number in range(rate * seconds):
         budget.record_first_attempt()
         granted += budget.take(QUIET, number / rate)
-    earned = SECOND_ATTEMPT_LIMITS.share * rate * seconds + SECOND_ATTEMPT_LIMITS.minimum_rate * seconds
+    earned = (
+        SECOND_ATTEMPT_LIMITS.share * rate * seconds + SECOND_ATTEMPT_LIMITS.minimum_rate * seconds
+    )
     assert granted <= earned + SECOND_ATTEMPT_LIMITS.capacity
     assert granted >= earned - 1
     assert budget.denied == rate * seconds - granted
