--- a/src/bramblebeam/core/membership/probing.py
+++ b/src/bramblebeam/core/membership/probing.py
@@ -7,7 +7,7 @@
 from bramblebeam.core.membership.messages import Ack, IndirectPing, MemberUpdate, Ping
 from bramblebeam.core.membership.view import MemberState
 
-RELAYED_PROBE_TIMEOUT = 2.0
+RELAYED_PROBE_SECONDS = 2.0
 NEVER = float("inf")
 
 
@@ -105,7 +105,7 @@
     def handle_indirect_ping(self, source: Address, message: IndirectPing, now: float) -> None:
         """Ping the target on behalf of the node at `source`."""
         sequence = self._next_sequence()
-        expires_at = now + RELAYED_PROBE_TIMEOUT
+        expires_at = now + RELAYED_PROBE_SECONDS
         self._relayed = {s: r for s, r in self._relayed.items() if r.expires_at > now}
         self._relayed[sequence] = _RelayedProbe(source, message.sequence, expires_at)
         self._local.send(message.target, Ping(sequence, message.target))
--- a/src/bramblebeam/core/membership/records.py
+++ b/src/bramblebeam/core/membership/records.py
@@ -11,7 +11,7 @@
 from bramblebeam.core.membership.view import MemberState
 
 LEAVE_ANNOUNCEMENT_PEERS = 5
-VERIFICATION_TIMEOUT = 2.0
+VERIFICATION_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,7 +126,7 @@
         """Ping the member itself; whether it replies decides whether its record is applied."""
         if update.node in self._verifications or update.spec is None:
             return
-        self._verifications[update.node] = _Verification(update, now + VERIFICATION_TIMEOUT)
+        self._verifications[update.node] = _Verification(update, now + VERIFICATION_SECONDS)
         ping = Ping(0, update.node, (self._local.own,))
         self._local.send_to(update.spec.peer_address, ping)
 
--- a/src/bramblebeam/core/membership/timing.py
+++ b/src/bramblebeam/core/membership/timing.py
@@ -37,7 +37,7 @@
     link_period: float = 2.0
     """A zone's contact compares its table with that of a member of the other zone each period."""
     link_failures: int = 3
-    """A zone counts as unreachable after more unanswered comparisons than this."""
+    """Number of unanswered comparisons after which a zone counts as unreachable."""
     relays: int = 3
     join_period: float = 1.0
     seed_period: float = 30.0
