--- a/src/bramblebeam/core/overload/__init__.py
+++ b/src/bramblebeam/core/overload/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under load: who begins, who waits, who goes where, who comes back when. All pure."""
+"""Overload control: admission, queueing, read routing and retry pacing. Without I/O."""
--- a/src/bramblebeam/core/overload/admission.py
+++ b/src/bramblebeam/core/overload/admission.py
@@ -1,15 +1,15 @@
-"""Whether a statement that arrives can end in time, as early on its way as that is known.
-
-It answers the load that stays above the capacity for seconds, and its callers' repeats: what waits
-in vain holds its caller, who comes back late, and takes the place of what could have ended. A queue
-that is admitted up to the deadline, or up to the moment when answers are wanted, stands there long
-after a burst: everybody's answer is late, though the database could serve each at once. So a
-statement may wait for a part of the time within which its answer is wanted, and who is refused
-comes back when there is room.
-
-The best case decides: the whole wait as it was told, less the time since, and a service time at the
-lower end of its spread. A guess that is wrong lets a statement wait in its queue, where the exact
-decision is made.
+"""Early admission control: refuses a statement that can't end in time when it arrives.
+
+This guards against load that stays above capacity for seconds, and against the retries of its
+callers. A statement that waits without success delays its caller's retry and takes the place of one
+that could have ended. A queue that is filled up to the deadline, or up to the soft deadline,
+persists long after a burst: every answer is late, though the database could serve each one
+immediately. So a statement may wait for only a part of the time within which its answer is wanted,
+and a refused caller retries when there is capacity.
+
+The decision assumes the best case: the reported wait less the time since the report, and a service
+time at the lower end of its spread. A statement that is admitted wrongly waits in its queue, where
+the exact decision is made.
 """
 
 from __future__ import annotations
@@ -24,26 +24,27 @@
 from bramblebeam.core.overload.work import Work
 
 STALE_SECONDS = 0.5
-"""A wait that was told so long ago refuses nothing: a queue that is longer than that has been told
-of again since by any answer, and one without an answer may be another one by now."""
+"""A wait that was reported longer ago refuses nothing. A queue longer than that has since been
+reported again by some answer, and without any answer it may have changed completely."""
 MAX_WAIT_SHARE = 0.4
-"""So much of the time within which its answer is wanted a statement may wait: the rest is for the
-way, the service, and what joins the queue until its length is told again."""
-RETURN_WAIT_SHARE = 0.5
-"""The same for one that comes back when it was told to: it is turned away again only if the queue
-grew beyond where new ones are turned away already, so that it is next as soon as there is room."""
-VAIN_SHARE = 0.25
-"""Whoever is refused after so much of the time within which the answer was wanted was held in vain:
-a repeat that begins so late has three quarters of it left, of which the way takes a part."""
+"""Part of the time to the soft deadline that a statement may wait. The rest is for the network,
+the service time, and statements that join the queue before its length is reported again."""
+MAX_RETRY_WAIT_SHARE = 0.5
+"""The same for a caller that retries when it was told to. It is refused again only if the queue
+grew beyond the length at which new callers are refused, so it is next once there is capacity."""
+WASTED_WAIT_SHARE = 0.25
+"""A caller that is refused after this part of the time to its soft deadline counts as a wasted
+wait. A retry that starts at that moment has three quarters of the time left, part of which the
+network takes."""
 MAX_TRACKED_REFUSALS = 1_024
-"""Refusals that are remembered until it is known whether there was room after all."""
+"""Maximum number of refusals tracked until it is known whether there was capacity after all."""
 
 
 class KnownWait(NamedTuple):
-    """What is known of the database that a statement would begin at first.
+    """The expected wait at the database where a statement would begin first.
 
-    `wait`: until it would begin, as told (seconds). `service`: the time of its kind there.
-    `told_at`: when that was true (steady clock, seconds).
+    `wait`: until it would begin, as reported (seconds). `service`: service time of its kind there.
+    `reported_at`: when this was valid (monotonic clock, seconds).
     """
 
     wait: float
@@ -52,14 +53,14 @@
 
 
 class KnownLoads(Protocol):
-    """What one node knows of the queues before a group's databases."""
+    """What one node knows about the queues of a group's databases."""
 
     def wait(self, group: GroupId, at_leader: bool, now: float) -> KnownWait | None:
-        """Return the shortest wait at a database that may serve it; None: one is not known."""
+        """Return the shortest wait at a database that may serve it, or None if one is unknown."""
 
 
 class NoKnownLoads:
-    """Stands for the loads of a node that nobody has told any."""
+    """Known loads of a node that has received no load reports."""
 
     def wait(self, group: GroupId, at_leader: bool, now: float) -> KnownWait | None:
         """Return None."""
@@ -67,47 +68,47 @@
 
 
 class RefusalCause(Enum):
-    """Why a statement was refused as it arrived."""
+    """Why a statement was refused on arrival."""
 
     TOO_LATE = "too_late"
-    """It could not have ended when its answer is wanted, or within its time."""
+    """It could not have ended by its soft deadline or its deadline."""
     TRANSACTIONS = "transactions"
     """Too many transactions hold connections for another one to begin."""
 
 
 def refuse_early(
-    work: Work, known: KnownWait | None, ranks_below: int, now: float, returns: bool = False
+    work: Work, known: KnownWait | None, lower_classes: int, now: float, is_retry: bool = False
 ) -> Refused | None:
-    """Refuse a statement that surely waits for too long; None: it may go on.
+    """Refuse a statement whose wait is certainly too long; return None to let it proceed.
 
-    `ranks_below`: how many classes of routes are less urgent than its own, each of which it passes
-    by the ratio of their weights. `known` None: nothing was told. `returns`: its caller was refused
-    before, and comes back at the moment that it was promised.
+    `known`: None if no wait was reported. `lower_classes`: number of route classes with a lower
+    priority; the statement overtakes each by the ratio of their weights. `is_retry`: the caller was
+    refused before, and retries at the time it was given.
     """
     if known is None or known.wait <= 0.0 or now - known.reported_at > STALE_SECONDS:
         return None
-    wait = _shortest_wait(known, ranks_below, now)
+    wait = _shortest_wait(known, lower_classes, now)
     service = max(0.0, known.service.mean - known.service.spread)
-    share = RETURN_WAIT_SHARE if returns else MAX_WAIT_SHARE
-    wanted_within = min(work.soft_deadline, work.deadline) - work.arrived
-    is_soon = wait <= share * wanted_within
-    if is_soon and now + wait + service <= work.deadline:
+    share = MAX_RETRY_WAIT_SHARE if is_retry else MAX_WAIT_SHARE
+    target = min(work.soft_deadline, work.deadline) - work.arrived
+    starts_in_time = wait <= share * target
+    if starts_in_time and now + wait + service <= work.deadline:
         return None
-    return Refused(max(0.0, wait - MAX_WAIT_SHARE * wanted_within))
+    return Refused(max(0.0, wait - MAX_WAIT_SHARE * target))
 
 
-def _shortest_wait(known: KnownWait, ranks_below: int, now: float) -> float:
-    """Return the wait if nobody has joined the queue since it was told of (seconds)."""
-    ahead = known.wait / CLASS_WEIGHT_RATIO ** max(0, ranks_below)
+def _shortest_wait(known: KnownWait, lower_classes: int, now: float) -> float:
+    """Return the wait if no statement has joined the queue since the report (seconds)."""
+    ahead = known.wait / CLASS_WEIGHT_RATIO ** max(0, lower_classes)
     return max(0.0, ahead - max(0.0, now - known.reported_at))
 
 
 class AdmissionCounts(NamedTuple):
-    """Counts of one node. Each refusal is counted by its cause elsewhere.
+    """Counters of one node. Refusals by cause are counted elsewhere.
 
-    `refused_wrongly`: a database had a free slot and nobody waiting while a refused statement could
-    still have ended when it was wanted. `held_in_vain`: refused after a wait that cost its caller
-    a repeat.
+    `wrong_refusals`: a database had a free slot and an empty queue while a refused statement could
+    still have ended by its soft deadline. `wasted_waits`: refused after a wait so long that the
+    caller lost a retry.
     """
 
     wrong_refusals: int
@@ -115,66 +116,71 @@
 
 
 class AdmissionRecord:
-    """Learns afterwards which decisions were wrong."""
+    """Counts admission decisions that turn out to have been wrong."""
 
     def __init__(self) -> None:
-        self._latest_begins: list[float] = []
-        self._refused_wrongly = 0
-        self._held_in_vain = 0
+        self._latest_starts: list[float] = []
+        self._wrong_refusals = 0
+        self._wasted_waits = 0
 
     def record_refusal(self, work: Work, service: float, now: float) -> None:
-        """Watch a statement that was refused as it arrived."""
-        self._forget(now)
-        if len(self._latest_begins) < MAX_TRACKED_REFUSALS:
-            heapq.heappush(self._latest_begins, min(work.soft_deadline, work.deadline) - service)
+        """Track a statement that was refused on arrival."""
+        self._drop_expired(now)
+        if len(self._latest_starts) < MAX_TRACKED_REFUSALS:
+            heapq.heappush(self._latest_starts, min(work.soft_deadline, work.deadline) - service)
 
     def record_idle_slot(self, now: float) -> None:
-        """A slot is free and nobody waits: whatever could still begin was refused wrongly."""
-        self._forget(now)
-        self._refused_wrongly += len(self._latest_begins)
-        self._latest_begins.clear()
+        """Record a free slot with an empty queue.
 
-    def record_unstarted(self, waited: float, wanted_within: float) -> None:
-        """Count a statement that was refused without having begun if it waited for long.
+        Tracked statements that could still begin were refused wrongly.
+        """
+        self._drop_expired(now)
+        self._wrong_refusals += len(self._latest_starts)
+        self._latest_starts.clear()
+
+    def record_unstarted(self, waited: float, target: float) -> None:
+        """Record a statement that was refused before it began; count it if it waited for long.
 
-        `wanted_within`: from its arrival to when its answer was wanted (seconds).
+        `target`: from its arrival to its soft deadline (seconds).
         """
-        if waited > VAIN_SHARE * wanted_within:
-            self._held_in_vain += 1
+        if waited > WASTED_WAIT_SHARE * target:
+            self._wasted_waits += 1
 
     def counts(self) -> AdmissionCounts:
         """Return the counts so far."""
-        return AdmissionCounts(self._refused_wrongly, self._held_in_vain)
+        return AdmissionCounts(self._wrong_refusals, self._wasted_waits)
 
-    def _forget(self, now: float) -> None:
-        """Drop the refused that could not begin any more: they were refused rightly."""
-        while self._latest_begins and self._latest_begins[0] < now:
-            heapq.heappop(self._latest_begins)
+    def _drop_expired(self, now: float) -> None:
+        """Drop refused statements that could no longer begin: they were refused correctly."""
+        while self._latest_starts and self._latest_starts[0] < now:
+            heapq.heappop(self._latest_starts)
 
 
 class AdmissionRecords:
-    """One record for each queue: a group's leader has one, all of its databases have another."""
+    """One record per queue: one for a group's leader, one for all of its databases."""
 
     def __init__(self) -> None:
         self._records: dict[tuple[GroupId, bool], AdmissionRecord] = {}
-        self._forgotten = AdmissionCounts(0, 0)
+        self._removed_counts = AdmissionCounts(0, 0)
 
     def of(self, group: GroupId, at_leader: bool) -> AdmissionRecord:
-        """Return the record of what a group's leader, or any of its databases, has to run."""
+        """Return the record for statements of a group's leader, or of any of its databases."""
         return self._records.setdefault((group, at_leader), AdmissionRecord())
 
     def keep_only(self, groups: frozenset[GroupId]) -> None:
-        """Forget groups that are configured no more, but for what was counted."""
-        gone = [found for key, found in self._records.items() if key[0] not in groups]
-        self._forgotten = _sum([self._forgotten, *(found.counts() for found in gone)])
-        self._records = {key: found for key, found in self._records.items() if key[0] in groups}
+        """Remove groups that are no longer configured; their counts stay in the total."""
+        removed = [record for key, record in self._records.items() if key[0] not in groups]
+        self._removed_counts = _sum(
+            [self._removed_counts, *(record.counts() for record in removed)]
+        )
+        self._records = {key: record for key, record in self._records.items() if key[0] in groups}
 
     def counts(self) -> AdmissionCounts:
-        """Return the counts of all queues so far."""
-        told = [found.counts() for found in self._records.values()]
-        return _sum([self._forgotten, *told])
+        """Return the total counts of all queues so far."""
+        totals = [record.counts() for record in self._records.values()]
+        return _sum([self._removed_counts, *totals])
 
 
-def _sum(told: list[AdmissionCounts]) -> AdmissionCounts:
-    wrongly = sum(figures.wrong_refusals for figures in told)
-    return AdmissionCounts(wrongly, sum(figures.wasted_waits for figures in told))
+def _sum(counts: list[AdmissionCounts]) -> AdmissionCounts:
+    wrong = sum(found.wrong_refusals for found in counts)
+    return AdmissionCounts(wrong, sum(found.wasted_waits for found in counts))
--- a/src/bramblebeam/core/overload/budget.py
+++ b/src/bramblebeam/core/overload/budget.py
@@ -1,8 +1,9 @@
-"""A budget for the second attempts that a node makes of itself.
+"""A budget for the extra attempts that a node makes on its own initiative.
 
-It answers the database that slows down under load: each late answer would be asked for twice, and
-each refusal repeated, so that the load grows just when there is no room. Hedged reads, repeats at
-another node and forwards after a loss are a share of first attempts, and none while callers queue.
+It protects a database that slows down under load: without a bound, each late answer is requested
+twice and each refusal retried, so that load grows just when there is no capacity. Hedged reads,
+retries at another node and forwards after a loss are limited to a share of first attempts, and are
+denied while statements queue.
 """
 
 from __future__ import annotations
@@ -11,12 +12,12 @@
 from bramblebeam.core.routing.budget import RetryBudget, RetryLimits
 
 SECOND_ATTEMPT_LIMITS = RetryLimits(share=0.1, floor=2.0, capacity=10.0)
-"""A tenth more work than was asked for: a database that runs at nine tenths of its capacity bears
-it. In quiet times 2 a second, and ten that were saved up: as many callers as have a statement at
-one node when that one is lost."""
+"""A tenth more work than requested is bearable for a database at nine tenths of its capacity.
+Without traffic 2 a second are allowed, and up to ten saved up: as many callers as have a
+statement in flight at one node when that node fails."""
 OVERLOADED_WAIT = 0.1
-"""Where a statement waits for so long before it begins, another attempt makes all others wait
-longer (seconds): five usual statements are ahead of it in each slot."""
+"""If a statement waits longer than this before it begins, a second attempt delays all others
+(seconds). It corresponds to five typical statements ahead of it in each slot."""
 
 
 class AttemptBudget:
@@ -27,18 +28,21 @@
         self.denied = 0
 
     def record_first_attempt(self) -> None:
-        """Note a first attempt, which earns a part of a second one."""
+        """Record a first attempt, which earns a fraction of a second one."""
         self._budget.request()
 
     def take(self, wait: float, now: float) -> bool:
-        """Take one second attempt; False: there is none. `wait`: until it begins (seconds)."""
+        """Take one second attempt; return False if none is left.
+
+        `wait`: until the attempt would begin (seconds).
+        """
         allowed = wait <= OVERLOADED_WAIT and self._budget.take(now)
         self.denied += not allowed
         return allowed
 
 
 class AttemptBudgets:
-    """One budget for each group of databases."""
+    """One budget per group."""
 
     def __init__(self) -> None:
         self._budgets: dict[GroupId, AttemptBudget] = {}
@@ -48,10 +52,12 @@
         return self._budgets.setdefault(group, AttemptBudget())
 
     def keep_only(self, groups: frozenset[GroupId]) -> None:
-        """Forget groups that are configured no more."""
-        self._budgets = {key: found for key, found in self._budgets.items() if key in groups}
+        """Remove groups that are no longer configured."""
+        self._budgets = {
+            group: budget for group, budget in self._budgets.items() if group in groups
+        }
 
     @property
     def denied(self) -> int:
-        """How many second attempts were denied."""
+        """Number of second attempts that were denied."""
         return sum(budget.denied for budget in self._budgets.values())
--- a/src/bramblebeam/core/overload/demand.py
+++ b/src/bramblebeam/core/overload/demand.py
@@ -1,29 +1,29 @@
-"""How much work arrives, as a rate over the last second or so."""
+"""Measures the rate at which work arrives, averaged over about the last second."""
 
 import math
 
-MEMORY_SECONDS = 1.0
-"""The span over which work is averaged: a burst of a second is told from a steady load, and two
-seconds after it ends nothing of it counts much."""
+AVERAGING_SECONDS = 1.0
+"""Averaging time constant (seconds). It distinguishes a burst of a second from a steady load;
+two seconds after a burst ends it hardly counts any more."""
 
 
 class Demand:
-    """Work that arrived lately. Times: steady clock, seconds."""
+    """Exponentially weighted arrival rate of work. Times: monotonic clock, seconds."""
 
     def __init__(self) -> None:
         self._work = 0.0
-        self._at = -math.inf
+        self._updated_at = -math.inf
 
     def record(self, cost: float, now: float) -> None:
-        """Take work of so many seconds that arrived."""
-        self._work = self._remembered(now) + cost
-        self._at = max(self._at, now)
+        """Add arrived work of `cost` seconds."""
+        self._work = self._decayed_work(now) + cost
+        self._updated_at = max(self._updated_at, now)
 
     def rate(self, now: float) -> float:
-        """Return how many seconds of work arrive a second."""
-        return self._remembered(now) / MEMORY_SECONDS
+        """Return how many seconds of work arrive per second."""
+        return self._decayed_work(now) / AVERAGING_SECONDS
 
-    def _remembered(self, now: float) -> float:
+    def _decayed_work(self, now: float) -> float:
         if not self._work:
             return 0.0
-        return self._work * math.exp(-max(0.0, now - self._at) / MEMORY_SECONDS)
+        return self._work * math.exp(-max(0.0, now - self._updated_at) / AVERAGING_SECONDS)
--- a/src/bramblebeam/core/overload/idle_transactions.py
+++ b/src/bramblebeam/core/overload/idle_transactions.py
@@ -1,10 +1,10 @@
-"""How many transactions may hold a database's connections while connections are scarce.
+"""Limits how many transactions may hold a database's connections while connections are scarce.
 
-It answers callers who rest inside transactions: each holds a connection for seconds in which it
-asks for nothing, and what is worth one statement waits for it. While connections are plenty nothing
-is bounded. Once they are nearly all lent, a new transaction waits for its turn, or is refused at
-once where its turn would come too late. Statements inside open transactions are never held back:
-they end what others wait for.
+This guards against callers that are idle in transaction: each holds a connection for seconds
+without using it, while statements that need it only briefly wait. While connections are plentiful
+nothing is limited. Once nearly all are checked out, a new transaction waits for its turn, or is
+refused immediately if its turn would come too late. Statements of open transactions are never held
+back: they end transactions that others wait for.
 """
 
 from __future__ import annotations
@@ -16,23 +16,24 @@
 from bramblebeam.core.tenants import TenantId
 
 SCARCE_SHARE = 0.9
-"""Connections are scarce while so many of those that there may be are in use: the rest is what
-statements outside transactions need while another connection is opened."""
+"""Connections are scarce while at least this part of the maximum is in use: statements outside
+transactions use the rest while another connection is opened."""
 MAX_TRANSACTION_SHARE = 0.75
-"""So many of a database's connections transactions may hold while connections are scarce: a
-statement outside one needs its connection for milliseconds, so that a quarter of them carries most
-of what is asked."""
+"""Part of a database's connections that transactions may hold while connections are scarce. A
+statement outside a transaction needs its connection for milliseconds, so that a quarter of them
+carries most of the load."""
 MAX_NODE_TRANSACTIONS = 512
-"""Transactions that hold connections of one node at all databases together: each takes a descriptor
-on both sides and a few kilobytes, of the thousands that the smallest machines have."""
+"""Transactions that may hold connections of one node, over all databases: each takes a file
+descriptor on both sides and a few kilobytes, out of the thousands that the smallest machines
+have."""
 ASSUMED_SECONDS = 0.5
-"""How long a transaction takes, as long as none was seen to end: a few statements with pauses."""
+"""Assumed duration of a transaction until one has ended (seconds): a few statements with pauses."""
 SMOOTHING = 0.2
-"""Weight of the latest transaction in the usual length: a few decide it, one does not."""
+"""Weight of the latest transaction in the typical duration: a few determine it, one does not."""
 
 
 class Connections(NamedTuple):
-    """The connections of one node to one database. `most`: those that there may be."""
+    """Connections of one node to one database: in use, and the maximum (`most`)."""
 
     in_use: int
     most: int
@@ -44,36 +45,36 @@
 
 
 class WaitingTransaction(NamedTuple):
-    """A transaction that waits for its turn. `number`: the user's ticket."""
+    """A transaction that waits for its turn. `number`: the caller's ticket."""
 
     number: int
     tenant: TenantId
 
 
 class OpenTransactions:
-    """The transactions that hold connections of this node, at all databases together."""
+    """Counts the transactions that hold connections of this node, over all databases."""
 
     def __init__(self) -> None:
         self.count = 0
 
     @property
     def is_full(self) -> bool:
-        """Whether the node's bound is reached."""
+        """Whether the node's limit is reached."""
         return self.count >= MAX_NODE_TRANSACTIONS
 
 
 class TransactionGate:
-    """Lets transactions begin at one database. `node`: what they count against at all of them."""
+    """Admits transactions to one database. `node`: the counter shared by all databases."""
 
     def __init__(self, node: OpenTransactions) -> None:
         self._node = node
         self._open: Counter[TenantId] = Counter()
         self._waiting: list[WaitingTransaction] = []
-        self._usual_seconds = ASSUMED_SECONDS
+        self._typical_seconds = ASSUMED_SECONDS
 
     @property
     def open(self) -> int:
-        """How many transactions are open."""
+        """Number of open transactions."""
         return self._open.total()
 
     @property
@@ -82,23 +83,26 @@
         return bool(self._waiting)
 
     def enqueue(
-        self, asker: WaitingTransaction, connections: Connections, time_left: float
+        self, transaction: WaitingTransaction, connections: Connections, time_left: float
     ) -> Refused | None:
-        """Let a transaction wait for its turn, or refuse it as that would come too late.
+        """Queue a transaction, or refuse it if its turn would come too late.
 
-        It begins once `next` returns its number. `time_left`: for how long it may wait (seconds).
+        It begins once `next` returns its number. `time_left`: how long it may wait (seconds).
         """
-        room_in = self._room_in(asker.tenant, connections)
-        if room_in > time_left:
-            return Refused(room_in)
-        self._waiting.append(asker)
+        wait = self._expected_wait(transaction.tenant, connections)
+        if wait > time_left:
+            return Refused(wait)
+        self._waiting.append(transaction)
         return None
 
     def next(self, connections: Connections) -> int | None:
-        """Return and count the transaction that begins now; None: none waits that may."""
+        """Return the number of the transaction that begins now, or None if none may begin.
+
+        It is counted as open from now on.
+        """
         tenants = {waiting.tenant for waiting in self._waiting}
-        turns = sorted(self._waiting, key=lambda waiting: self._open[waiting.tenant])
-        for waiting in turns:
+        candidates = sorted(self._waiting, key=lambda waiting: self._open[waiting.tenant])
+        for waiting in candidates:
             if self._may_begin(waiting.tenant, tenants, connections):
                 self._waiting.remove(waiting)
                 self._open[waiting.tenant] += 1
@@ -107,17 +111,17 @@
         return None
 
     def withdraw(self, number: int) -> None:
-        """Forget one that waits, as its caller has left or its time is over."""
+        """Remove a waiting transaction whose caller has left or whose time is over."""
         self._waiting = [waiting for waiting in self._waiting if waiting.number != number]
 
     def ended(self, tenant: TenantId, seconds: float | None) -> None:
-        """One that began has ended, after so many seconds; None: it was given up as it began."""
+        """Record the end of a transaction after `seconds`; None if it was abandoned as it began."""
         self._open[tenant] -= 1
         if self._open[tenant] <= 0:
             del self._open[tenant]
         self._node.count -= 1
         if seconds is not None:
-            self._usual_seconds += SMOOTHING * (max(0.0, seconds) - self._usual_seconds)
+            self._typical_seconds += SMOOTHING * (max(0.0, seconds) - self._typical_seconds)
 
     def _may_begin(
         self, tenant: TenantId, waiting: set[TenantId], connections: Connections
@@ -126,31 +130,33 @@
             return False
         if not connections.are_scarce:
             return True
-        bound = _bound(connections)
+        bound = _max_open(connections)
         if self.open >= bound:
             return False
-        return self._open[tenant] < self._tenant_bound(tenant, waiting, bound)
+        return self._open[tenant] < self._max_open_of_tenant(tenant, waiting, bound)
 
-    def _tenant_bound(self, tenant: TenantId, waiting: set[TenantId], bound: int) -> int:
-        """Return how many a tenant may have: all of them, or its even part while others wait."""
+    def _max_open_of_tenant(self, tenant: TenantId, waiting: set[TenantId], bound: int) -> int:
+        """Return how many transactions a tenant may have open: an equal share while others wait."""
         others_wait = bool(waiting - {tenant})
         if not others_wait:
             return bound
-        sharers = len(self._open.keys() | waiting | {tenant})
-        return max(1, bound // sharers)
+        sharing_tenants = len(self._open.keys() | waiting | {tenant})
+        return max(1, bound // sharing_tenants)
 
-    def _room_in(self, tenant: TenantId, connections: Connections) -> float:
-        """Return after how long a transaction that comes now would begin (seconds).
+    def _expected_wait(self, tenant: TenantId, connections: Connections) -> float:
+        """Return after how long a transaction that arrives now would begin (seconds).
 
-        Those that are open end evenly over a transaction's usual length.
+        Open transactions are assumed to end evenly over the typical duration.
         """
         tenants = {waiting.tenant for waiting in self._waiting} | {tenant}
         if self._may_begin(tenant, tenants, connections):
             return 0.0
-        ahead = 1 + sum(self._open[found.tenant] <= self._open[tenant] for found in self._waiting)
-        return ahead * self._usual_seconds / max(1, self.open)
+        ahead = 1 + sum(
+            self._open[waiting.tenant] <= self._open[tenant] for waiting in self._waiting
+        )
+        return ahead * self._typical_seconds / max(1, self.open)
 
 
-def _bound(connections: Connections) -> int:
+def _max_open(connections: Connections) -> int:
     """Return how many transactions may be open while connections are scarce, at least one."""
     return max(1, int(MAX_TRANSACTION_SHARE * connections.most))
--- a/src/bramblebeam/core/overload/load.py
+++ b/src/bramblebeam/core/overload/load.py
@@ -1,4 +1,4 @@
-"""What a node tells of the databases that it serves, on answers that flow anyway."""
+"""The load that a node reports of the databases it serves, attached to its answers."""
 
 from typing import NamedTuple
 
@@ -8,13 +8,14 @@
 
 
 class DatabaseLoad(NamedTuple):
-    """How busy one database is, as the node that serves it sees it at the time of an answer.
+    """Load of one database, as seen by the node that serves it at the time of an answer.
 
-    `wait`: until a statement that comes now would begin (seconds). `service`: a usual statement's
-    time at the database, also under load (seconds). `error_share`: of its attempts in vain, 0 to 1.
-    `usable`: whether it takes work: it is not ejected, nor leaving.
+    `wait`: until a statement that arrives now would begin (seconds). `service`: a typical
+    statement's time at the database, also under load (seconds). `error_share`: of failed attempts,
+    0 to 1. `usable`: whether it accepts work: it is neither ejected nor leaving.
 
-    It is soft: lost with its node, and a wrong guess costs a wait or an early refusal, no rule.
+    It is soft state: it is lost with its node, and a wrong value costs a wait or an early refusal,
+    but never correctness.
     """
 
     instance: InstanceId
--- a/src/bramblebeam/core/overload/ports.py
+++ b/src/bramblebeam/core/overload/ports.py
@@ -1,4 +1,4 @@
-"""The interfaces between the decisions under load."""
+"""Interfaces and types shared by the parts of overload control."""
 
 from __future__ import annotations
 
@@ -6,26 +6,29 @@
 
 
 class Estimate(NamedTuple):
-    """How long a kind of statement takes at a database: the mean and its spread (seconds)."""
+    """Expected time of a kind of statement at a database: mean and spread (seconds)."""
 
     mean: float
     spread: float
 
 
 class SlotLimit(Protocol):
-    """Bounds how many statements this node has under way at one database."""
+    """Limits how many statements this node has in flight at one database."""
 
     def allowed(self, now: float) -> int:
-        """Return how many may be under way, at least one (`now`: steady clock, seconds)."""
+        """Return how many may be in flight, at least one (`now`: monotonic clock, seconds)."""
 
-    def answered(self, seconds: float, under_way: int, now: float) -> None:
-        """Take the answer time of a statement, and how many were under way with it."""
+    def answered(self, seconds: float, in_flight: int, now: float) -> None:
+        """Update the limit from a statement's answer time and the number in flight with it."""
 
     def refused(self, now: float) -> None:
-        """The database had no room for a statement."""
+        """Update the limit after the database refused a statement for lack of capacity."""
 
 
 class Refused(NamedTuple):
-    """A statement that can't begin in time. `room_in`: when there will be room (seconds)."""
+    """A statement that can't begin in time.
+
+    `room_in`: expected time until there is capacity for it (seconds).
+    """
 
     room_in: float
--- a/src/bramblebeam/core/overload/reported_loads.py
+++ b/src/bramblebeam/core/overload/reported_loads.py
@@ -1,8 +1,8 @@
-"""What a node keeps of the loads that others told it, and how much of it still counts.
+"""Loads that other nodes report, weighted by their age.
 
-An answer that was passed on brings the loads of the databases that its node looked at. Between two
-of them a node reckons with what it has sent there itself. What was told grows old: a queue that was
-long a second ago is probably gone, and one that was short may have formed.
+A forwarded answer carries the loads of the databases that the answering node considered. Between
+two reports a node adds what it has sent there itself. Reports lose weight with age: a queue that
+was long a second ago is probably gone, and one that was short may have grown.
 """
 
 from __future__ import annotations
@@ -14,17 +14,18 @@
 from bramblebeam.core.overload.load import DatabaseLoad
 
 REPORT_HALF_LIFE = 0.4
-"""A queue of a few dozen statements of 20 ms at six slots forms or drains in so long (seconds)."""
+"""Half-life of a report's weight (seconds): in this time a queue of a few dozen statements of 20
+ms forms or drains at six slots."""
 MAX_REPORT_HALF_LIVES = 4
-"""After so many half-lives a sixteenth of what was told would count: nothing is known then."""
+"""A report is discarded after this many half-lives, when its weight is a sixteenth."""
 MAX_REPORTED_LOADS = 4096
-"""Databases whose loads are kept: the members of more groups than one node has callers for."""
+"""Maximum number of databases tracked: the members of more groups than one node has callers for."""
 
 
 class ReportedLoad(NamedTuple):
-    """A load that was told. `weight`: how much of it counts by its age, 1 (now) to 0.
+    """A reported load. `weight`: by its age, 1 (now) to 0.
 
-    `sent`: statements that this node has sent there since and that were not answered yet.
+    `sent`: statements that this node has sent there since the report and that have no answer yet.
     """
 
     load: DatabaseLoad
@@ -33,9 +34,9 @@
 
 
 class LoadReport:
-    """The latest that was told of one database, and what was sent there since.
+    """The latest report of one database, and the number of statements sent there since.
 
-    `at`: steady clock, seconds.
+    `at`: when it was received (monotonic clock, seconds).
     """
 
     __slots__ = ("at", "load", "sent")
@@ -47,57 +48,62 @@
 
 
 class ReportedLoads:
-    """The loads of databases that other nodes serve. Times: steady clock, seconds."""
+    """Loads of databases that other nodes serve. Times: monotonic clock, seconds."""
 
-    def __init__(self, half_life: float = REPORT_HALF_LIFE, most: int = MAX_REPORTED_LOADS) -> None:
+    def __init__(
+        self, half_life: float = REPORT_HALF_LIFE, max_loads: int = MAX_REPORTED_LOADS
+    ) -> None:
         self._half_life = half_life
-        self._most = most
-        self._told: dict[InstanceId, LoadReport] = {}
+        self._max_loads = max_loads
+        self._reports: dict[InstanceId, LoadReport] = {}
 
     def __len__(self) -> int:
-        return len(self._told)
+        return len(self._reports)
 
     def update(self, loads: Iterable[DatabaseLoad], now: float) -> None:
-        """Keep what was told; numbers that no load can have are left out."""
+        """Store reported loads; those with invalid values are ignored."""
         for load in loads:
-            if not _is_sound(load):
+            if not _is_valid(load):
                 continue
-            self._told.pop(load.instance, None)
-            self._told[load.instance] = LoadReport(load, now)
-        while len(self._told) > self._most:
-            self._told.pop(next(iter(self._told)))
+            self._reports.pop(load.instance, None)
+            self._reports[load.instance] = LoadReport(load, now)
+        while len(self._reports) > self._max_loads:
+            self._reports.pop(next(iter(self._reports)))
 
     def record_sent(self, instance: InstanceId) -> LoadReport | None:
-        """Note that this node has sent a statement to a database; return what counts it."""
-        told = self._told.get(instance)
-        if told is not None:
-            told.sent += 1
-        return told
+        """Count a statement that this node sends to a database; return the report it counts for."""
+        report = self._reports.get(instance)
+        if report is not None:
+            report.sent += 1
+        return report
 
     @staticmethod
-    def record_done(counted: LoadReport | None) -> None:
-        """Note that a statement has ended, where it still counts: nothing was told since."""
-        if counted is not None:
-            counted.sent -= 1
+    def record_done(report: LoadReport | None) -> None:
+        """Remove an ended statement from the count of the report it was sent under.
+
+        The counts of later reports don't change.
+        """
+        if report is not None:
+            report.sent -= 1
 
     def find(self, instance: InstanceId, now: float) -> ReportedLoad | None:
-        """Return what counts of a database's load; None: nothing was told, or it is too old."""
-        told = self._told.get(instance)
-        if told is None:
+        """Return a database's weighted load, or None if it is unknown or too old."""
+        report = self._reports.get(instance)
+        if report is None:
             return None
-        half_lives = max(0.0, now - told.at) / self._half_life
+        half_lives = max(0.0, now - report.at) / self._half_life
         if half_lives > MAX_REPORT_HALF_LIVES:
-            del self._told[instance]
+            del self._reports[instance]
             return None
-        return ReportedLoad(told.load, 0.5**half_lives, told.sent)
+        return ReportedLoad(report.load, 0.5**half_lives, report.sent)
 
     def keep_only(self, known: Iterable[InstanceId]) -> None:
-        """Forget databases that are gone."""
-        for instance in self._told.keys() - set(known):
-            del self._told[instance]
+        """Remove databases that are gone."""
+        for instance in self._reports.keys() - set(known):
+            del self._reports[instance]
 
 
-def _is_sound(load: DatabaseLoad) -> bool:
-    """Whether the numbers of a load can be reckoned with: no NaN, nothing below zero."""
+def _is_valid(load: DatabaseLoad) -> bool:
+    """Return whether the values of a load are valid: no NaN, infinity or negative values."""
     is_timed = 0.0 <= load.wait < float("inf") and 0.0 < load.service < float("inf")
     return is_timed and 0.0 <= load.error_share <= 1.0
--- a/src/bramblebeam/core/overload/retry_schedule.py
+++ b/src/bramblebeam/core/overload/retry_schedule.py
@@ -1,12 +1,12 @@
-"""When the callers that a database has no room for come back.
+"""Schedules the retries of callers that were refused because a database has no capacity.
 
-It answers the burst whose refused callers all repeat at once, into the same peak. Each is told a
-moment of its own, when there will be room, in the order in which they were refused and no faster
-than work is done. One that keeps its moment is turned away again after new ones only.
+This keeps the refused callers of a burst from retrying at once, into the same peak. Each gets its
+own retry time, when there will be capacity, in the order of their refusals and no faster than work
+completes. A caller that retries on time is refused again only after new callers are.
 
-Where more were refused than there will be room for, the rest is told the truth, which is later than
-most of them wait. Spread over the time that they have, they would keep the database full after the
-burst: most of their answers are late by then, and so are those of the new callers beside them.
+If more were refused than there will be capacity for, the rest get a later time, beyond what most of
+them wait. If they were spread over the time they have, they would keep the database full after the
+burst: most of their answers would be late, and so would those of new callers.
 """
 
 from __future__ import annotations
@@ -17,78 +17,82 @@
 from bramblebeam.core.identity import GroupId
 
 RETRY_SHARE = 0.2
-"""The part of a database's work that is promised to those who come back. New callers keep coming
-while the refused wait, and can still have their answers when they want them; a larger part would
-turn as many of them away, so that a burst goes on after its end."""
+"""Part of a database's throughput that is reserved for retries. New callers keep arriving, and
+can still be answered in time; a larger part would refuse as many of them, so that a burst
+continues after its end."""
 MAX_RETRY_TIMEOUTS = 3.0
-"""Moments are promised for so many times a statement's time-out: whoever has waited for three of
-them has gone, or found another way."""
+"""Retries are scheduled at most this many times a statement's timeout ahead: a caller that has
+waited for three timeouts has given up or found another way."""
 RETRY_TOLERANCE = 0.25
-"""So much before and after its moment a caller counts as returning: its clock, its way and its own
-pause are not exact."""
-_GOLDEN_SHARE = (math.sqrt(5.0) - 1.0) / 2.0
-"""Multiples of it, taken modulo 1, lie evenly in a span however many there are."""
+"""A caller that returns within this time before or after its scheduled time counts as a
+scheduled retry (seconds): clocks, network delays and sleep times are not exact."""
+_GOLDEN_RATIO_CONJUGATE = (math.sqrt(5.0) - 1.0) / 2.0
+"""Its multiples modulo 1 are spread evenly over an interval, however many there are."""
 
 
 class CapacityEstimate(NamedTuple):
-    """What is known of a database as it refuses (seconds).
+    """Expected capacity of a database at the time of a refusal (seconds).
 
-    `room_in`: until there is room. `pace`: between two statements that end there.
+    `room_in`: until there is capacity. `completion_interval`: interval between two completions.
     """
 
     room_in: float
-    pace: float
+    completion_interval: float
 
 
 class ScheduledRetry(NamedTuple):
-    """When a refused caller comes back. `after`: seconds. `promised`: there is room for it then."""
+    """When a refused caller should retry.
+
+    `after`: delay in seconds. `reserved`: whether capacity is reserved for it at that time.
+    """
 
     after: float
     reserved: bool
 
 
 class RetrySchedule:
-    """Hands out the moments at which refused callers of one database come back."""
+    """Assigns retry times to the refused callers of one database."""
 
     def __init__(self) -> None:
-        self._last = float("-inf")
-        self._beyond = 0
+        self._last_reserved = float("-inf")
+        self._unreserved = 0
 
-    def assign(self, outlook: CapacityEstimate, longest: float, now: float) -> ScheduledRetry:
-        """Return when a caller that is refused now comes back.
+    def assign(self, capacity: CapacityEstimate, max_delay: float, now: float) -> ScheduledRetry:
+        """Return when a caller that is refused now should retry.
 
-        `longest`: moments that are further away are not promised (seconds), as whoever asks has
-        given up by then. Callers beyond are spread over as long a time after that.
+        `max_delay`: maximum delay for a reserved retry (seconds), after which the caller has given
+        up. Callers beyond it are spread evenly over an equally long interval after it, without a
+        reservation.
         """
-        step = max(0.0, outlook.pace) / RETRY_SHARE
-        moment = max(self._last + step, now + max(0.0, outlook.room_in))
-        if moment > now + longest:
-            return ScheduledRetry(longest * (1.0 + self._spread()), reserved=False)
-        self._last = moment
-        return ScheduledRetry(moment - now, reserved=True)
+        step = max(0.0, capacity.completion_interval) / RETRY_SHARE
+        retry_at = max(self._last_reserved + step, now + max(0.0, capacity.room_in))
+        if retry_at > now + max_delay:
+            return ScheduledRetry(max_delay * (1.0 + self._spread()), reserved=False)
+        self._last_reserved = retry_at
+        return ScheduledRetry(retry_at - now, reserved=True)
 
     def _spread(self) -> float:
-        """Return the next of numbers that lie evenly between 0 and 1."""
-        self._beyond += 1
-        return self._beyond * _GOLDEN_SHARE % 1.0
+        """Return the next number of a sequence that is spread evenly between 0 and 1."""
+        self._unreserved += 1
+        return self._unreserved * _GOLDEN_RATIO_CONJUGATE % 1.0
 
 
 class RetrySchedules:
-    """One schedule for each queue: a group's leader has one, its replicas have another."""
+    """One schedule per queue: one for a group's leader, another for all of its databases."""
 
     def __init__(self) -> None:
         self._schedules: dict[tuple[GroupId, bool], RetrySchedule] = {}
 
     def of(self, group: GroupId, at_leader: bool) -> RetrySchedule:
-        """Return the schedule for what a group's leader, or any of its databases, has to run."""
+        """Return the schedule for statements of a group's leader, or of any of its databases."""
         return self._schedules.setdefault((group, at_leader), RetrySchedule())
 
     def keep_only(self, groups: frozenset[GroupId]) -> None:
-        """Forget groups that are configured no more."""
-        kept = {key: found for key, found in self._schedules.items() if key[0] in groups}
+        """Remove groups that are no longer configured."""
+        kept = {key: schedule for key, schedule in self._schedules.items() if key[0] in groups}
         self._schedules = kept
 
 
-def is_scheduled_retry(told: float | None, now: float) -> bool:
-    """Whether a caller comes back at the moment that it was told (steady clock, seconds)."""
-    return told is not None and abs(now - told) <= RETRY_TOLERANCE
+def is_scheduled_retry(scheduled_at: float | None, now: float) -> bool:
+    """Return whether a caller retries at its scheduled time (monotonic clock, seconds)."""
+    return scheduled_at is not None and abs(now - scheduled_at) <= RETRY_TOLERANCE
--- a/src/bramblebeam/core/overload/settings.py
+++ b/src/bramblebeam/core/overload/settings.py
@@ -1,23 +1,24 @@
-"""What the decisions under load go by; a deployment's settings switch them on."""
+"""Parameters of overload control; a deployment's settings enable it."""
 
 from typing import NamedTuple
 
 CLASS_WEIGHT_RATIO = 2.0
-"""A route of the next higher priority has so many times the turns while both wait: the urgent gets
-most of a full database, and what is less urgent still a third of it."""
+"""Ratio of the weights of a route and one of the next lower priority while both queue. Urgent
+statements get most of a full database, and less urgent ones still a third of it."""
 LONGEST_QUEUE = 256
-"""Statements that wait for one database at one node: at 20 ms of work and six slots the last of
-them begins after 0.9 s, which is most of a usual time-out."""
+"""Maximum queue length for one database at one node: at 20 ms of work and six slots the last
+statement begins after 0.9 s, which is most of a typical timeout."""
 SLOT_ALLOWANCE = 2
-"""Statements under way to a database beside those that its slots run: they are there when a slot
-becomes free, as the way to it takes part of a short statement's time."""
+"""Statements in flight to a database in excess of its slots: they are there when a slot becomes
+free, as the network delay is a part of a short statement's time."""
 
 
 class OverloadSettings(NamedTuple):
-    """The decisions under load of one node. `enabled` False: connections alone bound the work.
+    """Parameters of overload control at one node.
 
-    `class_weight_ratio`: turns of a route against one of the next lower priority. `longest_queue`:
-    statements that wait for one database. `slot_allowance`: statements under way beside the slots.
+    `enabled`: if False, work is limited by connections alone. `class_weight_ratio`: weight of a
+    route relative to one of the next lower priority. `longest_queue`: maximum queue length per
+    database. `slot_allowance`: statements in flight in excess of the slots.
     """
 
     enabled: bool = False
--- a/src/bramblebeam/core/overload/work.py
+++ b/src/bramblebeam/core/overload/work.py
@@ -1,4 +1,4 @@
-"""A statement as the decisions under load see it."""
+"""A statement as seen by overload control."""
 
 from typing import NamedTuple
 
@@ -14,11 +14,11 @@
 
 
 class Work(NamedTuple):
-    """A statement that wants to run at one database. Times: steady clock, seconds.
+    """A statement to run at one database. Times: monotonic clock, seconds.
 
-    `priority`: the route's, 0 is the highest. `aim`: until when its caller wants the answer.
-    `deadline`: when its time is over. `inside`: it belongs to an open transaction, which holds what
-    others wait for.
+    `priority`: the route's, 0 is the highest. `soft_deadline`: until when its caller wants the
+    answer. `deadline`: when it is given up. `in_transaction`: it belongs to an open transaction,
+    which holds a connection that others wait for.
     """
 
     kind: WorkKind
--- a/src/bramblebeam/core/pool/__init__.py
+++ b/src/bramblebeam/core/pool/__init__.py
@@ -1,1 +1,1 @@
-"""Connection slots of one back end: shares, borrowing, queues, pinning, ownership."""
+"""Connection slots of one database instance: limits, borrowing, queues, ownership."""
--- a/src/bramblebeam/core/pool/admission.py
+++ b/src/bramblebeam/core/pool/admission.py
@@ -1,4 +1,4 @@
-"""Whether a back end's state lets a statement run there now."""
+"""Decides whether an instance's reported status allows a statement to run there now."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -22,9 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Deferred:
-    """A later status may let the statement run; `refusal` is its answer if none does in time.
+    """The statement may not run yet, but a later status may allow it.
 
-    `next_status_only`: only the next status that is read can help; there is no use in more.
+    `refusal` is returned to the caller if no status allows the statement in time. With
+    `next_status_only`, only the next status is worth waiting for; later ones can't help.
     """
 
     refusal: Refusal
@@ -32,16 +33,16 @@
 
 
 def not_run(reason: Reason, detail: str, retry_after_ms: int = 0) -> Refusal:
-    """Return the refusal of a statement that did not run."""
+    """Return a refusal for a statement that did not run."""
     return Refusal(Verdict.NOT_RUN, reason, detail, retry_after_ms)
 
 
 def admit(
     request: ExecuteRequest, status: InstanceStatus | None, age: float, drained: bool
 ) -> Admission | Deferred | Refusal:
-    """Judge a request that begins new work by a status that was asked for `age` seconds ago.
+    """Check a request that begins new work against a status that was requested `age` seconds ago.
 
-    `drained`: the operators' row says that the instance gets no new work.
+    `drained`: the configuration excludes the instance from new work.
     """
     if status is None or not status.reachable:
         detail = f"back end {request.instance} is unreachable"
@@ -68,7 +69,7 @@
     request: ExecuteRequest, status: InstanceStatus, age: float
 ) -> Admission | Deferred:
     if not reached(status, request.floor):
-        detail = f"applied {_text(status.applied)}, asked for {_text(request.floor)}"
+        detail = f"applied {_format(status.applied)}, required {_format(request.floor)}"
         return Deferred(not_run(Reason.REPLICA_BEHIND, detail, BEHIND_RETRY_MS))
     behind_ms = status.lag_ms + age * 1000
     if 0 <= request.staleness_ms < behind_ms:
@@ -78,15 +79,15 @@
 
 
 def reached(status: InstanceStatus, floor: Position) -> bool:
-    """Whether a read there surely sees everything up to `floor`.
+    """Return whether a read on the instance is guaranteed to see every write up to `floor`.
 
-    The applied position only grows while an instance is up. A primary has applied every write
-    that was acknowledged at its own term, also those after the status was read.
+    The applied position only grows while an instance is up. A primary has applied every write that
+    was acknowledged in its own term, including those after the status was read.
     """
     if status.applied >= floor:
         return True
     return status.role is Role.PRIMARY and status.term == floor.term
 
 
-def _text(position: Position) -> str:
+def _format(position: Position) -> str:
     return f"{position.term}:{position.offset}"
--- a/src/bramblebeam/core/pool/events.py
+++ b/src/bramblebeam/core/pool/events.py
@@ -1,4 +1,4 @@
-"""Events and effects of the slot machine. A ticket names one statement or transaction."""
+"""Events and effects of the slot machine. A ticket identifies one statement or transaction."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class Arrived(NamedTuple):
-    """A statement asks for a slot and waits for it until `wait_until` (seconds) at most."""
+    """A statement requests a slot and waits for it until `wait_until` (seconds) at most."""
 
     ticket: int
     service: ServiceId
@@ -16,27 +16,27 @@
 
 
 class Finished(NamedTuple):
-    """The holder gives its slot back, and its connection is reusable or closed."""
+    """The holder releases its slot; its connection is reusable or closed."""
 
     ticket: int
 
 
 class Withdrawn(NamedTuple):
-    """The caller is gone: the ticket no longer waits, or gives its slot back."""
+    """The caller left: the ticket stops waiting, or releases its slot."""
 
     ticket: int
 
 
 class LimitsChanged(NamedTuple):
-    """Other rows are in force."""
+    """New configuration rows are in force."""
 
     limits: InstanceLimits
 
 
 class OccupiedChanged(NamedTuple):
-    """Connections that count at the back end and serve no ticket here.
+    """The number of connections that the instance counts but that hold no ticket here changed.
 
-    They are connections under way to their close, and those that a former owner still uses.
+    These are connections that are being closed, and those that a former owner still uses.
     """
 
     connections: int
@@ -47,7 +47,7 @@
 
 
 class Closed(NamedTuple):
-    """No slot may be granted any more; what waits is refused with `reason`."""
+    """No more slots may be granted; waiting statements are refused with `reason`."""
 
     reason: Reason
 
@@ -59,7 +59,7 @@
 
 
 class Refuse(NamedTuple):
-    """The ticket gets no slot. Its statement did not run."""
+    """The ticket gets no slot; its statement did not run."""
 
     ticket: int
     reason: Reason
--- a/src/bramblebeam/core/pool/failure.py
+++ b/src/bramblebeam/core/pool/failure.py
@@ -1,21 +1,21 @@
-"""Turns what went wrong at a back end into the verdict that its caller gets."""
+"""Maps database errors and lost connections to the verdict that the caller gets."""
 
 from bramblebeam.core.statement import ExecuteRequest, StatementKind
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
 
 ERROR_STALE_TERM = 3101
-"""The back end is no primary, or of a lower term: the write surely did not run."""
+"""The instance is not a primary, or has a lower term: the write did not run."""
 ERROR_NO_MAJORITY = 3102
-"""The write was not acknowledged by a majority: it may have run, or may run yet."""
+"""The write was not acknowledged by a majority: it may have run, or may still run."""
 ERROR_DEADLOCK = 1213
-"""The back end rolled the whole transaction back."""
+"""The database rolled back the whole transaction."""
 NO_MAJORITY_RETRY_MS = 500
 STALE_TERM_RETRY_MS = 100
 LOST_RETRY_MS = 50
 
 
 def refusal_of_error(code: int, sqlstate: str, message: str) -> Refusal:
-    """Return the verdict on an error packet that answered a statement."""
+    """Return the verdict for a statement that the database answered with an error packet."""
     if code == ERROR_STALE_TERM:
         return Refusal(Verdict.NOT_RUN, Reason.STALE_TERM, message, STALE_TERM_RETRY_MS)
     if code == ERROR_NO_MAJORITY:
@@ -28,10 +28,10 @@
 def refusal_of_interrupted(
     reason: Reason, detail: str, *, in_doubt: bool, in_transaction: bool
 ) -> Refusal:
-    """Return the verdict on a statement that was sent and got no whole answer.
+    """Return the verdict for a statement that was sent and got no complete answer.
 
-    `in_doubt`: it may have taken effect all the same. Otherwise it did not and cannot, because the
-    back end rolls back what its connection had not committed.
+    `in_doubt`: it may have taken effect. Otherwise it did not and cannot, because the database
+    rolls back whatever its connection had not committed.
     """
     if in_doubt:
         return Refusal(Verdict.UNKNOWN, reason, detail)
@@ -42,10 +42,10 @@
 
 
 def refusal_of_unknown_transaction(request: ExecuteRequest) -> Refusal:
-    """Return the verdict on a statement of a transaction that the owner does not know (more).
+    """Return the verdict for a statement of a transaction that the owner does not know (any more).
 
     Without its COMMIT, a transaction is rolled back with its connection. A COMMIT that was sent
-    before may have run.
+    earlier may have run.
     """
     detail = "the transaction is gone"
     if request.kind is StatementKind.COMMIT and request.repeat:
@@ -54,9 +54,10 @@
 
 
 def ends_transaction(kind: StatementKind, refusal: Refusal | None, *, still_open: bool) -> bool:
-    """Whether a transaction is over after the answer to one of its statements.
+    """Return whether the answer to one of its statements ends a transaction.
 
-    `refusal`: None for an ordinary answer. `still_open`: what the back end's last answer said.
+    `refusal`: None for a normal answer. `still_open`: the transaction state in the database's last
+    answer.
     """
     if refusal is None:
         return kind is not StatementKind.READ and not still_open
--- a/src/bramblebeam/core/pool/limits.py
+++ b/src/bramblebeam/core/pool/limits.py
@@ -1,4 +1,4 @@
-"""The slots of one instance, as the rows in force give them."""
+"""Slot limits of one instance, derived from the configuration in force."""
 
 from collections.abc import Mapping, Set
 from dataclasses import dataclass, field
@@ -10,47 +10,47 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceLimit:
-    """What one service may use of one instance (counts of slots and of waiting statements)."""
+    """Limits of one service on one instance (in slots and queued statements)."""
 
     slots: int
     burst: int
     queue: int
     queue_wait: float
-    """Longest wait for a slot (seconds)."""
+    """Maximum wait for a slot (seconds)."""
     deadline: float
-    """Longest time of one statement (seconds)."""
+    """Maximum duration of one statement (seconds)."""
 
     @property
     def max_slots(self) -> int:
-        """The most slots the service may hold, borrowed ones included."""
+        """Maximum number of slots the service may hold, including borrowed ones."""
         return self.slots + self.burst
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceLimits:
-    """The limits of every service of the instance's group."""
+    """Limits of every service of the instance's group."""
 
     services: Mapping[ServiceId, ServiceLimit] = field(default_factory=dict)
 
     @property
     def total(self) -> int:
-        """Slots of the instance: the sum over its services."""
+        """Number of slots of the instance: the sum over its services."""
         return sum(limit.slots for limit in self.services.values())
 
 
 def limits_of_groups(
     view: ConfigurationView, groups: Set[GroupId]
 ) -> dict[GroupId, InstanceLimits]:
-    """Return the limits that the rows in force give to the instances of each of `groups`."""
-    found: dict[GroupId, dict[ServiceId, ServiceLimit]] = {group: {} for group in groups}
+    """Return the configured limits for the instances of each of `groups`."""
+    limits: dict[GroupId, dict[ServiceId, ServiceLimit]] = {group: {} for group in groups}
     for (service, group), row in view.limits.items():
-        if group in found:
-            found[group][service] = _service_limit(row)
-    return {group: InstanceLimits(services) for group, services in found.items()}
+        if group in limits:
+            limits[group][service] = _service_limit(row)
+    return {group: InstanceLimits(services) for group, services in limits.items()}
 
 
 def limits_of(view: ConfigurationView, group: GroupId) -> InstanceLimits:
-    """Return the limits that the rows in force give to each instance of `group`."""
+    """Return the configured limits for each instance of `group`."""
     return InstanceLimits(
         {
             service: _service_limit(row)
--- a/src/bramblebeam/core/pool/queue.py
+++ b/src/bramblebeam/core/pool/queue.py
@@ -8,14 +8,14 @@
 
 
 class WaitingStatement(NamedTuple):
-    """One waiting statement and when it gives up (seconds)."""
+    """One queued statement, and when it gives up waiting (seconds)."""
 
     ticket: int
     wait_until: float
 
 
 class ServiceQueue:
-    """Waiting statements in the order of arrival, and the slots their service holds."""
+    """Queued statements of one service in order of arrival, and the number of slots it holds."""
 
     def __init__(self, limit: ServiceLimit) -> None:
         self.limit = limit
@@ -28,22 +28,25 @@
 
     @property
     def next_expiry(self) -> float:
-        """When the first of the statements gives up (seconds). Raises IndexError when empty."""
+        """When the first statement gives up (seconds). Raises IndexError if the queue is empty."""
         first: WaitingStatement = self._by_expiry[0]
         return first.wait_until
 
     def precedence(self) -> tuple[bool, float]:
-        """Order of services for a free slot: lenders first, then the least part in use."""
+        """Return the sort key for granting a free slot.
+
+        Services below their own slots come first, then the one with the lowest utilization.
+        """
         slots = self.limit.slots
         return self.used >= slots, self.used / slots if slots else float("inf")
 
     def add(self, statement: WaitingStatement) -> None:
-        """Add the newest statement."""
+        """Append a statement."""
         self._waiting[statement.ticket] = statement
         self._by_expiry.add(statement)
 
     def remove(self, ticket: int) -> bool:
-        """Take one statement out; tell whether it was waiting."""
+        """Remove a statement; return whether it was queued."""
         statement = self._waiting.pop(ticket, None)
         if statement is None:
             return False
@@ -51,19 +54,19 @@
         return True
 
     def pop(self) -> WaitingStatement:
-        """Take the oldest statement out. Raises StopIteration when empty."""
+        """Remove and return the oldest statement. Raises StopIteration if the queue is empty."""
         statement = next(iter(self._waiting.values()))
         self.remove(statement.ticket)
         return statement
 
     def pop_newest(self) -> WaitingStatement:
-        """Take the newest statement out. Raises KeyError when empty."""
+        """Remove and return the newest statement. Raises KeyError if the queue is empty."""
         _, statement = self._waiting.popitem()
         self._by_expiry.remove(statement)
         return statement
 
     def pop_expired(self, now: float) -> list[WaitingStatement]:
-        """Take out the statements whose time is over."""
+        """Remove and return the statements whose wait has expired."""
         expired: list[WaitingStatement] = []
         while self._waiting and self.next_expiry <= now:
             statement: WaitingStatement = self._by_expiry[0]
--- a/src/bramblebeam/core/pool/slots.py
+++ b/src/bramblebeam/core/pool/slots.py
@@ -1,9 +1,9 @@
-"""Gives the slots of one instance to the statements that ask for them.
+"""Grants the slots of one instance to the statements that request them.
 
-A slot is the right to use one back-end connection. Each service has its own slots, and may borrow
-idle ones up to its burst limit. A slot that becomes free goes first to a service that holds fewer
-than its own slots: so a lender has its slots back at the next free moment. Among services in the
-same case, the one with the smallest part of its slots in use comes first.
+A slot is the right to use one database connection. Each service has its own slots, and may borrow
+idle ones up to its burst limit. A free slot goes first to a service that holds fewer than its own
+slots, so a service gets a borrowed slot back as soon as one is free. Among services in the same
+position, the one with the lowest utilization comes first.
 """
 
 from bramblebeam.core.identity import ServiceId
@@ -23,18 +23,18 @@
 from bramblebeam.core.verdict import Reason
 
 NO_LIMIT = ServiceLimit(slots=0, burst=0, queue=0, queue_wait=0.0, deadline=0.0)
-SHORTEST_RETRY_MS = 50
-LONGEST_RETRY_MS = 10_000
+MIN_RETRY_MS = 50
+MAX_RETRY_MS = 10_000
 CONFIGURATION_RETRY_MS = 1_000
 HOLD_SMOOTHING = 0.1
-FIRST_HOLD_ESTIMATE = 0.01
-"""Assumed time that a statement holds its slot, until some have been seen (seconds)."""
+INITIAL_HOLD_ESTIMATE = 0.01
+"""Assumed time that a statement holds its slot, before any was measured (seconds)."""
 
 Effect = Grant | Refuse
 
 
 class SlotMachine:
-    """The slots of one instance: a pure machine (see `core/machine.py`)."""
+    """The slots of one instance, as a pure state machine (see `core/machine.py`)."""
 
     def __init__(self, limits: InstanceLimits | None = None) -> None:
         self.limits = limits or InstanceLimits()
@@ -45,35 +45,35 @@
         self._closed_reason = Reason.NOT_OWNER
         self._queues: dict[ServiceId, ServiceQueue] = {}
         self._granted: dict[int, tuple[ServiceQueue, float]] = {}
-        self._hold_estimate = FIRST_HOLD_ESTIMATE
+        self._hold_estimate = INITIAL_HOLD_ESTIMATE
 
     @property
     def total(self) -> int:
-        """Slots that the rows in force give to the instance."""
+        """Number of slots that the configuration gives to the instance."""
         return self._total
 
     @property
     def free(self) -> int:
-        """Slots that nobody uses (negative after the limits shrank under use)."""
+        """Number of unused slots (negative if the limits shrank below current use)."""
         return self._total - self.in_use - self.occupied
 
     def used_by(self, service: ServiceId) -> int:
-        """Slots that the service holds, borrowed ones included."""
+        """Return how many slots the service holds, including borrowed ones."""
         queue = self._queues.get(service)
         return queue.used if queue else 0
 
     def waiting_of(self, service: ServiceId) -> int:
-        """Statements of the service that wait for a slot."""
+        """Return how many statements of the service wait for a slot."""
         queue = self._queues.get(service)
         return len(queue) if queue else 0
 
     @property
     def borrowed(self) -> int:
-        """Slots that services hold beyond their own."""
+        """Number of slots that services hold beyond their own."""
         return sum(max(0, queue.used - queue.limit.slots) for queue in self._queues.values())
 
     def handle(self, event: object, now: float) -> list[Effect]:
-        """Take one event at `now` (seconds); return grants and refusals."""
+        """Process one event at `now` (seconds); return grants and refusals."""
         match event:
             case Arrived():
                 return self._arrived(event, now)
@@ -92,13 +92,13 @@
         return self._expire(now) + self._grant_free(now)
 
     def next_wakeup(self) -> float | None:
-        """Return when the next waiting statement gives up (seconds), or None."""
+        """Return when the next queued statement gives up (seconds), or None."""
         times = [queue.next_expiry for queue in self._queues.values() if len(queue)]
         return min(times, default=None)
 
     def _arrived(self, event: Arrived, now: float) -> list[Effect]:
         if not self.is_open:
-            return [Refuse(event.ticket, self._closed_reason, SHORTEST_RETRY_MS)]
+            return [Refuse(event.ticket, self._closed_reason, MIN_RETRY_MS)]
         queue = self._queue(event.service)
         if queue.limit.max_slots == 0:
             return [Refuse(event.ticket, Reason.NO_CONFIGURATION, CONFIGURATION_RETRY_MS)]
@@ -132,13 +132,13 @@
         refused: list[Effect] = []
         for service, queue in list(self._queues.items()):
             queue.limit = event.limits.services.get(service, NO_LIMIT)
-            refused.extend(self._refuse_beyond(queue))
+            refused.extend(self._refuse_excess(queue))
             if not queue.used and not len(queue):
                 del self._queues[service]
         return refused + self._expire(now) + self._grant_free(now)
 
-    def _refuse_beyond(self, queue: ServiceQueue) -> list[Effect]:
-        """Refuse the newest statements that wait beyond the queue's new bound."""
+    def _refuse_excess(self, queue: ServiceQueue) -> list[Effect]:
+        """Refuse the newest statements that exceed the queue's new limit."""
         refused: list[Effect] = []
         while len(queue) > queue.limit.queue:
             newest = queue.pop_newest()
@@ -151,7 +151,7 @@
         refused: list[Effect] = []
         for queue in self._queues.values():
             while len(queue):
-                refused.append(Refuse(queue.pop().ticket, event.reason, SHORTEST_RETRY_MS))
+                refused.append(Refuse(queue.pop().ticket, event.reason, MIN_RETRY_MS))
         return refused
 
     def _queue(self, service: ServiceId) -> ServiceQueue:
@@ -187,7 +187,7 @@
         return granted
 
     def _next_queue(self) -> ServiceQueue | None:
-        """Return the queue whose oldest statement has the first right to a free slot."""
+        """Return the queue whose oldest statement gets the next free slot."""
         eligible = [
             queue
             for queue in self._queues.values()
@@ -209,7 +209,7 @@
         return refused
 
     def _retry_ms(self, queue: ServiceQueue) -> int:
-        """Estimate when the statements that wait now will have been served (milliseconds)."""
+        """Estimate when the currently queued statements will have been served (milliseconds)."""
         rounds = (len(queue) + 1) / max(1, queue.limit.slots)
         estimate = int(rounds * self._hold_estimate * 1000)
-        return min(LONGEST_RETRY_MS, max(SHORTEST_RETRY_MS, estimate))
+        return min(MAX_RETRY_MS, max(MIN_RETRY_MS, estimate))
--- a/src/bramblebeam/core/pool/statements.py
+++ b/src/bramblebeam/core/pool/statements.py
@@ -1,4 +1,4 @@
-"""What a statement may leave behind: state in its connection, or a commit in doubt."""
+"""Side effects a statement may leave: connection state, or a commit with uncertain outcome."""
 
 import re
 
@@ -9,10 +9,10 @@
 
 
 def leaves_session_state(request: ExecuteRequest) -> bool:
-    """Tell whether the connection must be reset for the next session. In doubt, it must.
+    """Return whether the connection must be reset before the next session uses it.
 
-    A statement that is surely a read leaves nothing; nor does a plain INSERT, UPDATE, DELETE or
-    REPLACE that names no variable and no locking function.
+    A statement that is known to be a read leaves no state; nor does a plain INSERT, UPDATE, DELETE
+    or REPLACE that uses no variable and no locking function. When in doubt, return True.
     """
     if request.kind is StatementKind.READ:
         return False
@@ -22,10 +22,10 @@
 
 
 def in_doubt_when_interrupted(request: ExecuteRequest) -> bool:
-    """Tell whether a statement that was sent, and got no answer, may have taken effect.
+    """Return whether a statement that was sent, and got no answer, may have taken effect.
 
-    Inside a transaction only what may commit it can take effect: COMMIT itself, and statements
-    other than plain writes, as some of them commit implicitly.
+    In a transaction, only a statement that may commit can take effect: COMMIT itself, and any
+    statement other than a plain write, as some commit implicitly.
     """
     if request.kind is StatementKind.COMMIT:
         return True
--- a/tests/overload_callers.py
+++ b/tests/overload_callers.py
@@ -1,4 +1,4 @@
-"""Callers, and one database of a few slots that serves them first come, in virtual time."""
+"""Simulated callers and a database with a few slots, first come, first served, in virtual time."""
 
 from __future__ import annotations
 
@@ -28,29 +28,29 @@
 SLOTS = 5
 SERVICE = 0.02
 CAPACITY = SLOTS / SERVICE
-"""Statements a second."""
-AIM = 0.4
+"""Statements per second."""
+SOFT_DEADLINE = 0.4
 TIMEOUT = 1.0
-PATIENCE = 3.0
-"""How long a caller goes on, over all of its attempts (seconds)."""
+GIVE_UP_AFTER = 3.0
+"""How long a caller keeps trying, over all of its attempts (seconds)."""
 RETRIES = 2
-TOLD_EVERY = 0.05
-"""Between two answers that tell the caller's node how long the queue is (seconds)."""
-FIXED_PAUSE = 0.5
-"""What refused callers are told where moments are not handed out (seconds)."""
+REPORT_INTERVAL = 0.05
+"""Interval between answers that report the queue length to the caller's node (seconds)."""
+FIXED_DELAY = 0.5
+"""Retry delay of refused callers if retries are not scheduled (seconds)."""
 KIND = WorkKind("lookup", Action.READ)
 TENANT = TenantId("library")
 
 
 @dataclass
 class Caller:
-    """Wants one statement done. Times: seconds since the start."""
+    """Wants one statement to be run. Times: seconds since the start."""
 
     began: float
     service: float
-    leaves_after: float = PATIENCE
+    leaves_after: float = GIVE_UP_AFTER
     attempts: int = 0
-    told: float | None = None
+    retry_at: float | None = None
 
     def has_left(self, now: float) -> bool:
         return now >= self.began + self.leaves_after
@@ -58,7 +58,7 @@
 
 @dataclass
 class Attempt:
-    """One statement of a caller, which waits or runs."""
+    """One statement of a caller, queued or running."""
 
     caller: Caller
     work: Work
@@ -66,7 +66,7 @@
 
 @dataclass
 class Policy:
-    """Which decisions are in force; `withdraws`: what waits for a caller who left is removed."""
+    """Which decisions are enabled. `withdraws`: statements of callers that left are removed."""
 
     admits: bool = True
     spreads: bool = True
@@ -74,25 +74,25 @@
 
 
 @dataclass
-class Seen:
-    """What the callers got."""
+class CallerResults:
+    """What the callers experienced."""
 
     served_at: list[float] = field(default_factory=list)
     late: int = 0
     refused: Counter[str] = field(default_factory=Counter)
-    returns: list[float] = field(default_factory=list)
-    begun_for_nobody: int = 0
+    retries: list[float] = field(default_factory=list)
+    begun_for_departed: int = 0
 
     def goodput(self, start: float, end: float) -> float:
-        """Return answers a second that came within the aim."""
+        """Return the number of answers per second that arrived by the soft deadline."""
         return sum(start <= at < end for at in self.served_at) / (end - start)
 
 
 class Callers:
-    """Plays callers against the database."""
+    """Simulates callers against the database."""
 
     def __init__(self, policy: Policy) -> None:
-        self.seen = Seen()
+        self.seen = CallerResults()
         self.record = AdmissionRecord()
         self._policy = policy
         self._now = 0.0
@@ -100,13 +100,13 @@
         self._numbers = itertools.count()
         self._queue: deque[Attempt] = deque()
         self._running = 0
-        self._told = KnownWait(0.0, Estimate(SERVICE, 0.0), 0.0)
+        self._reported = KnownWait(0.0, Estimate(SERVICE, 0.0), 0.0)
         self._schedule = RetrySchedule()
 
-    def play(self, callers: Iterable[Caller], until: float) -> Seen:
+    def play(self, callers: Iterable[Caller], until: float) -> CallerResults:
         for caller in callers:
             self._at(caller.began, lambda caller=caller: self._attempt(caller))  # type: ignore[misc]
-        self._at(0.0, self._tell)
+        self._at(0.0, self._report)
         while self._events and self._events[0][0] <= until:
             self._now, _, act = heapq.heappop(self._events)
             act()
@@ -115,23 +115,23 @@
     def _at(self, moment: float, act: Callable[[], None]) -> None:
         heapq.heappush(self._events, (moment, next(self._numbers), act))
 
-    def _tell(self) -> None:
-        self._told = self._known()
-        self._at(self._now + TOLD_EVERY, self._tell)
+    def _report(self) -> None:
+        self._reported = self._known()
+        self._at(self._now + REPORT_INTERVAL, self._report)
 
     def _known(self) -> KnownWait:
-        waits = len(self._queue) * SERVICE / SLOTS
-        return KnownWait(waits, Estimate(SERVICE, SERVICE / 2), self._now)
+        wait = len(self._queue) * SERVICE / SLOTS
+        return KnownWait(wait, Estimate(SERVICE, SERVICE / 2), self._now)
 
     def _attempt(self, caller: Caller) -> None:
         if caller.has_left(self._now):
             return
         caller.attempts += 1
         deadline = self._now + TIMEOUT
-        work = Work(KIND, TENANT, 0, self._now, self._now + AIM, deadline)
+        work = Work(KIND, TENANT, 0, self._now, self._now + SOFT_DEADLINE, deadline)
         if self._policy.admits:
-            returns = is_scheduled_retry(caller.told, self._now)
-            refused = refuse_early(work, self._told, 0, self._now, returns)
+            is_retry = is_scheduled_retry(caller.retry_at, self._now)
+            refused = refuse_early(work, self._reported, 0, self._now, is_retry)
             if refused is not None:
                 self.record.record_refusal(work, SERVICE, self._now)
                 self._refuse(caller, "at_once", refused.room_in)
@@ -139,19 +139,19 @@
         self._queue.append(Attempt(caller, work))
         self._fill()
 
-    def _refuse(self, caller: Caller, how: str, room_in: float) -> None:
-        self.seen.refused[how] += 1
+    def _refuse(self, caller: Caller, cause: str, room_in: float) -> None:
+        self.seen.refused[cause] += 1
         if caller.attempts > RETRIES:
             return
-        pause, promised = FIXED_PAUSE, False
+        delay, reserved = FIXED_DELAY, False
         if self._policy.spreads:
-            outlook = CapacityEstimate(room_in, SERVICE / SLOTS)
-            longest = MAX_RETRY_TIMEOUTS * TIMEOUT
-            pause, promised = self._schedule.assign(outlook, longest, self._now)
-        caller.told = self._now + pause if promised else None
-        if promised or not self._policy.spreads:
-            self.seen.returns.append(self._now + pause)
-        self._at(self._now + pause, lambda: self._attempt(caller))
+            capacity = CapacityEstimate(room_in, SERVICE / SLOTS)
+            max_delay = MAX_RETRY_TIMEOUTS * TIMEOUT
+            delay, reserved = self._schedule.assign(capacity, max_delay, self._now)
+        caller.retry_at = self._now + delay if reserved else None
+        if reserved or not self._policy.spreads:
+            self.seen.retries.append(self._now + delay)
+        self._at(self._now + delay, lambda: self._attempt(caller))
 
     def _fill(self) -> None:
         while self._queue and self._running < SLOTS:
@@ -160,11 +160,11 @@
             if self._policy.withdraws and caller.has_left(self._now):
                 continue
             if self._now + SERVICE > attempt.work.deadline:
-                self.record.record_unstarted(self._now - attempt.work.arrived, AIM)
+                self.record.record_unstarted(self._now - attempt.work.arrived, SOFT_DEADLINE)
                 self._refuse(caller, "after_waiting", 0.0)
                 continue
             self._running += 1
-            self.seen.begun_for_nobody += caller.has_left(self._now)
+            self.seen.begun_for_departed += caller.has_left(self._now)
             self._at(self._now + caller.service, lambda found=attempt: self._end(found))  # type: ignore[misc]
         if self._running < SLOTS:
             self.record.record_idle_slot(self._now)
@@ -177,7 +177,7 @@
         self._fill()
 
     def _served(self, caller: Caller) -> None:
-        if self._now <= caller.began + AIM:
+        if self._now <= caller.began + SOFT_DEADLINE:
             self.seen.served_at.append(self._now)
         else:
             self.seen.late += 1
@@ -187,9 +187,9 @@
     seed: int,
     load: Callable[[float], float],
     until: float,
-    leaves_after: Callable[[random.Random], float] = lambda numbers: PATIENCE,
+    leaves_after: Callable[[random.Random], float] = lambda numbers: GIVE_UP_AFTER,
 ) -> list[Caller]:
-    """Return callers that come at `load` times the capacity, by chance."""
+    """Return callers that arrive at random, at `load` times the capacity."""
     numbers = random.Random(seed)
     now = 0.0
     found = []
@@ -201,27 +201,27 @@
 
 
 class AssignedRetry(NamedTuple):
-    """A moment of return. Times: seconds of the clock that the schedule was asked by."""
+    """An assigned retry time. Times: seconds of the clock passed to the schedule."""
 
-    asked: float
+    requested_at: float
     after: float
 
     @property
     def retry_at(self) -> float:
-        return self.asked + self.after
+        return self.requested_at + self.after
 
 
 def record_retries(monkeypatch: pytest.MonkeyPatch) -> list[AssignedRetry]:
-    """Return a list to which each moment is added that refused callers are told from now on."""
-    moments: list[AssignedRetry] = []
-    hand_out = RetrySchedule.assign
+    """Return a list that receives each retry time assigned from now on."""
+    retries: list[AssignedRetry] = []
+    assign = RetrySchedule.assign
 
-    def noted(
-        schedule: RetrySchedule, outlook: CapacityEstimate, longest: float, now: float
+    def recorded(
+        schedule: RetrySchedule, capacity: CapacityEstimate, max_delay: float, now: float
     ) -> ScheduledRetry:
-        told = hand_out(schedule, outlook, longest, now)
-        moments.append(AssignedRetry(now, told.after))
-        return told
+        retry = assign(schedule, capacity, max_delay, now)
+        retries.append(AssignedRetry(now, retry.after))
+        return retry
 
-    monkeypatch.setattr(RetrySchedule, "assign", noted)
-    return moments
+    monkeypatch.setattr(RetrySchedule, "assign", recorded)
+    return retries
--- a/tests/overload_slots.py
+++ b/tests/overload_slots.py
@@ -1,4 +1,4 @@
-"""A database's slots in virtual time, and callers whose statements a scheduler orders for it."""
+"""Simulated database slots in virtual time, and callers whose statements a scheduler orders."""
 
 from __future__ import annotations
 
@@ -21,20 +21,23 @@
 
 SLOTS = 6
 ALLOWANCE = 2
-WAY = 0.002
-"""From the node to the database and back (seconds)."""
-RETURNS = 2
-"""A caller that was refused comes back so many times."""
+ROUND_TRIP = 0.002
+"""Round trip between the node and the database (seconds)."""
+RETRIES = 2
+"""Number of retries of a refused caller."""
 
 
 class Kind(NamedTuple):
-    """One kind of statement. `share`: of all statements; `seconds`: its mean time; its bounds."""
+    """One kind of statement.
+
+    `share`: of all statements; `seconds`: mean service time; then its soft deadline and deadline.
+    """
 
     name: str
     priority: int
     share: float
     seconds: float
-    aim: float
+    soft_deadline: float
     deadline: float
 
 
@@ -46,27 +49,29 @@
 
 
 class Statement(NamedTuple):
-    """One that arrives. `seconds`: its time at the database, which nobody knows before."""
+    """An arriving statement. `seconds`: its service time, which the scheduler does not know."""
 
     at: float
     kind: Kind
     seconds: float
     tenant: TenantId
     first_at: float
-    returns: int = 0
-    inside: bool = False
+    retries: int = 0
+    in_transaction: bool = False
 
     @property
     def work(self) -> Work:
-        """As the scheduler sees it."""
+        """The statement as seen by the scheduler."""
         kind = self.kind
-        aim, deadline = self.first_at + kind.aim, self.at + kind.deadline
+        soft_deadline, deadline = self.first_at + kind.soft_deadline, self.at + kind.deadline
         known = WorkKind(kind.name, Action.READ)
-        return Work(known, self.tenant, kind.priority, self.at, aim, deadline, self.inside)
+        return Work(
+            known, self.tenant, kind.priority, self.at, soft_deadline, deadline, self.in_transaction
+        )
 
 
 Load = Callable[[float], float]
-"""Times the capacity at a moment (seconds)."""
+"""Load at a time (seconds), as a multiple of the capacity."""
 
 
 def arrivals(
@@ -77,7 +82,7 @@
     tenant: Callable[[random.Random], str] = lambda rng: f"t{rng.randrange(12)}",
     most: float = 16.0,
 ) -> Iterator[Statement]:
-    """Yield statements at random moments; `most` bounds the product of all loads."""
+    """Yield statements at random times; `most` bounds the product of all loads."""
     rng = random.Random(seed)
     usual = SLOTS / MEAN_SECONDS
     at = 0.0
@@ -94,7 +99,7 @@
 
 @dataclass
 class Outcome:
-    """What became of the statements. `useful` and `offered`: slot seconds, by second."""
+    """Outcomes of the statements. `useful` and `offered`: slot seconds, by second."""
 
     useful: Counter[int] = field(default_factory=Counter)
     offered: Counter[int] = field(default_factory=Counter)
@@ -102,19 +107,19 @@
     by_kind: dict[str, Counter[str]] = field(default_factory=dict)
     by_tenant: dict[TenantId, Counter[str]] = field(default_factory=dict)
     refused_with_room: int = 0
-    most_under_way: int = 0
-    longest_in_vain: float = 0.0
-    held_in_vain: int = 0
+    most_in_flight: int = 0
+    longest_refused_wait: float = 0.0
+    wasted_waits: int = 0
 
-    def note(self, statement: Statement, what: str) -> None:
+    def record(self, statement: Statement, what: str) -> None:
         self.counts[what] += 1
         self.by_kind.setdefault(statement.kind.name, Counter())[what] += 1
         self.by_tenant.setdefault(statement.tenant, Counter())[what] += 1
 
     def goodput(self, since: int, until: int) -> float:
-        """Return the useful part of what the slots could have done in time at best.
+        """Return the useful part of the best possible timely work.
 
-        The bound is above what any order reaches, also one that knows all service times: each slot
+        The bound exceeds what any order reaches, even one that knows all service times: each slot
         is busy without a gap while there is work.
         """
         best = done = 0.0
@@ -124,21 +129,21 @@
         return done / best
 
     def kind_share(self, kind: Kind) -> float:
-        """Return which part of a kind's statements ended in time."""
+        """Return the part of a kind's statements that ended in time."""
         counts = self.by_kind[kind.name]
         return counts["in time"] / counts["offered"]
 
     def tenant_share(self, tenants: list[TenantId]) -> float:
-        """Return which part of some tenants' statements ended in time."""
+        """Return the part of some tenants' statements that ended in time."""
         found = [self.by_tenant[tenant] for tenant in tenants]
         in_time = sum(counts["in time"] for counts in found)
         return in_time / sum(counts["offered"] for counts in found)
 
 
 class SimulatedSlots:
-    """Plays statements against one scheduler, as its user does, and against `slots` of a database.
+    """Plays statements against one scheduler and a simulated database of `SLOTS` slots.
 
-    The database runs what is sent to it first come; beyond its slots it waits there.
+    The database runs statements first come, first served; statements beyond its slots wait there.
     """
 
     def __init__(
@@ -146,14 +151,14 @@
         limit: SlotLimit | None = None,
         settings: OverloadSettings | None = None,
         slower: Load = lambda at: 1.0,
-        returns: int = RETURNS,
+        retries: int = RETRIES,
     ) -> None:
         chosen = limit or SlotAllowance(SLOTS, ALLOWANCE)
         self.times = ServiceTimes()
         known = settings or OverloadSettings(enabled=True)
         self.scheduler = SlotScheduler(InstanceId("db"), chosen, self.times, known)
         self.outcome = Outcome()
-        self._returns = returns
+        self._retries = retries
         self._slower = slower
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
         self._numbers = 0
@@ -163,7 +168,7 @@
         self._queued: deque[int] = deque()
 
     def at(self, moment: float, event: Callable[[float], None]) -> None:
-        """Have something happen then."""
+        """Schedule an event."""
         self._numbers += 1
         heapq.heappush(self._events, (moment, self._numbers, event))
 
@@ -183,7 +188,7 @@
 
         def arrive(now: float) -> None:
             assert statement is not None
-            self.outcome.note(statement, "offered")
+            self.outcome.record(statement, "offered")
             self.outcome.offered[int(now)] += statement.seconds
             self.offer(statement, now)
             self._arrive_next(statements)
@@ -198,33 +203,33 @@
         if refused is not None:
             self.outcome.refused_with_room += self.scheduler.in_flight < SLOTS
             self._refused(number, refused.room_in, now)
-        elif (due := self.scheduler.next_wakeup) is not None:
-            self.at(max(now, due), lambda moment: None)
+        elif (wakeup := self.scheduler.next_wakeup) is not None:
+            self.at(max(now, wakeup), lambda moment: None)
 
     def _refused(self, number: int, room_in: float, now: float) -> None:
         statement = self._statements.pop(number)
         waited = now - statement.at
-        self.outcome.longest_in_vain = max(self.outcome.longest_in_vain, waited)
-        self.outcome.held_in_vain += waited > statement.kind.aim / 4
-        self.outcome.note(statement, "refused")
-        if statement.returns < self._returns:
-            again = statement._replace(at=now + room_in, returns=statement.returns + 1)
+        self.outcome.longest_refused_wait = max(self.outcome.longest_refused_wait, waited)
+        self.outcome.wasted_waits += waited > statement.kind.soft_deadline / 4
+        self.outcome.record(statement, "refused")
+        if statement.retries < self._retries:
+            again = statement._replace(at=now + room_in, retries=statement.retries + 1)
             self.at(again.at, lambda moment: self.offer(again, moment))
         else:
-            self.outcome.note(statement, "given up")
+            self.outcome.record(statement, "given up")
 
     def _step(self, now: float) -> None:
         while (number := self.scheduler.next(now)) is not None:
             self._begin(number, now)
         for number, refused in self.scheduler.pop_expired(now):
             self._refused(number, refused.room_in, now)
-        if (due := self.scheduler.next_wakeup) is not None and not self._events:
-            self.at(max(now, due), lambda moment: None)
+        if (wakeup := self.scheduler.next_wakeup) is not None and not self._events:
+            self.at(max(now, wakeup), lambda moment: None)
 
     def _begin(self, number: int, now: float) -> None:
         self._began[number] = now
-        self.outcome.most_under_way = max(self.outcome.most_under_way, self.scheduler.in_flight)
-        self.at(now + WAY / 2, lambda moment: self._reach(number, moment))
+        self.outcome.most_in_flight = max(self.outcome.most_in_flight, self.scheduler.in_flight)
+        self.at(now + ROUND_TRIP / 2, lambda moment: self._reach(number, moment))
 
     def _reach(self, number: int, now: float) -> None:
         self._queued.append(number)
@@ -240,13 +245,13 @@
     def _served(self, number: int, now: float) -> None:
         self._busy -= 1
         self._run_queued(now)
-        self.at(now + WAY / 2, lambda moment: self._answered(number, moment))
+        self.at(now + ROUND_TRIP / 2, lambda moment: self._answered(number, moment))
 
     def _answered(self, number: int, now: float) -> None:
         statement = self._statements.pop(number)
         self.scheduler.finished(number, now - self._began.pop(number), now)
-        if now <= statement.first_at + statement.kind.aim:
-            self.outcome.note(statement, "in time")
+        if now <= statement.first_at + statement.kind.soft_deadline:
+            self.outcome.record(statement, "in time")
             self.outcome.useful[int(now)] += statement.seconds
         else:
-            self.outcome.note(statement, "late")
+            self.outcome.record(statement, "late")
--- a/tests/test_overload_admission.py
+++ b/tests/test_overload_admission.py
@@ -1,4 +1,4 @@
-"""Who is refused as they arrive: only what surely can't end, and that at once."""
+"""Early admission: refuses exactly the statements that certainly can't end in time."""
 
 import random
 
@@ -18,10 +18,10 @@
 from bramblebeam.core.overload.ports import Estimate
 from bramblebeam.core.overload.work import Work
 from overload_callers import (
-    AIM,
     CAPACITY,
+    GIVE_UP_AFTER,
     KIND,
-    PATIENCE,
+    SOFT_DEADLINE,
     TENANT,
     Callers,
     Policy,
@@ -29,82 +29,86 @@
 )
 
 NOW = 100.0
-MOST_WAIT = MAX_WAIT_SHARE * 0.4
-"""Of `work()`, whose answer is wanted within 0.4 s."""
+MAX_WAIT = MAX_WAIT_SHARE * 0.4
+"""For `work()`, whose soft deadline is 0.4 s after its arrival."""
 SEEDS = range(5)
 
 
-def work(timeout: float = 1.0, aim: float = 0.4) -> Work:
-    return Work(KIND, TENANT, 0, NOW, NOW + aim, NOW + timeout)
+def work(timeout: float = 1.0, soft_deadline: float = 0.4) -> Work:
+    return Work(KIND, TENANT, 0, NOW, NOW + soft_deadline, NOW + timeout)
 
 
-def told(wait: float, age: float = 0.0, mean: float = 0.02, spread: float = 0.0) -> KnownWait:
+def reported(wait: float, age: float = 0.0, mean: float = 0.02, spread: float = 0.0) -> KnownWait:
     return KnownWait(wait, Estimate(mean, spread), NOW - age)
 
 
 @pytest.mark.parametrize(
-    ("known", "ranks_below", "is_refused"),
+    ("known", "lower_classes", "is_refused"),
     [
-        pytest.param(None, 0, False, id="nothing is known"),
-        pytest.param(told(0.0, mean=5.0), 0, False, id="a slot is free: never refused"),
-        pytest.param(told(MOST_WAIT - 0.01), 0, False, id="it begins soon enough"),
-        pytest.param(told(MOST_WAIT + 0.01), 0, True, id="it begins too late"),
-        pytest.param(told(0.1, mean=0.95), 0, True, id="it ends after its deadline"),
-        pytest.param(told(0.1, mean=0.95, spread=0.1), 0, False, id="it may be a short one"),
-        pytest.param(told(0.1, mean=0.95, spread=9.0), 0, False, id="a spread beyond its mean"),
-        pytest.param(told(0.4, age=0.1), 0, True, id="not yet worked off"),
-        pytest.param(told(0.4, age=0.3), 0, False, id="may be worked off meanwhile"),
-        pytest.param(told(9.0, age=STALE_SECONDS + 0.01), 0, False, id="stale"),
-        pytest.param(told(9.0, age=-1.0), 0, True, id="told by a clock ahead"),
-        pytest.param(told(1.9 * MOST_WAIT), 1, False, id="one class is less urgent: passed"),
-        pytest.param(told(2.1 * MOST_WAIT), 1, True, id="too long also for the urgent"),
-        pytest.param(told(1.1 * MOST_WAIT), -1, True, id="an absurd rank counts as the lowest"),
+        pytest.param(None, 0, False, id="no known wait"),
+        pytest.param(reported(0.0, mean=5.0), 0, False, id="free slot: never refused"),
+        pytest.param(reported(MAX_WAIT - 0.01), 0, False, id="begins in time"),
+        pytest.param(reported(MAX_WAIT + 0.01), 0, True, id="begins too late"),
+        pytest.param(reported(0.1, mean=0.95), 0, True, id="ends after its deadline"),
+        pytest.param(reported(0.1, mean=0.95, spread=0.1), 0, False, id="may be a short statement"),
+        pytest.param(
+            reported(0.1, mean=0.95, spread=9.0), 0, False, id="spread larger than the mean"
+        ),
+        pytest.param(reported(0.4, age=0.1), 0, True, id="queue not drained yet"),
+        pytest.param(reported(0.4, age=0.3), 0, False, id="queue may have drained since"),
+        pytest.param(reported(9.0, age=STALE_SECONDS + 0.01), 0, False, id="stale"),
+        pytest.param(reported(9.0, age=-1.0), 0, True, id="reported by a clock that is ahead"),
+        pytest.param(reported(1.9 * MAX_WAIT), 1, False, id="overtakes a lower class"),
+        pytest.param(reported(2.1 * MAX_WAIT), 1, True, id="too long for a higher class too"),
+        pytest.param(
+            reported(1.1 * MAX_WAIT), -1, True, id="invalid class rank counts as the lowest"
+        ),
     ],
 )
-def test_what_surely_waits_for_too_long_is_refused(
-    known: KnownWait | None, ranks_below: int, is_refused: bool
+def test_refuses_certainly_too_long_waits(
+    known: KnownWait | None, lower_classes: int, is_refused: bool
 ) -> None:
-    refused = refuse_early(work(), known, ranks_below, NOW)
+    refused = refuse_early(work(), known, lower_classes, NOW)
     assert (refused is not None) == is_refused
 
 
 @pytest.mark.parametrize(
     ("wait", "first", "again"),
     [
-        pytest.param(0.9 * MOST_WAIT, False, False, id="room for both"),
-        pytest.param(1.1 * MOST_WAIT, True, False, id="who keeps its moment is next"),
-        pytest.param(2.0 * MOST_WAIT, True, True, id="the queue grew beyond"),
+        pytest.param(0.9 * MAX_WAIT, False, False, id="capacity for both"),
+        pytest.param(1.1 * MAX_WAIT, True, False, id="scheduled retry is next"),
+        pytest.param(2.0 * MAX_WAIT, True, True, id="queue grew further"),
     ],
 )
-def test_who_comes_back_as_told_is_turned_away_after_new_ones(
+def test_scheduled_retries_are_refused_after_new_callers(
     wait: float, first: bool, again: bool
 ) -> None:
-    known = told(wait)
+    known = reported(wait)
     assert (refuse_early(work(), known, 0, NOW) is not None) == first
-    assert (refuse_early(work(), known, 0, NOW, returns=True) is not None) == again
+    assert (refuse_early(work(), known, 0, NOW, is_retry=True) is not None) == again
 
 
-def test_the_refused_are_told_when_there_will_be_room() -> None:
-    refused = refuse_early(work(), told(1.5), 0, NOW)
+def test_refusal_reports_time_until_capacity() -> None:
+    refused = refuse_early(work(), reported(1.5), 0, NOW)
     assert refused is not None
-    assert refused.room_in == pytest.approx(1.5 - MOST_WAIT)
+    assert refused.room_in == pytest.approx(1.5 - MAX_WAIT)
 
 
-def test_a_node_that_nobody_told_anything_knows_no_wait() -> None:
+def test_node_without_load_reports_knows_no_wait() -> None:
     assert NoKnownLoads().wait(group=None, at_leader=True, now=NOW) is None  # type: ignore[arg-type]
 
 
-def test_a_refusal_was_wrong_if_a_slot_was_free_while_it_could_still_begin() -> None:
+def test_refusal_is_wrong_if_a_slot_was_free_in_time() -> None:
     record = AdmissionRecord()
-    record.record_refusal(work(timeout=1.0, aim=1.5), 0.02, NOW)
-    record.record_refusal(work(timeout=3.0, aim=2.5), 0.02, NOW)
+    record.record_refusal(work(timeout=1.0, soft_deadline=1.5), 0.02, NOW)
+    record.record_refusal(work(timeout=3.0, soft_deadline=2.5), 0.02, NOW)
     record.record_idle_slot(NOW + 2.0)
     assert record.counts().wrong_refusals == 1
     record.record_idle_slot(NOW + 2.5)
-    assert record.counts().wrong_refusals == 1, "each is counted once"
+    assert record.counts().wrong_refusals == 1, "each refusal is counted once"
 
 
-def test_refusals_without_end_are_remembered_up_to_a_bound() -> None:
+def test_tracked_refusals_are_bounded() -> None:
     record = AdmissionRecord()
     for _ in range(10 * MAX_TRACKED_REFUSALS):
         record.record_refusal(work(), 0.02, NOW)
@@ -113,16 +117,19 @@
 
 
 @pytest.mark.parametrize(
-    ("waited", "in_vain"),
-    [pytest.param(0.09, 0, id="soon enough"), pytest.param(0.11, 1, id="over a quarter")],
+    ("waited", "wasted"),
+    [
+        pytest.param(0.09, 0, id="short wait"),
+        pytest.param(0.11, 1, id="over a quarter of the target"),
+    ],
 )
-def test_who_waits_long_and_is_refused_was_held_in_vain(waited: float, in_vain: int) -> None:
+def test_refusal_after_a_long_wait_counts_as_wasted(waited: float, wasted: int) -> None:
     record = AdmissionRecord()
-    record.record_unstarted(waited, wanted_within=0.4)
-    assert record.counts().wasted_waits == in_vain
+    record.record_unstarted(waited, target=0.4)
+    assert record.counts().wasted_waits == wasted
 
 
-def test_a_slot_that_is_free_elsewhere_makes_no_refusal_wrong() -> None:
+def test_free_slot_of_another_queue_makes_no_refusal_wrong() -> None:
     records = AdmissionRecords()
     first, second = GroupId("first"), GroupId("second")
     records.of(first, at_leader=True).record_refusal(work(), 0.02, NOW)
@@ -131,16 +138,16 @@
     assert records.counts().wrong_refusals == 0
     records.of(first, at_leader=True).record_idle_slot(NOW)
     records.keep_only(frozenset({second}))
-    assert records.counts().wrong_refusals == 1, "what was counted stays counted"
+    assert records.counts().wrong_refusals == 1, "counts of removed groups are kept"
 
 
-# Loads, against a database of five slots that serves first come.
+# Simulated loads against a database of five slots that serves first come, first served.
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("load", [0.7, 0.95])
-def test_nobody_is_refused_below_the_capacity(load: float, seed: int) -> None:
-    """A threshold that refuses here costs served callers, and gains nobody anything."""
+def test_nothing_is_refused_below_capacity(load: float, seed: int) -> None:
+    """A threshold that refuses here would cost served callers and gain nothing."""
     callers = Callers(Policy())
     seen = callers.play(arrivals(seed, lambda now: load, 10.0), 12.0)
     assert not seen.refused
@@ -148,9 +155,12 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("load", [1.2, 2.0])
-def test_above_the_capacity_most_slots_serve_in_time(load: float, seed: int) -> None:
-    """Four fifths of what the database can do come when they are wanted, first come, first served:
-    the rest are late answers to callers who came back. Without admission all are late."""
+def test_goodput_above_capacity(load: float, seed: int) -> None:
+    """Without admission the queue makes every answer late.
+
+    With it, four fifths of the capacity produce timely answers at a first-come first-served
+    database; the rest are late answers to callers that retried.
+    """
     goodput = {}
     for admits in (True, False):
         seen = Callers(Policy(admits=admits)).play(arrivals(seed, lambda now: load, 10.0), 10.0)
@@ -161,11 +171,12 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("load", [1.2, 2.0])
-def test_above_the_capacity_hardly_anybody_is_held_in_vain(load: float, seed: int) -> None:
-    """Callers who repeat twice need their refusal while the repeat can still be served.
+def test_few_wasted_waits_above_capacity(load: float, seed: int) -> None:
+    """Callers that retry twice must be refused while the retry can still be served.
 
-    Without admission each waits for its whole time. One told 50 ms ago may still wait in vain, by
-    as much as the queue has grown since; that is bounded by a hundredth of all.
+    Without admission each waits for its whole timeout. With a report that is 50 ms old, a statement
+    may still wait without success, as the queue has grown since; that is limited to a hundredth of
+    all.
     """
     policies = {"with": Policy(), "without": Policy(admits=False)}
     held, wrong, refused = {}, {}, {}
@@ -182,23 +193,23 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_what_waits_for_callers_who_left_takes_no_slot_from_others(seed: int) -> None:
-    """Load: 1.5 times the capacity, and half of the callers leave at half of their aim."""
+def test_statements_of_departed_callers_take_no_slot(seed: int) -> None:
+    """Load: 1.5 times the capacity; half of the callers leave halfway to their soft deadline."""
 
     def leaves_after(numbers: random.Random) -> float:
-        return AIM / 2 if numbers.random() < 0.5 else PATIENCE
+        return SOFT_DEADLINE / 2 if numbers.random() < 0.5 else GIVE_UP_AFTER
 
     goodput = {}
     for withdraws in (False, True):
         callers = Callers(Policy(withdraws=withdraws))
         load = arrivals(seed, lambda now: 1.5, 8.0, leaves_after)
         seen = callers.play(load, 10.0)
-        assert (seen.begun_for_nobody == 0) == withdraws
+        assert (seen.begun_for_departed == 0) == withdraws
         goodput[withdraws] = seen.goodput(1.0, 8.0)
     assert goodput[True] > goodput[False]
 
 
-def test_a_deadline_before_the_aim_bounds_the_wait() -> None:
-    early = work(timeout=0.2, aim=9.0)
-    assert refuse_early(early, told(0.9 * MAX_WAIT_SHARE * 0.2), 0, NOW) is None
-    assert refuse_early(early, told(1.1 * MAX_WAIT_SHARE * 0.2), 0, NOW) is not None
+def test_deadline_before_the_soft_deadline_bounds_the_wait() -> None:
+    early = work(timeout=0.2, soft_deadline=9.0)
+    assert refuse_early(early, reported(0.9 * MAX_WAIT_SHARE * 0.2), 0, NOW) is None
+    assert refuse_early(early, reported(1.1 * MAX_WAIT_SHARE * 0.2), 0, NOW) is not None
--- a/tests/test_overload_budget.py
+++ b/tests/test_overload_budget.py
@@ -1,4 +1,4 @@
-"""Our own second attempts: few, and none while callers queue."""
+"""Budget of second attempts: few, and none while statements queue."""
 
 import pytest
 
@@ -11,30 +11,30 @@
 )
 
 GROUP, OTHER = GroupId("one"), GroupId("two")
-QUIET = 0.0
+NO_WAIT = 0.0
 
 
 @pytest.mark.parametrize("rate", [50, 400])
-def test_a_database_that_answers_late_is_asked_a_share_more_and_no_more(rate: int) -> None:
-    """Load: every answer is late for 20 s, so that each first attempt asks for a second one."""
+def test_second_attempts_are_a_share_of_first_ones(rate: int) -> None:
+    """Every answer is late for 20 s, so that each first attempt requests a second one."""
     budget = AttemptBudget()
     seconds = 20
     granted = 0
     for number in range(rate * seconds):
         budget.record_first_attempt()
-        granted += budget.take(QUIET, number / rate)
+        granted += budget.take(NO_WAIT, number / rate)
     earned = SECOND_ATTEMPT_LIMITS.share * rate * seconds + SECOND_ATTEMPT_LIMITS.floor * seconds
     assert granted <= earned + SECOND_ATTEMPT_LIMITS.capacity
     assert granted >= earned - 1
     assert budget.denied == rate * seconds - granted
 
 
-def test_in_quiet_times_the_few_statements_of_a_lost_node_go_elsewhere() -> None:
+def test_saved_budget_covers_the_statements_of_a_lost_node() -> None:
     budget = AttemptBudget()
-    assert all(budget.take(QUIET, 0.0) for _ in range(int(SECOND_ATTEMPT_LIMITS.capacity)))
-    assert not budget.take(QUIET, 0.0)
-    assert budget.take(QUIET, 1.0 / SECOND_ATTEMPT_LIMITS.floor), (
-        "the floor is there without traffic"
+    assert all(budget.take(NO_WAIT, 0.0) for _ in range(int(SECOND_ATTEMPT_LIMITS.capacity)))
+    assert not budget.take(NO_WAIT, 0.0)
+    assert budget.take(NO_WAIT, 1.0 / SECOND_ATTEMPT_LIMITS.floor), (
+        "the floor applies without traffic"
     )
 
 
@@ -42,27 +42,27 @@
     ("wait", "granted"),
     [
         pytest.param(OVERLOADED_WAIT, True, id="short queue"),
-        pytest.param(2 * OVERLOADED_WAIT, False, id="callers queue"),
+        pytest.param(2 * OVERLOADED_WAIT, False, id="long queue"),
     ],
 )
-def test_there_are_none_under_overload(wait: float, granted: bool) -> None:
+def test_no_second_attempts_under_overload(wait: float, granted: bool) -> None:
     budget = AttemptBudget()
     assert budget.take(wait, 0.0) == granted
     assert budget.denied == (not granted)
 
 
-def test_what_is_denied_under_overload_is_not_taken_from_the_budget() -> None:
+def test_denied_attempts_do_not_consume_budget() -> None:
     budget = AttemptBudget()
     for _ in range(1_000):
         budget.take(2 * OVERLOADED_WAIT, 0.0)
-    assert budget.take(QUIET, 0.0)
+    assert budget.take(NO_WAIT, 0.0)
 
 
-def test_groups_have_budgets_of_their_own() -> None:
+def test_each_group_has_its_own_budget() -> None:
     budgets = AttemptBudgets()
-    while budgets.of(GROUP).take(QUIET, 0.0):
+    while budgets.of(GROUP).take(NO_WAIT, 0.0):
         pass
-    assert budgets.of(OTHER).take(QUIET, 0.0)
+    assert budgets.of(OTHER).take(NO_WAIT, 0.0)
     assert budgets.denied == 1
     budgets.keep_only(frozenset({OTHER}))
-    assert budgets.of(GROUP).take(QUIET, 0.0), "a group that comes again begins anew"
+    assert budgets.of(GROUP).take(NO_WAIT, 0.0), "a group that is configured again starts anew"
--- a/tests/test_overload_ejection.py
+++ b/tests/test_overload_ejection.py
@@ -1,7 +1,7 @@
-"""Databases that get no reads for a while, and how they come back.
+"""Ejection, probation and slow start of databases.
 
-The trouble that this answers: databases that fail part of their requests fast while they say that
-they are well, hang, turn slow, or go down and up by turns.
+Guards against databases that fail part of their requests while they report that they are healthy,
+hang, become slow, or flap.
 """
 
 import pytest
@@ -30,7 +30,7 @@
 
 
 class Bench:
-    """One database under a row of statements."""
+    """One database that is sent a sequence of statements."""
 
     def __init__(self) -> None:
         self.ejector = Ejector()
@@ -38,7 +38,7 @@
         self.changes: list[EjectionStateChange] = []
 
     def play(self, outcomes: str, gap: float = GAP) -> None:
-        """Play statements: '+' served, '-' in vain, '~' silence."""
+        """Play statements: '+' served, '-' failed, '~' unresponsive."""
         for outcome in outcomes:
             began, self.now = self.now, self.now + gap
             if outcome == "+":
@@ -51,43 +51,43 @@
                 self.changes.append(change)
 
     @property
-    def standing(self) -> EjectionState:
+    def state(self) -> EjectionState:
         return self.ejector.state(A, self.now)
 
     def is_usable(self) -> bool:
         return A in self.ejector.usable([A, B], self.now)
 
     def wait_for_probation(self) -> None:
-        while self.standing is EjectionState.EJECTED:
+        while self.state is EjectionState.EJECTED:
             self.now += GAP
 
-    def come_back(self) -> None:
+    def finish_probation(self) -> None:
         self.wait_for_probation()
         self.play("+" * PROBES)
-        assert self.standing is EjectionState.IN_SERVICE
+        assert self.state is EjectionState.IN_SERVICE
 
 
 @pytest.mark.parametrize(
     ("outcomes", "cause"),
     [
-        pytest.param("+" * 50, None, id="well"),
-        pytest.param("--", None, id="two in vain out of two"),
-        pytest.param("+" * 20 + "---", None, id="three in vain after many"),
-        pytest.param("+++++++++-" * 10, None, id="a tenth in vain"),
-        pytest.param("-" * int(MIN_ATTEMPTS + 2), Cause.FAILING, id="all in vain"),
-        pytest.param("+-" * 10, Cause.FAILING, id="half in vain"),
-        pytest.param("+++-" * 30, Cause.FAILING, id="a quarter in vain"),
-        pytest.param("+" * 20 + "~", Cause.SILENT, id="silence"),
+        pytest.param("+" * 50, None, id="healthy"),
+        pytest.param("--", None, id="two of two failed"),
+        pytest.param("+" * 20 + "---", None, id="three failures after many successes"),
+        pytest.param("+++++++++-" * 10, None, id="a tenth failed"),
+        pytest.param("-" * int(MIN_ATTEMPTS + 2), Cause.FAILING, id="all failed"),
+        pytest.param("+-" * 10, Cause.FAILING, id="half failed"),
+        pytest.param("+++-" * 30, Cause.FAILING, id="a quarter failed"),
+        pytest.param("+" * 20 + "~", Cause.SILENT, id="unresponsive"),
     ],
 )
-def test_what_a_database_is_ejected_for(outcomes: str, cause: Cause | None) -> None:
+def test_causes_of_ejection(outcomes: str, cause: Cause | None) -> None:
     bench = Bench()
     bench.play(outcomes)
     causes = [change.cause for change in bench.changes[:1]]
     assert causes == ([] if cause is None else [cause])
 
 
-def test_failures_long_ago_do_not_add_up() -> None:
+def test_old_failures_do_not_accumulate() -> None:
     bench = Bench()
     for _ in range(20):
         bench.play("-")
@@ -98,16 +98,14 @@
 @pytest.mark.parametrize(
     ("times", "others", "is_slow"),
     [
-        pytest.param(1.0, [SERVICE], False, id="as the others"),
+        pytest.param(1.0, [SERVICE], False, id="as fast as the others"),
         pytest.param(SLOW_FACTOR * 0.9, [SERVICE], False, id="slower"),
-        pytest.param(SLOW_FACTOR * 1.2, [SERVICE], True, id="slower by far"),
-        pytest.param(SLOW_FACTOR * 1.2, [], False, id="nothing to compare with"),
-        pytest.param(1.2, [SERVICE, 10 * SERVICE], False, id="another one is slow"),
+        pytest.param(SLOW_FACTOR * 1.2, [SERVICE], True, id="much slower"),
+        pytest.param(SLOW_FACTOR * 1.2, [], False, id="no other database"),
+        pytest.param(1.2, [SERVICE, 10 * SERVICE], False, id="another database is slow"),
     ],
 )
-def test_one_that_is_slow_against_its_like_is_ejected(
-    times: float, others: list[float], is_slow: bool
-) -> None:
+def test_slow_database_is_ejected(times: float, others: list[float], is_slow: bool) -> None:
     ejector = Ejector()
     for number in range(int(MIN_SERVED)):
         ejector.record_served(A, SERVICE * times, number * GAP, number * GAP + GAP)
@@ -115,7 +113,7 @@
     assert (change is not None and change.cause is Cause.SLOW) is is_slow
 
 
-def test_a_few_answers_say_nothing_of_speed() -> None:
+def test_few_answers_give_no_service_time() -> None:
     ejector = Ejector()
     for number in range(int(MIN_SERVED) - 1):
         ejector.record_served(A, 1.0, number * GAP, number * GAP + GAP)
@@ -123,18 +121,18 @@
     assert ejector.compare(A, [SERVICE], 1.0) is None
 
 
-def test_an_ejected_one_gets_no_reads_until_its_time_is_over() -> None:
+def test_ejected_database_gets_no_reads_until_probation() -> None:
     bench = Bench()
     bench.play("~")
     assert not bench.is_usable()
     bench.now += FIRST_EJECTION - GAP
     assert not bench.is_usable()
     bench.now += 2 * GAP
-    assert bench.standing is EjectionState.ON_PROBATION
+    assert bench.state is EjectionState.ON_PROBATION
     assert bench.is_usable()
 
 
-def test_probation_is_a_few_reads_apart_from_each_other() -> None:
+def test_probation_sends_a_few_spaced_reads() -> None:
     bench = Bench()
     bench.play("~")
     bench.wait_for_probation()
@@ -143,24 +141,24 @@
     bench.now += PROBE_INTERVAL
     assert bench.is_usable()
     bench.play("+" * (PROBES - 1))
-    assert bench.standing is EjectionState.ON_PROBATION
+    assert bench.state is EjectionState.ON_PROBATION
     bench.play("+")
-    assert bench.standing is EjectionState.IN_SERVICE
-    assert bench.changes[-1].standing is EjectionState.IN_SERVICE
+    assert bench.state is EjectionState.IN_SERVICE
+    assert bench.changes[-1].state is EjectionState.IN_SERVICE
 
 
 @pytest.mark.parametrize("outcome", ["-", "~"])
-def test_one_read_in_vain_ends_a_probation(outcome: str) -> None:
+def test_failed_read_ends_a_probation(outcome: str) -> None:
     bench = Bench()
     bench.play("~")
     bench.wait_for_probation()
     bench.play("+" + outcome)
-    assert bench.standing is EjectionState.EJECTED
+    assert bench.state is EjectionState.EJECTED
     assert [change.seconds for change in bench.changes] == [FIRST_EJECTION, 2 * FIRST_EJECTION]
 
 
 @pytest.mark.parametrize("outcome", ["+", "-", "~"])
-def test_what_was_sent_before_an_ejection_says_nothing_of_the_time_after_it(outcome: str) -> None:
+def test_outcomes_from_before_an_ejection_are_ignored(outcome: str) -> None:
     bench = Bench()
     sent_at = bench.now
     bench.play("~")
@@ -171,40 +169,40 @@
         "~": lambda: bench.ejector.record_unresponsive(A, sent_at, bench.now),
     }
     assert [found[outcome]() for _ in range(20)] == [None] * 20
-    assert bench.standing is EjectionState.ON_PROBATION
+    assert bench.state is EjectionState.ON_PROBATION
 
 
-def test_ejections_in_a_row_last_longer_up_to_a_bound() -> None:
+def test_repeated_ejections_last_longer_up_to_a_maximum() -> None:
     bench = Bench()
     for _ in range(6):
         bench.play("~")
-        bench.come_back()
+        bench.finish_probation()
     seconds = [found.seconds for found in bench.changes if found.state is EjectionState.EJECTED]
     assert seconds[:3] == [FIRST_EJECTION, 2 * FIRST_EJECTION, 4 * FIRST_EJECTION]
     assert max(seconds) == MAX_EJECTION
 
 
-def test_after_a_calm_time_an_ejection_is_as_short_as_the_first() -> None:
+def test_ejection_duration_resets_after_time_in_service() -> None:
     bench = Bench()
     for _ in range(3):
         bench.play("~")
-        bench.come_back()
+        bench.finish_probation()
     bench.now += 60.0
     bench.play("~")
     assert bench.changes[-1].seconds == FIRST_EJECTION
 
 
-def test_one_that_is_back_starts_slowly() -> None:
+def test_slow_start() -> None:
     bench = Bench()
     bench.play("~")
-    bench.come_back()
+    bench.finish_probation()
     early = sum(bench.is_usable() for _ in range(100))
     assert early == pytest.approx(100 * SLOW_START_SHARE, abs=1)
     bench.now += SLOW_START
     assert all(bench.is_usable() for _ in range(100))
 
 
-def test_the_last_ones_are_never_all_ejected() -> None:
+def test_all_databases_are_usable_if_all_are_ejected() -> None:
     bench = Bench()
     bench.play("~")
     assert bench.ejector.usable([A], bench.now) == [A]
@@ -212,8 +210,8 @@
     assert bench.ejector.usable([A, B], bench.now) == [A, B]
 
 
-def test_databases_that_are_gone_are_forgotten() -> None:
+def test_removed_databases_are_forgotten() -> None:
     bench = Bench()
     bench.play("~")
     bench.ejector.keep_only([B])
-    assert bench.standing is EjectionState.IN_SERVICE
+    assert bench.state is EjectionState.IN_SERVICE
--- a/tests/test_overload_idle_transactions.py
+++ b/tests/test_overload_idle_transactions.py
@@ -1,4 +1,4 @@
-"""Transactions that rest on connections: bounded while connections are scarce."""
+"""Transactions that hold connections: limited while connections are scarce."""
 
 import random
 from collections import Counter
@@ -22,11 +22,11 @@
 SCARCE = Connections(MOST, MOST)
 PLENTY = Connections(MOST // 2, MOST)
 LONG = 60.0
-QUIET, LOUD = TenantId("quiet"), TenantId("loud")
+QUIET, BUSY = TenantId("quiet"), TenantId("busy")
 
 
 def opened(gate: TransactionGate, tenant: TenantId, count: int, connections: Connections) -> int:
-    """Return how many of so many transactions begin now; the others wait."""
+    """Return how many of `count` transactions begin now; the others wait."""
     began = 0
     for number in range(count):
         gate.enqueue(WaitingTransaction(number, tenant), connections, LONG)
@@ -34,107 +34,107 @@
     return began
 
 
-def test_nothing_is_bounded_while_connections_are_plenty() -> None:
+def test_no_limit_while_connections_are_plentiful() -> None:
     gate = TransactionGate(OpenTransactions())
-    assert opened(gate, LOUD, 2 * MOST, PLENTY) == 2 * MOST
+    assert opened(gate, BUSY, 2 * MOST, PLENTY) == 2 * MOST
 
 
-def test_transactions_leave_a_part_of_scarce_connections_to_statements() -> None:
+def test_transactions_leave_scarce_connections_to_statements() -> None:
     gate = TransactionGate(OpenTransactions())
-    assert opened(gate, LOUD, MOST, SCARCE) == BOUND
+    assert opened(gate, BUSY, MOST, SCARCE) == BOUND
     assert gate.has_waiting
-    gate.ended(LOUD, 0.2)
+    gate.ended(BUSY, 0.2)
     assert gate.next(SCARCE) is not None
     assert gate.next(SCARCE) is None
 
 
-def test_a_tenant_has_no_more_than_its_part_while_another_waits() -> None:
-    """Load: one tenant opens 60 transactions that rest, then another one wants a few."""
+def test_tenant_is_limited_to_its_share_while_another_waits() -> None:
+    """One tenant opens 60 idle transactions, then another one needs a few."""
     gate = TransactionGate(OpenTransactions())
-    opened(gate, LOUD, 60, SCARCE)
+    opened(gate, BUSY, 60, SCARCE)
     for number in range(100, 104):
         assert gate.enqueue(WaitingTransaction(number, QUIET), SCARCE, LONG) is None
     begun = []
     for _ in range(4):
-        gate.ended(LOUD, 0.2)
+        gate.ended(BUSY, 0.2)
         begun.append(gate.next(SCARCE))
-    assert begun == [100, 101, 102, 103], "before those of the loud one that came earlier"
+    assert begun == [100, 101, 102, 103], "before the busy tenant's, which came earlier"
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_every_tenant_gets_its_turn_however_much_one_asks_for(seed: int) -> None:
-    """Load: one tenant asks ten times as often as each of four others, connections are scarce."""
+def test_busy_tenant_does_not_starve_others(seed: int) -> None:
+    """One tenant requests ten times as often as each of four others; connections are scarce."""
     numbers = random.Random(seed)
     tenants = [TenantId(f"t{at}") for at in range(5)]
     weights = [10, 1, 1, 1, 1]
     gate = TransactionGate(OpenTransactions())
     begun: Counter[TenantId] = Counter()
-    asked: Counter[TenantId] = Counter()
+    requested: Counter[TenantId] = Counter()
     owners: dict[int, TenantId] = {}
     running: list[TenantId] = []
     for number in range(2_000):
         tenant = numbers.choices(tenants, weights)[0]
         owners[number] = tenant
-        asked[tenant] += 1
+        requested[tenant] += 1
         gate.enqueue(WaitingTransaction(number, tenant), SCARCE, 10 * LONG)
         if running and numbers.random() < 0.6:
             gate.ended(running.pop(0), 0.2)
         while (started := gate.next(SCARCE)) is not None:
             begun[owners[started]] += 1
             running.append(owners[started])
-    assert all(begun[tenant] >= 0.9 * asked[tenant] for tenant in tenants[1:])
+    assert all(begun[tenant] >= 0.9 * requested[tenant] for tenant in tenants[1:])
     assert gate.open <= BOUND
 
 
 @pytest.mark.parametrize(
     ("time_left", "refused"),
     [
-        pytest.param(10 * ASSUMED_SECONDS, False, id="its turn comes in time"),
-        pytest.param(0.5 * ASSUMED_SECONDS / BOUND, True, id="its turn comes too late"),
+        pytest.param(10 * ASSUMED_SECONDS, False, id="turn in time"),
+        pytest.param(0.5 * ASSUMED_SECONDS / BOUND, True, id="turn too late"),
     ],
 )
-def test_one_whose_turn_comes_too_late_is_refused_at_once(time_left: float, refused: bool) -> None:
+def test_transaction_whose_turn_is_too_late_is_refused(time_left: float, refused: bool) -> None:
     gate = TransactionGate(OpenTransactions())
     for number in range(BOUND):
-        gate.enqueue(WaitingTransaction(number, LOUD), SCARCE, LONG)
+        gate.enqueue(WaitingTransaction(number, BUSY), SCARCE, LONG)
         assert gate.next(SCARCE) is not None
-    answer = gate.enqueue(WaitingTransaction(900, LOUD), SCARCE, time_left)
+    answer = gate.enqueue(WaitingTransaction(900, BUSY), SCARCE, time_left)
     assert isinstance(answer, Refused) == refused
     if answer is not None:
         assert answer.room_in == pytest.approx(ASSUMED_SECONDS / BOUND)
     assert gate.has_waiting != refused
 
 
-def test_one_that_gives_up_is_not_begun() -> None:
+def test_withdrawn_transaction_does_not_begin() -> None:
     gate = TransactionGate(OpenTransactions())
-    opened(gate, LOUD, BOUND, SCARCE)
+    opened(gate, BUSY, BOUND, SCARCE)
     gate.enqueue(WaitingTransaction(800, QUIET), SCARCE, LONG)
     gate.enqueue(WaitingTransaction(801, QUIET), SCARCE, LONG)
     gate.withdraw(800)
-    gate.ended(LOUD, 0.1)
+    gate.ended(BUSY, 0.1)
     assert gate.next(SCARCE) == 801
 
 
-def test_the_bound_of_a_node_holds_over_all_databases() -> None:
+def test_node_limit_applies_over_all_databases() -> None:
     node = OpenTransactions()
     first, second = TransactionGate(node), TransactionGate(node)
     wide = Connections(0, 10 * MAX_NODE_TRANSACTIONS)
-    assert opened(first, LOUD, MAX_NODE_TRANSACTIONS, wide) == MAX_NODE_TRANSACTIONS
+    assert opened(first, BUSY, MAX_NODE_TRANSACTIONS, wide) == MAX_NODE_TRANSACTIONS
     assert opened(second, QUIET, 1, wide) == 0
-    first.ended(LOUD, 0.1)
+    first.ended(BUSY, 0.1)
     assert second.next(wide) is not None
 
 
-def test_one_connection_still_carries_a_transaction() -> None:
+def test_single_connection_admits_a_transaction() -> None:
     gate = TransactionGate(OpenTransactions())
     assert opened(gate, QUIET, 3, Connections(1, 1)) == 1
 
 
-def test_an_absurd_length_does_not_promise_room_in_the_past() -> None:
+def test_negative_duration_gives_no_negative_wait() -> None:
     gate = TransactionGate(OpenTransactions())
-    opened(gate, LOUD, BOUND, SCARCE)
+    opened(gate, BUSY, BOUND, SCARCE)
     for _ in range(BOUND):
-        gate.ended(LOUD, -5.0)
-        opened(gate, LOUD, 1, SCARCE)
-    answer = gate.enqueue(WaitingTransaction(900, LOUD), SCARCE, 0.0)
+        gate.ended(BUSY, -5.0)
+        opened(gate, BUSY, 1, SCARCE)
+    answer = gate.enqueue(WaitingTransaction(900, BUSY), SCARCE, 0.0)
     assert answer is None or answer.room_in >= 0.0
--- a/tests/test_overload_limits.py
+++ b/tests/test_overload_limits.py
@@ -1,4 +1,4 @@
-"""How many statements may be under way, and how long they are expected to take."""
+"""Limits on statements in flight, and the expected time of a statement."""
 
 import math
 
@@ -14,12 +14,12 @@
     return WorkKind(name, Action.READ)
 
 
-def test_the_limit_is_the_slots_and_the_allowance() -> None:
+def test_limit_is_slots_plus_allowance() -> None:
     assert SlotAllowance(6, 2).allowed(0.0) == 8
     assert SlotAllowance(0, 0).allowed(0.0) == 1
 
 
-def test_a_refusal_lowers_the_limit_and_time_raises_it_again() -> None:
+def test_limit_drops_after_a_refusal_and_recovers() -> None:
     limit = SlotAllowance(3, 1)
     limit.refused(1.0)
     limit.refused(1.01)
@@ -30,27 +30,27 @@
     assert limit.allowed(1.2 + 9 * RECOVERY_SECONDS) == 4
 
 
-def test_refusals_never_lower_the_limit_below_one() -> None:
+def test_limit_is_at_least_one() -> None:
     limit = SlotAllowance(2, 0)
     for moment in range(20):
         limit.refused(moment / 10)
     assert limit.allowed(2.0) == 1
 
 
-def test_other_bounds_hold_at_once() -> None:
+def test_new_bounds_apply_immediately() -> None:
     limit = SlotAllowance(6, 2)
     limit.allow(2, 0)
     assert limit.allowed(0.0) == 2
 
 
-def test_an_adaptive_limit_grows_while_answers_take_no_longer() -> None:
+def test_adaptive_limit_grows_at_constant_answer_times() -> None:
     limit = AdaptiveLimit(20)
     for _ in range(200):
         limit.answered(0.02, limit.allowed(0.0), 0.0)
     assert limit.allowed(0.0) == 20
 
 
-def test_an_adaptive_limit_falls_while_answers_take_longer() -> None:
+def test_adaptive_limit_falls_at_longer_answer_times() -> None:
     limit = AdaptiveLimit(40)
     for _ in range(200):
         limit.answered(0.02, limit.allowed(0.0), 0.0)
@@ -59,7 +59,7 @@
     assert limit.allowed(0.0) < 20
 
 
-def test_an_adaptive_limit_is_not_raised_by_what_never_reached_it() -> None:
+def test_adaptive_limit_does_not_grow_while_unused() -> None:
     limit = AdaptiveLimit(40)
     for _ in range(200):
         limit.answered(0.02, 1, 0.0)
@@ -67,18 +67,18 @@
 
 
 @pytest.mark.parametrize("seconds", [-1.0, 0.0, math.nan, math.inf])
-def test_an_absurd_answer_time_moves_nothing(seconds: float) -> None:
+def test_invalid_answer_time_is_ignored(seconds: float) -> None:
     limit = AdaptiveLimit(40)
     limit.answered(seconds, 1, 0.0)
     limit.answered(0.02, 1, 0.0)
     assert limit.allowed(0.0) >= 1
 
 
-def test_an_unknown_kind_is_assumed_to_be_short() -> None:
+def test_unknown_kind_is_assumed_to_be_short() -> None:
     assert ServiceTimes().estimate(kind("new")).mean == ASSUMED_SECONDS
 
 
-def test_each_kind_has_its_own_times_and_a_new_one_those_of_all() -> None:
+def test_times_per_kind_and_mean_of_all_for_a_new_kind() -> None:
     times = ServiceTimes()
     for _ in range(100):
         times.record(kind("short"), 0.01)
@@ -89,7 +89,7 @@
     assert times.estimate(kind("new")).spread > 0.01
 
 
-def test_a_database_that_became_slow_is_known_after_some_twenty_statements() -> None:
+def test_mean_follows_a_slowdown_within_twenty_statements() -> None:
     times = ServiceTimes()
     for _ in range(100):
         times.record(kind("a"), 0.01)
@@ -99,14 +99,14 @@
 
 
 @pytest.mark.parametrize("seconds", [-0.1, math.nan, math.inf, 1e9])
-def test_an_absurd_time_is_not_taken(seconds: float) -> None:
+def test_invalid_service_time_is_ignored(seconds: float) -> None:
     times = ServiceTimes()
     times.record(kind("a"), 0.01)
     times.record(kind("a"), seconds)
     assert times.estimate(kind("a")).mean == pytest.approx(0.01)
 
 
-def test_callers_cannot_fill_the_memory_with_kinds() -> None:
+def test_number_of_kinds_is_bounded() -> None:
     times = ServiceTimes()
     for number in range(2 * MAX_KINDS):
         times.record(kind(f"k{number}"), 0.01)
--- a/tests/test_overload_work_queue.py
+++ b/tests/test_overload_work_queue.py
@@ -1,4 +1,4 @@
-"""Turns by shares, and the order of what waits in classes."""
+"""Stride scheduling, and the order of the fair queue."""
 
 import pytest
 
@@ -21,7 +21,7 @@
     return [queue.take(0.0).number for _ in range(count)]
 
 
-def test_turns_cost_time_and_not_a_count() -> None:
+def test_turns_are_charged_by_time() -> None:
     """A kind whose statements take four times as long gets a quarter of the turns."""
     queue = FairQueue(1.0)
     for number in range(100):
@@ -30,21 +30,21 @@
     assert sum(number % 2 == 0 for number in begun) == 10
 
 
-def test_a_rest_saves_nothing_up() -> None:
+def test_inactive_key_gains_no_credit() -> None:
     turns: StrideScheduler[str] = StrideScheduler()
     turns.add("busy", 1.0)
     for _ in range(100):
         assert turns.next() == "busy"
         turns.charge("busy", 1.0)
-    turns.add("rested", 1.0)
+    turns.add("paused", 1.0)
     begun = []
     for _ in range(10):
         begun.append(turns.next())
         turns.charge(begun[-1], 1.0)
-    assert begun.count("rested") in (5, 6)
+    assert begun.count("paused") in (5, 6)
 
 
-def test_one_that_leaves_and_comes_back_owes_what_it_took() -> None:
+def test_returning_key_keeps_its_debt() -> None:
     turns: StrideScheduler[str] = StrideScheduler()
     turns.add("a", 1.0)
     turns.add("b", 1.0)
@@ -56,7 +56,7 @@
         turns.charge("b", 1.0)
 
 
-def test_keys_that_come_and_go_leave_nothing_behind() -> None:
+def test_removed_keys_leave_no_state() -> None:
     turns: StrideScheduler[int] = StrideScheduler()
     for key in range(5_000):
         turns.add(key, 1.0)
@@ -68,7 +68,7 @@
     assert not turns._order
 
 
-def test_keys_that_come_and_go_beside_one_that_stays_are_forgotten() -> None:
+def test_state_of_removed_keys_is_bounded() -> None:
     turns: StrideScheduler[int] = StrideScheduler()
     turns.add(-1, 1.0)
     for key in range(5_000):
@@ -80,14 +80,14 @@
 
 
 @pytest.mark.parametrize("priority", [-5, 10**9])
-def test_a_priority_out_of_bounds_is_a_class_like_any_other(priority: int) -> None:
+def test_priority_out_of_range_is_clamped(priority: int) -> None:
     queue = FairQueue(2.0)
     queue.add(waiting(1, priority), 1.0, 0.0)
     assert taken(queue, 1) == [1]
     assert not queue
 
 
-def test_the_work_of_a_queue_that_is_empty_is_zero() -> None:
+def test_work_of_an_empty_queue_is_zero() -> None:
     queue = FairQueue(2.0)
     first, second = waiting(1, 0, cost=0.1), waiting(2, 1, cost=0.2)
     queue.add(first, 1.0, 0.0)
--- a/tests/test_pool_floors.py
+++ b/tests/test_pool_floors.py
@@ -1,4 +1,4 @@
-"""The floors that an owner gives to named sessions, against a small back end on loopback."""
+"""Floors that an owner gives to named sessions, against a fake database on loopback."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -12,7 +12,7 @@
 
 
 class FakeHarness(BackendHarness):
-    """Nodes before the small back end, and what these tests ask of them."""
+    """Nodes in front of the fake database, and the queries of these tests."""
 
     async def floors(self, node: str, *sessions: str) -> tuple[Position, ...]:
         reply: PositionReply = await self.ask(node, PositionRequest(INSTANCE, sessions))
@@ -27,7 +27,7 @@
         yield harness
 
 
-async def test_each_session_is_told_its_own_last_write(harness: FakeHarness) -> None:
+async def test_floor_is_the_session_s_own_last_write(harness: FakeHarness) -> None:
     assert await harness.floors("a", "rider") == (Position(1, 0),)
     await harness.write("a", session_name="rider")
     await harness.write("a", session_name="dispatcher")
@@ -37,7 +37,7 @@
     assert await harness.floors("a") == ()
 
 
-async def test_a_committed_transaction_raises_its_session_only(harness: FakeHarness) -> None:
+async def test_commit_raises_the_floor_of_its_session_only(harness: FakeHarness) -> None:
     await harness.floors("a", "rider")
     fields = {"transaction": "t", "session_name": "rider"}
     await harness.run("a", "BEGIN", StatementKind.BEGIN, **fields)
@@ -50,7 +50,7 @@
     assert floors == (committed.position, Position(1, 0))
 
 
-async def test_a_new_owner_covers_what_the_former_one_carried(harness: FakeHarness) -> None:
+async def test_new_owner_covers_writes_of_the_former_owner(harness: FakeHarness) -> None:
     await harness.floors("a", "rider")
     await harness.write("a", session_name="rider")
     await harness.write("a", session_name="dispatcher")
@@ -62,7 +62,7 @@
     assert await harness.floors("b", "rider", "dispatcher") == (Position(1, 2), Position(1, 3))
 
 
-async def test_the_newest_position_while_a_former_owner_ends_transactions(
+async def test_newest_position_while_a_former_owner_has_transactions(
     harness: FakeHarness,
 ) -> None:
     fields = {"transaction": "t", "session_name": "rider"}
@@ -77,17 +77,19 @@
     assert await harness.floors("b", "rider") == (committed.position,)
 
 
-async def test_an_owner_that_was_evicted_gives_no_floor_of_its_own(harness: FakeHarness) -> None:
+async def test_evicted_owner_gives_the_confirmed_position(harness: FakeHarness) -> None:
     await harness.floors("a", "rider")
     harness.backend.lock_holder = None
     harness.backend.offset += 1
     assert await harness.floors("a", "rider") == (Position(1, 1),)
 
 
-async def test_questions_at_once_get_the_floors_of_their_own_sessions(harness: FakeHarness) -> None:
+async def test_concurrent_requests_get_the_floors_of_their_own_sessions(
+    harness: FakeHarness,
+) -> None:
     await harness.floors("a", "s0")
     for number in range(5):
         await harness.write("a", session_name=f"s{number}")
-    asked = (harness.floors("a", f"s{number}") for number in range(5))
-    found = await asyncio.gather(*asked)
+    requests = (harness.floors("a", f"s{number}") for number in range(5))
+    found = await asyncio.gather(*requests)
     assert found == [(Position(1, number + 1),) for number in range(5)]
--- a/tests/test_pool_positions.py
+++ b/tests/test_pool_positions.py
@@ -1,4 +1,4 @@
-"""The floors of named sessions: what the owner of a primary remembers of their writes."""
+"""Floors of named sessions: the writes that the owner of a primary has tracked."""
 
 import itertools
 from random import Random
@@ -35,73 +35,73 @@
     positions.record(request, reply)
 
 
-def ask(
+def floor_of(
     positions: SessionPositions, name: str, confirmed: Position, complete: bool = True
 ) -> Position:
     return positions.floors((name,), confirmed, positions.mark(), complete)[0]
 
 
-def test_a_session_needs_its_own_last_write_only() -> None:
+def test_floor_covers_only_the_session_s_own_writes() -> None:
     positions = SessionPositions()
-    assert ask(positions, "rider", Position(3, 10)) == Position(3, 10)
+    assert floor_of(positions, "rider", Position(3, 10)) == Position(3, 10)
     write(positions, "rider", Position(3, 14))
     write(positions, "dispatcher", Position(3, 19))
-    assert ask(positions, "rider", Position(3, 20)) == Position(3, 14)
-    assert ask(positions, "dispatcher", Position(3, 20)) == Position(3, 19)
-    assert ask(positions, "customer", Position(3, 20)) == Position(3, 10)
+    assert floor_of(positions, "rider", Position(3, 20)) == Position(3, 14)
+    assert floor_of(positions, "dispatcher", Position(3, 20)) == Position(3, 19)
+    assert floor_of(positions, "customer", Position(3, 20)) == Position(3, 10)
 
 
-def test_writes_of_former_owners_and_terms_are_covered() -> None:
+def test_floor_covers_writes_of_former_owners_and_terms() -> None:
     positions = SessionPositions()
-    assert ask(positions, "rider", Position(3, 10), complete=False) == Position(3, 10)
-    assert ask(positions, "rider", Position(3, 12), complete=False) == Position(3, 12)
-    assert ask(positions, "rider", Position(3, 15)) == Position(3, 15)
-    assert ask(positions, "rider", Position(4, 30)) == Position(4, 30)
-    assert ask(positions, "rider", Position(4, 40)) == Position(4, 30)
+    assert floor_of(positions, "rider", Position(3, 10), complete=False) == Position(3, 10)
+    assert floor_of(positions, "rider", Position(3, 12), complete=False) == Position(3, 12)
+    assert floor_of(positions, "rider", Position(3, 15)) == Position(3, 15)
+    assert floor_of(positions, "rider", Position(4, 30)) == Position(4, 30)
+    assert floor_of(positions, "rider", Position(4, 40)) == Position(4, 30)
 
 
 @pytest.mark.parametrize("verdict", [Verdict.UNKNOWN, Verdict.RAN])
-def test_a_write_whose_place_is_not_known_is_covered_by_a_later_round(verdict: Verdict) -> None:
+def test_write_at_an_unknown_position_is_covered_by_a_later_round(verdict: Verdict) -> None:
     positions = SessionPositions()
-    ask(positions, "rider", Position(1, 1))
+    floor_of(positions, "rider", Position(1, 1))
     mark = positions.mark()
     write(positions, "rider", verdict=verdict)
     assert positions.floors(("rider",), Position(1, 5), mark, True) == (Position(1, 5),)
-    assert ask(positions, "rider", Position(1, 8)) == Position(1, 8)
-    assert ask(positions, "rider", Position(1, 9)) == Position(1, 8)
+    assert floor_of(positions, "rider", Position(1, 8)) == Position(1, 8)
+    assert floor_of(positions, "rider", Position(1, 9)) == Position(1, 8)
 
 
-def test_what_did_not_run_or_is_not_committed_raises_no_floor() -> None:
+def test_failed_or_uncommitted_writes_raise_no_floor() -> None:
     positions = SessionPositions()
-    ask(positions, "rider", Position(1, 1))
+    floor_of(positions, "rider", Position(1, 1))
     write(positions, "rider", verdict=Verdict.NOT_RUN)
     write(positions, "rider", in_transaction=True)
     write(positions, "rider", kind=StatementKind.BEGIN, in_transaction=True)
     write(positions, "rider", kind=StatementKind.ROLLBACK)
-    assert ask(positions, "rider", Position(1, 9)) == Position(1, 1)
+    assert floor_of(positions, "rider", Position(1, 9)) == Position(1, 1)
 
 
-def test_a_write_that_names_no_session_may_be_of_any() -> None:
+def test_write_without_a_session_may_belong_to_any() -> None:
     positions = SessionPositions()
-    ask(positions, "rider", Position(1, 1))
+    floor_of(positions, "rider", Position(1, 1))
     write(positions, None, Position(1, 6))
-    assert ask(positions, "rider", Position(1, 9)) == Position(1, 6)
+    assert floor_of(positions, "rider", Position(1, 9)) == Position(1, 6)
     mark = positions.mark()
     write(positions, None)
     assert positions.floors(("rider",), Position(1, 10), mark, True) == (Position(1, 10),)
-    assert ask(positions, "rider", Position(1, 12)) == Position(1, 12)
+    assert floor_of(positions, "rider", Position(1, 12)) == Position(1, 12)
 
 
-def test_a_session_that_wrote_over_an_unnamed_connection_is_not_affected() -> None:
+def test_write_of_an_unnamed_session_raises_no_floor() -> None:
     positions = SessionPositions()
-    ask(positions, "rider", Position(1, 1))
+    floor_of(positions, "rider", Position(1, 1))
     write(positions, "", Position(1, 6))
-    assert ask(positions, "rider", Position(1, 9)) == Position(1, 1)
+    assert floor_of(positions, "rider", Position(1, 9)) == Position(1, 1)
 
 
 @pytest.mark.parametrize("seed", range(30))
 def test_no_floor_is_below_an_acknowledged_write(seed: int) -> None:
-    """Random writes and rounds that overlap; the memory is far too small for the sessions."""
+    """Random writes and overlapping rounds, with a capacity far below the number of sessions."""
     random = Random(seed)
     positions = SessionPositions(capacity=3)
     term, offset = 1, 0
--- a/tests/test_pool_slots.py
+++ b/tests/test_pool_slots.py
@@ -1,4 +1,4 @@
-"""Shares, borrowing, queues and expiry of the slot machine, in virtual time."""
+"""Limits, borrowing, queues and expiry of the slot machine, in virtual time."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -46,7 +46,7 @@
     assert machine.waiting_of(TRACKING) == 1
 
 
-def test_lender_has_its_slot_back_at_the_next_free_moment() -> None:
+def test_next_free_slot_goes_to_the_service_that_lent_it() -> None:
     machine = opened(tracking=limit(1, burst=1), dispatch=limit(1))
     arrive(machine, 1, TRACKING)
     arrive(machine, 2, TRACKING)
@@ -64,7 +64,7 @@
     assert refusal.retry_after_ms > 0
 
 
-def test_waiting_statement_is_refused_when_its_time_is_over() -> None:
+def test_queued_statement_is_refused_after_its_wait() -> None:
     machine = opened(tracking=limit(1))
     arrive(machine, 1, TRACKING)
     arrive(machine, 2, TRACKING)
@@ -83,7 +83,7 @@
     assert machine.in_use == 0
 
 
-def test_shrinking_takes_force_as_statements_finish() -> None:
+def test_lower_limits_apply_as_statements_finish() -> None:
     machine = opened(tracking=limit(2))
     arrive(machine, 1, TRACKING)
     arrive(machine, 2, TRACKING)
@@ -93,7 +93,7 @@
     assert machine.handle(Finished(2), 0.3) == [Grant(3)]
 
 
-def test_growing_takes_force_at_once() -> None:
+def test_higher_limits_apply_immediately() -> None:
     machine = opened(tracking=limit(1))
     arrive(machine, 1, TRACKING)
     arrive(machine, 2, TRACKING)
@@ -101,7 +101,7 @@
     assert machine.handle(changed, 0.1) == [Grant(2)]
 
 
-def test_closing_refuses_what_waits_and_what_arrives() -> None:
+def test_closing_refuses_queued_and_new_statements() -> None:
     machine = opened(tracking=limit(1))
     arrive(machine, 1, TRACKING)
     arrive(machine, 2, TRACKING)
@@ -131,7 +131,7 @@
 
 
 @given(events)
-def test_any_order_of_events_keeps_the_limits(steps: list) -> None:  # noqa: PLR0912
+def test_limits_hold_for_any_event_order(steps: list) -> None:  # noqa: PLR0912
     machine = opened(tracking=limit(2, 1), dispatch=limit(1, 2), routing=limit(1))
     now, next_ticket = 0.0, 0
     waiting: set[int] = set()
@@ -181,5 +181,5 @@
             assert machine.in_use + machine.occupied <= machine.total
         if not shrunk and machine.free > 0:
             for service, row in machine.limits.services.items():
-                idle_right = machine.used_by(service) < row.max_slots
-                assert not (idle_right and machine.waiting_of(service))
+                may_hold_more = machine.used_by(service) < row.max_slots
+                assert not (may_hold_more and machine.waiting_of(service))
--- a/tests/test_pool_status_changes.py
+++ b/tests/test_pool_status_changes.py
@@ -1,4 +1,4 @@
-"""Which changes of a status the edges hear of at once."""
+"""Which status changes are sent to the edges immediately."""
 
 from dataclasses import replace
 
@@ -28,17 +28,17 @@
 @pytest.mark.parametrize(
     "change", [{"term": 3}, {"role": Role.PRIMARY}, {"leaving": True}, {"reachable": False}]
 )
-def test_another_standing_is_news(change: dict[str, object]) -> None:
+def test_role_term_and_availability_changes_notify(change: dict[str, object]) -> None:
     assert must_notify(replace(FAR, **change), FAR)  # type: ignore[arg-type]
 
 
-def test_a_replica_that_has_caught_up_is_news_once() -> None:
+def test_replica_that_has_caught_up_notifies_once() -> None:
     near = replace(FAR, lag_ms=NEAR_LAG_MS, applied=Position(2, 9))
     assert must_notify(near, FAR)
     assert not must_notify(replace(near, lag_ms=0), near)
 
 
-def test_progress_and_growing_lag_travel_on_answers() -> None:
+def test_progress_and_growing_lag_do_not_notify() -> None:
     assert not must_notify(replace(FAR, applied=Position(2, 7), lag_ms=NEAR_LAG_MS + 200), FAR)
     assert not must_notify(FAR, replace(FAR, lag_ms=0))
     primary = replace(FAR, role=Role.PRIMARY)
--- a/tests/test_slot_queue.py
+++ b/tests/test_slot_queue.py
@@ -211,7 +211,7 @@
         first, second = moments
         assert first.after == pytest.approx(0.07), "when the queue has room"
         assert first.retry_at < second.retry_at, "and the next one after the first"
-        assert second.retry_at >= second.asked + 0.07, "and no sooner than there is room"
+        assert second.retry_at >= second.requested_at + 0.07, "and no sooner than there is room"
         bounded = await world.client("bounded")
         assert (await served(bounded, "READ x")).code == "BUSY"
 
