--- a/src/bramblebeam/core/overload/admission.py
+++ b/src/bramblebeam/core/overload/admission.py
@@ -30,8 +30,9 @@
 """Part of the time to the soft deadline that a statement may wait. The rest is for the network,
 the service time, and statements that join the queue before its length is reported again."""
 MAX_RETRY_WAIT_SHARE = 0.5
-"""The same for a caller that retries when it was told to. It is refused again only if the queue
-grew beyond the length at which new callers are refused, so it is next once there is capacity."""
+"""The corresponding part for a caller that retries at its scheduled time. It is refused again
+only if the queue grew beyond the length at which new callers are refused, so it is next once
+there is capacity."""
 WASTED_WAIT_SHARE = 0.25
 """A caller that is refused after this part of the time to its soft deadline counts as a wasted
 wait. A retry that starts at that moment has three quarters of the time left, part of which the
--- a/src/bramblebeam/core/overload/budget.py
+++ b/src/bramblebeam/core/overload/budget.py
@@ -32,7 +32,7 @@
         self._budget.request()
 
     def take(self, wait: float, now: float) -> bool:
-        """Take one second attempt; return False if none is left.
+        """Take one second attempt; return False if it is denied.
 
         `wait`: until the attempt would begin (seconds).
         """
--- a/src/bramblebeam/core/overload/stride.py
+++ b/src/bramblebeam/core/overload/stride.py
@@ -1,4 +1,4 @@
-"""Stride scheduling: the key that has used least time for its weight is next."""
+"""Stride scheduling: the key that has used the least time for its weight is next."""
 
 from __future__ import annotations
 
--- a/src/bramblebeam/core/overload/work_queue.py
+++ b/src/bramblebeam/core/overload/work_queue.py
@@ -20,7 +20,7 @@
 """A tenant's queue must have been non-empty for this long before its throughput is used: ten
 turns of a typical statement."""
 LOWEST_PRIORITY = 15
-"""Lower priorities share this class, whose weight is a small part of a thousandth already."""
+"""Lower priorities share this class, whose weight is already a small part of a thousandth."""
 
 
 class WaitingStatement(NamedTuple):
--- a/tests/test_overload_retry_schedule.py
+++ b/tests/test_overload_retry_schedule.py
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_retries_are_spread(seed: int) -> None:
+def test_reserved_retries_are_spread(seed: int) -> None:
     """Reserved retries per 100 ms don't exceed their share of the work done in that time.
 
     A fixed delay for all repeats the peak of refusals.
