--- a/src/bramblebeam/core/gateway/__init__.py
+++ b/src/bramblebeam/core/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of the gateway: routes, floors, connection state and the choice of a database."""
+"""Gateway decisions: routes, read floors, connection state and database selection, without I/O."""
--- a/src/bramblebeam/core/gateway/directory.py
+++ b/src/bramblebeam/core/gateway/directory.py
@@ -1,4 +1,4 @@
-"""The databases that are known, as they registered themselves."""
+"""The directory of registered databases."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -11,8 +11,8 @@
 class DatabaseEntry(NamedTuple):
     """One registered database server.
 
-    `role` is its own view of itself and may lag. `lapsed`: its registration went without a word:
-    it leaves, or the registration will be back.
+    `role`: as the server reports it; it may lag. `lapsed`: the registration disappeared without a
+    notice of leaving; either the server leaves, or the registration will be renewed.
     """
 
     instance: InstanceId
@@ -29,8 +29,8 @@
 class DatabaseDirectory:
     """Every registered database. `version` grows with each change.
 
-    `departed`: databases that left a while ago. They get no work, but may still run. `restarted`:
-    those of `entries` that are known to have started again under their name.
+    `departed`: databases that left recently. They get no work, but may still run. `restarted`:
+    instances in `entries` that are known to have restarted under the same server name.
     """
 
     version: int = 0
@@ -39,13 +39,13 @@
     restarted: frozenset[InstanceId] = frozenset()
 
     def members(self, group: GroupId) -> list[DatabaseEntry]:
-        """Return the group's databases, in the order of their names."""
+        """Return the group's databases, sorted by instance."""
         found = [entry for entry in self.entries.values() if entry.group == group]
         return sorted(found, key=lambda entry: entry.instance)
 
 
 @dataclass(frozen=True, slots=True)
 class DirectoryChanged:
-    """Published when the directory changed."""
+    """Published when the directory changes."""
 
     directory: DatabaseDirectory
--- a/src/bramblebeam/core/gateway/incarnations.py
+++ b/src/bramblebeam/core/gateway/incarnations.py
@@ -1,38 +1,38 @@
-"""Which start of each database is the newest: one that is older has ended."""
+"""Tracks the newest incarnation of each database server; older ones have ended."""
 
 from bramblebeam.core.identity import NOT_TOLD, InstanceId, ServerName, born_at, server_name
 
 MAXIMUM_NAMES = 10_000
-"""So many names are remembered, as many as a system has databases: beyond that the one that was
-told of first is forgotten."""
+"""Names that are remembered, as many as a system has databases. Beyond that the name that was
+observed first is forgotten."""
 
 
 class Incarnations:
-    """Remembers the newest start of each name, also after its entry went."""
+    """The newest incarnation of each server name, kept after its entry was removed."""
 
     def __init__(self) -> None:
         self._newest: dict[ServerName, int] = {}
         self._restarted: set[ServerName] = set()
 
     def observe(self, instance: InstanceId) -> bool:
-        """Note an instance; False: it has ended, as its database has started again since."""
+        """Record an instance; return False if its server has restarted since."""
         if self.is_former(instance):
             return False
-        name, born = server_name(instance), born_at(instance)
+        name, incarnation = server_name(instance), born_at(instance)
         newest = self._newest.get(name)
-        if newest is not None and born > newest:
+        if newest is not None and incarnation > newest:
             self._restarted.add(name)
-        self._newest[name] = born
+        self._newest[name] = incarnation
         if len(self._newest) > MAXIMUM_NAMES:
             self._forget(next(iter(self._newest)))
         return True
 
     def is_former(self, instance: InstanceId) -> bool:
-        """Whether the database has started again since this instance of it."""
+        """Whether the server has restarted since this instance of it."""
         return born_at(instance) < self._newest.get(server_name(instance), NOT_TOLD)
 
     def has_restarted(self, instance: InstanceId) -> bool:
-        """Whether an instance is known to have started under a name that was in use before."""
+        """Whether the instance's server is known to have restarted under the same name."""
         return server_name(instance) in self._restarted
 
     def _forget(self, name: ServerName) -> None:
--- a/src/bramblebeam/core/gateway/leader_lease.py
+++ b/src/bramblebeam/core/gateway/leader_lease.py
@@ -1,10 +1,10 @@
-"""A node's lease on the leader of a group: for how long the node may still use it.
+"""A node's lease on the leader of a group, which limits how long the node may use that leader.
 
-A promotion may leave the former leader in the belief that it leads, so that its own word proves
-nothing. Who changes a primary first pauses every other member and waits for `WAIT_SECONDS`. A node
-that knows of a member that was not paused at some moment may therefore use the leader for
-`LEASE_SECONDS` from that moment on. There are two ways to know: the member says so itself, or it
-has received something that the leader committed later. Times are seconds of the steady clock.
+After a promotion the former leader may still believe that it leads, so that its own status proves
+nothing. A change of primary therefore first pauses every other member and waits for `WAIT_SECONDS`.
+A node that knows of a member that was not paused at some time may use the leader for
+`LEASE_SECONDS` from that time on. Either the member reports that it was not paused, or it has
+received an entry that the leader committed later. Times are seconds of the monotonic clock.
 """
 
 from collections import deque
@@ -13,22 +13,22 @@
 from bramblebeam.core.identity import Position
 
 LEASE_SECONDS = 0.8
-"""For how long one confirmation holds."""
+"""How long one confirmation is valid."""
 WAIT_SECONDS = 0.9
-"""For how long a change of primary waits: the lease, and what was sent at its end may run."""
+"""How long a change of primary waits: the lease, and time for what was sent at its end to run."""
 POSITION_RENEWAL_SECONDS = 0.3
-"""A confirmation older than this is renewed by what members have received, if there is news."""
+"""Age from which a confirmation is renewed by newly reported positions of members, if any."""
 STATUS_RENEWAL_SECONDS = 0.6
-"""A confirmation older than this is renewed by the status of a member, which takes a slot."""
+"""Age from which a confirmation is renewed by a member's status, whose query takes a slot."""
 SEND_MARGIN = 0.03
-"""Nothing is sent in the last moments of a lease."""
+"""Final part of a lease in which nothing is sent."""
 MAXIMUM_PROOFS = 64
 PROOF_SPACING = 0.02
-"""Proofs that follow each other within so long are kept as one."""
+"""Minimum time between two retained proofs."""
 
 
 class LeaderLease:
-    """The lease on one leader. `term`: the newest that it is known to lead."""
+    """The lease on one leader. `term`: the newest term that it is known to lead."""
 
     def __init__(self, term: int) -> None:
         self.term = term
@@ -36,36 +36,36 @@
         self._proofs: deque[Watermark] = deque(maxlen=MAXIMUM_PROOFS)
 
     def covers(self, time: float) -> bool:
-        """Whether the leader was, or will be, the only one at `time`."""
+        """Whether the leader is known to be the only one at `time`."""
         return time < self.confirmed_at + LEASE_SECONDS
 
     def may_send(self, now: float) -> bool:
-        """Whether something that only the leader may run can be sent now."""
+        """Whether a statement that only the leader may run can be sent now."""
         return self.covers(now + SEND_MARGIN)
 
     def record_proof(self, proof: Watermark) -> None:
-        """Take the leader's position: what it commits later is beyond it."""
+        """Record the leader's position: what it commits later lies beyond it."""
         last = self._proofs[-1].queried_at if self._proofs else float("-inf")
         if proof.queried_at - last >= PROOF_SPACING:
             self._proofs.append(proof)
 
     def is_contradicted_by(self, follows: int, held: int) -> bool:
-        """Whether the word of another member speaks against this leader; see `note_status`."""
+        """Whether another member's status shows a newer term; see `record_status`."""
         return max(follows, held) > self.term
 
-    def record_status(self, follows: int, held: int, asked_at: float) -> bool:
-        """Take the word of another member; False: it speaks against this leader.
+    def record_status(self, follows: int, held: int, queried_at: float) -> bool:
+        """Record another member's status reply; return False if it contradicts this leader.
 
-        `follows`: the newest term that the member has heard of. `held`: the term that it was told
-        to receive from next, 0 where it was told nothing.
+        `follows`: the newest term that the member knows. `held`: the term that the member was
+        ordered to receive from next, 0 if none.
         """
         if self.is_contradicted_by(follows, held):
             return False
-        self.confirmed_at = max(self.confirmed_at, asked_at)
+        self.confirmed_at = max(self.confirmed_at, queried_at)
         return True
 
     def record_received(self, position: Position) -> bool:
-        """Take the position of another member; False: it is of a newer term."""
+        """Record another member's received position; return False if its term is newer."""
         if position.term > self.term:
             return False
         self.confirmed_at = max(self.confirmed_at, self.unpaused_at(position))
@@ -74,10 +74,10 @@
         return True
 
     def unpaused_at(self, position: Position) -> float:
-        """Return the last proof's time from which on a member with `position` received, or -inf.
+        """Return the latest time at which a member with `position` was surely not paused, or -inf.
 
-        What the leader committed after a proof was asked for, and the member has received, shows
-        that the member was not paused when that proof was asked for.
+        If the member has received what the leader committed after a proof was requested, it was
+        not paused when that proof was requested.
         """
         passed = (
             proof.queried_at
@@ -88,5 +88,5 @@
 
 
 def _is_beyond(received: Position, proven: Position, term: int) -> bool:
-    """Whether `received` was committed in the leader's own term after `proven` was."""
+    """Whether `received` was committed in the leader's own term after `proven`."""
     return received.term == term and received > proven
--- a/src/bramblebeam/core/gateway/messages.py
+++ b/src/bramblebeam/core/gateway/messages.py
@@ -1,4 +1,4 @@
-"""Messages between a node that took a statement and the node that serves its group."""
+"""Messages between the node that accepted a statement and a node that serves its group."""
 
 from typing import NamedTuple
 
@@ -12,20 +12,20 @@
 NO_TRANSACTION = 0
 NO_NUMBER = 0
 JUST_OBSERVED = 0.0
-"""Has a node of an earlier version count the session's position in full."""
+"""Makes a node of an earlier version apply the session's position in full."""
 
 
 class ForwardedStatement(NamedTuple):
-    """One statement of a caller's session, with all that it needs of the session.
+    """One statement of a caller's session, with the session state that it needs.
 
     `observed_position`: the latest that the session committed or read. `observed_age`: always
-    JUST_OBSERVED; only nodes of an earlier version look at it. `time_left`: seconds until the
-    statement's time is over.
-    `transaction`: an unguessable number that the sender chose, or NO_TRANSACTION. `opens`: the
-    transaction's first statement. `read_only`: it was begun as one that only reads. `tenant`: whose
-    work it is, by the configuration in force at the sender. `forwarded_on`: the sender serves the
-    group too, has counted the operation, and asks for it to be run beside a database of the region.
-    `number`: chosen by the sender, by which it may withdraw the statement, or NO_NUMBER.
+    JUST_OBSERVED; only nodes of an earlier version read it. `time_left`: seconds until the
+    statement's deadline. `transaction`: an unguessable number that the sender chose, or
+    NO_TRANSACTION. `opens`: whether this is the transaction's first statement. `read_only`: whether
+    the transaction was begun as read-only. `tenant`: the tenant that the statement belongs to, by
+    the configuration in force at the sender. `forwarded_on`: the sender serves the group too, has
+    counted the operation, and asks the receiver to run it near a database of the region. `number`:
+    chosen by the sender, which may withdraw the statement by it, or NO_NUMBER.
     """
 
     route: Route
@@ -45,7 +45,7 @@
 
 
 def runs_once_only(message: ForwardedStatement) -> bool:
-    """Whether a statement without an answer may have been kept: a single write, or a COMMIT."""
+    """Whether an unanswered statement may have been committed: a single write, or a COMMIT."""
     if message.transaction != NO_TRANSACTION:
         return message.statement.action is Action.COMMIT
     if message.prepared is not None:
@@ -54,10 +54,11 @@
 
 
 class ForwardedReply(NamedTuple):
-    """The whole answer. `declined`: nothing was done, another node is to be asked.
+    """The complete reply to a forwarded statement.
 
-    `loads`: of the group's databases whose statements the answering node runs. `surely_not_run`: no
-    database can have run any of it.
+    `declined`: nothing was done; the sender should query another node. `loads`: of the group's
+    databases whose statements the replying node runs. `surely_not_run`: no database can have run
+    any part of it.
     """
 
     reply: Reply
@@ -67,13 +68,16 @@
 
 
 class StatementWithdrawn(NamedTuple):
-    """Nobody waits for a forwarded statement's answer any more: its caller has left, or its time is
-    over. What has not been sent to a database yet is not begun."""
+    """The reply to a forwarded statement is no longer awaited.
+
+    Its caller has left, or its deadline has passed. Parts that have not been sent to a database
+    yet are not started.
+    """
 
     number: int
 
 
 class TransactionAbandoned(NamedTuple):
-    """The caller of a transaction is gone, or has rolled it back."""
+    """The caller of a transaction has disconnected or rolled it back."""
 
     transaction: int
--- a/src/bramblebeam/core/gateway/replies.py
+++ b/src/bramblebeam/core/gateway/replies.py
@@ -1,4 +1,4 @@
-"""The answer to one statement, independent of any wire."""
+"""The reply to one statement, independent of the wire protocol."""
 
 from enum import IntEnum
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class TransactionState(IntEnum):
-    """The state of a connection between statements."""
+    """The transaction state of a connection between statements."""
 
     IDLE = 1
     OPEN = 2
@@ -16,10 +16,10 @@
 
 
 class Reply(NamedTuple):
-    """The whole answer to one statement.
+    """The complete reply to one statement.
 
-    `signature` proves to the caller that the database ran the statement. `position`: the state
-    that the database serves from.
+    `signature` proves to the caller that the database ran the statement. `position`: the log
+    position that the database served from.
     """
 
     rows: tuple[str, ...] = ()
@@ -33,4 +33,4 @@
     refusal=Refusal(Verdict.NOT_RUN, Reason.BAD_REQUEST, "the transaction has failed"),
     state=TransactionState.FAILED,
 )
-"""The answer to any statement of a transaction that has failed, wherever it ran."""
+"""The reply to any statement of a failed transaction, whichever node ran it."""
--- a/src/bramblebeam/core/gateway/routes.py
+++ b/src/bramblebeam/core/gateway/routes.py
@@ -1,4 +1,4 @@
-"""What is configured: routes by database name, and the groups that serve them."""
+"""The configured routes by database name, and the settings of the groups that serve them."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -11,7 +11,7 @@
 
 
 class Consistency(IntEnum):
-    """What a read on a route must see."""
+    """The consistency guarantee of reads on a route."""
 
     LATEST = 1
     """Every commit acknowledged before the read began."""
@@ -22,11 +22,12 @@
 
 
 class Route(NamedTuple):
-    """One database name that callers may open, and how its statements are treated.
+    """One database name that callers may open, and how its statements are handled.
 
-    `timeout`: bound of one statement (seconds). `target`: latency aimed at (seconds). `staleness`:
-    bound for BOUNDED and SESSION reads (seconds). `priority`: 0 is the highest. `most_attempts`: so
-    often one statement is sent to databases side by side, 0: the product's own bound.
+    `timeout`: time limit of one statement (seconds). `target`: target latency (seconds).
+    `staleness`: bound for BOUNDED and SESSION reads (seconds). `priority`: 0 is the highest.
+    `most_attempts`: maximum concurrent attempts of one statement at databases; 0: the built-in
+    default.
     """
 
     name: str
@@ -44,7 +45,7 @@
     """Limits of one database group.
 
     `maximum_connections`: connections that one database accepts from all nodes together.
-    `synchronous_replicas`: replicas that have received a commit before it is acknowledged.
+    `synchronous_replicas`: replicas that must receive a commit before it is acknowledged.
     """
 
     group: GroupId
@@ -53,7 +54,7 @@
 
 
 class Access(NamedTuple):
-    """What a caller may use, and for whom it works."""
+    """The route that a caller may use, and the tenant that it belongs to."""
 
     route: Route
     tenant: TenantId
@@ -63,8 +64,9 @@
 class RouteTable:
     """The configuration in force. Version 0: none has been read.
 
-    `transaction_idle`: a transaction that rests for so long may be ended (seconds). `tenants`: who
-    may use the databases, None: anybody. `public`: the databases that anybody may use all the same.
+    `transaction_idle`: time after which an idle transaction may be ended (seconds). `tenants`: the
+    tenants that may use the databases; None: any caller may. `public`: the databases that any
+    caller may use even so.
     """
 
     version: int = 0
@@ -75,11 +77,11 @@
     public: frozenset[str] = frozenset()
 
     def route(self, database: str) -> Route | None:
-        """Return the route of a database name, or None where there is none."""
+        """Return the route of a database name, or None if there is none."""
         return self.routes.get(database)
 
     def tenant_of(self, database: str, key: KeyDigest) -> TenantId | None:
-        """Return whose work a caller with this key brings to a database; None: nobody's."""
+        """Return the tenant of a caller with this key at a database; None if access is denied."""
         if self.tenants is None:
             return NO_TENANT
         holder = self.tenants.holder(key)
@@ -88,9 +90,10 @@
         return NO_TENANT if database in self.public else None
 
     def access(self, database: str, key: KeyDigest) -> Access | Refusal:
-        """Return what a caller with this key may use, or why nothing.
+        """Return the access of a caller with this key, or the reason for refusing it.
 
-        Who has no key is not told which databases there are.
+        The key is checked before the database name, so that a caller without a valid key cannot
+        find out which databases exist.
         """
         if not self.version:
             return Refusal(Verdict.NOT_RUN, Reason.NO_CONFIGURATION)
@@ -105,6 +108,6 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutesChanged:
-    """Published when a newer route table came into force."""
+    """Published when a newer route table comes into force."""
 
     table: RouteTable
--- a/src/bramblebeam/core/gateway/served_position.py
+++ b/src/bramblebeam/core/gateway/served_position.py
@@ -1,26 +1,27 @@
-"""How far the log of a leader was that it served from: in its own term it never shrinks."""
+"""Detects that a leader has restarted without its log, by the positions it served from."""
 
 from bramblebeam.core.identity import ZERO_POSITION, Position
 
 
 class ServedPosition:
-    """The position that one leader told with its answers, and when it was heard (seconds)."""
+    """The latest position in one leader's replies, and when it was received (seconds)."""
 
     def __init__(self) -> None:
         self._position = ZERO_POSITION
-        self._heard_at = float("-inf")
+        self._received_at = float("-inf")
 
-    def observe(self, position: Position, heard_at: float) -> None:
-        """Take the position of an answer."""
+    def observe(self, position: Position, received_at: float) -> None:
+        """Record the position of a reply."""
         if position >= self._position:
             self._position = position
-            self._heard_at = heard_at
+            self._received_at = received_at
 
-    def is_beyond(self, position: Position, asked_at: float, term: int) -> bool:
-        """Whether more was served than an answer tells that was asked for later.
+    def is_beyond(self, position: Position, queried_at: float, term: int) -> bool:
+        """Whether a position served before exceeds that of a reply to a later query.
 
-        Then the database has started again without its log. What the leader committed in its own
-        `term` it has from then on; of older terms it may have received more than it has applied.
+        If so, the database has restarted without its log: a leader's log never shrinks in its own
+        `term`. Entries of older terms don't count, as it may have received more of them than it has
+        applied.
         """
-        is_later = asked_at > self._heard_at
+        is_later = queried_at > self._received_at
         return is_later and self._position.term == term and position < self._position
--- a/src/bramblebeam/core/gateway/state.py
+++ b/src/bramblebeam/core/gateway/state.py
@@ -1,7 +1,7 @@
-"""The state of sessions and of database connections, and the way from one to the other.
+"""Session state, and how a shared database connection is prepared with it.
 
-Sessions share connections. Before a statement of a session runs on a connection, the connection
-gets the session's values and, for a prepared statement, the shape under a name made from it.
+Sessions share connections. Before a session's statement runs on a connection, the connection is
+given the session's values and, for a prepared statement, its shape under a name derived from it.
 """
 
 import hashlib
@@ -10,30 +10,30 @@
 from bramblebeam.core.gateway.statements import RESET, Action, PreparedStatement, Statement
 
 MAXIMUM_PREPARED = 64
-"""Shapes kept prepared on one connection; beyond that it is reset before it is used again."""
+"""Maximum shapes prepared on one connection; once reached, it is reset before its next use."""
 
 
 @dataclass(slots=True)
 class SessionState:
-    """Values and prepared names that a caller's session has set."""
+    """Values and prepared statements that a caller's session has set."""
 
     values: dict[str, str] = field(default_factory=dict)
     prepared: dict[str, PreparedStatement] = field(default_factory=dict)
 
 
 NO_STATE = SessionState()
-"""Of statements that no caller asked for."""
+"""The state for the proxy's own statements, which belong to no caller's session."""
 
 
 @dataclass(slots=True)
 class ConnectionState:
-    """Values and shapes that a database connection holds."""
+    """Values and prepared shapes that are set on a database connection."""
 
     values: dict[str, str] = field(default_factory=dict)
     shapes: set[PreparedStatement] = field(default_factory=set)
 
     def distance(self, session: SessionState) -> int:
-        """Return how many statements it takes to bring the connection to the session's values."""
+        """Return how many statements it takes to set the session's values on the connection."""
         if self.values == session.values:
             return 0
         if self.values.keys() - session.values.keys():
@@ -43,10 +43,10 @@
     def preparation(
         self, session: SessionState, prepared: PreparedStatement | None, pinned: bool
     ) -> list[Statement]:
-        """Return the statements that must run first, and note them as run.
+        """Return the statements that must run first, and record them as run.
 
-        `pinned`: the session's transaction is open here, so that nothing may be reset; the
-        connection then holds no value that the session has not set.
+        `pinned`: the session's transaction is open on this connection, so that it must not be
+        reset; it then has no values other than the session's.
         """
         statements: list[Statement] = []
         surplus = self.values.keys() - session.values.keys()
@@ -66,7 +66,7 @@
 
 
 def shape_name(prepared: PreparedStatement) -> str:
-    """Return the name of a shape on database connections: the same for every session."""
+    """Return a shape's name on database connections, which is the same for every session."""
     kind = "w" if prepared.writes else "r"
     digest = hashlib.blake2b(prepared.shape.encode(), digest_size=8).hexdigest()
     return f"{kind}{digest}"
--- a/src/bramblebeam/core/gateway/statements.py
+++ b/src/bramblebeam/core/gateway/statements.py
@@ -1,11 +1,11 @@
-"""Typed statements of a caller's session, independent of any wire."""
+"""Typed statements of a caller's session, independent of the wire protocol."""
 
 from enum import IntEnum
 from typing import NamedTuple
 
 
 class Action(IntEnum):
-    """What a statement asks for."""
+    """The kind of a statement."""
 
     BEGIN = 1
     BEGIN_READ = 2
@@ -25,7 +25,7 @@
     """One statement.
 
     `name`: of the value (SET) or of the prepared statement. `body`: the value, the prepared shape,
-    the arguments of EXECUTE, or what READ and WRITE are about. It is passed on unchanged.
+    the arguments of EXECUTE, or the operand of READ and WRITE. It is passed on unchanged.
     """
 
     action: Action
@@ -34,7 +34,7 @@
 
 
 class PreparedStatement(NamedTuple):
-    """A shape that a session prepared under a name of its own."""
+    """A statement shape that a session prepared under a name that it chose."""
 
     shape: str
     writes: bool
--- a/src/bramblebeam/core/gateway/usage.py
+++ b/src/bramblebeam/core/gateway/usage.py
@@ -1,40 +1,44 @@
-"""How often each tenant asks for something, by counts that decay."""
+"""Request rate of each tenant, from exponentially decaying counts."""
 
 import math
 
 from bramblebeam.core.tenants import TenantId
 
-MEMORY_SECONDS = 10.0
-"""What is older counts for less than a third. Long against the pauses of a tenant of an operation a
-second, short against the minutes in which the tenants' shares of the work shift."""
-FORGOTTEN_RATE = 0.01
-"""A tenant that asks less often (times a second) is forgotten."""
-_REVIEW_EVERY = 256
+DECAY_SECONDS = 10.0
+"""Time after which a request's weight has decayed to 1/e, less than a third.
+
+It is long against the pauses of a tenant with one operation a second, and short against the minutes
+in which the tenants' shares of the work shift.
+"""
+MINIMUM_RATE = 0.01
+"""Rate below which a tenant is forgotten (requests a second)."""
+_PRUNE_INTERVAL = 256
+"""Requests between two searches for tenants to forget."""
 
 
 class TenantUsage:
-    """Rates by tenant. Times: steady clock, seconds."""
+    """Request rates by tenant. Times are seconds of the monotonic clock."""
 
     def __init__(self) -> None:
         self._rates: dict[TenantId, tuple[float, float]] = {}
-        self._noted = 0
+        self._recorded = 0
 
-    def note(self, tenant: TenantId, now: float) -> None:
-        """Count one use."""
-        self._rates[tenant] = (self.rate(tenant, now) + 1 / MEMORY_SECONDS, now)
-        self._noted += 1
-        if self._noted % _REVIEW_EVERY == 0:
-            self._forget(now)
+    def record(self, tenant: TenantId, now: float) -> None:
+        """Count one request."""
+        self._rates[tenant] = (self.rate(tenant, now) + 1 / DECAY_SECONDS, now)
+        self._recorded += 1
+        if self._recorded % _PRUNE_INTERVAL == 0:
+            self._prune(now)
 
     def rate(self, tenant: TenantId, now: float) -> float:
-        """Return how often the tenant asked lately (times a second)."""
+        """Return the tenant's recent request rate (requests a second)."""
         found = self._rates.get(tenant)
         if found is None:
             return 0.0
-        rate, noted_at = found
-        return rate * math.exp((noted_at - now) / MEMORY_SECONDS)
+        rate, recorded_at = found
+        return rate * math.exp((recorded_at - now) / DECAY_SECONDS)
 
-    def _forget(self, now: float) -> None:
+    def _prune(self, now: float) -> None:
         for tenant in list(self._rates):
-            if self.rate(tenant, now) < FORGOTTEN_RATE:
+            if self.rate(tenant, now) < MINIMUM_RATE:
                 del self._rates[tenant]
--- a/src/bramblebeam/core/gateway/witness_uptimes.py
+++ b/src/bramblebeam/core/gateway/witness_uptimes.py
@@ -1,16 +1,16 @@
-"""Since when the members of a group have surely lived, and whose word renews a lease.
+"""Tracks how long group members have surely been running, to judge whose status renews a lease.
 
-A change of primary pauses every member that it reaches. One that starts again has forgotten that,
-so that its word that it is not paused says nothing: the change may be about to be ordered all the
-same. Two things show that no such change is under way.
+A change of primary pauses every member that it reaches. A member that restarts has forgotten the
+pause, so that its report of not being paused proves nothing: the change may still be about to be
+ordered. Either of two facts shows that no such change is in progress.
 
-- After the member had started, every other member was found free, the one too that would be
-  promoted: that one stays paused until it leads. Free is who says that it is not paused, who says
-  that it leads a former term, and who has ended, as nothing listens at its address.
-- The member has lived for longer than any change takes.
+- After the member's start, every other member was seen unpaused, including the one that would be
+  promoted, which stays paused until it leads. A member is unpaused if it reports so, if it reports
+  to lead a former term, or if it has ended, as nothing listens at its address.
+- The member has been running for longer than any change takes.
 
-A connection tells of a life: whoever answers on it has lived since it was open. Times are seconds
-of the steady clock.
+A connection proves uptime: a member that replies on it has run since the connection was opened.
+Times are seconds of the monotonic clock.
 """
 
 from collections.abc import Collection
@@ -21,73 +21,76 @@
 from bramblebeam.core.identity import InstanceId
 
 SETTLED_SECONDS = PROMISE_SECONDS - WAIT_SECONDS
-"""A member that has lived for so long was not paused, before it started, for a change that may yet
-take effect: at the end of the wait it was looked at once more."""
+"""Uptime that rules out a pause, forgotten at the start, for a change that may yet take effect: at
+the end of its wait the change queried the member once more."""
 MAXIMUM_INTERVALS = 4
-"""Parts of lives that are remembered of a member: later answers may show that they are of one."""
+"""Uptime intervals remembered per member: later replies may show that they are of one run."""
 NEVER = float("-inf")
 
 
-class Life(NamedTuple):
-    """A member lived from `since` to `until` without a break."""
+class UptimeInterval(NamedTuple):
+    """A member ran from `since` to `until` without interruption."""
 
     since: float
     until: float
 
-    def overlaps(self, other: "Life") -> bool:
-        """Whether both are of one life, as no break lies between them."""
+    def overlaps(self, other: "UptimeInterval") -> bool:
+        """Whether both belong to one run, as they overlap in time."""
         return self.since < other.until and other.since < self.until
 
-    def joined(self, others: Collection["Life"]) -> "Life":
-        """Return what it makes with those that overlap it."""
-        lives = [self, *others]
-        return Life(min(life.since for life in lives), max(life.until for life in lives))
+    def joined(self, others: Collection["UptimeInterval"]) -> "UptimeInterval":
+        """Return the interval that spans this one and those that overlap it."""
+        intervals = [self, *others]
+        return UptimeInterval(
+            min(interval.since for interval in intervals),
+            max(interval.until for interval in intervals),
+        )
 
 
 class WitnessUptimes:
-    """Remembers lives, and when each member was last found free."""
+    """Uptime intervals of members, and when each member was last seen unpaused."""
 
     def __init__(self) -> None:
-        self._lives: dict[InstanceId, list[Life]] = {}
-        self._free_at: dict[InstanceId, float] = {}
+        self._intervals: dict[InstanceId, list[UptimeInterval]] = {}
+        self._unpaused_at: dict[InstanceId, float] = {}
 
     def keep_only(self, members: Collection[InstanceId]) -> None:
         """Forget databases that left the group."""
-        for instance in self._lives.keys() - set(members):
-            del self._lives[instance]
-        for instance in self._free_at.keys() - set(members):
-            del self._free_at[instance]
+        for instance in self._intervals.keys() - set(members):
+            del self._intervals[instance]
+        for instance in self._unpaused_at.keys() - set(members):
+            del self._unpaused_at[instance]
 
-    def record_reply(self, instance: InstanceId, opened_at: float, asked_at: float) -> None:
-        """Take an answer to what was asked on a connection that was open at `opened_at`.
+    def record_reply(self, instance: InstanceId, opened_at: float, queried_at: float) -> None:
+        """Record a reply to a query on a connection that was open at `opened_at`.
 
-        Two connections that were in use at the same time end at the same life.
+        Two connections that were in use at the same time lead to the same run of the member.
         """
-        lives = self._lives.get(instance, [])
-        new = Life(opened_at, asked_at)
-        same = [life for life in lives if life.overlaps(new) or life.since == opened_at]
-        others = [life for life in lives if life not in same]
-        self._lives[instance] = sorted([*others, new.joined(same)])[-MAXIMUM_INTERVALS:]
+        intervals = self._intervals.get(instance, [])
+        new = UptimeInterval(opened_at, queried_at)
+        same = [known for known in intervals if known.overlaps(new) or known.since == opened_at]
+        others = [known for known in intervals if known not in same]
+        self._intervals[instance] = sorted([*others, new.joined(same)])[-MAXIMUM_INTERVALS:]
 
     def record_unpaused(self, instance: InstanceId, at: float) -> None:
-        """Note that a member was free at some moment after `at`."""
-        self._free_at[instance] = max(at, self._free_at.get(instance, NEVER))
+        """Record that a member was unpaused at some time after `at`."""
+        self._unpaused_at[instance] = max(at, self._unpaused_at.get(instance, NEVER))
 
     def has_outlasted_changes(
-        self, instance: InstanceId, opened_at: float, asked_at: float
+        self, instance: InstanceId, opened_at: float, queried_at: float
     ) -> bool:
-        """Whether who was asked on a connection had lived longer than any change takes."""
-        return asked_at - self._since(instance, opened_at) >= SETTLED_SECONDS
+        """Whether a member had run for longer than any change takes when it was queried."""
+        return queried_at - self._since(instance, opened_at) >= SETTLED_SECONDS
 
-    def missing(
+    def not_seen_unpaused(
         self, instance: InstanceId, opened_at: float, others: Collection[InstanceId]
     ) -> list[InstanceId]:
-        """Return who of `others` was not found free since a member started."""
+        """Return those of `others` that were not seen unpaused since a member's start."""
         since = self._since(instance, opened_at)
-        return [other for other in others if self._free_at.get(other, NEVER) < since]
+        return [other for other in others if self._unpaused_at.get(other, NEVER) < since]
 
     def _since(self, instance: InstanceId, opened_at: float) -> float:
-        """Return since when whoever answers on a connection has lived."""
-        lives = self._lives.get(instance, [])
-        known = (life.since for life in lives if life.since <= opened_at <= life.until)
+        """Return the earliest time since which the peer of a connection is known to have run."""
+        intervals = self._intervals.get(instance, [])
+        known = (found.since for found in intervals if found.since <= opened_at <= found.until)
         return min(known, default=opened_at)
--- a/src/bramblebeam/core/quota/account.py
+++ b/src/bramblebeam/core/quota/account.py
@@ -1,4 +1,4 @@
-"""The counts that one operation has taken, and which of them a database may have run."""
+"""The counts taken by one operation, and which of them belong to attempts that may have run."""
 
 from typing import NamedTuple
 
@@ -8,9 +8,9 @@
 
 
 class Count(NamedTuple):
-    """One count of a tenant's operations, which may be given back where it was taken.
+    """One counted operation of a tenant, which may be refunded at the node that counted it.
 
-    `node` None: the node that passed the statement on has taken it, and settles it.
+    `node` None: the node that forwarded the statement took the count and settles it.
     """
 
     tenant: TenantId
@@ -19,43 +19,43 @@
 
 
 class OperationAccount:
-    """Each attempt that a database may run is paid for by a count of its own.
+    """Charges one count to each attempt of an operation that a database may run.
 
-    One that has surely not run pays for the next one. What is left in the end is given back. Where
-    a tenant has no limit, only the attempts are noted.
+    The count of an attempt that has surely not run is used for the next attempt, and counts left at
+    the end are refunded. For a tenant without a limit, only the attempts are recorded.
     """
 
     def __init__(self) -> None:
-        self._free: list[Count] = []
-        self._paid: list[Count | None] = []
+        self._unused: list[Count] = []
+        self._charged: list[Count | None] = []
 
     @property
     def has_unused(self) -> bool:
-        """Whether another attempt is paid for."""
-        return bool(self._free)
+        """Whether there is a count for another attempt."""
+        return bool(self._unused)
 
     @property
     def surely_not_run(self) -> bool:
         """Whether no attempt can have run."""
-        return not self._paid
+        return not self._charged
 
     def add(self, count: Count) -> None:
         """Add a count that was taken for this operation."""
-        self._free.append(count)
+        self._unused.append(count)
 
     def charge(self) -> None:
-        """Pay for an attempt that is about to be sent."""
-        self._paid.append(self._free.pop() if self._free else None)
+        """Charge an attempt that is about to be sent."""
+        self._charged.append(self._unused.pop() if self._unused else None)
 
     def record_not_run(self) -> None:
-        """Note that an attempt has surely not run."""
-        if not self._paid:
+        """Record that the last attempt has surely not run."""
+        if not self._charged:
             return
-        count = self._paid.pop()
+        count = self._charged.pop()
         if count is not None:
-            self._free.append(count)
+            self._unused.append(count)
 
     def take_unused(self) -> list[Count]:
-        """Return what was not used, which is given back once."""
-        free, self._free = self._free, []
-        return free
+        """Remove and return the unused counts, for the caller to refund."""
+        unused, self._unused = self._unused, []
+        return unused
--- a/src/bramblebeam/core/quota/counter.py
+++ b/src/bramblebeam/core/quota/counter.py
@@ -1,4 +1,4 @@
-"""Counts the operations of tenants against their limits, at the node that holds parts of these."""
+"""Counts tenants' operations against their limits, at a node that holds parts of these limits."""
 
 from collections.abc import Callable, Iterator
 
@@ -6,15 +6,16 @@
 from bramblebeam.core.quota.messages import NOT_COUNTED_HERE, Admission
 from bramblebeam.core.tenants import RateLimit, TenantId
 
-FORGOTTEN_SECONDS = 60.0
-"""A tenant that asked for nothing in so long is counted anew."""
-NEVER = Admission(False, None)
+IDLE_SECONDS = 60.0
+"""Time without requests after which a tenant's bucket is dropped."""
+NEVER_ADMITTED = Admission(False, None)
 
 
 class QuotaCounter:
-    """The buckets of the tenants that are, or were, counted here.
+    """The buckets of the tenants that were recently counted at this node.
 
-    `first_receipt`: no receipt of a former life of the process may follow it closely.
+    `first_receipt`: must not be followed closely by receipts of an earlier incarnation of the
+    process.
     """
 
     def __init__(self, first_receipt: int) -> None:
@@ -23,22 +24,22 @@
 
     @property
     def tenants(self) -> Iterator[TenantId]:
-        """The tenants that were counted here lately."""
+        """The tenants that were recently counted here."""
         yield from self._buckets
 
-    def counts(self, tenant: TenantId) -> bool:
-        """Whether a tenant was counted here lately."""
+    def has_bucket(self, tenant: TenantId) -> bool:
+        """Whether a tenant was recently counted here."""
         return tenant in self._buckets
 
     def counted_operations(self, tenant: TenantId, now: float) -> int:
-        """Return how many operations of the last LIMIT_SECONDS count."""
+        """Return how many operations of the last LIMIT_SECONDS were not refunded."""
         bucket = self._buckets.get(tenant)
         return 0 if bucket is None else bucket.counted_operations(now)
 
     def admit(self, tenant: TenantId, limit: RateLimit, share: float, now: float) -> Admission:
-        """Ask for one operation. `share`: of the limit, that this node counts by (0 to 1)."""
+        """Admit or refuse one operation. `share`: of the limit, held by this node (0 to 1)."""
         if limit.rate <= 0:
-            return NEVER
+            return NEVER_ADMITTED
         bucket = self._buckets.get(tenant)
         if share <= 0.0:
             if bucket is not None:
@@ -50,10 +51,10 @@
         return bucket.take(limit, share, self._next_receipt, now)
 
     def refund(self, tenant: TenantId, receipt: int, now: float) -> bool:
-        """Count an operation as never begun, as no database can have run any of it.
+        """Refund an operation that never began, as no database can have run any part of it.
 
-        Return whether it counted: not one that was never admitted here, was given back already, or
-        was admitted so long ago that it makes no difference.
+        Return whether it was counted until now: False if it was never admitted here, was refunded
+        before, or was admitted too long ago to matter.
         """
         bucket = self._buckets.get(tenant)
         return bucket is not None and bucket.refund(receipt, now)
@@ -64,10 +65,10 @@
         share_of: Callable[[TenantId], float],
         now: float,
     ) -> None:
-        """Let every bucket take note of its share now; forget what is not used any more."""
+        """Fill every bucket by its current share; drop buckets that are idle or have no limit."""
         for tenant, bucket in list(self._buckets.items()):
             limit = limit_of(tenant)
-            if limit is None or now - bucket.used_at > FORGOTTEN_SECONDS:
+            if limit is None or now - bucket.used_at > IDLE_SECONDS:
                 del self._buckets[tenant]
             else:
                 bucket.fill(limit, share_of(tenant), now)
--- a/src/bramblebeam/core/quota/held_grants.py
+++ b/src/bramblebeam/core/quota/held_grants.py
@@ -1,6 +1,6 @@
-"""The parts of limits that a node holds, and so the share of each tenant's limit it counts by.
+"""The grants that a node holds, and from them its share of each tenant's limit.
 
-All times are seconds of the steady clock.
+All times are seconds of the monotonic clock.
 """
 
 import math
@@ -20,158 +20,165 @@
 from bramblebeam.core.tenants import TenantId
 
 REQUEST_INTERVAL = 0.5
-"""A grant is asked for again so often: two questions may be lost before it is over."""
-BARRED_ASK_SECONDS = 0.1
+"""Interval at which a grant is requested again (seconds): two requests may be lost before the grant
+expires."""
+BLOCKED_REQUEST_INTERVAL = 0.1
 """The same while another node may still count by an earlier grant."""
-_QUESTIONS_KEPT = 4
-"""Of one grantor: older ones are over before an answer could come."""
+_REQUESTS_KEPT = 4
+"""Pending requests per grantor: a grant for an older one would have expired on arrival."""
 
-Counting = tuple[NodeId, ...]
+CountingNodes = tuple[NodeId, ...]
 
 
-class _HeldBar(NamedTuple):
+class _HeldBlocking(NamedTuple):
     holder: NodeId
-    counting: Counting
+    counting_nodes: CountingNodes
     until: float
 
 
-class _Held(NamedTuple):
-    """A grant. `asked_at`: when the question was sent that it answers."""
+class _HeldGrant(NamedTuple):
+    """A grant. `requested_at`: when the request was sent that it answers."""
 
     number: int
-    counting: Counting
+    counting_nodes: CountingNodes
     part: float
     grant_parts: int
-    bars: tuple[_HeldBar, ...]
-    asked_at: float
+    blocking: tuple[_HeldBlocking, ...]
+    requested_at: float
 
     @property
     def until(self) -> float:
-        """When it is over."""
-        return self.asked_at + GRANT_SECONDS
+        """When the grant expires."""
+        return self.requested_at + GRANT_SECONDS
 
 
-class _Sum(NamedTuple):
-    """What is held, added up. `until`: when that is another sum."""
+class _Total(NamedTuple):
+    """The sum of the held grants. `until`: when it must be computed again."""
 
-    parts: dict[Counting, float]
-    barred: tuple[_Held, ...]
+    parts: dict[CountingNodes, float]
+    blocked: tuple[_HeldGrant, ...]
     divided_into: int
     until: float
 
 
-_NOTHING = _Sum({}, (), 1, float("-inf"))
+_OUTDATED = _Total({}, (), 1, float("-inf"))
 
 
 class HeldGrants:
-    """What one node holds of all grantors."""
+    """The grants that one node holds from all grantors."""
 
     def __init__(self, node: NodeId) -> None:
         self._node = node
-        self._held: dict[NodeId, _Held] = {}
-        self._asked: dict[NodeId, dict[int, float]] = {}
-        self._ask_at: dict[NodeId, float] = {}
+        self._held: dict[NodeId, _HeldGrant] = {}
+        self._requests: dict[NodeId, dict[int, float]] = {}
+        self._next_request_at: dict[NodeId, float] = {}
         self._next_number = 1
-        self._sum = _NOTHING
+        self._total = _OUTDATED
 
-    # Questions and answers.
+    # Requests and grants.
 
-    def due(self, grantors: Iterable[NodeId], now: float) -> list[NodeId]:
-        """Return the grantors to ask now."""
-        return [grantor for grantor in grantors if self._ask_at.get(grantor, now) <= now]
+    def pending_grantors(self, grantors: Iterable[NodeId], now: float) -> list[NodeId]:
+        """Return the grantors that a request should be sent to now."""
+        return [grantor for grantor in grantors if self._next_request_at.get(grantor, now) <= now]
 
     def request(self, grantor: NodeId, now: float) -> GrantRequest:
-        """Return the question for a grantor, which is sent now."""
+        """Return the request for a grantor, to be sent now."""
         number = self._next_number
         self._next_number += 1
-        asked = self._asked.setdefault(grantor, {})
-        asked[number] = now
-        if len(asked) > _QUESTIONS_KEPT:
-            del asked[min(asked)]
-        self._ask_at[grantor] = now + REQUEST_INTERVAL
+        requests = self._requests.setdefault(grantor, {})
+        requests[number] = now
+        if len(requests) > _REQUESTS_KEPT:
+            del requests[min(requests)]
+        self._next_request_at[grantor] = now + REQUEST_INTERVAL
         held = self._held.get(grantor)
         return GrantRequest(number, NO_GRANT if held is None else held.number)
 
     def handle_grant(self, grantor: NodeId, grant: Grant, now: float) -> None:
-        """Take an answer. One that nobody asked for, or an older one, changes nothing."""
-        asked_at = self._asked.get(grantor, {}).pop(grant.answers, None)
+        """Handle a grant. Ignore it if it was not requested, or is older than the held one."""
+        requested_at = self._requests.get(grantor, {}).pop(grant.answers, None)
         former = self._held.get(grantor)
-        if asked_at is None or not grant.part > 0.0:
+        if requested_at is None or not grant.part > 0.0:
             return
-        if former is not None and former.asked_at > asked_at:
+        if former is not None and former.requested_at > requested_at:
             return
-        bars = tuple(_held_bar(bar, now) for bar in grant.blocking)
+        blocking = tuple(_held_blocking(blocker, now) for blocker in grant.blocking)
         part = min(1.0, grant.part)
-        held = _Held(grant.number, grant.counting, part, grant.parts, bars, asked_at)
+        held = _HeldGrant(
+            grant.number, grant.counting_nodes, part, grant.parts, blocking, requested_at
+        )
         self._held[grantor] = held
-        self._sum = _NOTHING
+        self._total = _OUTDATED
         if former is None or former.number != held.number:
-            # The grantor bars others until it hears that the former grant is used no more.
-            self._ask_at[grantor] = now
-        elif bars:
-            again_at = now + BARRED_ASK_SECONDS
-            self._ask_at[grantor] = min(self._ask_at.get(grantor, again_at), again_at)
+            # The grantor blocks other holders until it learns that the former grant is unused.
+            self._next_request_at[grantor] = now
+        elif blocking:
+            again_at = now + BLOCKED_REQUEST_INTERVAL
+            self._next_request_at[grantor] = min(
+                self._next_request_at.get(grantor, again_at), again_at
+            )
 
     def request_all_again(self) -> None:
-        """Ask every grantor next time: who counts, or who grants, is another one."""
-        self._ask_at.clear()
+        """Schedule a request to every grantor, after counting nodes or grantors changed."""
+        self._next_request_at.clear()
 
     def release_all(self) -> list[tuple[NodeId, GrantReturned]]:
-        """Count by nothing any more; return the grantors that are to hear of it, and what."""
+        """Release every grant; return the messages to send, by grantor."""
         returned = [(grantor, GrantReturned(held.number)) for grantor, held in self._held.items()]
         self._held.clear()
-        self._asked.clear()
-        self._ask_at.clear()
-        self._sum = _NOTHING
+        self._requests.clear()
+        self._next_request_at.clear()
+        self._total = _OUTDATED
         return returned
 
     # Shares.
 
     def share(self, tenant: TenantId, known_parts: int, now: float) -> float:
-        """Return the part of a tenant's limit that this node counts by, 0 to 1.
+        """Return the share of a tenant's limit that this node counts by (0 to 1).
 
-        `known_parts`: into how many parts limits are divided, as far as this node knows.
+        `known_parts`: the number of parts that limits are divided into, as far as this node knows.
         """
-        if now >= self._sum.until:
-            self._sum = self._add_up(now)
+        if now >= self._total.until:
+            self._total = self._add_up(now)
         parts = sum(
             part
-            for counting, part in self._sum.parts.items()
-            if counting_node(tenant, counting) == self._node
+            for counting_nodes, part in self._total.parts.items()
+            if counting_node(tenant, counting_nodes) == self._node
+        )
+        parts += sum(
+            held.part for held in self._total.blocked if self._is_granted(held, tenant, now)
         )
-        parts += sum(held.part for held in self._sum.barred if self._is_lent(held, tenant, now))
-        return min(1.0, parts / max(1, known_parts, self._sum.divided_into))
+        return min(1.0, parts / max(1, known_parts, self._total.divided_into))
 
-    def _is_lent(self, held: _Held, tenant: TenantId, now: float) -> bool:
-        if counting_node(tenant, held.counting) != self._node:
+    def _is_granted(self, held: _HeldGrant, tenant: TenantId, now: float) -> bool:
+        if counting_node(tenant, held.counting_nodes) != self._node:
             return False
         return not any(
-            bar.until > now and counting_node(tenant, bar.counting) == bar.holder
-            for bar in held.bars
+            blocker.until > now and counting_node(tenant, blocker.counting_nodes) == blocker.holder
+            for blocker in held.blocking
         )
 
-    def _add_up(self, now: float) -> _Sum:
-        self._drop_lapsed(now)
-        parts: dict[Counting, float] = {}
-        barred: list[_Held] = []
+    def _add_up(self, now: float) -> _Total:
+        self._drop_expired(now)
+        parts: dict[CountingNodes, float] = {}
+        blocked: list[_HeldGrant] = []
         for held in self._held.values():
-            if held.bars:
-                barred.append(held)
+            if held.blocking:
+                blocked.append(held)
             else:
-                parts[held.counting] = parts.get(held.counting, 0.0) + held.part
+                parts[held.counting_nodes] = parts.get(held.counting_nodes, 0.0) + held.part
         until = min((held.until for held in self._held.values()), default=float("inf"))
-        return _Sum(parts, tuple(barred), max(self._told_parts(), default=1), until)
+        return _Total(parts, tuple(blocked), max(self._reported_parts(), default=1), until)
 
-    def _told_parts(self) -> Iterator[int]:
+    def _reported_parts(self) -> Iterator[int]:
         return (held.grant_parts for held in self._held.values())
 
-    def _drop_lapsed(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         for grantor, held in list(self._held.items()):
             if held.until <= now:
                 del self._held[grantor]
 
 
-def _held_bar(bar: BlockingGrant, now: float) -> _HeldBar:
-    """Return a bar that begins now. One whose time is no number holds until the next answer."""
-    seconds = bar.seconds if math.isfinite(bar.seconds) else math.inf
-    return _HeldBar(bar.holder, bar.counting, now + seconds)
+def _held_blocking(blocker: BlockingGrant, now: float) -> _HeldBlocking:
+    """Start the time of a blocking grant; one that is not finite lasts until the next answer."""
+    seconds = blocker.seconds if math.isfinite(blocker.seconds) else math.inf
+    return _HeldBlocking(blocker.holder, blocker.counting_nodes, now + seconds)
--- a/src/bramblebeam/core/quota/messages.py
+++ b/src/bramblebeam/core/quota/messages.py
@@ -1,4 +1,4 @@
-"""Messages about limits of tenants: counts of operations, and grants of parts of limits."""
+"""Messages about tenant limits: admission of operations, and grants of parts of limits."""
 
 from functools import lru_cache
 from typing import NamedTuple
@@ -13,9 +13,9 @@
 
 
 class AdmissionRequest(NamedTuple):
-    """Asks the node that counts a tenant whether one operation may begin. `Admission` answers.
+    """Asks the node that counts a tenant to admit one operation. The reply is `Admission`.
 
-    `limit`: the tenant's, by the configuration of this `version` that is in force at the asker.
+    `limit`: the tenant's limit in the configuration `version` in force at the sender.
     """
 
     tenant: TenantId
@@ -26,9 +26,9 @@
 class Admission(NamedTuple):
     """Whether an operation may begin.
 
-    `wait`: seconds until the next one may where it may not; None: it never may, as the limit is
-    zero. `receipt`: by which the count may be given back. `share`: the part of the limit that the
-    node counts by, 0: it does not count the tenant, and another node is to be asked.
+    `wait`: if not admitted, seconds until the next operation may begin; None: never, as the limit
+    is zero. `receipt`: identifies the count for a refund. `share`: the share of the limit that the
+    node counts by; 0: it does not count the tenant, and another node must be asked.
     """
 
     admitted: bool
@@ -42,17 +42,17 @@
 
 
 class AdmissionReturned(NamedTuple):
-    """An operation that was admitted has surely not run: it does not count."""
+    """Refunds an admitted operation that has surely not run."""
 
     tenant: TenantId
     receipt: int = NO_RECEIPT
 
 
 class GrantRequest(NamedTuple):
-    """Asks a grantor for its part of all limits. `Grant` answers.
+    """Asks a grantor for its part of all limits. The reply is `Grant`.
 
-    `number`: of the question. `held`: the number of the grant of this grantor that the asker counts
-    by, NO_GRANT for none: it counts by no earlier one any more.
+    `number`: of the request. `held`: the number of this grantor's grant that the sender counts by,
+    or NO_GRANT; the sender no longer counts by any earlier grant.
     """
 
     number: int
@@ -60,40 +60,40 @@
 
 
 class BlockingGrant(NamedTuple):
-    """An earlier grant that may still be counted by, for some `seconds`.
+    """An earlier grant that its holder may still count by for some `seconds`.
 
-    Tenants whose counting node among `counting` is `holder` are not lent to anybody else.
+    Tenants whose counting node among `counting_nodes` is `holder` are granted to no other node.
     """
 
     holder: NodeId
-    counting: tuple[NodeId, ...]
+    counting_nodes: tuple[NodeId, ...]
     seconds: float
 
 
 class Grant(NamedTuple):
-    """Lends the grantor's part of limits, for GRANT_SECONDS from when it was asked for.
+    """Grants the sender's part of limits, for GRANT_SECONDS from the time of the request.
 
-    `answers`: the number of the question. `counting`: the nodes that tenants are divided among; the
-    grant is for those whose counting node is the receiver, less those that are barred. `part`: how
-    much of the grantor's part is lent (0 to 1); 0: none. `parts`: into how many limits are divided,
-    as far as the grantor knows.
+    `answers`: the number of the request. `counting_nodes`: the nodes that tenants are divided
+    among; the grant covers the tenants whose counting node is the receiver, except those that
+    `blocking` excludes. `part`: how much of the grantor's part is granted (0 to 1); 0: none.
+    `parts`: the number of parts that limits are divided into, as far as the grantor knows.
     """
 
     answers: int
     number: int = NO_GRANT
-    counting: tuple[NodeId, ...] = ()
+    counting_nodes: tuple[NodeId, ...] = ()
     part: float = 0.0
     parts: int = 0
     blocking: tuple[BlockingGrant, ...] = ()
 
 
 class GrantReturned(NamedTuple):
-    """The sender does not count by the receiver's grant of this `number`, or an earlier one."""
+    """The sender no longer counts by the receiver's grant of this `number`, or an earlier one."""
 
     number: int
 
 
 @lru_cache(maxsize=_CACHED_TENANTS)
 def counting_node(tenant: TenantId, nodes: tuple[NodeId, ...]) -> NodeId | None:
-    """Return which of some nodes counts a tenant, the same at every node; None without nodes."""
+    """Return which of `nodes` counts a tenant, the same on every node; None if there are none."""
     return owner_of(tenant_key(tenant), nodes)
--- a/src/bramblebeam/core/routing/execution.py
+++ b/src/bramblebeam/core/routing/execution.py
@@ -231,7 +231,7 @@
         session = self._session
         if kind is StatementKind.READ:
             if attempt.role is Role.REPLICA:
-                session.read(self._group, reply.position)
+                session.record_read(self._group, reply.position)
             self._directory.note_applied(attempt.instance, reply.position)
             return self._finish(reply, None)
         term = answer_term(reply, attempt.request)
--- a/src/bramblebeam/core/session/__init__.py
+++ b/src/bramblebeam/core/session/__init__.py
@@ -1,1 +1,1 @@
-"""A caller's session: its causal token, its transaction and its settings."""
+"""A caller's session: its causal token, transaction and settings."""
--- a/src/bramblebeam/core/session/errors.py
+++ b/src/bramblebeam/core/session/errors.py
@@ -1,8 +1,8 @@
-"""The MySQL errors that callers get for refusals: one range of codes a verdict.
+"""The MySQL errors that callers get for refusals, with one range of codes per verdict.
 
 `NOT_RUN` has 9100 to 9199, `RAN` 9200 to 9299, `UNKNOWN` 9300 to 9399; a code is the range's base
 plus the reason's number. A back end's own error keeps its code and SQLSTATE, unless the statement
-may have run all the same.
+may have run despite it.
 """
 
 from typing import NamedTuple
@@ -16,7 +16,7 @@
     Verdict.RAN: "HY000",
     Verdict.UNKNOWN: "40003",
 }
-"""40001: rolled back, may be repeated. 40003: completion unknown, both by the SQL standard."""
+"""By the SQL standard, 40001 means rolled back, may be retried; 40003 means completion unknown."""
 
 BAD_REQUEST_SQLSTATE = "42000"
 
@@ -68,11 +68,11 @@
     Reason.RETRY_BUDGET: 1_000,
     Reason.OVER_LIMIT: 1_000,
 }
-"""When a caller may come back (milliseconds) where the refusal itself does not say."""
+"""Milliseconds after which a caller may retry, if the refusal itself gives none."""
 
 
 class ErrorPacket(NamedTuple):
-    """What a MySQL error packet carries."""
+    """The fields of a MySQL error packet."""
 
     code: int
     sqlstate: str
@@ -80,9 +80,9 @@
 
 
 def error_packet(refusal: Refusal) -> ErrorPacket:
-    """Return the error a caller gets for a refusal."""
-    own_words = refusal.reason is Reason.BACKEND_ERROR and refusal.verdict is Verdict.NOT_RUN
-    if own_words and refusal.code:
+    """Return the MySQL error for a refusal."""
+    is_own_error = refusal.reason is Reason.BACKEND_ERROR and refusal.verdict is Verdict.NOT_RUN
+    if is_own_error and refusal.code:
         return ErrorPacket(refusal.code, refusal.sqlstate or "HY000", refusal.detail)
     code = CODE_BASE[refusal.verdict] + refusal.reason
     sqlstate = SQLSTATE[refusal.verdict]
--- a/src/bramblebeam/core/session/session.py
+++ b/src/bramblebeam/core/session/session.py
@@ -1,4 +1,4 @@
-"""The state of one caller connection that decides what its statements must see."""
+"""The state of one caller connection, which determines the floor of its statements."""
 
 from dataclasses import dataclass, field
 
@@ -7,14 +7,14 @@
 from bramblebeam.core.statement import RequestId
 
 READS_PER_REPLICA = 100
-"""After so many reads a session's replica is drawn again, so that the weights rule over time."""
+"""Reads after which a session draws a new replica, so that reads follow the weights over time."""
 
 NO_GROUP = GroupId("")
 
 
 @dataclass(slots=True)
 class Transaction:
-    """An open transaction and the back-end connection's owner that it is pinned at."""
+    """An open transaction, and the node that owns the back-end connection it is pinned to."""
 
     name: str
     group: GroupId
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class StickyReplica:
-    """The instance a session reads from: valid for one version of the rows and some reads."""
+    """The instance a session reads from, for one configuration version and some reads."""
 
     instance: InstanceId
     configuration_version: int
@@ -36,9 +36,9 @@
 class Session:
     """One caller connection.
 
-    `identifier` is unique over nodes and restarts. `roaming_name` is the session's own name where
-    the caller gave one: other connections, also at other nodes, may belong to it. `token_carried`
-    tells that the caller takes the causal token along itself, so that the floor is known.
+    `identifier`: unique over nodes and restarts. `roaming_name`: the session's name if the caller
+    gave one; connections to other nodes may belong to the same session. `token_carried`: the caller
+    carries the causal token itself, so that the floor is known.
     """
 
     identifier: str
@@ -58,7 +58,7 @@
 
     @property
     def in_transaction(self) -> bool:
-        """Whether a transaction is open at a back end."""
+        """Whether a transaction is open on a back end."""
         return self.transaction is not None
 
     def next_request(self) -> RequestId:
@@ -74,49 +74,49 @@
     def must_confirm(self, group: GroupId) -> bool:
         """Whether the floor must be confirmed by the primary before a statement reads.
 
-        So it is for a named session without a carried token, as it may have written elsewhere at
-        any time, and after a write that came back without a position.
+        True for a named session without a carried token, as it may have written elsewhere at any
+        time, and after a write whose position is unknown.
         """
         return group in self._unknown or (bool(self.roaming_name) and not self.token_carried)
 
     def name_for_floor(self, group: GroupId) -> str:
-        """Return the name whose acknowledged writes the floor must cover; empty: everything.
+        """Return the session name whose acknowledged writes the floor must cover; empty: all.
 
-        After a write that may have run, only the newest position surely covers it.
+        After a write with an uncertain outcome, only the newest position surely covers it.
         """
         return "" if group in self._unknown else self.roaming_name
 
     def floor(self, group: GroupId) -> Position:
-        """Return the position that a read must at least see, as far as this node knows."""
+        """Return the minimum position of a read, as far as this node knows."""
         return self.token.position(group)
 
     def record_confirmed(self, group: GroupId, position: Position) -> None:
-        """Take a position confirmed by the primary after the statement in hand arrived."""
+        """Record a position that the primary confirmed after the current statement arrived."""
         self.token.advance(group, position)
         self._unknown.discard(group)
 
     def record_write(self, group: GroupId, position: Position) -> None:
-        """Note an acknowledged write. The zero position: it is unknown where the write stands."""
+        """Record an acknowledged write. The zero position means that its position is unknown."""
         if position.offset == 0:
             self._unknown.add(group)
             return
         self.token.advance(group, position)
 
     def record_uncertain_write(self, group: GroupId) -> None:
-        """Note a write that may have run: the next read must see it if it did."""
+        """Record a write with an uncertain outcome: if it ran, the next read must see it."""
         self._unknown.add(group)
 
-    def read(self, group: GroupId, position: Position) -> None:
-        """Note what a replica has shown, so that another one shows no less."""
+    def record_read(self, group: GroupId, position: Position) -> None:
+        """Record a replica's position, so that later reads from other replicas see no less."""
         self.token.advance(group, position)
 
     def adopt_token(self, token: CausalToken) -> None:
-        """Take the token the caller brought. From now on the caller vouches for the floor."""
+        """Merge the token that the caller sent. From now on the caller provides the floor."""
         self.token.merge(token)
         self.token_carried = True
 
     def reset(self) -> None:
-        """Forget the connection's settings, not what it wrote."""
+        """Reset the connection's settings, but not its causal token."""
         self.autocommit = True
         self.transaction = None
         self.last_insert_id = 0
--- a/src/bramblebeam/core/session/token.py
+++ b/src/bramblebeam/core/session/token.py
@@ -1,7 +1,7 @@
 """The causal token: per database group, the highest position a session has written or read.
 
-Its text form travels as a connection attribute, in `SET bramblebeam_token` and in
-`SELECT @@bramblebeam_token`: `GROUP=TERM.OFFSET`, joined by commas, group names percent-encoded.
+Its text form is `GROUP=TERM.OFFSET`, joined by commas, with percent-encoded group names. It is
+passed as a connection attribute, in `SET bramblebeam_token` and in `SELECT @@bramblebeam_token`.
 """
 
 import re
@@ -17,7 +17,7 @@
 
 
 class CausalToken:
-    """Positions by group; each one only grows."""
+    """Positions by group; each of them only increases."""
 
     __slots__ = ("_positions", "_text")
 
@@ -29,22 +29,22 @@
         return iter(self._positions)
 
     def position(self, group: GroupId) -> Position:
-        """Return the group's position; the zero position where the session has none."""
+        """Return the group's position, or the zero position if the session has none."""
         return self._positions.get(group, ZERO_POSITION)
 
     def advance(self, group: GroupId, position: Position) -> None:
-        """Raise the group's position; a lower one changes nothing."""
+        """Raise the group's position; a lower position is ignored."""
         if position > self._positions.get(group, ZERO_POSITION):
             self._positions[group] = position
             self._text = None
 
     def merge(self, other: "CausalToken") -> None:
-        """Raise every position to the other token's."""
+        """Raise every position to at least the other token's."""
         for group in other:
             self.advance(group, other.position(group))
 
     def encode(self) -> str:
-        """Return the text form, groups in order of name."""
+        """Return the text form, sorted by group name."""
         if self._text is None:
             self._text = ",".join(
                 f"{quote(group, safe='')}={position.term}.{position.offset}"
@@ -54,7 +54,7 @@
 
 
 def decode_token(text: str) -> Result[CausalToken, str]:
-    """Read the text form. The error says what is wrong with it."""
+    """Parse the text form. The error describes what is wrong with it."""
     if len(text) > MAXIMUM_TOKEN_LENGTH:
         return Error(f"token is longer than {MAXIMUM_TOKEN_LENGTH} characters")
     token = CausalToken()
--- a/src/bramblebeam/core/session/variables.py
+++ b/src/bramblebeam/core/session/variables.py
@@ -1,4 +1,4 @@
-"""Session variables that the edge answers and takes itself, in place of a back end."""
+"""Session variables that the edge reads and sets itself, without a back end."""
 
 import re
 from dataclasses import dataclass
@@ -63,11 +63,11 @@
         "wait_timeout",
     }
 )
-"""Settings that concern only the link to the caller, where they change nothing that is read."""
+"""Settings of the caller's connection only, accepted and ignored: they change no result."""
 
 
 class Variable(NamedTuple):
-    """A column of a local SELECT."""
+    """A column of a SELECT that the edge answers."""
 
     name: str
     type_code: int
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Connection:
-    """What a session's functions tell of the caller's connection."""
+    """The properties of the caller's connection that session functions return."""
 
     connection_id: int
     user: str
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VariableError:
-    """A SET or SELECT of variables that cannot be carried out: a MySQL error."""
+    """The MySQL error for a SET or SELECT of variables that cannot be carried out."""
 
     code: int
     sqlstate: str
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What one SET statement asks. `autocommit` None: it is not set."""
+    """The changes requested by one SET statement. `autocommit` None: it is not set."""
 
     autocommit: bool | None = None
 
@@ -122,7 +122,7 @@
 
 
 def apply_set(session: Session, sql: str) -> Result[Settings, VariableError]:
-    """Carry out a SET statement, except a change of autocommit, which is only returned."""
+    """Carry out a SET statement, except for a change of autocommit, which is only returned."""
     body = _SET.sub("", sql.strip().rstrip("; \n\t"), count=1)
     names = _SET_NAMES.fullmatch(body)
     if names is not None:
@@ -198,7 +198,7 @@
 def select_local(
     session: Session, connection: Connection, sql: str
 ) -> Result[list[Variable], VariableError]:
-    """Answer a SELECT of session variables and functions only: the columns of its one row."""
+    """Return the columns of a SELECT that has only session variables and functions."""
     root = sqlglot.parse_one(sql, read="mysql")
     columns = []
     for item in root.expressions:
--- a/src/bramblebeam/services/gateway/admission.py
+++ b/src/bramblebeam/services/gateway/admission.py
@@ -103,7 +103,7 @@
     """Give back the counts of an operation by which nothing can have run."""
     for count in request.account.take_unused():
         returned = AdmissionReturned(count.tenant, count.receipt)
-        if count.node == context.owners.place.node:
+        if count.node == context.owners.location.node:
             context.limits.give_back(returned)
         elif count.node is not None:
             context.forwarder.peers.tell(count.node, returned)
@@ -137,7 +137,7 @@
 
 async def _ask_node(context: GatewayContext, tenant: TenantId, node: NodeId) -> Admission | None:
     """Return what one node says; None: it gave no answer, now or a moment ago."""
-    if node == context.owners.place.node:
+    if node == context.owners.location.node:
         return count_here(context, tenant)
     if context.forwarder.is_avoided(node):
         return None
--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -109,7 +109,7 @@
         and give no answer; one that this node has not met yet can't be.
         """
         serving = self.nearest(group)
-        others = sorted(self.owners.nodes - set(serving) - {self.owners.place.node})
+        others = sorted(self.owners.nodes - set(serving) - {self.owners.location.node})
         nodes = (*serving, *others)
         has_met_none = self.expects_others and not nodes
         is_steady = self.now() - self._members_changed_at > UNSTEADY_SECONDS
@@ -236,7 +236,7 @@
     def runs_here(self, group: GroupId, tenant: TenantId, at_leader: bool) -> bool:
         """Whether this node is the one that runs a tenant's statements for a group."""
         runners = self.runners(group, tenant, at_leader)
-        return not runners or runners[0] == self.owners.place.node
+        return not runners or runners[0] == self.owners.location.node
 
     def _leader_regions(self, group: GroupId) -> frozenset[str]:
         region = self.leader_region(group)
@@ -269,7 +269,7 @@
 
     def server_in(self, region: str, group: GroupId, tenant: TenantId) -> NodeId | None:
         """Return the other node that runs a tenant's statements in another region, or None."""
-        if region == self.owners.place.region:
+        if region == self.owners.location.region:
             return None
         if self.overload.enabled:
             nodes = self.owners.from_region(group, self._size(group), region)
@@ -283,7 +283,7 @@
         if region is None:
             return self.serves(group)
         nodes = self.owners.from_region(group, self._size(group), region)
-        return not nodes or nodes[0] == self.owners.place.node
+        return not nodes or nodes[0] == self.owners.location.node
 
     def is_far(self, zone: ZoneId) -> bool:
         """Whether a zone is in another region than this node."""
--- a/src/bramblebeam/services/gateway/forwarding.py
+++ b/src/bramblebeam/services/gateway/forwarding.py
@@ -76,7 +76,7 @@
 
         Where this node is the next in turn it asks nobody.
         """
-        own = self._context.owners.place.node
+        own = self._context.owners.location.node
         for node in self._context.runners(group, tenant, at_leader):
             if node == own:
                 return
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -372,13 +372,13 @@
         """Whether a member's word counts: it forgot no pause for a change that is under way."""
         if self._lives.has_outlasted_changes(instance, opened_at, asked_at):
             return True
-        return not self._lives.missing(instance, opened_at, self._others(instance))
+        return not self._lives.not_seen_unpaused(instance, opened_at, self._others(instance))
 
     def _settle(self, instance: InstanceId, opened_at: float) -> None:
         """Ask those members whose word makes another one's count, where the lease needs it."""
         if loop_time() - self.lease.confirmed_at < POSITION_RENEWAL_SECONDS:
             return
-        for missing in self._lives.missing(instance, opened_at, self._others(instance)):
+        for missing in self._lives.not_seen_unpaused(instance, opened_at, self._others(instance)):
             self.start_asking(missing)
 
     def _others(self, instance: InstanceId) -> list[InstanceId]:
--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -71,7 +71,7 @@
     def __init__(self, context: GatewayContext, messages: GrantMessages) -> None:
         self._context = context
         self._messages = messages
-        self._node = context.owners.place.node
+        self._node = context.owners.location.node
         self._grantor = Grantor(self._node, secrets.randbits(_NUMBER_BITS) + 1)
         self._holdings = HeldGrants(self._node)
         self._counter = QuotaCounter(secrets.randbits(_NUMBER_BITS))
@@ -144,7 +144,7 @@
         if now - self._followed_at >= REQUEST_INTERVAL:
             self._follow(now)
         if self._counts:
-            for grantor in self._holdings.due(self._fleet.grantors, now):
+            for grantor in self._holdings.pending_grantors(self._fleet.grantors, now):
                 self._ask(grantor, now)
 
     def _follow(self, now: float) -> None:
@@ -187,7 +187,7 @@
             return
         now = self._context.now()
         self._holdings.handle_grant(grantor, grant, now)
-        if grantor in self._holdings.due((grantor,), now):
+        if grantor in self._holdings.pending_grantors((grantor,), now):
             self._ask(grantor, now)
 
     def returned_by(self, holder: NodeId, returned: GrantReturned) -> None:
@@ -211,11 +211,11 @@
         if limit is None:
             records.uncounted(tenant, "no limit of it is known here")
             return ADMITTED
-        is_new = not self._counter.counts(tenant)
+        is_new = not self._counter.has_bucket(tenant)
         admission = self._counter.admit(tenant, limit, self.share(tenant), self._context.now())
         if admission.share <= 0.0:
             return admission
-        if is_new and self._counter.counts(tenant):
+        if is_new and self._counter.has_bucket(tenant):
             records.began(tenant)
         records.note(tenant, Part.COUNTED if admission.admitted else Part.REFUSED)
         if not admission.admitted:
--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -137,7 +137,7 @@
 
         Raises ConnectError, TimeoutError (`timeout` in seconds).
         """
-        self._usage.note(tenant, loop_time())
+        self._usage.record(tenant, loop_time())
         found = self._resting.take(tenant, session)
         if found is not None:
             found.turn_since = loop_time()
@@ -349,7 +349,7 @@
         now = loop_time()
         if error.reason is Reason.TOO_MANY_CONNECTIONS:
             self._refused_until = now + REFUSED_PAUSE
-            self.budget.refused(now)
+            self.budget.record_refusal(now)
             is_room_made = self._resting.close_for_room(self._usage, now)
             if is_room_made or any(not self.is_silent(lent) for lent in self._lent):
                 self._open_more()
--- a/src/bramblebeam/services/gateway/reads.py
+++ b/src/bramblebeam/services/gateway/reads.py
@@ -118,7 +118,7 @@
 async def _read_at_leader(context: GatewayContext, request: Request) -> Reply:
     """Read at the leader, by a node near it where connections are scarce."""
     region = context.leader_region(request.route.group)
-    if request.session.forwarded_on and region not in (None, context.owners.place.region):
+    if request.session.forwarded_on and region not in (None, context.owners.location.region):
         # The node that passed the read on turns to the leader's region itself.
         return request.give_up(Reason.REPLICA_BEHIND)
     reply = await context.forwarder.pass_to_leader(request)
--- a/tests/quota_search.py
+++ b/tests/quota_search.py
@@ -188,7 +188,7 @@
         if self.now - node.followed_at >= REQUEST_INTERVAL:
             self.follow(node)
         if self.counts(node):
-            for grantor in node.holdings.due(node.fleet.grantors, self.now):
+            for grantor in node.holdings.pending_grantors(node.fleet.grantors, self.now):
                 self.ask(node, grantor)
 
     def follow(self, node: Node) -> None:
@@ -226,7 +226,7 @@
             self.send(to, sender, node.grantor.answer(sender, message, node.fleet, self.now))
         elif isinstance(message, Grant) and self.counts(node):
             node.holdings.handle_grant(sender, message, self.now)
-            if sender in node.holdings.due((sender,), self.now):
+            if sender in node.holdings.pending_grantors((sender,), self.now):
                 self.ask(node, sender)
         elif isinstance(message, GrantReturned):
             node.grantor.release(sender, message.number)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -89,7 +89,7 @@
     cut(here, *(name for name in world.group.members if name != leader.name))
     for node in others:
         cut(node, leader.name)
-        keep_from(node, here.gateway.context.owners.place.node)
+        keep_from(node, here.gateway.context.owners.location.node)
     yield
     for node in world.nodes:
         heal(node)
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -299,21 +299,21 @@
     served: Position, told: Position, asked_at: float, is_beyond: bool
 ) -> None:
     position = ServedPosition()
-    position.observe(served, heard_at=1.0)
+    position.observe(served, received_at=1.0)
     assert position.is_beyond(told, asked_at, term=3) is is_beyond
 
 
 def test_an_answer_that_was_under_way_does_not_tell_of_a_start() -> None:
     memory = RestartTracker()
     memory.observe_position(
-        SECOND, ReportedPosition(Position(1, 4), received_at=2.0), asked_at=1.0, newest_term=1
+        SECOND, ReportedPosition(Position(1, 4), received_at=2.0), queried_at=1.0, newest_term=1
     )
     memory.observe_position(
-        SECOND, ReportedPosition(Position(1, 0), received_at=3.0), asked_at=1.5, newest_term=1
+        SECOND, ReportedPosition(Position(1, 0), received_at=3.0), queried_at=1.5, newest_term=1
     )
     assert memory.may_confirm(SECOND, 1, Position(1, 4))
     memory.observe_position(
-        SECOND, ReportedPosition(Position(1, 0), received_at=4.0), asked_at=3.5, newest_term=1
+        SECOND, ReportedPosition(Position(1, 0), received_at=4.0), queried_at=3.5, newest_term=1
     )
     assert not memory.may_confirm(SECOND, 1, Position(1, 4))
 
@@ -322,11 +322,11 @@
     memory = RestartTracker()
     member = InstanceId("db-b")
     memory.observe_position(
-        member, ReportedPosition(Position(1, 0), 2.0), asked_at=1.0, newest_term=1
+        member, ReportedPosition(Position(1, 0), 2.0), queried_at=1.0, newest_term=1
     )
     assert memory.may_confirm(member, 1, Position(1, 4))
     memory.observe_position(
-        SECOND, ReportedPosition(Position(1, 0), 2.0), asked_at=1.0, newest_term=1
+        SECOND, ReportedPosition(Position(1, 0), 2.0), queried_at=1.0, newest_term=1
     )
     assert not memory.may_confirm(SECOND, 1, Position(1, 4))
 
--- a/tests/test_failover_unwritten_change.py
+++ b/tests/test_failover_unwritten_change.py
@@ -65,7 +65,7 @@
 
 
 def node_id(node: PlatformNode) -> NodeId:
-    return node.gateway.context.owners.place.node
+    return node.gateway.context.owners.location.node
 
 
 @asynccontextmanager
--- a/tests/test_gateway_budget.py
+++ b/tests/test_gateway_budget.py
@@ -85,13 +85,13 @@
 ) -> None:
     bound = ConnectionBudget(even, most)
     if refused_at is not None:
-        bound.refused(refused_at)
+        bound.record_refusal(refused_at)
     assert bound.limit(now) == expected
 
 
 def test_a_refusal_is_remembered_when_the_bounds_change() -> None:
     bound = ConnectionBudget(4, 12)
-    bound.refused(10.0)
+    bound.record_refusal(10.0)
     bound.set_bounds(6, 12)
     assert bound.limit(10.0) == 6
 
@@ -116,7 +116,7 @@
     placement.update(DatabaseDirectory(1, {DATABASE: entry()}))
     bound = placement.pools[DATABASE].budget
     assert bound.limit(0.0) == at_first
-    bound.refused(0.0)
+    bound.record_refusal(0.0)
     assert bound.limit(0.0) == after_refusal
 
 
--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -81,7 +81,7 @@
         others = [node for node in world.nodes if node is not world.nodes[place]]
         context.serves = lambda group: False  # type: ignore[method-assign]
         context.nearest = lambda group: [  # type: ignore[method-assign,assignment,return-value]
-            node.gateway.context.owners.place.node for node in others if serves(node)
+            node.gateway.context.owners.location.node for node in others if serves(node)
         ]
         context.take_members(context.owners._members)
         assert (await client.run("WRITE parcel 2")).code == ""
@@ -94,8 +94,8 @@
         context = world.nodes[outside].gateway.context
         view = context.owners._members
         alone = MembersView(
-            {context.owners.place.node: view.members[context.owners.place.node]},
-            {context.owners.place.zone: (context.owners.place.node,)},
+            {context.owners.location.node: view.members[context.owners.location.node]},
+            {context.owners.location.zone: (context.owners.location.node,)},
         )
         await until(context._members_known.is_set)
         # Timers that were set while the node met the others are due before this one.
--- a/tests/test_meeting_at_databases.py
+++ b/tests/test_meeting_at_databases.py
@@ -85,8 +85,8 @@
 async def test_the_node_that_runs_a_databases_statements_is_in_its_zone(instance: str) -> None:
     found = contexts(instance)
     runner = next(iter(found.values())).runners(GROUP, NO_TENANT, True)[0]
-    assert found[runner].owners.place.zone == MEMBERS[instance]
-    assert found[runner].runs_database(GROUP, found[runner].owners.place.zone)
+    assert found[runner].owners.location.zone == MEMBERS[instance]
+    assert found[runner].runs_database(GROUP, found[runner].owners.location.zone)
 
 
 async def test_the_next_node_of_a_region_stands_in_for_its_first() -> None:
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -238,12 +238,12 @@
 
 def test_a_grant_is_asked_for_again_in_time_and_at_once_where_it_is_new() -> None:
     a = Loan(grantor(), A)
-    assert a.holdings.due([LENDER], 0.0) == [LENDER]
+    assert a.holdings.pending_grantors([LENDER], 0.0) == [LENDER]
     a.ask(fleet(A), 0.0)
-    assert a.holdings.due([LENDER], 0.0) == [LENDER]
+    assert a.holdings.pending_grantors([LENDER], 0.0) == [LENDER]
     a.ask(fleet(A), 0.0)
-    assert a.holdings.due([LENDER], REQUEST_INTERVAL - 0.01) == []
-    assert a.holdings.due([LENDER], REQUEST_INTERVAL) == [LENDER]
+    assert a.holdings.pending_grantors([LENDER], REQUEST_INTERVAL - 0.01) == []
+    assert a.holdings.pending_grantors([LENDER], REQUEST_INTERVAL) == [LENDER]
 
 
 def test_limits_are_divided_over_a_bounded_number_of_nodes_the_same_at_all() -> None:
--- a/tests/test_restarts_during_changes.py
+++ b/tests/test_restarts_during_changes.py
@@ -55,7 +55,7 @@
     seconds: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards the orderer's side alone: here every word counts, whoever gives it."""
-    monkeypatch.setattr(WitnessUptimes, "has_lasted", lambda *_: True)
+    monkeypatch.setattr(WitnessUptimes, "has_outlasted_changes", lambda *_: True)
     async with world_with_a_change_ahead() as world:
         await start_again_while_paused(world, seconds)
         assert await commits_at_former_leaders(world) == []
--- a/tests/test_tenant_connections.py
+++ b/tests/test_tenant_connections.py
@@ -7,7 +7,7 @@
 from bramblebeam.core.gateway.directory import DatabaseEntry
 from bramblebeam.core.gateway.state import NO_STATE
 from bramblebeam.core.gateway.statements import Action, Statement
-from bramblebeam.core.gateway.usage import MEMORY_SECONDS, TenantUsage
+from bramblebeam.core.gateway.usage import DECAY_SECONDS, TenantUsage
 from bramblebeam.core.tenants import NO_TENANT, TenantId
 from bramblebeam.core.verdict import Reason
 from bramblebeam.services.gateway import pool as pool_module
@@ -158,20 +158,20 @@
     ("uses", "at", "expected"),
     [
         pytest.param([], 0.0, 0.0, id="never"),
-        pytest.param([0.0], 0.0, 1 / MEMORY_SECONDS, id="once, now"),
-        pytest.param([0.0], 10 * MEMORY_SECONDS, 0.0, id="once, long ago"),
+        pytest.param([0.0], 0.0, 1 / DECAY_SECONDS, id="once, now"),
+        pytest.param([0.0], 10 * DECAY_SECONDS, 0.0, id="once, long ago"),
         pytest.param([n / 5 for n in range(500)], 100.0, 5.0, id="five a second"),
     ],
 )
 def test_the_rate_at_which_a_tenant_asks(uses: list[float], at: float, expected: float) -> None:
     usage = TenantUsage()
     for moment in uses:
-        usage.note(ACME, moment)
+        usage.record(ACME, moment)
     assert usage.rate(ACME, at) == pytest.approx(expected, abs=0.1)
 
 
 def test_tenants_that_ask_no_more_are_forgotten() -> None:
     usage = TenantUsage()
     for number in range(3_000):
-        usage.note(TenantId(f"tenant-{number}"), float(number))
+        usage.record(TenantId(f"tenant-{number}"), float(number))
     assert len(usage._rates) < 600
--- a/tests/test_tenant_serving.py
+++ b/tests/test_tenant_serving.py
@@ -156,7 +156,7 @@
                 context = context_of(node, view, directory("db-0"))
                 if context.serves(GROUP):
                     pool = context.placement.pools[InstanceId("db-0")]
-                    pool.budget.refused(0.0)
+                    pool.budget.record_refusal(0.0)
                     held += pool.budget.limit(0.0)
     assert held <= CONNECTIONS
 
--- a/tests/test_witness_lives.py
+++ b/tests/test_witness_lives.py
@@ -35,7 +35,7 @@
     lives.record_reply(SECOND, START, START)
     for instance, at in free_at.items():
         lives.record_unpaused(instance, at)
-    assert lives.missing(SECOND, START, OTHERS) == missing
+    assert lives.not_seen_unpaused(SECOND, START, OTHERS) == missing
 
 
 @pytest.mark.parametrize(
