--- a/src/bramblebeam/core/gateway/usage.py
+++ b/src/bramblebeam/core/gateway/usage.py
@@ -5,7 +5,7 @@
 from bramblebeam.core.tenants import TenantId
 
 DECAY_SECONDS = 10.0
-"""Time after which a request's weight has decayed to 1/e, less than a third.
+"""Time in which a request's weight decays to 1/e (seconds).
 
 It is long against the pauses of a tenant with one operation a second, and short against the minutes
 in which the tenants' shares of the work shift.
--- a/src/bramblebeam/core/quota/bucket.py
+++ b/src/bramblebeam/core/quota/bucket.py
@@ -15,12 +15,12 @@
 """
 INITIAL_TOKENS = 5.0
 """Operations that a node admits at once for a tenant that is new to it, so that a tenant of a few
-operations a second is not refused because another node counts it now."""
+operations a second is not refused when its counting node changes."""
 QUICK_SECONDS = 1.0
 """Age up to which a count is refunded in full. The operations begun within this time and those that
 may begin at once are bounded together."""
 REFUND_SHARE = 0.15
-"""Share of the admitted operations that is refunded although they are older than QUICK_SECONDS and
+"""Share of the admitted operations that may be refunded although they are older than QUICK_SECONDS and
 others were refused since.
 
 Operations that wait for a leader are refunded late. Those admitted in their place wait as well, and
