--- a/src/bramblebeam/core/quota/bucket.py
+++ b/src/bramblebeam/core/quota/bucket.py
@@ -20,8 +20,8 @@
 """Age up to which a count is refunded in full. The operations begun within this time and those that
 may begin at once are bounded together."""
 REFUND_SHARE = 0.15
-"""Share of the admitted operations that may be refunded although they are older than QUICK_SECONDS and
-others were refused since.
+"""Share of the admitted operations that may be refunded after QUICK_SECONDS although others were
+refused since.
 
 Operations that wait for a leader are refunded late. Those admitted in their place wait as well, and
 all of them may run once there is a leader again.
