--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -6,47 +6,25 @@
 """
 
 from __future__ import annotations
-
 import asyncio
 import logging
-from collections.abc import Awaitable, Callable
-
-from bramblebeam.core.gateway.directory import DatabaseEntry
-from bramblebeam.core.gateway.floors import Watermark, Watermarks, age_ms
-from bramblebeam.core.gateway.leader_lease import POSITION_RENEWAL_SECONDS, LeaderLease
-from bramblebeam.core.gateway.leader_promise import LeaderPromise
-from bramblebeam.core.gateway.restart_tracker import ReportedPosition, RestartTracker
-from bramblebeam.core.gateway.served_position import ServedPosition
-from bramblebeam.core.gateway.witness_uptimes import WitnessUptimes
-from bramblebeam.core.identity import (
-    ZERO_POSITION,
-    GroupId,
-    InstanceId,
-    Position,
-    ServerName,
-    incarnation_of,
-    server_name,
-)
-from bramblebeam.core.role import Role
-from bramblebeam.events import log_event
-from bramblebeam.events.catalogue import (
-    FORMER_LEADER_FOUND,
-    LEADER_BARRED,
-    LEADER_CONFIRMED,
-    LEADER_LOST,
-    LEADER_PROVEN,
-    LEADERS_CONTRADICT,
-)
-from bramblebeam.services.gateway.leader_news import (
-    FormerLeaderFound,
-    LeaderNews,
-    LeaderProven,
-    LeaderSuspected,
-)
-from bramblebeam.services.gateway.lease_keeper import LeaseKeeper
-from bramblebeam.services.gateway.member_probes import MemberAnswer, MemberProbes, ProbeFailedError
-from bramblebeam.services.gateway.placement import Placement
-from bramblebeam.services.waiting import loop_time, pause
+from bramblebeam.core.gateway.directory import (DatabaseEntry)
+from bramblebeam.core.gateway.floors import (Watermark, Watermarks, age_ms)
+from bramblebeam.core.gateway.leader_lease import (LeaderLease, POSITION_RENEWAL_SECONDS)
+from bramblebeam.core.gateway.leader_promise import (LeaderPromise)
+from bramblebeam.core.gateway.restart_tracker import (ReportedPosition, RestartTracker)
+from bramblebeam.core.gateway.served_position import (ServedPosition)
+from bramblebeam.core.gateway.witness_uptimes import (WitnessUptimes)
+from bramblebeam.core.identity import (GroupId, InstanceId, Position, ServerName, ZERO_POSITION, incarnation_of, server_name)
+from bramblebeam.core.role import (Role)
+from bramblebeam.events import (log_event)
+from bramblebeam.events.catalogue import (FORMER_LEADER_FOUND, LEADERS_CONTRADICT, LEADER_BARRED, LEADER_CONFIRMED, LEADER_LOST, LEADER_PROVEN)
+from bramblebeam.services.gateway.leader_news import (FormerLeaderFound, LeaderNews, LeaderProven, LeaderSuspected)
+from bramblebeam.services.gateway.lease_keeper import (LeaseKeeper)
+from bramblebeam.services.gateway.member_probes import (MemberAnswer, MemberProbes, ProbeFailedError)
+from bramblebeam.services.gateway.placement import (Placement)
+from bramblebeam.services.waiting import (loop_time, pause)
+from collections.abc import (Awaitable, Callable)
 
 logger = logging.getLogger(__name__)
 
@@ -368,13 +346,13 @@
         """Whether a member's word counts: it forgot no pause for a change that is under way."""
         if self._lives.has_outlasted_changes(instance, opened_at, asked_at):
             return True
-        return not self._lives.missing(instance, opened_at, self._others(instance))
+        return not self._lives.not_seen_unpaused(instance, opened_at, self._others(instance))
 
     def _settle(self, instance: InstanceId, opened_at: float) -> None:
         """Ask those members whose word makes another one's count, where the lease needs it."""
         if loop_time() - self.lease.confirmed_at < POSITION_RENEWAL_SECONDS:
             return
-        for missing in self._lives.missing(instance, opened_at, self._others(instance)):
+        for missing in self._lives.not_seen_unpaused(instance, opened_at, self._others(instance)):
             self.start_asking(missing)
 
     def _others(self, instance: InstanceId) -> list[InstanceId]:
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -1,60 +1,39 @@
 """A database that starts again under its name holds and knows nothing of before."""
 
 from __future__ import annotations
-
 import asyncio
-from dataclasses import replace
-
 import pytest
-
-from bramblebeam.core.failover.lease import OrderedChange
-from bramblebeam.core.failover.target import (
-    CandidateStatus,
-    choose_target,
-    covers_acknowledged,
-    may_promote_without_log,
-)
-from bramblebeam.core.feed.messages import FollowReply
-from bramblebeam.core.gateway import incarnations as lives_module
-from bramblebeam.core.gateway.directory import DatabaseDirectory, DatabaseEntry
-from bramblebeam.core.gateway.incarnations import Incarnations
-from bramblebeam.core.gateway.registry import Registry
-from bramblebeam.core.gateway.restart_tracker import ReportedPosition, RestartTracker
-from bramblebeam.core.gateway.routes import GroupSettings
-from bramblebeam.core.gateway.served_position import ServedPosition
-from bramblebeam.core.identity import (
-    UNKNOWN_INCARNATION,
-    ZERO_POSITION,
-    Address,
-    GroupId,
-    InstanceId,
-    Position,
-    ServerName,
-    ZoneId,
-    incarnation_of,
-    instance_id,
-    server_name,
-)
-from bramblebeam.core.role import Role
-from bramblebeam.core.tenants import NO_TENANT
-from bramblebeam.kernel import Kernel
-from bramblebeam.platform import leases
-from bramblebeam.platform.objects import StoredObject
-from bramblebeam.platform.promotions import PromotionClient
-from bramblebeam.platform.sources import parse_database
-from bramblebeam.services.failover.change import ChangeRunner
-from bramblebeam.services.failover.peers import TransportStepDownPeers
-from bramblebeam.services.feed.peers import database_items, told_databases
-from bramblebeam.services.feed.ports import Versioned
-from bramblebeam.services.gateway.leader_news import FormerLeaderFound, LeaderNews
-from bramblebeam.services.gateway.leaders import LeaderTracker
-from bramblebeam.wire.codec import Codec
-from bramblebeam.wire.gateway_registry import GATEWAY_NODE_MESSAGES
-from platform_standins.world import GROUP as WORLD_GROUP
-from platform_standins.world import LineClient, World, running_world, until
-from revisions import at
-from test_database_entries import ENTRY
-from test_gateway_leaders import GROUP, LONG_OPEN, claim, make_tracker, now, take_all, word
+from bramblebeam.core.failover.lease import (OrderedChange)
+from bramblebeam.core.failover.target import (CandidateStatus, choose_target, covers_acknowledged, may_promote_without_log)
+from bramblebeam.core.feed.messages import (FollowReply)
+from bramblebeam.core.gateway import (incarnations as lives_module)
+from bramblebeam.core.gateway.directory import (DatabaseDirectory, DatabaseEntry)
+from bramblebeam.core.gateway.incarnations import (Incarnations)
+from bramblebeam.core.gateway.registry import (Registry)
+from bramblebeam.core.gateway.restart_tracker import (ReportedPosition, RestartTracker)
+from bramblebeam.core.gateway.routes import (GroupSettings)
+from bramblebeam.core.gateway.served_position import (ServedPosition)
+from bramblebeam.core.identity import (Address, GroupId, InstanceId, Position, ServerName, UNKNOWN_INCARNATION, ZERO_POSITION, ZoneId, incarnation_of, instance_id, server_name)
+from bramblebeam.core.role import (Role)
+from bramblebeam.core.tenants import (NO_TENANT)
+from bramblebeam.kernel import (Kernel)
+from bramblebeam.platform import (leases)
+from bramblebeam.platform.objects import (StoredObject)
+from bramblebeam.platform.promotions import (PromotionClient)
+from bramblebeam.platform.sources import (parse_database)
+from bramblebeam.services.failover.change import (ChangeRunner)
+from bramblebeam.services.failover.peers import (TransportStepDownPeers)
+from bramblebeam.services.feed.peers import (database_items, told_databases)
+from bramblebeam.services.feed.ports import (Versioned)
+from bramblebeam.services.gateway.leader_news import (FormerLeaderFound, LeaderNews)
+from bramblebeam.services.gateway.leaders import (LeaderTracker)
+from bramblebeam.wire.codec import (Codec)
+from bramblebeam.wire.gateway_registry import (GATEWAY_NODE_MESSAGES)
+from dataclasses import (replace)
+from platform_standins.world import (GROUP as WORLD_GROUP, LineClient, World, running_world, until)
+from revisions import (at)
+from test_database_entries import (ENTRY)
+from test_gateway_leaders import (GROUP, LONG_OPEN, claim, make_tracker, now, take_all, word)
 
 BORN = 1_764_720_000_000
 FIRST, SECOND, THIRD = (instance_id(name, BORN) for name in ("db-a", "db-b", "db-c"))
@@ -299,21 +278,21 @@
     served: Position, told: Position, asked_at: float, is_beyond: bool
 ) -> None:
     position = ServedPosition()
-    position.observe(served, heard_at=1.0)
+    position.observe(served, received_at=1.0)
     assert position.is_beyond(told, asked_at, term=3) is is_beyond
 
 
 def test_an_answer_that_was_under_way_does_not_tell_of_a_start() -> None:
     memory = RestartTracker()
     memory.observe_position(
-        SECOND, ReportedPosition(Position(1, 4), received_at=2.0), asked_at=1.0, newest_term=1
+        SECOND, ReportedPosition(Position(1, 4), received_at=2.0), queried_at=1.0, newest_term=1
     )
     memory.observe_position(
-        SECOND, ReportedPosition(Position(1, 0), received_at=3.0), asked_at=1.5, newest_term=1
+        SECOND, ReportedPosition(Position(1, 0), received_at=3.0), queried_at=1.5, newest_term=1
     )
     assert memory.may_confirm(SECOND, 1, Position(1, 4))
     memory.observe_position(
-        SECOND, ReportedPosition(Position(1, 0), received_at=4.0), asked_at=3.5, newest_term=1
+        SECOND, ReportedPosition(Position(1, 0), received_at=4.0), queried_at=3.5, newest_term=1
     )
     assert not memory.may_confirm(SECOND, 1, Position(1, 4))
 
@@ -322,11 +301,11 @@
     memory = RestartTracker()
     member = InstanceId("db-b")
     memory.observe_position(
-        member, ReportedPosition(Position(1, 0), 2.0), asked_at=1.0, newest_term=1
+        member, ReportedPosition(Position(1, 0), 2.0), queried_at=1.0, newest_term=1
     )
     assert memory.may_confirm(member, 1, Position(1, 4))
     memory.observe_position(
-        SECOND, ReportedPosition(Position(1, 0), 2.0), asked_at=1.0, newest_term=1
+        SECOND, ReportedPosition(Position(1, 0), 2.0), queried_at=1.0, newest_term=1
     )
     assert not memory.may_confirm(SECOND, 1, Position(1, 4))
 
