--- a/src/bramblebeam/core/group/changes.py
+++ b/src/bramblebeam/core/group/changes.py
@@ -159,7 +159,7 @@
             self._ask_promises(change, now)
         else:
             names = [change.old_primary, change.target]
-            self._outbox.extend(self._queries.ask_now(names, now))
+            self._outbox.extend(self._queries.query_now(names, now))
 
     def _ask_promises(self, change: Change, now: float) -> None:
         change.term = self._view.highest_term + 1
@@ -199,7 +199,7 @@
         for name in change.order:
             if name != change.chosen:
                 self._followers.point(name, now)
-        self._outbox.extend(self._queries.ask_now(list(change.order), now))
+        self._outbox.extend(self._queries.query_now(list(change.order), now))
         done = change.chosen == change.target
         outcome = ChangeOutcome.DONE if done else ChangeOutcome.OTHER_CHOSEN
         self._finish_request(change, outcome, f"{change.chosen} is primary", now)
--- a/src/bramblebeam/core/group/queries.py
+++ b/src/bramblebeam/core/group/queries.py
@@ -48,7 +48,7 @@
         members = list(self._view.members.values()) if alert else [self._in_turn()]
         return [query for member in members for query in self._query(member, now)]
 
-    def ask_now(self, instances: list[InstanceId], now: float) -> list[QueryStatus]:
+    def query_now(self, instances: list[InstanceId], now: float) -> list[QueryStatus]:
         """Return queries to these members, out of turn."""
         members = [self._view.members[name] for name in instances if name in self._view.members]
         return [query for member in members for query in self._query(member, now)]
