--- a/src/bramblebeam/core/group/changes.py
+++ b/src/bramblebeam/core/group/changes.py
@@ -86,7 +86,7 @@
         change.phase = ChangePhase.LEVELLING
         change.paused_at = now
         for instance in change.order:
-            self._queries.answered(instance)
+            self._queries.clear_pending(instance)
 
     def take_promise(self, event: PromiseAnswered, now: float) -> None:
         """Take a member's answer to a promise."""
--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -116,10 +116,10 @@
     def _take(self, event: Any, now: float) -> None:
         match event:
             case StatusObserved():
-                self._queries.answered(event.instance)
+                self._queries.clear_pending(event.instance)
                 self.view.record_status(event.status, event.queried_at, now)
             case StatusFailed():
-                self._queries.answered(event.instance)
+                self._queries.clear_pending(event.instance)
                 self.view.record_failure(event.instance, event.queried_at, event.refused)
             case PromiseAnswered():
                 self._changes.take_promise(event, now)
--- a/src/bramblebeam/core/group/queries.py
+++ b/src/bramblebeam/core/group/queries.py
@@ -53,7 +53,7 @@
         members = [self._view.members[name] for name in instances if name in self._view.members]
         return [query for member in members for query in self._query(member, now)]
 
-    def answered(self, instance: InstanceId) -> None:
+    def clear_pending(self, instance: InstanceId) -> None:
         """Allow the next query to this member."""
         member = self._view.members.get(instance)
         if member is not None:
