--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -84,7 +84,7 @@
         self._begin_request(now)
         if self.managed and self._changes.change is None:
             self._decide(now)
-        self._outbox.extend(self._reachability.questions(self._watchers, now))
+        self._outbox.extend(self._reachability.due_requests(self._watchers, now))
         self._outbox.extend(self._queries.due_queries(now))
         self._publish()
         self._wakeup_expected = self.next_wakeup()
--- a/src/bramblebeam/core/group/reachability.py
+++ b/src/bramblebeam/core/group/reachability.py
@@ -28,7 +28,7 @@
         instance, at = self._reached
         return instance == self._view.primary and now - at < self._timing.reachability_valid
 
-    def questions(self, watchers: tuple[NodeId, ...], now: float) -> list[Send]:
+    def due_requests(self, watchers: tuple[NodeId, ...], now: float) -> list[Send]:
         """Return the questions that are due."""
         primary = self._view.primary_observation()
         if primary is None or now < self._ask_at:
