--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -78,7 +78,7 @@
         self._changes.expire(now)
         self._take(event, now)
         self._changes.advance(now)
-        self._assessment = assess(self.view, self._reachability.by_others(now), now)
+        self._assessment = assess(self.view, self._reachability.reached_by_others(now), now)
         if self._looks_closely():
             self._queries.start_alert(now)
         self._begin_request(now)
--- a/src/bramblebeam/core/group/reachability.py
+++ b/src/bramblebeam/core/group/reachability.py
@@ -23,7 +23,7 @@
         self._ask_at = float("-inf")
         self._reached: tuple[InstanceId | None, float] = (None, float("-inf"))
 
-    def by_others(self, now: float) -> bool:
+    def reached_by_others(self, now: float) -> bool:
         """Whether another watcher lately said that it reaches the present primary."""
         instance, at = self._reached
         return instance == self._view.primary and now - at < self._timing.reachability_valid
