--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -135,7 +135,7 @@
                 self._queries.start_alert(now)
                 self._outbox.append(self._reachability.reply(sender, instance, now))
             case Received(message=ReachabilityReply() as reply):
-                self._reachability.take(reply, now)
+                self._reachability.handle_reply(reply, now)
             case Received(message=PrimaryNotice(term=term, primary=primary)):
                 self.view.record_promotion(term, primary, now)
                 self._queries.start_alert(now)
--- a/src/bramblebeam/core/group/reachability.py
+++ b/src/bramblebeam/core/group/reachability.py
@@ -45,7 +45,7 @@
         reached = member is not None and member.is_fresh(now, REACHABLE_WITHIN)
         return Send(asker, ReachabilityReply(self._group, instance, reached))
 
-    def take(self, reply: ReachabilityReply, now: float) -> None:
+    def handle_reply(self, reply: ReachabilityReply, now: float) -> None:
         """Take another watcher's answer."""
         if reply.reachable:
             self._reached = (reply.instance, now)
