--- a/src/bramblebeam/core/group/followers.py
+++ b/src/bramblebeam/core/group/followers.py
@@ -14,7 +14,7 @@
         self._timing = timing
         self._outbox = outbox
 
-    def tend(self, rank: int, now: float) -> None:
+    def redirect_members(self, rank: int, now: float) -> None:
         """Point members that are back, or that were left behind; the first watcher at once."""
         for name, member in self._view.members.items():
             if not self._left_behind(member) or not member.is_fresh(
