--- a/src/bramblebeam/core/group/changes.py
+++ b/src/bramblebeam/core/group/changes.py
@@ -198,7 +198,7 @@
         self._outbox.append(ChangeCompleted(change.term, change.chosen, duration))
         for name in change.order:
             if name != change.chosen:
-                self._followers.point(name, now)
+                self._followers.send_follow(name, now)
         self._outbox.extend(self._queries.query_now(list(change.order), now))
         done = change.chosen == change.target
         outcome = ChangeOutcome.DONE if done else ChangeOutcome.OTHER_CHOSEN
--- a/src/bramblebeam/core/group/followers.py
+++ b/src/bramblebeam/core/group/followers.py
@@ -26,9 +26,9 @@
                 member.not_following_since = now
             turn = member.not_following_since + rank * self._timing.follow_interval
             if now >= max(turn, member.follow_sent_at + self._timing.follow_interval):
-                self.point(name, now)
+                self.send_follow(name, now)
 
-    def point(self, name: InstanceId, now: float) -> None:
+    def send_follow(self, name: InstanceId, now: float) -> None:
         """Have a member follow the primary."""
         assert self._view.primary is not None
         self._view.members[name].follow_sent_at = now
