--- a/src/bramblebeam/core/group/followers.py
+++ b/src/bramblebeam/core/group/followers.py
@@ -36,7 +36,7 @@
         timeout = self._timing.follow_timeout
         self._outbox.append(Follow(name, self._view.term, primary, timeout))
 
-    def kept_out(self, rank: int, now: float) -> bool:
+    def has_blocked_member(self, rank: int, now: float) -> bool:
         """Whether a member's promise of a higher term has kept it out for long.
 
         Such a promise is what an abandoned attempt leaves behind; the member takes nothing from
--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -178,7 +178,7 @@
     def _keep_together(self, now: float) -> None:
         """Bring members back to a primary that works; by a new term where nothing less helps."""
         self._followers.redirect_members(self._waiting.rank, now)
-        if self._followers.kept_out(self._waiting.rank, now):
+        if self._followers.has_blocked_member(self._waiting.rank, now):
             self._followers.forget_kept_out()
             self._changes.start(Cause.TERM_PROMISED, now, target=self.view.primary)
 
