--- a/src/bramblebeam/core/group/followers.py
+++ b/src/bramblebeam/core/group/followers.py
@@ -54,7 +54,7 @@
                 long = long or now - since >= bound
         return long
 
-    def forget_kept_out(self) -> None:
+    def reset_blocked_times(self) -> None:
         """Count the time anew: a new term is on its way."""
         for member in self._view.members.values():
             member.blocked_since = None
--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -179,7 +179,7 @@
         """Bring members back to a primary that works; by a new term where nothing less helps."""
         self._followers.redirect_members(self._waiting.rank, now)
         if self._followers.has_blocked_member(self._waiting.rank, now):
-            self._followers.forget_kept_out()
+            self._followers.reset_blocked_times()
             self._changes.start(Cause.TERM_PROMISED, now, target=self.view.primary)
 
     def _take_request(self, event: ChangeRequested, now: float) -> None:
