--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -169,7 +169,7 @@
             self._keep_together(now)
             return
         cause = self._assessment.cause or self._waiting.interrupted
-        self._waiting.suspect(cause is not None, now)
+        self._waiting.record_suspicion(cause is not None, now)
         if cause is None or now < self._waiting.act_at(self.view):
             return
         if len(self.view.fresh_members(now)) >= self.view.majority:
--- a/src/bramblebeam/core/group/waiting.py
+++ b/src/bramblebeam/core/group/waiting.py
@@ -25,7 +25,7 @@
         self._retry_at = float("-inf")
         self._failures = 0
 
-    def suspect(self, suspected: bool, now: float) -> None:
+    def record_suspicion(self, suspected: bool, now: float) -> None:
         """Note whether there is a cause to act."""
         if not suspected:
             self.suspected_since = None
