--- a/src/bramblebeam/core/group/changes.py
+++ b/src/bramblebeam/core/group/changes.py
@@ -207,7 +207,7 @@
     def _give_up(self, change: Change, detail: str, now: float) -> None:
         """End an attempt that has asked for promises; another one follows if nobody leads."""
         self.change = None
-        self._waiting.failed(change.cause, change.term, now)
+        self._waiting.record_failure(change.cause, change.term, now)
         self._outbox.append(ChangeGivenUp(change.term, detail))
         self._finish_request(change, ChangeOutcome.FAILED, detail, now)
 
--- a/src/bramblebeam/core/group/waiting.py
+++ b/src/bramblebeam/core/group/waiting.py
@@ -43,7 +43,7 @@
         others = view.highest_term != self.own_term
         return max(at, view.promise_learned_at + wait) if others else at
 
-    def failed(self, cause: Cause, term: int, now: float) -> None:
+    def record_failure(self, cause: Cause, term: int, now: float) -> None:
         """Note that an attempt at `term` failed."""
         self.interrupted = cause
         self.own_term = term
