--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -98,7 +98,7 @@
         phase_end = self._changes.next_wakeup()
         if phase_end is not None:
             return min(due, phase_end)
-        turn = self._waiting.act_at(self.view)
+        turn = self._waiting.may_act_at(self.view)
         return min(due, turn) if turn > self._handled_at else due
 
     def status(self, now: float) -> GroupStatusReply:
@@ -170,7 +170,7 @@
             return
         cause = self._assessment.cause or self._waiting.interrupted
         self._waiting.record_suspicion(cause is not None, now)
-        if cause is None or now < self._waiting.act_at(self.view):
+        if cause is None or now < self._waiting.may_act_at(self.view):
             return
         if len(self.view.fresh_members(now)) >= self.view.majority:
             self._changes.start(cause, now)
--- a/src/bramblebeam/core/group/waiting.py
+++ b/src/bramblebeam/core/group/waiting.py
@@ -32,7 +32,7 @@
         elif self.suspected_since is None:
             self.suspected_since = now
 
-    def act_at(self, view: Observations) -> float:
+    def may_act_at(self, view: Observations) -> float:
         """Return when this watcher may act on a suspicion (seconds)."""
         since = float("inf") if self.suspected_since is None else self.suspected_since
         turn = self.rank * self._timing.rank_wait
