--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -160,7 +160,7 @@
 
     def _looks_closely(self) -> bool:
         busy = self._changes.change is not None or self._request is not None
-        return busy or self._assessment.needs_alert or self._waiting.interrupted is not None
+        return busy or self._assessment.needs_alert or self._waiting.failed_cause is not None
 
     def _decide(self, now: float) -> None:
         """Start a change when there is a cause and this watcher's turn has come."""
@@ -168,7 +168,7 @@
             self._waiting.reset()
             self._keep_together(now)
             return
-        cause = self._assessment.cause or self._waiting.interrupted
+        cause = self._assessment.cause or self._waiting.failed_cause
         self._waiting.record_suspicion(cause is not None, now)
         if cause is None or now < self._waiting.may_act_at(self.view):
             return
--- a/src/bramblebeam/core/group/waiting.py
+++ b/src/bramblebeam/core/group/waiting.py
@@ -18,7 +18,7 @@
         self._key = f"{group}\x00{node}"
         self.rank = 0
         self.suspected_since: float | None = None
-        self.interrupted: Cause | None = None
+        self.failed_cause: Cause | None = None
         """Why an attempt that failed had begun: it may have left the group without a primary."""
         self.own_term = 0
         """The last term that this watcher asked promises for."""
@@ -45,7 +45,7 @@
 
     def record_failure(self, cause: Cause, term: int, now: float) -> None:
         """Note that an attempt at `term` failed."""
-        self.interrupted = cause
+        self.failed_cause = cause
         self.own_term = term
         self._failures += 1
         wait = self._timing.retry_wait * min(self._failures, 4)
@@ -54,7 +54,7 @@
     def reset(self) -> None:
         """Note that the group has a primary again."""
         self.suspected_since = None
-        self.interrupted = None
+        self.failed_cause = None
         self._failures = 0
         self._retry_at = float("-inf")
 
