--- a/src/bramblebeam/core/group/changes.py
+++ b/src/bramblebeam/core/group/changes.py
@@ -22,7 +22,7 @@
 from bramblebeam.core.group.planned import has_caught_up
 from bramblebeam.core.group.queries import QuerySchedule
 from bramblebeam.core.group.timing import GroupTiming
-from bramblebeam.core.group.waiting import Waiting
+from bramblebeam.core.group.waiting import TurnSchedule
 from bramblebeam.core.identity import InstanceId
 
 
@@ -33,7 +33,7 @@
         self,
         view: Observations,
         queries: QuerySchedule,
-        waiting: Waiting,
+        waiting: TurnSchedule,
         followers: Followers,
         timing: GroupTiming,
         outbox: list[Effect],
--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -36,7 +36,7 @@
 from bramblebeam.core.group.reachability import Reachability
 from bramblebeam.core.group.suspicion import Assessment, assess, primary_works
 from bramblebeam.core.group.timing import GroupTiming
-from bramblebeam.core.group.waiting import Waiting
+from bramblebeam.core.group.waiting import TurnSchedule
 from bramblebeam.core.identity import GroupId, InstanceId, NodeId
 from bramblebeam.core.machine import Received, Send, Wakeup
 
@@ -57,7 +57,7 @@
         self.managed = True
         self._outbox: list[Any] = []
         self._queries = QuerySchedule(self.view, self.timing)
-        self._waiting = Waiting(group, node, self.timing)
+        self._waiting = TurnSchedule(group, node, self.timing)
         self._followers = Followers(self.view, self.timing, self._outbox)
         self._reachability = Reachability(group, node, self.view, self.timing)
         self._changes = Changes(
--- a/src/bramblebeam/core/group/waiting.py
+++ b/src/bramblebeam/core/group/waiting.py
@@ -10,7 +10,7 @@
 JITTER_STEPS = 1024
 
 
-class Waiting:
+class TurnSchedule:
     """The times since which, and until which, this watcher waits."""
 
     def __init__(self, group: GroupId, node: NodeId, timing: GroupTiming) -> None:
