--- a/src/bramblebeam/core/group/changes.py
+++ b/src/bramblebeam/core/group/changes.py
@@ -22,7 +22,7 @@
 from bramblebeam.core.group.planned import has_caught_up
 from bramblebeam.core.group.queries import QuerySchedule
 from bramblebeam.core.group.timing import GroupTiming
-from bramblebeam.core.group.waiting import TurnSchedule
+from bramblebeam.core.group.turn_schedule import TurnSchedule
 from bramblebeam.core.identity import InstanceId
 
 
--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -36,7 +36,7 @@
 from bramblebeam.core.group.reachability import Reachability
 from bramblebeam.core.group.suspicion import Assessment, assess, primary_works
 from bramblebeam.core.group.timing import GroupTiming
-from bramblebeam.core.group.waiting import TurnSchedule
+from bramblebeam.core.group.turn_schedule import TurnSchedule
 from bramblebeam.core.identity import GroupId, InstanceId, NodeId
 from bramblebeam.core.machine import Received, Send, Wakeup
 
