--- a/src/bramblebeam/core/group/changes.py
+++ b/src/bramblebeam/core/group/changes.py
@@ -75,7 +75,7 @@
         else:
             self._give_up(change, "no answer in time", now)
 
-    def take_pause(self, event: PauseAnswered, now: float) -> None:
+    def handle_pause(self, event: PauseAnswered, now: float) -> None:
         """Take the primary's answer to the request to hold writes back."""
         change = self.change
         if change is None or change.phase is not ChangePhase.PAUSING:
--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -126,7 +126,7 @@
             case PromoteAnswered():
                 self._changes.take_promotion(event, now)
             case PauseAnswered():
-                self._changes.take_pause(event, now)
+                self._changes.handle_pause(event, now)
             case ChangeRequested():
                 self._take_request(event, now)
             case GroupReconfigured():
