--- a/src/bramblebeam/core/group/changes.py
+++ b/src/bramblebeam/core/group/changes.py
@@ -88,7 +88,7 @@
         for instance in change.order:
             self._queries.clear_pending(instance)
 
-    def take_promise(self, event: PromiseAnswered, now: float) -> None:
+    def handle_promise(self, event: PromiseAnswered, now: float) -> None:
         """Take a member's answer to a promise."""
         if event.status is not None:
             self._view.record_status(event.status, now, now)
--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -122,7 +122,7 @@
                 self._queries.clear_pending(event.instance)
                 self.view.record_failure(event.instance, event.queried_at, event.refused)
             case PromiseAnswered():
-                self._changes.take_promise(event, now)
+                self._changes.handle_promise(event, now)
             case PromoteAnswered():
                 self._changes.take_promotion(event, now)
             case PauseAnswered():
