--- a/src/bramblebeam/core/group/changes.py
+++ b/src/bramblebeam/core/group/changes.py
@@ -98,7 +98,7 @@
         if change.phase is ChangePhase.PROMISING:
             change.record_promise(event.instance, event.outcome, event.status, now)
 
-    def take_promotion(self, event: PromoteAnswered, now: float) -> None:
+    def handle_promotion(self, event: PromoteAnswered, now: float) -> None:
         """Take the chosen member's answer. A lost one is settled by the next statuses."""
         if event.outcome is CommandOutcome.DONE:
             self._view.record_promotion(event.term, event.instance, now)
--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -124,7 +124,7 @@
             case PromiseAnswered():
                 self._changes.handle_promise(event, now)
             case PromoteAnswered():
-                self._changes.take_promotion(event, now)
+                self._changes.handle_promotion(event, now)
             case PauseAnswered():
                 self._changes.handle_pause(event, now)
             case ChangeRequested():
