--- a/src/bramblebeam/core/group/changes.py
+++ b/src/bramblebeam/core/group/changes.py
@@ -26,7 +26,7 @@
 from bramblebeam.core.identity import InstanceId
 
 
-class Changes:
+class ChangeCoordinator:
     """At most one change at a time. What is to be done is added to `outbox`."""
 
     def __init__(
--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -7,7 +7,7 @@
 
 from typing import Any
 
-from bramblebeam.core.group.changes import Changes
+from bramblebeam.core.group.changes import ChangeCoordinator
 from bramblebeam.core.group.events import (
     Cause,
     ChangeRequested,
@@ -60,7 +60,7 @@
         self._waiting = TurnSchedule(group, node, self.timing)
         self._followers = Followers(self.view, self.timing, self._outbox)
         self._reachability = Reachability(group, node, self.view, self.timing)
-        self._changes = Changes(
+        self._changes = ChangeCoordinator(
             self.view, self._queries, self._waiting, self._followers, self.timing, self._outbox
         )
         self._watchers: tuple[NodeId, ...] = ()
