--- a/src/bramblebeam/core/group/machine.py
+++ b/src/bramblebeam/core/group/machine.py
@@ -7,7 +7,7 @@
 
 from typing import Any
 
-from bramblebeam.core.group.changes import ChangeCoordinator
+from bramblebeam.core.group.change_coordinator import ChangeCoordinator
 from bramblebeam.core.group.events import (
     Cause,
     ChangeRequested,
