--- a/src/bramblebeam/core/failover/__init__.py
+++ b/src/bramblebeam/core/failover/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of an ordered change of primary, where an outside service promotes by order."""
+"""Decides on changes of primary that an external service carries out on request."""
--- a/src/bramblebeam/core/failover/decision.py
+++ b/src/bramblebeam/core/failover/decision.py
@@ -1,9 +1,9 @@
 """When a node changes the primary of a group.
 
-The lease's holder acts first. Another node takes the lease over when the trouble lasts and the
-lease has not been written since: a holder writes it before each change, so that its silence means
-that it is gone, is cut off from the store, or does not see the trouble. Times are seconds of the
-steady clock.
+The lease holder acts first. Another node takes the lease over if the trouble lasts and the lease
+has not been written meanwhile. A holder writes the lease before each change, so a holder that
+does not write has failed, is cut off from the store, or does not observe the trouble. Times are
+seconds of the monotonic clock.
 """
 
 from dataclasses import dataclass
@@ -17,32 +17,33 @@
     """Why the primary is to be changed."""
 
     LOST = "lost"
-    """No database answers as the leader."""
+    """No database responds as the leader."""
     LEAVING = "leaving"
-    """The leader's server says that it leaves."""
+    """The leader's server reports that it is leaving."""
     LAPSED = "lapsed"
-    """The leader's registration went; it leaves without a word, or will register again."""
+    """The leader's registration expired: it left unannounced, or it will register again."""
     STALLED = "stalled"
-    """The leader answers, but acknowledges no writes: too few replicas receive them."""
+    """The leader responds but acknowledges no writes: too few replicas receive them."""
     UNCONFIRMED = "unconfirmed"
-    """The leader answers, but no member confirms a lease on it: they were left paused."""
+    """The leader responds but no member confirms a lease on it: the members were left paused."""
     UNSETTLED = "unsettled"
-    """The leader is not the one that was ordered, and the order may yet be carried out."""
+    """The leader is not the ordered one, and the order may still be carried out."""
 
 
 @dataclass(frozen=True, slots=True)
 class FailoverTiming:
-    """Bounds of a change of primary (seconds).
-
-    `suspicion`: how long a leader must be missed before the holder acts. `lapse`: as long as that
-    where only its registration is missing: all registrations go while the store is out of order,
-    and come back. `challenge`: how long the
-    trouble must last before another node acts, `rank_step` more for each place in the order of
-    nodes. `observation`: how long another node's lease must have been seen unchanged. `hold`: how
-    long after its write of the lease a holder may begin an order by it, so that the order has left
-    before the `observation` of others is over. `attempt`:
-    how long one change may take before it is tried again. `resignation`: after that without a
-    primary a group with asynchronous logs takes any member, also one whose log may be old.
+    """Time limits of a change of primary (seconds).
+
+    `suspicion_timeout`: how long a leader must be missing before the lease holder acts.
+    `lapse_timeout`: the same if only its registration is missing. It is longer because all
+    registrations expire while the store is unavailable, and return with it. `takeover_delay`: how
+    much longer the trouble must last before a node acts that is not the holder. `rank_step`: added
+    to that per rank of the node. `lease_observation`: how long the lease of another node must have
+    been observed unchanged. `order_window`: how long after its lease write a holder may begin an
+    order, so that the order is sent before the `lease_observation` of other nodes ends.
+    `attempt_timeout`: how long one change may take before it is attempted again.
+    `any_member_after`: after this long without a primary, a group with asynchronous replication
+    accepts any member, even if its log may be old.
     """
 
     suspicion_timeout: float = 0.15
@@ -57,12 +58,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Situation:
-    """What a node knows about a group.
+    """What a node knows about a group when it decides on a change of primary.
 
-    `trouble_since`: when the trouble began, None: there is none. `quiet_until`: until when the
-    lease may not be taken over, see `quiet_time`, nor used right after the store came back from a
-    copy. `ordered_at`: when this node last ordered a
-    promotion that may still come into effect.
+    `rank`: position of the node in the group's takeover order, from 0. `trouble_since`: when the
+    trouble began, or None. `quiet_until`: until when the lease must not be taken over (see
+    `quiet_time`), nor used after the store was restored from a copy. `ordered_at`: when this node
+    last ordered a promotion that may still take effect.
     """
 
     node: NodeId
@@ -76,7 +77,7 @@
 
 
 class Action(Enum):
-    """What to do now."""
+    """What a node does about the primary now."""
 
     NONE = "none"
     CHANGE = "change the primary"
@@ -84,36 +85,36 @@
 
 
 def decide(situation: Situation, now: float, timing: FailoverTiming) -> Action:
-    """Return what the node does about the group's primary."""
+    """Return the action of the node in this situation."""
     if situation.cause is None or situation.trouble_since is None:
         return Action.NONE
     if situation.ordered_at is not None and now - situation.ordered_at < timing.attempt_timeout:
         return Action.NONE
-    lasted = now - situation.trouble_since
+    elapsed = now - situation.trouble_since
     lease = situation.lease
     if lease is not None and lease.holder == situation.node:
         if now < situation.quiet_until:
-            # Created or claimed after a restore: the last holder of before may still act.
+            # The lease was created, or claimed after a restore: a former holder may still act.
             return Action.NONE
-        return Action.CHANGE if lasted >= _threshold(situation.cause, timing) else Action.NONE
+        return Action.CHANGE if elapsed >= _holder_wait(situation.cause, timing) else Action.NONE
     is_released = lease is not None and not lease.holder
-    patience = _threshold(situation.cause, timing) + situation.rank * timing.rank_step
+    wait = _holder_wait(situation.cause, timing) + situation.rank * timing.rank_step
     if not is_released:
-        patience += timing.takeover_delay
-    if lasted < patience or now < situation.quiet_until:
+        wait += timing.takeover_delay
+    if elapsed < wait or now < situation.quiet_until:
         return Action.NONE
     return Action.TAKE_OVER
 
 
 def is_suspicion_over(situation: Situation, now: float, timing: FailoverTiming) -> bool:
-    """Whether the trouble has lasted so long that the lease's holder acts."""
+    """Whether the trouble has elapsed long enough for the lease holder to act."""
     if situation.cause is None or situation.trouble_since is None:
         return False
-    return now - situation.trouble_since >= _threshold(situation.cause, timing)
+    return now - situation.trouble_since >= _holder_wait(situation.cause, timing)
 
 
-def _threshold(cause: Cause, timing: FailoverTiming) -> float:
-    """Return how long the trouble must last before anything is done (seconds)."""
+def _holder_wait(cause: Cause, timing: FailoverTiming) -> float:
+    """Return how long the trouble must last before the lease holder acts (seconds)."""
     if cause in (Cause.LEAVING, Cause.UNCONFIRMED, Cause.UNSETTLED):
         return 0.0
     return timing.lapse_timeout if cause is Cause.LAPSED else timing.suspicion_timeout
@@ -124,8 +125,8 @@
 ) -> float:
     """Return for how long a lease that was just read must not be taken over (seconds).
 
-    A lease that was written since it was last read: its holder acts, and gets the time of one
-    change. One that is read for the first time since the trouble began may be old or new.
+    If the lease was written since the previous read, its holder is acting and gets the time of one
+    change. A lease that is read for the first time since the trouble began may be old or new.
     """
     is_released = not found.holder
     if is_released or (known is not None and known.token == found.token):
--- a/src/bramblebeam/core/failover/lease.py
+++ b/src/bramblebeam/core/failover/lease.py
@@ -1,4 +1,4 @@
-"""The lease on a group's changes of primary, kept in the platform's store."""
+"""The lease for changing the primary of a group, kept in the platform's store."""
 
 from dataclasses import dataclass, replace
 
@@ -19,7 +19,7 @@
     """One ordered change of primary.
 
     `term`: the lowest term that the target leads once the order is carried out. `cut`: the end of
-    the target's log when it was chosen. What other logs have beyond it may be rolled back.
+    the target's log when it was chosen. Entries of other logs beyond it may be rolled back.
     """
 
     target: InstanceId
@@ -27,26 +27,26 @@
     cut: Position = ZERO_POSITION
 
     def is_led_by(self, leader: InstanceId | None) -> bool:
-        """Whether a leader is the target. It may have started again before it was promoted."""
+        """Whether `leader` is the target, which may have restarted before its promotion."""
         if leader is None or server_name(leader) != server_name(self.target):
             return False
         return born_at(leader) >= born_at(self.target)
 
 
 UNKNOWN_HOLDER = NodeId("?")
-"""Of a lease that was written in a former era: somebody may have held it last, or nobody."""
+"""Holder of a lease from a former era: which node held it last, if any, is unknown."""
 
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """Who may change the primary of a group.
-
-    `token`: the fencing token. It is the store's revision of the lease's last write, so that it is
-    unique, rises with each write, and no two holders ever have the same one. `holder` is empty
-    where the former holder released the lease. `last_change`: the last one that is known to be
-    carried out. `unsettled`: one that was ordered later and not answered; until it is, no other
-    member may be promoted. `era`: the one in which its writer took the store to be. If the store
-    tells another one it came back from a copy, or the write found what was not meant.
+    """Entitles its holder to change the primary of a group.
+
+    `token`: the fencing token. It is the store's revision of the last write of the lease, so it
+    rises with each write and no two holders ever have the same one. `holder` is empty if the former
+    holder released the lease. `last_change`: the last change known to be carried out. `unsettled`:
+    a later change that was ordered but not answered. Until it is, no other member may be promoted.
+    `era`: the era of the store as its writer knew it. If the store reports another era, it was
+    restored from a copy, or the write found a lease other than the intended one.
     """
 
     group: GroupId
@@ -58,11 +58,11 @@
 
     @property
     def is_of_former_era(self) -> bool:
-        """Whether it tells nothing of who holds the lease now."""
+        """Whether the lease does not show which node holds it now."""
         return self.era != self.token.era
 
     def with_later_changes_of(self, former: "Lease") -> "Lease":
-        """Return the lease with what a former state of it tells of later changes."""
+        """Return the lease with the later changes that a former state of it records."""
         last_change = _later(self.last_change, former.last_change)
         unsettled = _later(self.unsettled, former.unsettled)
         if unsettled is not None and last_change is not None and unsettled.term <= last_change.term:
@@ -70,7 +70,7 @@
         return replace(self, last_change=last_change, unsettled=unsettled)
 
 
-def _later(told: OrderedChange | None, known: OrderedChange | None) -> OrderedChange | None:
-    if told is None or known is None:
-        return told or known
-    return known if known.term > told.term else told
+def _later(current: OrderedChange | None, former: OrderedChange | None) -> OrderedChange | None:
+    if current is None or former is None:
+        return current or former
+    return former if former.term > current.term else current
--- a/src/bramblebeam/core/failover/messages.py
+++ b/src/bramblebeam/core/failover/messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes about a leader that is to be replaced."""
+"""Messages between nodes for replacing a leader."""
 
 from enum import IntEnum
 from typing import NamedTuple
@@ -7,22 +7,22 @@
 
 
 class StepDownOutcome(IntEnum):
-    """What became of the attempt to take the lead from a database."""
+    """Result of an attempt to make a database step down as leader."""
 
     DONE = 1
-    """It leads no more, and takes no writes."""
+    """It no longer leads and accepts no writes."""
     GONE = 2
-    """Nothing listens at its address, or another database does."""
+    """No process listens at its address, or another database does."""
     UNREACHABLE = 3
-    """It gave no answer. It may lead on, but the node that tried does not use it any more."""
+    """It did not respond. It may still lead, but the requested node no longer uses it."""
     NO_ANSWER = 4
-    """The node that was to try gave no answer."""
+    """The requested node did not respond."""
 
 
 class StepDownRequest(NamedTuple):
-    """Ask a node to take the lead from a database in favour of `term`, and to use it no more.
+    """Requests a node to make a database step down for `term`, and to stop using it.
 
-    Whichever start of it the node knows: the two nodes may not both have heard of the last one.
+    Applies to any incarnation of the server, since the nodes may not both know the latest one.
     """
 
     group: GroupId
@@ -31,7 +31,7 @@
 
 
 class StepDownReply(NamedTuple):
-    """What the node met. `position`: the end of the database's log, where it is DONE."""
+    """Result of a step-down request. `position`: the end of the database's log if DONE."""
 
     outcome: StepDownOutcome
     position: Position = ZERO_POSITION
--- a/src/bramblebeam/core/failover/target.py
+++ b/src/bramblebeam/core/failover/target.py
@@ -1,4 +1,4 @@
-"""Which member of a group is promoted."""
+"""Choice of the member of a group to promote."""
 
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CandidateStatus:
-    """What a member that can be reached says of itself. `paused`: it receives nothing now."""
+    """Status reported by a reachable member. `paused`: it receives no log entries for now."""
 
     is_primary: bool
     term: int
@@ -18,17 +18,17 @@
     paused: bool = False
 
 
-def follows(
+def has_no_rolled_back_entries(
     instance: InstanceId,
     status: CandidateStatus,
     last_change: OrderedChange | None,
     synchronous: bool = False,
 ) -> bool:
-    """Whether a member's log surely has nothing that the last change of primary rolled back.
+    """Whether a member's log certainly has no entry that the last change of primary rolled back.
 
-    A former primary that could not be reached since keeps its old log. To promote it would bring
-    back commits that others have read past, and drop those made since. A log that is part of the
-    cut has nothing of that kind, but with synchronous replicas it may lack acknowledged commits.
+    A former primary that has been unreachable since then keeps its old log. Promoting it would
+    restore commits that sessions have read past, and drop later ones. A log that is a prefix of the
+    cut has no such entries, but with synchronous replicas it may lack acknowledged commits.
     """
     if last_change is None or instance == last_change.target:
         return True
@@ -36,14 +36,14 @@
         return True
     cut = last_change.cut
     is_prefix = status.received.term <= cut.term and status.received.offset <= cut.offset
-    is_part = status.term >= cut.term and is_prefix
-    return is_part and not synchronous
+    is_part_of_cut = status.term >= cut.term and is_prefix
+    return is_part_of_cut and not synchronous
 
 
 def next_term(
     statuses: Mapping[InstanceId, CandidateStatus], last_change: OrderedChange | None
 ) -> int:
-    """Return the lowest term that the next primary leads, also where a newer one is unreachable."""
+    """Return the lowest term of the next primary, above the last change's even if unreachable."""
     known = [status.term for status in statuses.values()]
     if last_change is not None:
         known.append(last_change.term)
@@ -57,17 +57,19 @@
     last_change: OrderedChange | None = None,
     synchronous: bool = False,
 ) -> InstanceId | None:
-    """Return the reachable member with the longest log; a leaving one only for want of others.
+    """Return the reachable member with the longest log; a leaving one only if there is no other.
 
-    One without a log, as after it started again, comes after all others. With synchronous replicas
-    the longest log rules alone: only it surely has every acknowledged commit.
+    A member without a log, for example after a restart, ranks last. With synchronous replicas the
+    longest log decides even for a leaving member: only it certainly has every acknowledged commit.
     """
     candidates = [
         entry
         for entry in members
         if entry.instance in statuses
         and entry.instance != leader
-        and follows(entry.instance, statuses[entry.instance], last_change, synchronous)
+        and has_no_rolled_back_entries(
+            entry.instance, statuses[entry.instance], last_change, synchronous
+        )
     ]
     if not candidates:
         return None
@@ -88,19 +90,19 @@
     members: Collection[DatabaseEntry],
     statuses: Mapping[InstanceId, CandidateStatus],
     had_log: bool,
-    waited_in_vain: bool,
+    wait_expired: bool,
 ) -> bool:
-    """Whether a target may be promoted though its log may be empty.
+    """Whether a target may be promoted although its log may be empty.
 
-    `had_log`: the group is known to have had commits. Then a member that has them is waited for:
-    as long as one is registered that did not tell how far it is, and else until `waited_in_vain`.
+    `had_log`: the group is known to have had commits. The caller then waits for a member that has
+    them: at least until `wait_expired`, and as long as a registered member has not reported.
     """
     if statuses[target].received.offset > 0 or not had_log:
         return True
-    untold = [
+    unreported = [
         entry.instance for entry in members if entry.instance not in statuses and not entry.lapsed
     ]
-    return waited_in_vain and not untold
+    return wait_expired and not unreported
 
 
 def covers_acknowledged(
@@ -108,16 +110,16 @@
     statuses: Mapping[InstanceId, CandidateStatus],
     leader: InstanceId | None,
     synchronous_replicas: int,
-    forgetful: Collection[InstanceId] = (),
+    restarted: Collection[InstanceId] = (),
 ) -> bool:
-    """Whether the longest paused log surely has every acknowledged commit.
+    """Whether the longest log of the paused members certainly has every acknowledged commit.
 
-    `forgetful`: replicas that started again and have not caught up: what their former start had
-    received may be in no log.
+    `restarted`: replicas that restarted and have not caught up. What they received in their former
+    incarnation may be in no log.
 
     A commit is acknowledged once `synchronous_replicas` replicas have received it. If fewer
-    replicas than that are outside the paused set, every acknowledged commit is in one paused log,
-    and none can be acknowledged any more.
+    replicas than that are not paused, every acknowledged commit is in a paused log, and no further
+    commit can be acknowledged.
     """
     if synchronous_replicas <= 0:
         return True
@@ -125,6 +127,6 @@
     paused = sum(
         1
         for instance in replicas
-        if instance in statuses and statuses[instance].paused and instance not in forgetful
+        if instance in statuses and statuses[instance].paused and instance not in restarted
     )
     return len(replicas) - paused < synchronous_replicas
--- a/src/bramblebeam/core/failover/unwritten.py
+++ b/src/bramblebeam/core/failover/unwritten.py
@@ -1,9 +1,9 @@
-"""Changes of primary that the lease does not tell.
+"""Finds changes of primary that the lease does not record.
 
-Where the outside service checks tokens, the holder of a group's lease changes the primary also
-while the store gives no answer, and writes it down later. If it is lost before, whoever takes the
-lease over finds an older change in it, or none. The former primary's log would then be promoted,
-and commits that were rolled back would count again. What members say shows that there was a change.
+If the external service checks tokens, the lease holder changes the primary even while the store is
+unavailable, and records the change later. If the holder is lost before that, the node that takes
+the lease over finds an older change in it, or none. It could then promote the former primary's log
+and so restore commits that were rolled back. The members' status reports reveal such a change.
 """
 
 from dataclasses import dataclass
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservedLeadership:
-    """What a node knows of changes beside the lease.
+    """What a node knows about changes of primary from sources other than the lease.
 
-    `leader`, `term`: the last leader that it found, and the newest term that it was found to lead.
-    `newest_term`: the newest that any member told of. `was_replaced`: that leader says itself that
-    it leads no more, and it was not this node that took the lead from it. `all_answer`: every other
-    member answered just now, and none of them leads.
+    `leader`, `term`: the last leader that the node found, and the newest term in which it was found
+    to lead. `newest_term`: the newest term that any member reported. `was_replaced`: that leader
+    reports that it no longer leads, and not because this node made it step down.
+    `all_others_replied`: every other member has just replied, and none of them leads.
     """
 
     leader: InstanceId | None
@@ -31,17 +31,19 @@
     all_others_replied: bool
 
 
-def infer_last_change(told: OrderedChange | None, seen: ObservedLeadership) -> OrderedChange | None:
-    """Return the last change that surely took place: the one told by the lease, or a later one.
+def infer_last_change(
+    recorded: OrderedChange | None, observed: ObservedLeadership
+) -> OrderedChange | None:
+    """Return the last change that certainly took place: the recorded one, or a later one.
 
-    Of a later one the end of the target's log is not known: a member is fit to follow it only if it
-    knows its term.
+    For a later one the end of the target's log is unknown, so a member qualifies for promotion
+    after it only if it knows the term of that change.
     """
-    newest = max(seen.term, seen.newest_term)
-    if seen.was_replaced and not seen.all_others_replied:
-        newest = max(newest, seen.term + 1)
-    if newest <= (0 if told is None else told.term):
-        return told
-    is_leader_known = seen.leader is not None and newest == seen.term
-    target = seen.leader if is_leader_known else UNKNOWN_TARGET
+    newest = max(observed.term, observed.newest_term)
+    if observed.was_replaced and not observed.all_others_replied:
+        newest = max(newest, observed.term + 1)
+    if newest <= (0 if recorded is None else recorded.term):
+        return recorded
+    is_leader_known = observed.leader is not None and newest == observed.term
+    target = observed.leader if is_leader_known else UNKNOWN_TARGET
     return OrderedChange(target or UNKNOWN_TARGET, newest)
--- a/src/bramblebeam/core/group/__init__.py
+++ b/src/bramblebeam/core/group/__init__.py
@@ -1,1 +1,1 @@
-"""Change of primary: failure detection, terms, promises, and the planned change."""
+"""Changes a group's primary: failure detection, terms, promises, and planned changes."""
--- a/src/bramblebeam/core/group/change.py
+++ b/src/bramblebeam/core/group/change.py
@@ -1,4 +1,4 @@
-"""One attempt to change the primary: its phases and what it has gathered."""
+"""State of one attempt to change the primary: its phase and the replies received."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
@@ -8,26 +8,26 @@
 from bramblebeam.core.group.messages import MemberStatus
 from bramblebeam.core.identity import InstanceId
 
-LOST_PRIMARY = frozenset({Cause.CONTACT_LOST, Cause.PRIMARY_REFUSED, Cause.UNREACHABLE})
-"""Causes for which the present primary is no good choice again."""
+LOST_PRIMARY_CAUSES = frozenset({Cause.CONTACT_LOST, Cause.PRIMARY_REFUSED, Cause.UNREACHABLE})
+"""Causes after which the current primary should not be chosen again."""
 
 
 class ChangePhase(IntEnum):
-    """Where an attempt stands."""
+    """Phase of an attempt."""
 
     PAUSING = 1
-    """The primary was asked to hold new writes back (planned changes only)."""
+    """The primary was requested to hold back new writes (planned changes only)."""
     LEVELLING = 2
-    """Waiting until the target holds all that the primary holds (planned changes only)."""
+    """Waiting until the target has all entries of the primary (planned changes only)."""
     PROMISING = 3
-    """Every member was asked to promise the new term."""
+    """Every member was requested to promise the new term."""
     PROMOTING = 4
-    """One member was asked to become primary. No other one ever is at this term."""
+    """One member was requested to become primary. No other ever is at this term."""
 
 
 @dataclass(slots=True)
 class Change:
-    """An attempt. `deadline` is of the present phase; times are seconds."""
+    """One attempt to change the primary. `deadline` is of the current phase; times in seconds."""
 
     cause: Cause
     phase: ChangePhase
@@ -47,7 +47,7 @@
 
     @property
     def majority(self) -> int:
-        """The number of promises that is needed."""
+        """Number of promises required."""
         return majority_of(len(self.order))
 
     def record_promise(
@@ -57,7 +57,7 @@
         status: MemberStatus | None,
         now: float,
     ) -> None:
-        """Record a member's answer to the promise."""
+        """Record a member's reply to the promise request."""
         if outcome is CommandOutcome.DONE and status is not None:
             self.promises[instance] = status
         else:
@@ -66,36 +66,39 @@
             self.majority_at = now
 
     def cannot_reach_majority(self) -> bool:
-        """Whether a majority cannot promise any more."""
+        """Whether a majority of promises is no longer possible."""
         return len(self.order) - len(self.failed_promises) < self.majority
 
     def ready(self, now: float, grace: float) -> bool:
-        """Whether to promote now: a majority has promised, and the rest answered or had time."""
+        """Whether to promote now: a majority promised, and the rest replied or `grace` is over."""
         if self.majority_at is None:
             return False
-        answered = self.promises.keys() | self.failed_promises
-        return self.expected <= answered or now >= self.majority_at + grace
+        replied = self.promises.keys() | self.failed_promises
+        return self.expected <= replied or now >= self.majority_at + grace
 
     def can_skip_lost_primary(self) -> bool:
-        """Whether the choice can pass a lost primary over, or need not."""
-        return self.cause not in LOST_PRIMARY or len(self._others()) >= self.majority
+        """Whether the choice can exclude a lost primary, or does not need to."""
+        return (
+            self.cause not in LOST_PRIMARY_CAUSES
+            or len(self._promises_without_old_primary()) >= self.majority
+        )
 
     def choose(self) -> InstanceId:
-        """Settle which member is promoted at this term."""
+        """Choose and record the member to promote at this term."""
         self.chosen = choose_primary(self._candidates(), self.order, self.target)
         return self.chosen
 
     def _candidates(self) -> dict[InstanceId, MemberStatus]:
         """Return the promises to choose from.
 
-        A primary that was lost is passed over where the others are a majority by themselves: it
-        may answer this watcher and yet be cut off from the members that must append its writes.
-        What it alone holds was never acknowledged.
+        A lost primary is excluded if the others form a majority without it: it may answer this
+        watcher and yet be cut off from the members that must append its writes. Entries that only
+        it has were never acknowledged.
         """
-        others = self._others()
-        if self.cause in LOST_PRIMARY and len(others) >= self.majority:
+        others = self._promises_without_old_primary()
+        if self.cause in LOST_PRIMARY_CAUSES and len(others) >= self.majority:
             return others
         return self.promises
 
-    def _others(self) -> dict[InstanceId, MemberStatus]:
+    def _promises_without_old_primary(self) -> dict[InstanceId, MemberStatus]:
         return {name: status for name, status in self.promises.items() if name != self.old_primary}
--- a/src/bramblebeam/core/group/change_coordinator.py
+++ b/src/bramblebeam/core/group/change_coordinator.py
@@ -1,4 +1,4 @@
-"""Carries one change of primary after the other through its phases."""
+"""Runs changes of primary through their phases, one at a time."""
 
 from bramblebeam.core.group.change import Change, ChangePhase
 from bramblebeam.core.group.events import (
@@ -27,13 +27,13 @@
 
 
 class ChangeCoordinator:
-    """At most one change at a time. What is to be done is added to `outbox`."""
+    """Runs at most one change at a time. Appends the resulting effects to `outbox`."""
 
     def __init__(
         self,
         view: Observations,
         queries: QuerySchedule,
-        waiting: TurnSchedule,
+        turn_schedule: TurnSchedule,
         followers: Followers,
         timing: GroupTiming,
         outbox: list[Effect],
@@ -41,23 +41,23 @@
         self.change: Change | None = None
         self._view = view
         self._queries = queries
-        self._waiting = waiting
+        self._turn_schedule = turn_schedule
         self._followers = followers
         self._timing = timing
         self._outbox = outbox
 
     def start(self, cause: Cause, now: float, target: InstanceId | None = None) -> None:
-        """Begin a change that was not asked for."""
+        """Begin a change that no operator requested."""
         self.change = self._new_change(cause, now, target, None)
-        self._ask_promises(self.change, now)
+        self._request_promises(self.change, now)
 
     def start_planned(self, request: int, target: InstanceId, now: float) -> None:
-        """Begin a requested change: the primary holds writes back while the target catches up."""
+        """Begin a requested change: the primary holds back writes while the target catches up."""
         self.change = self._new_change(Cause.REQUESTED, now, target, request)
         self._pause_writes(self.change, self._timing.write_pause)
 
     def next_wakeup(self) -> float | None:
-        """Return when the present change must be looked at again."""
+        """Return when the current change must be checked again, or None."""
         change = self.change
         if change is None:
             return None
@@ -66,7 +66,7 @@
         return change.deadline
 
     def expire(self, now: float) -> None:
-        """End the present change when its phase has lasted too long."""
+        """End the current change if its phase has timed out."""
         change = self.change
         if change is None or now < change.deadline:
             return
@@ -76,7 +76,7 @@
             self._give_up(change, "no answer in time", now)
 
     def handle_pause(self, event: PauseAnswered, now: float) -> None:
-        """Take the primary's answer to the request to hold writes back."""
+        """Handle the primary's reply to the request to hold back writes."""
         change = self.change
         if change is None or change.phase is not ChangePhase.PAUSING:
             return
@@ -89,7 +89,7 @@
             self._queries.clear_pending(instance)
 
     def handle_promise(self, event: PromiseAnswered, now: float) -> None:
-        """Take a member's answer to a promise."""
+        """Handle a member's reply to a promise request."""
         if event.status is not None:
             self._view.record_status(event.status, now, now)
         change = self.change
@@ -99,7 +99,7 @@
             change.record_promise(event.instance, event.outcome, event.status, now)
 
     def handle_promotion(self, event: PromoteAnswered, now: float) -> None:
-        """Take the chosen member's answer. A lost one is settled by the next statuses."""
+        """Handle the chosen member's reply. If it is lost, the next statuses show the outcome."""
         if event.outcome is CommandOutcome.DONE:
             self._view.record_promotion(event.term, event.instance, now)
         change = self.change
@@ -108,7 +108,7 @@
             self._give_up(change, "the chosen member refused the term", now)
 
     def advance(self, now: float) -> None:
-        """Go on to the next phase where what this one waits for has come."""
+        """Move to the next phase if the current one has what it waits for."""
         change = self.change
         if change is None:
             return
@@ -124,9 +124,9 @@
                 self._check_promotion(change, now)
 
     def _grace(self, change: Change) -> float:
-        """Return how long after a majority's promises the other answers are waited for."""
-        passes_over = change.can_skip_lost_primary()
-        return self._timing.promise_grace if passes_over else self._timing.lost_primary_grace
+        """Return how long to wait for other replies once a majority promised (seconds)."""
+        can_skip = change.can_skip_lost_primary()
+        return self._timing.promise_grace if can_skip else self._timing.lost_primary_grace
 
     def _new_change(
         self, cause: Cause, now: float, target: InstanceId | None, request: int | None
@@ -156,12 +156,12 @@
         if primary is None or target is None:
             self._abort(change, "the members changed", now)
         elif has_caught_up(primary, target, change.paused_at):
-            self._ask_promises(change, now)
+            self._request_promises(change, now)
         else:
             names = [change.old_primary, change.target]
             self._outbox.extend(self._queries.query_now(names, now))
 
-    def _ask_promises(self, change: Change, now: float) -> None:
+    def _request_promises(self, change: Change, now: float) -> None:
         change.term = self._view.highest_term + 1
         change.phase = ChangePhase.PROMISING
         change.deadline = now + self._timing.promise_timeout
@@ -170,7 +170,7 @@
             for member in self._view.fresh_members(now)
             if member.failing_since is None
         )
-        self._waiting.own_term = change.term
+        self._turn_schedule.own_term = change.term
         self._outbox.append(ChangeStarted(change.term, change.cause))
         timeout = self._timing.promise_timeout
         self._outbox.extend(Promise(name, change.term, timeout) for name in change.order)
@@ -184,7 +184,7 @@
         self._outbox.append(Promote(chosen, change.term, members, timeout))
 
     def _check_promotion(self, change: Change, now: float) -> None:
-        """See whether the chosen member is primary now, by its answer or by a status."""
+        """Check by the reply or by a status whether the chosen member is primary now."""
         if self._view.term == change.term and self._view.primary == change.chosen:
             self._complete(change, now)
         elif self._view.term > change.term:
@@ -193,7 +193,7 @@
     def _complete(self, change: Change, now: float) -> None:
         assert change.chosen is not None
         self.change = None
-        self._waiting.reset()
+        self._turn_schedule.reset()
         duration = now - change.started
         self._outbox.append(ChangeCompleted(change.term, change.chosen, duration))
         for name in change.order:
@@ -205,14 +205,14 @@
         self._finish_request(change, outcome, f"{change.chosen} is primary", now)
 
     def _give_up(self, change: Change, detail: str, now: float) -> None:
-        """End an attempt that has asked for promises; another one follows if nobody leads."""
+        """End an attempt that requested promises; another follows if there is no primary."""
         self.change = None
-        self._waiting.record_failure(change.cause, change.term, now)
+        self._turn_schedule.record_failure(change.cause, change.term, now)
         self._outbox.append(ChangeGivenUp(change.term, detail))
         self._finish_request(change, ChangeOutcome.FAILED, detail, now)
 
     def _abort(self, change: Change, detail: str, now: float) -> None:
-        """End a planned change before any promise; the primary's writes go on."""
+        """End a planned change before any promise was requested; the primary resumes writes."""
         self.change = None
         self._pause_writes(change, 0.0)
         self._finish_request(change, ChangeOutcome.ABORTED, detail, now)
--- a/src/bramblebeam/core/group/choice.py
+++ b/src/bramblebeam/core/group/choice.py
@@ -1,4 +1,4 @@
-"""Which member becomes primary."""
+"""Choice of the member to promote."""
 
 from collections.abc import Mapping, Sequence
 
@@ -7,7 +7,7 @@
 
 
 def majority_of(count: int) -> int:
-    """Return the smallest number of members, out of `count`, that is a majority."""
+    """Return the smallest number of members that is a majority of `count`."""
     return count // 2 + 1
 
 
@@ -16,16 +16,16 @@
     order: Sequence[InstanceId],
     preferred: InstanceId | None,
 ) -> InstanceId:
-    """Return the member to promote, given the statuses that came with a majority's promises.
+    """Return the member to promote, given the statuses received with a majority's promises.
 
-    Only a member with the highest last position may be chosen: it holds every acknowledged write.
-    Among these a leaving one comes last, the preferred one first, then who has applied most, then
-    the configured order. Raises ValueError without promises.
+    Only a member with the highest last position may be chosen: it has every acknowledged write.
+    Among these, the preferred member ranks first and leaving members last; then the highest applied
+    position decides, then the configured order. Raises ValueError if there are no promises.
     """
     if not promises:
         raise ValueError("no member has promised")
     highest = max(status.last for status in promises.values())
-    level = [instance for instance, status in promises.items() if status.last == highest]
+    candidates = [instance for instance, status in promises.items() if status.last == highest]
 
     def key(instance: InstanceId) -> tuple[bool, bool, int, int, int]:
         status = promises[instance]
@@ -38,4 +38,4 @@
             order.index(instance),
         )
 
-    return min(level, key=key)
+    return min(candidates, key=key)
--- a/src/bramblebeam/core/group/events.py
+++ b/src/bramblebeam/core/group/events.py
@@ -1,7 +1,7 @@
 """Events and effects of the group machine.
 
-A driver answers each command exactly once: with the member's status, with `REFUSED` for an error
-of the member, or with `LOST` when it may have run. It repeats no command by itself.
+A driver answers each command exactly once: with the member's status, with `REFUSED` if the member
+returned an error, or with `LOST` if the command may have run. It does not retry commands.
 """
 
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 
 class CommandOutcome(IntEnum):
-    """How a command to a member ended."""
+    """Outcome of a command to a member."""
 
     DONE = 1
     REFUSED = 2
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryStatus:
-    """Effect: ask a member for its status within `timeout` seconds."""
+    """Effect: query the status of a member (`timeout` in seconds)."""
 
     instance: InstanceId
     queried_at: float
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusObserved:
-    """Event: a member answered the query asked at `asked_at`."""
+    """Event: a member replied to the query sent at `queried_at`."""
 
     instance: InstanceId
     status: MemberStatus
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusFailed:
-    """Event: a query got no answer. `refused`: no process listens at the member's address."""
+    """Event: a query got no reply. `refused`: no process listens at the member's address."""
 
     instance: InstanceId
     queried_at: float
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromiseAnswered:
-    """Event: the answer to `Promise`; `status` is set if it was made."""
+    """Event: the reply to `Promise`; `status` is set if the promise was made."""
 
     instance: InstanceId
     term: int
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromoteAnswered:
-    """Event: the answer to `Promote`."""
+    """Event: the reply to `Promote`."""
 
     instance: InstanceId
     term: int
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Follow:
-    """Effect: have a member follow the primary of `term`. Needs no answer: statuses tell."""
+    """Effect: have a member follow the primary of `term`. Later statuses show the result."""
 
     instance: InstanceId
     term: int
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PauseWrites:
-    """Effect: have a primary hold new writes back for `milliseconds` (0: let them go on)."""
+    """Effect: have a primary hold back new writes for `milliseconds` (0: resume them)."""
 
     instance: InstanceId
     milliseconds: int
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PauseAnswered:
-    """Event: the answer to `PauseWrites` with a time above 0."""
+    """Event: the reply to `PauseWrites` with `milliseconds` above 0."""
 
     instance: InstanceId
     outcome: CommandOutcome
@@ -115,7 +115,7 @@
 class GroupReconfigured:
     """Event: the group's members, mode or watchers changed.
 
-    `watchers` are all watchers of the group, first one first, as the member table tells.
+    `watchers`: all watchers of the group in order of rank, according to the member table.
     """
 
     members: tuple[InstanceSpec, ...]
@@ -125,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeRequested:
-    """Event: an operator wants `target` to be the primary. `request` names the demand."""
+    """Event: an operator requests `target` as primary. `request` identifies the request."""
 
     request: int
     target: InstanceId
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFinished:
-    """Effect: the requested change is over."""
+    """Effect: a requested change has ended (`duration` in seconds)."""
 
     request: int
     outcome: ChangeOutcome
@@ -143,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Publish:
-    """Effect: tell the other services of the node."""
+    """Effect: publish a message to the node's other services."""
 
     message: GroupChanged
 
@@ -152,17 +152,17 @@
     """Why a watcher changes the primary."""
 
     CONTACT_LOST = 1
-    """A majority of the members do not hear the primary."""
+    """A majority of the members have no contact with the primary."""
     PRIMARY_REFUSED = 2
-    """No process listens at the primary's address, and a majority does not hear it."""
+    """No process listens at the primary's address, and a majority have no contact with it."""
     UNREACHABLE = 3
-    """No watcher that answers reaches the primary, though replicas hear it."""
+    """No watcher that replies reaches the primary, although replicas have contact with it."""
     NO_PRIMARY = 4
     """No member is known to be primary."""
     TERM_PROMISED = 5
-    """A member promised a higher term and so takes nothing from a primary that works."""
+    """A member promised a higher term and so accepts nothing from a working primary."""
     REQUESTED = 6
-    """An operator asked for it."""
+    """An operator requested it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -184,7 +184,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeGivenUp:
-    """Effect, to be logged: this attempt ended without a promotion that is known."""
+    """Effect, to be logged: the attempt ended without a known promotion."""
 
     term: int
     detail: str
--- a/src/bramblebeam/core/group/followers.py
+++ b/src/bramblebeam/core/group/followers.py
@@ -1,4 +1,4 @@
-"""Members that do not follow the primary of the newest term, and what brings them back."""
+"""Makes members follow the primary of the newest term."""
 
 from bramblebeam.core.group.events import Effect, Follow
 from bramblebeam.core.group.observation import MemberObservation, Observations
@@ -7,7 +7,7 @@
 
 
 class Followers:
-    """Points members to the primary; finds those that only a new term can bring back."""
+    """Redirects members to the primary; detects those that only a new term can bring back."""
 
     def __init__(self, view: Observations, timing: GroupTiming, outbox: list[Effect]) -> None:
         self._view = view
@@ -15,9 +15,9 @@
         self._outbox = outbox
 
     def redirect_members(self, rank: int, now: float) -> None:
-        """Point members that are back, or that were left behind; the first watcher at once."""
+        """Redirect members that do not follow the primary; the first watcher does so at once."""
         for name, member in self._view.members.items():
-            if not self._left_behind(member) or not member.is_fresh(
+            if not self._must_be_redirected(member) or not member.is_fresh(
                 now, self._timing.max_status_age
             ):
                 member.not_following_since = None
@@ -29,7 +29,7 @@
                 self.send_follow(name, now)
 
     def send_follow(self, name: InstanceId, now: float) -> None:
-        """Have a member follow the primary."""
+        """Request a member to follow the primary."""
         assert self._view.primary is not None
         self._view.members[name].follow_sent_at = now
         primary = self._view.members[self._view.primary].spec
@@ -37,13 +37,13 @@
         self._outbox.append(Follow(name, self._view.term, primary, timeout))
 
     def has_blocked_member(self, rank: int, now: float) -> bool:
-        """Whether a member's promise of a higher term has kept it out for long.
+        """Whether a member has long been blocked by its promise of a higher term.
 
-        Such a promise is what an abandoned attempt leaves behind; the member takes nothing from
-        the primary until that one leads a higher term.
+        An abandoned attempt leaves such a promise behind. The member accepts nothing from the
+        primary until the primary leads a higher term.
         """
         bound = self._timing.blocked_member_after * (1 + rank)
-        long = False
+        is_overdue = False
         for member in self._view.members.values():
             status = member.status
             if status is None or status.promised_term <= self._view.term:
@@ -51,15 +51,15 @@
             elif member.is_fresh(now, self._timing.max_status_age):
                 since = now if member.blocked_since is None else member.blocked_since
                 member.blocked_since = since
-                long = long or now - since >= bound
-        return long
+                is_overdue = is_overdue or now - since >= bound
+        return is_overdue
 
     def reset_blocked_times(self) -> None:
-        """Count the time anew: a new term is on its way."""
+        """Restart the blocked times of all members, since a new term has been requested."""
         for member in self._view.members.values():
             member.blocked_since = None
 
-    def _left_behind(self, member: MemberObservation) -> bool:
+    def _must_be_redirected(self, member: MemberObservation) -> bool:
         status = member.status
         if status is None or member.spec.instance == self._view.primary:
             return False
--- a/src/bramblebeam/core/group/messages.py
+++ b/src/bramblebeam/core/group/messages.py
@@ -1,4 +1,4 @@
-"""What the group package tells other services and peers."""
+"""Messages of the group package to other services and peers."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -9,13 +9,13 @@
 
 
 class MemberStatus(NamedTuple):
-    """One member's answer to a status query.
+    """A member's reply to a status query.
 
-    `last` is the end of its log, `applied` what a read there sees. `lag_ms` is how far the applied
-    state is behind the primary (milliseconds). `primary_contact_ms` is the time since a replica
-    heard from a primary of its term, or since a primary had the answers of a majority
-    (milliseconds). `primary` is the instance it follows, empty for none. `promised_term` is the
-    lowest term that it still accepts.
+    `last`: the end of its log. `applied`: the position up to which reads there see the log.
+    `lag_ms`: how far the applied state is behind the primary (milliseconds). `primary_contact_ms`:
+    time since a replica last received from a primary of its term, or since a primary last had the
+    replies of a majority (milliseconds). `primary`: the instance it follows, or empty.
+    `promised_term`: the lowest term that it still accepts.
     """
 
     instance: InstanceId
@@ -31,20 +31,20 @@
 
 
 class GroupPhase(IntEnum):
-    """What a watcher takes the group to be doing."""
+    """State of a group as one watcher sees it."""
 
     UNKNOWN = 1
     """No primary is known yet."""
     STEADY = 2
     SUSPECTED = 3
-    """The primary seems lost; the watcher waits its turn to act."""
+    """The primary seems lost; the watcher waits for its turn to act."""
     CHANGING = 4
     """This watcher is changing the primary."""
 
 
 @dataclass(frozen=True, slots=True)
 class GroupChanged:
-    """Published when a watcher's knowledge of its group's term, primary or phase changes."""
+    """Published when the term, primary, phase or mode of a group changes for its watcher."""
 
     group: GroupId
     term: int
@@ -54,25 +54,25 @@
 
 
 class ChangeOutcome(IntEnum):
-    """How a requested change of primary ended."""
+    """Outcome of a requested change of primary."""
 
     DONE = 1
-    """The target is primary of the answered term."""
+    """The target is primary of the term in the reply."""
     ALREADY_PRIMARY = 2
-    """Nothing was to be done."""
+    """The target was the primary already."""
     OTHER_CHOSEN = 3
-    """The change went on, but another member held more and became primary."""
+    """Another member had a longer log and became primary instead."""
     ABORTED = 4
-    """Given up before any member was asked to refuse the old term; the primary goes on."""
+    """Ended before any member was requested to refuse the old term; the primary continues."""
     FAILED = 5
-    """No member became primary by this request; the watchers' detection goes on from here."""
+    """No member became primary by this request; failure detection takes over from here."""
     NOT_WATCHED = 6
-    """The asked node does not watch the group; ask another node."""
+    """The requested node does not watch the group; request another node."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChangePrimaryRequest:
-    """Make `target` the primary of `group`. Sent to the first watcher; answered when it is over."""
+    """Requests `target` as primary of `group`. Sent to the first watcher; answered at the end."""
 
     group: GroupId
     target: InstanceId
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangePrimaryReply:
-    """How the change ended, and the term and primary known after it."""
+    """Outcome of a requested change, and the term and primary known after it."""
 
     group: GroupId
     outcome: ChangeOutcome
@@ -92,13 +92,13 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupStatusRequest:
-    """Ask a watcher for what it knows of a group."""
+    """Queries a watcher for the state of a group."""
 
     group: GroupId
 
 
 class MemberReport(NamedTuple):
-    """A watcher's last status of a member. `age_ms`: milliseconds since it was asked for."""
+    """A watcher's last status of a member. `age_ms`: milliseconds since it was queried."""
 
     status: MemberStatus
     age_ms: int
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupStatusReply:
-    """What a watcher knows of a group. `watched` False: nothing, ask another node."""
+    """State of a group as a watcher knows it. `watched`: False if the node does not watch it."""
 
     group: GroupId
     watched: bool
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReachabilityRequest:
-    """Ask another watcher whether it reaches `instance`, which the asker does not."""
+    """Asks another watcher whether it reaches `instance`, which the sender does not."""
 
     group: GroupId
     instance: InstanceId
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReachabilityReply:
-    """`reachable`: the answering watcher had a fresh status of the instance."""
+    """Reply to `ReachabilityRequest`. `reachable`: the replying watcher has a recent status."""
 
     group: GroupId
     instance: InstanceId
@@ -137,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PrimaryNotice:
-    """A watcher tells the others that it has promoted `primary` at `term`."""
+    """Notifies the other watchers that the sender promoted `primary` at `term`."""
 
     group: GroupId
     term: int
--- a/src/bramblebeam/core/group/observation.py
+++ b/src/bramblebeam/core/group/observation.py
@@ -1,4 +1,4 @@
-"""What one watcher knows of the members of its group."""
+"""A watcher's observations of the members of its group."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -16,8 +16,8 @@
 class MemberObservation:
     """The last status of a member, and since when queries to it fail.
 
-    Times are those at which the query was asked, so that an answer that lay in a buffer while this
-    watcher was paused does not count as new.
+    Statuses and failures are dated by when the query was sent, so that a reply that waited in a
+    buffer while this watcher was paused does not count as new.
     """
 
     spec: InstanceSpec
@@ -31,21 +31,21 @@
     blocked_since: float | None = None
 
     def is_fresh(self, now: float, bound: float) -> bool:
-        """Whether the last query was answered, not longer than `bound` seconds ago."""
+        """Whether the last status was queried at most `bound` seconds ago."""
         return self.status is not None and now - self.status_queried_at <= bound
 
     def unreachable_for(self, now: float) -> float:
-        """Return for how many seconds queries have failed (0: the last one did not)."""
+        """Return for how many seconds queries have failed (0 if the last one succeeded)."""
         return 0.0 if self.failing_since is None else now - self.failing_since
 
     def seconds_without_contact(self) -> float:
-        """Return the seconds without contact to a primary, as the member last reported."""
+        """Return the time without contact to a primary, as the member last reported it."""
         assert self.status is not None
         return self.status.primary_contact_ms / MILLISECONDS
 
 
 class Observations:
-    """The observations of all members, and the highest term and primary that follow from them."""
+    """Observations of all members, and the highest term and its primary derived from them."""
 
     def __init__(self, members: Iterable[InstanceSpec], timing: GroupTiming) -> None:
         self.timing = timing
@@ -55,21 +55,21 @@
         self.primary: InstanceId | None = None
         self.highest_promised = 0
         self.promise_learned_at = float("-inf")
-        self._awake_since = float("-inf")
+        self._resumed_at = float("-inf")
         self.replace_members(members)
 
     @property
     def majority(self) -> int:
-        """The number of members that is a majority."""
+        """Number of members that form a majority."""
         return majority_of(len(self.members))
 
     @property
     def highest_term(self) -> int:
-        """The highest term seen anywhere, promised ones included."""
+        """Highest term observed on any member, including promised terms."""
         return max(self.term, self.highest_promised)
 
     def replace_members(self, members: Iterable[InstanceSpec]) -> None:
-        """Take a new list of members; keep what is known of those whose address stayed."""
+        """Replace the list of members; keep the observations of those with an unchanged address."""
         known = self.members
         self.members = {}
         for spec in members:
@@ -79,13 +79,13 @@
         if self.primary not in self.members:
             self.primary = None
 
-    def record_status(self, status: MemberStatus, asked_at: float, now: float) -> None:
-        """Take a member's status."""
+    def record_status(self, status: MemberStatus, queried_at: float, now: float) -> None:
+        """Record a member's status, unless a later query already gave one."""
         member = self.members.get(status.instance)
-        if member is None or asked_at < member.status_queried_at:
+        if member is None or queried_at < member.status_queried_at:
             return
         member.status = status
-        member.status_queried_at = asked_at
+        member.status_queried_at = queried_at
         member.failing_since = None
         member.refused = False
         self._learn_term(status, now)
@@ -93,24 +93,24 @@
             self.highest_promised = status.promised_term
             self.promise_learned_at = now
 
-    def record_failure(self, instance: InstanceId, asked_at: float, refused: bool) -> None:
-        """Take a query's failure. One asked before this watcher was paused says nothing."""
+    def record_failure(self, instance: InstanceId, queried_at: float, refused: bool) -> None:
+        """Record a failed query, unless it was sent before this watcher was paused."""
         member = self.members.get(instance)
-        if member is None or asked_at < self._awake_since or asked_at < member.status_queried_at:
+        if member is None or queried_at < self._resumed_at or queried_at < member.status_queried_at:
             return
         if member.failing_since is None:
-            member.failing_since = asked_at
+            member.failing_since = queried_at
         member.refused = refused
 
     def forget_failures(self, now: float) -> None:
-        """Start all clocks of failure anew: this watcher itself was paused until `now`."""
-        self._awake_since = now
+        """Discard all failures, because this watcher itself was paused until `now`."""
+        self._resumed_at = now
         for member in self.members.values():
             member.failing_since = None
             member.refused = False
 
     def record_promotion(self, term: int, primary: InstanceId, now: float) -> None:
-        """Take the knowledge that `primary` was promoted at `term`."""
+        """Record that `primary` was promoted at `term`."""
         if primary not in self.members:
             return
         if term > self.term:
@@ -120,7 +120,7 @@
             self.primary = primary
 
     def fresh_members(self, now: float) -> list[MemberObservation]:
-        """Return the members whose status is fresh."""
+        """Return the members with a status of at most `GroupTiming.max_status_age`."""
         return [
             member
             for member in self.members.values()
@@ -128,11 +128,11 @@
         ]
 
     def primary_observation(self) -> MemberObservation | None:
-        """Return the observation of the primary, if one is known."""
+        """Return the observation of the primary, or None if no primary is known."""
         return None if self.primary is None else self.members[self.primary]
 
     def reports(self, now: float) -> tuple[MemberReport, ...]:
-        """Return what is known of each member that ever answered."""
+        """Return a report on each member that has ever replied."""
         return tuple(
             MemberReport(
                 member.status,
@@ -144,10 +144,10 @@
         )
 
     def _learn_term(self, status: MemberStatus, now: float) -> None:
-        """Follow the highest term that has a primary, by its own word or that of a follower."""
+        """Update term and primary from the status of a primary or of a follower."""
         if status.role is Role.PRIMARY:
             self.record_promotion(status.term, status.instance, now)
             return
-        believed = InstanceId(status.primary)
+        followed = InstanceId(status.primary)
         if status.term > self.term:
-            self.record_promotion(status.term, believed, now)
+            self.record_promotion(status.term, followed, now)
--- a/src/bramblebeam/core/group/planned.py
+++ b/src/bramblebeam/core/group/planned.py
@@ -1,4 +1,4 @@
-"""Conditions of a planned change of primary."""
+"""Conditions for a planned change of primary."""
 
 from bramblebeam.core.group.observation import MILLISECONDS, MemberObservation, Observations
 from bramblebeam.core.group.suspicion import primary_works
@@ -6,7 +6,7 @@
 
 
 def refusal_reason(view: Observations, target: InstanceId, now: float) -> str:
-    """Return why a planned change to `target` must not begin now; empty if it may."""
+    """Return why a planned change to `target` cannot begin now, or an empty string if it can."""
     member = view.members.get(target)
     if member is None:
         return f"{target} is no member of the group"
@@ -16,10 +16,10 @@
         return "the primary does not work; the change is left to the detection"
     if len(view.fresh_members(now)) < view.majority:
         return "no majority of the members is reachable"
-    return _objection_to_member(view, member, now)
+    return _member_refusal_reason(view, member, now)
 
 
-def _objection_to_member(view: Observations, member: MemberObservation, now: float) -> str:
+def _member_refusal_reason(view: Observations, member: MemberObservation, now: float) -> str:
     name = member.spec.instance
     status = member.status
     if status is None or not member.is_fresh(now, view.timing.max_status_age):
@@ -34,9 +34,9 @@
 
 
 def has_caught_up(primary: MemberObservation, target: MemberObservation, since: float) -> bool:
-    """Whether the target holds all that the primary does, both asked at or after `since`.
+    """Whether the target has all entries of the primary, both queried at or after `since`.
 
-    The primary must have committed its last entry, so that no write's answer is cut off.
+    The primary must have committed its last entry, so that no write loses its reply.
     """
     if primary.status is None or target.status is None:
         return False
--- a/src/bramblebeam/core/group/queries.py
+++ b/src/bramblebeam/core/group/queries.py
@@ -1,4 +1,4 @@
-"""When a watcher asks which members for their status."""
+"""Schedule of a watcher's status queries to the members."""
 
 from bramblebeam.core.group.events import QueryStatus
 from bramblebeam.core.group.observation import MemberObservation, Observations
@@ -6,14 +6,14 @@
 from bramblebeam.core.identity import InstanceId
 
 ALERT_SECONDS = 1.0
-"""How long a watcher looks closely after the last sign of trouble."""
+"""How long a watcher stays on alert after the last sign of trouble."""
 
 
 class QuerySchedule:
-    """One query at a time while all is well; rounds to all members on a sign of trouble.
+    """Queries one member at a time normally, and all members in rounds while on alert.
 
-    So the cost in calm does not grow with the members of a group, and that of the watchers behind
-    the first one is small: any member's answer tells whether it hears the primary.
+    The cost of normal operation thus does not grow with the number of members. The watchers after
+    the first can query rarely, since any member reports whether it has contact with the primary.
     """
 
     def __init__(self, view: Observations, timing: GroupTiming) -> None:
@@ -27,40 +27,40 @@
 
     @property
     def next_at(self) -> float:
-        """When the next query is due (seconds)."""
+        """Time of the next scheduled query (seconds)."""
         return self._next_at
 
     def start_alert(self, now: float) -> None:
-        """Look closely from now on."""
+        """Enter or prolong the alert state."""
         if now >= self._alert_until:
             self._alert_since = now
             self._next_at = now
         self._alert_until = now + ALERT_SECONDS
 
     def due_queries(self, now: float) -> list[QueryStatus]:
-        """Return the queries that are due."""
+        """Return the queries scheduled for now."""
         if now < self._next_at:
             return []
         alert = now < self._alert_until
         self._next_at = now + (self._alert_interval(now) if alert else self.interval)
         if not self._view.members:
             return []
-        members = list(self._view.members.values()) if alert else [self._in_turn()]
+        members = list(self._view.members.values()) if alert else [self._next_member()]
         return [query for member in members for query in self._query(member, now)]
 
     def query_now(self, instances: list[InstanceId], now: float) -> list[QueryStatus]:
-        """Return queries to these members, out of turn."""
+        """Return queries to these members, regardless of the schedule."""
         members = [self._view.members[name] for name in instances if name in self._view.members]
         return [query for member in members for query in self._query(member, now)]
 
     def clear_pending(self, instance: InstanceId) -> None:
-        """Allow the next query to this member."""
+        """Mark the query to this member as answered, which allows the next one."""
         member = self._view.members.get(instance)
         if member is not None:
             member.query_pending_until = float("-inf")
 
-    def _in_turn(self) -> MemberObservation:
-        """Return the member to ask in calm: the primary every other time, else the next one."""
+    def _next_member(self) -> MemberObservation:
+        """Return the member to query when not on alert: the primary and the others by turns."""
         self._turn += 1
         primary = self._view.primary_observation()
         if primary is not None and self._turn % 2:
@@ -70,8 +70,8 @@
 
     def _alert_interval(self, now: float) -> float:
         since = now if self._alert_since is None else self._alert_since
-        long = now - since > self._timing.long_alert_after
-        return self._timing.long_alert_interval if long else self._timing.alert_interval
+        is_long = now - since > self._timing.long_alert_after
+        return self._timing.long_alert_interval if is_long else self._timing.alert_interval
 
     def _query(self, member: MemberObservation, now: float) -> list[QueryStatus]:
         if now < member.query_pending_until:
--- a/src/bramblebeam/core/group/relocation.py
+++ b/src/bramblebeam/core/group/relocation.py
@@ -1,8 +1,8 @@
-"""Whether a working primary should move: its server leaves, or its zone has no node to serve it.
+"""Decides whether a working primary should move: its server leaves, or no node serves its zone.
 
-A primary that leaves gets no new work, and the statements for an instance go through a node of the
-instance's own zone: in both cases nobody could write, though the primary works. The primary then
-moves by a planned change.
+A leaving primary gets no new work, and statements for an instance go through a node in the
+instance's zone. In both cases no caller can write although the primary works, so the primary moves
+by a planned change.
 """
 
 from dataclasses import dataclass
@@ -15,23 +15,23 @@
 
 @dataclass(frozen=True, slots=True)
 class RelocationContext:
-    """What the views of a node tell about the places and rows of a group's members."""
+    """A node's views of nodes and configuration, as needed to judge a primary's location."""
 
     node: NodeId
     members: MembersView
     configuration: ConfigurationView
 
     def is_served(self, zone: ZoneId) -> bool:
-        """Whether the zone has a node that could own its instances and can be reached."""
+        """Whether the zone is reachable and has a node that can own its instances."""
         return bool(self.members.owners.get(zone)) and zone not in self.members.unreachable
 
     def is_drained(self, instance: InstanceId) -> bool:
-        """Whether operators drain the instance by its row."""
+        """Whether the instance is marked for draining in its configuration row."""
         row = self.configuration.weights.get(instance)
         return row is not None and row.drain
 
     def is_first_reachable(self, watchers: tuple[NodeId, ...]) -> bool:
-        """Whether this node is the first of the group's watchers that can be reached."""
+        """Whether this node is the first reachable watcher of the group."""
         for watcher in watchers:
             if watcher == self.node:
                 return True
@@ -41,73 +41,78 @@
         return False
 
 
-UNSERVED_PATIENCE = 3.0
-"""How long a zone must lack nodes before its primary moves (seconds).
+UNSERVED_GRACE_SECONDS = 3.0
+"""How long a zone must have no nodes before its primary moves (seconds).
 
-A node that has just joined does not know all members yet. A zone that was found to be out of reach
-needs no more time: that took several questions without an answer.
+A node that has just joined does not know all members yet. An unreachable zone needs no grace
+period: that verdict already took several unanswered queries.
 """
 
 RETRY_INTERVAL = 2.0
-"""How long a group is left alone after an attempt to move its primary (seconds)."""
+"""Shortest time between two attempts to move the primary of a group (seconds)."""
 
 
 class Relocation:
-    """When one group's primary is to be moved by this node."""
+    """Decides when this node moves the primary of one group."""
 
     def __init__(self) -> None:
         self._unserved_since: float | None = None
-        self._acted_at = float("-inf")
+        self._attempted_at = float("-inf")
 
     def target(
-        self, view: Observations, around: RelocationContext, now: float
+        self, view: Observations, context: RelocationContext, now: float
     ) -> InstanceId | None:
-        """Return where the primary should move now, or None. An answer counts as an attempt."""
+        """Return the member to move the primary to now, or None. A member counts as an attempt."""
         primary = view.primary_observation()
-        if primary is None or around.is_served(primary.spec.zone):
+        if primary is None or context.is_served(primary.spec.zone):
             self._unserved_since = None
         elif self._unserved_since is None:
             self._unserved_since = now
-        if now - self._acted_at < RETRY_INTERVAL or not self._patient(primary, around, now):
+        if now - self._attempted_at < RETRY_INTERVAL or not self._is_grace_over(
+            primary, context, now
+        ):
             return None
-        target = relocation_target(view, around)
+        target = relocation_target(view, context)
         if target is not None:
-            self._acted_at = now
+            self._attempted_at = now
         return target
 
-    def _patient(
-        self, primary: MemberObservation | None, around: RelocationContext, now: float
+    def _is_grace_over(
+        self, primary: MemberObservation | None, context: RelocationContext, now: float
     ) -> bool:
-        if self._unserved_since is None or primary is None or not _fit(primary, around):
+        if self._unserved_since is None or primary is None or not _is_eligible(primary, context):
             return True
-        if primary.spec.zone in around.members.unreachable:
+        if primary.spec.zone in context.members.unreachable:
             return True
-        return now - self._unserved_since >= UNSERVED_PATIENCE
+        return now - self._unserved_since >= UNSERVED_GRACE_SECONDS
 
 
-def relocation_target(view: Observations, around: RelocationContext) -> InstanceId | None:
+def relocation_target(view: Observations, context: RelocationContext) -> InstanceId | None:
     """Return the member that the primary should move to, or None if it should stay.
 
-    A node that sees less than a majority of the members' zones moves nothing: it is itself cut off.
+    A node that reaches the zones of less than a majority of the members is itself cut off, and
+    moves nothing.
     """
     primary = view.primary_observation()
-    if primary is None or _may_stay(primary, around):
+    if primary is None or _may_stay(primary, context):
         return None
-    served = [member for member in view.members.values() if around.is_served(member.spec.zone)]
+    served = [member for member in view.members.values() if context.is_served(member.spec.zone)]
     if len(served) < view.majority:
         return None
-    candidates = [member for member in served if member is not primary and _fit(member, around)]
+    candidates = [
+        member for member in served if member is not primary and _is_eligible(member, context)
+    ]
     best = max(candidates, key=_preference, default=None)
     return None if best is None else best.spec.instance
 
 
-def _may_stay(primary: MemberObservation, around: RelocationContext) -> bool:
-    return _fit(primary, around) and around.is_served(primary.spec.zone)
+def _may_stay(primary: MemberObservation, context: RelocationContext) -> bool:
+    return _is_eligible(primary, context) and context.is_served(primary.spec.zone)
 
 
-def _fit(member: MemberObservation, around: RelocationContext) -> bool:
+def _is_eligible(member: MemberObservation, context: RelocationContext) -> bool:
     status = member.status
-    if status is None or around.is_drained(member.spec.instance):
+    if status is None or context.is_drained(member.spec.instance):
         return False
     return not status.leaving
 
--- a/src/bramblebeam/core/group/timing.py
+++ b/src/bramblebeam/core/group/timing.py
@@ -1,26 +1,27 @@
-"""The times of detection and change. All in seconds."""
+"""Timing of failure detection and of changes of primary. All values are in seconds."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class GroupTiming:
-    """How fast a watcher looks and how long it waits.
+    """Intervals and time limits of a watcher.
 
     `first_interval`, `other_interval`: time between two status queries of the first watcher and of
-    the others while all is well; they go to the primary and another member by turns.
-    `alert_interval`: time between two rounds to all members once there is a sign of trouble;
-    `idle_alert_interval`: the same after `idle_alert_after` without success. `sign`: time without
-    contact that is a sign. `contact_bound`: time without contact to the primary after which a
-    member counts as evidence. `refused_bound`: the same when no process listens at the primary's
-    address.
-    `unreachable_bound`: how long this watcher must fail to reach a primary that replicas hear.
-    `reachability_after`: when the other watchers are asked about it; `reachability_valid`: how long
-    their answer counts. `rank_wait`: added for each watcher ahead of this one. `fresh`: how old a
-    status may be. `patience`: how long another controller's change is waited for. `own_pause`: a
-    wakeup later than this means that the watcher itself was paused. `promise_grace`: how long the
-    other answers are waited for when a majority has promised; `lost_primary_grace`: the same when
-    the lost primary is needed for that majority.
+    the others in normal operation; they query the primary and another member by turns.
+    `alert_interval`: time between two rounds of queries to all members while on alert;
+    `long_alert_interval`: the same after `long_alert_after` on alert. `contact_warning`: time
+    without contact that puts the watcher on alert. `contact_bound`: time without contact to the
+    primary after which a member counts as evidence. `refused_bound`: the same if no process listens
+    at the primary's address. `unreachable_bound`: how long this watcher must fail to reach a
+    primary that replicas have contact with. `reachability_after`: when the other watchers are
+    queried about it; `reachability_valid`: how long their reply is valid. `rank_wait`: added for
+    each watcher ahead of this one. `max_status_age`: greatest age of a status that is still used.
+    `other_change_timeout`: how long to wait for a change by another controller.
+    `own_pause_threshold`: a wakeup later than this means that the watcher itself was paused.
+    `promise_grace`: how long to wait for the other replies once a majority has promised;
+    `lost_primary_grace`: the same if the lost primary is needed for that majority.
+    `blocked_member_after`: how long a member may be blocked by a promise before a new term starts.
     """
 
     first_interval: float = 0.2
--- a/src/bramblebeam/core/group/turn_schedule.py
+++ b/src/bramblebeam/core/group/turn_schedule.py
@@ -1,4 +1,4 @@
-"""When it is this watcher's turn to act. Only prevents duels; nothing's safety rests on it."""
+"""Determines a watcher's turn to act. Reduces competing changes; safety does not depend on it."""
 
 import xxhash
 
@@ -11,7 +11,7 @@
 
 
 class TurnSchedule:
-    """The times since which, and until which, this watcher waits."""
+    """Tracks how long a suspicion has lasted and when this watcher may act on it."""
 
     def __init__(self, group: GroupId, node: NodeId, timing: GroupTiming) -> None:
         self._timing = timing
@@ -19,14 +19,14 @@
         self.rank = 0
         self.suspected_since: float | None = None
         self.failed_cause: Cause | None = None
-        """Why an attempt that failed had begun: it may have left the group without a primary."""
+        """Cause of the last failed attempt, which may have left the group without a primary."""
         self.own_term = 0
-        """The last term that this watcher asked promises for."""
+        """The last term for which this watcher requested promises."""
         self._retry_at = float("-inf")
         self._failures = 0
 
     def record_suspicion(self, suspected: bool, now: float) -> None:
-        """Note whether there is a cause to act."""
+        """Record whether there is a cause to act."""
         if not suspected:
             self.suspected_since = None
         elif self.suspected_since is None:
@@ -40,11 +40,11 @@
             turn += self._jitter()
         wait = self._timing.other_change_timeout + turn
         at = max(since + turn, self._retry_at, view.term_learned_at + wait)
-        others = view.highest_term != self.own_term
-        return max(at, view.promise_learned_at + wait) if others else at
+        is_foreign_term = view.highest_term != self.own_term
+        return max(at, view.promise_learned_at + wait) if is_foreign_term else at
 
     def record_failure(self, cause: Cause, term: int, now: float) -> None:
-        """Note that an attempt at `term` failed."""
+        """Record that an attempt at `term` failed."""
         self.failed_cause = cause
         self.own_term = term
         self._failures += 1
@@ -52,14 +52,14 @@
         self._retry_at = now + wait * (1 + self.rank) / 2 + self._jitter()
 
     def reset(self) -> None:
-        """Note that the group has a primary again."""
+        """Clear all waits, because the group has a primary again."""
         self.suspected_since = None
         self.failed_cause = None
         self._failures = 0
         self._retry_at = float("-inf")
 
     def _jitter(self) -> float:
-        """Return a wait that differs between watchers and terms (seconds)."""
+        """Return a deterministic delay that differs between watchers and terms (seconds)."""
         key = f"{self._key}\x00{self.own_term}\x00{self._failures}"
         digest = xxhash.xxh3_64_intdigest(key.encode())
         return self._timing.jitter * (digest % JITTER_STEPS) / JITTER_STEPS
--- a/src/bramblebeam/core/group/watchers.py
+++ b/src/bramblebeam/core/group/watchers.py
@@ -1,4 +1,4 @@
-"""Which nodes watch a group: the owners of its members' instances."""
+"""Determines the watchers of a group: the nodes that own its members' instances."""
 
 from collections.abc import Mapping
 
@@ -10,10 +10,10 @@
 
 
 class WatcherTable:
-    """Answers from the views of the members and of the rows in force.
+    """Derives watchers from the membership view and the configuration in force.
 
-    Only instances of the own zone can make this node a watcher, so only these are looked at for
-    each change, and only when that zone's owners or the groups' rows changed.
+    Only instances in the node's own zone can make it a watcher. So only these are checked on an
+    update, and only if the owners of that zone or the rows of the groups changed.
     """
 
     def __init__(self, node: NodeId, zone: ZoneId) -> None:
@@ -26,11 +26,11 @@
         self._own_groups: tuple[GroupId, ...] = ()
 
     def watched(self) -> dict[GroupId, tuple[NodeId, ...]]:
-        """Return the groups that this node watches, each with all its watchers, first one first."""
+        """Return the groups that this node watches, each with all its watchers in order of rank."""
         return {group: self.watchers_of(group) for group in self._groups_with_own_instance()}
 
     def watchers_of(self, group: GroupId) -> tuple[NodeId, ...]:
-        """Return the watchers of any group, first one first; empty for an unknown group."""
+        """Return the watchers of any group in order of rank; empty for an unknown group."""
         spec = self.configuration.groups.get(group)
         if spec is None:
             return ()
--- a/tests/test_failover_decision.py
+++ b/tests/test_failover_decision.py
@@ -1,4 +1,4 @@
-"""When the primary is changed, by whom, and which member is promoted."""
+"""When the primary is changed, by which node, and which member is promoted."""
 
 import pytest
 
@@ -26,7 +26,7 @@
 OWN = NodeId("node-1")
 OTHER = NodeId("node-2")
 TIMING = FailoverTiming()
-TROUBLE = 0.0
+TROUBLE_START = 0.0
 
 
 def entry(name: str, leaving: bool = False) -> DatabaseEntry:
@@ -49,7 +49,7 @@
         "rank": 0,
         "leader": None,
         "cause": Cause.LOST,
-        "trouble_since": TROUBLE,
+        "trouble_since": TROUBLE_START,
         "lease": lease,
         "quiet_until": float("-inf"),
     }
@@ -57,54 +57,54 @@
 
 
 def test_nothing_is_done_without_trouble() -> None:
-    assert decide(situation(OWN, cause=None), TROUBLE + 9, TIMING) is Action.NONE
+    assert decide(situation(OWN, cause=None), TROUBLE_START + 9, TIMING) is Action.NONE
 
 
-def test_the_holder_waits_out_the_suspicion_and_acts() -> None:
-    assert decide(situation(OWN), TROUBLE + 0.1, TIMING) is Action.NONE
-    assert decide(situation(OWN), TROUBLE + TIMING.suspicion_timeout, TIMING) is Action.CHANGE
+def test_the_holder_acts_after_the_suspicion_timeout() -> None:
+    assert decide(situation(OWN), TROUBLE_START + 0.1, TIMING) is Action.NONE
+    assert decide(situation(OWN), TROUBLE_START + TIMING.suspicion_timeout, TIMING) is Action.CHANGE
 
 
-def test_the_holder_acts_at_once_where_the_leader_leaves() -> None:
+def test_the_holder_acts_at_once_if_the_leader_leaves() -> None:
     leaving = situation(OWN, cause=Cause.LEAVING, leader=InstanceId("a"))
-    assert decide(leaving, TROUBLE, TIMING) is Action.CHANGE
+    assert decide(leaving, TROUBLE_START, TIMING) is Action.CHANGE
 
 
-def test_a_change_under_way_is_not_repeated() -> None:
-    ordered = situation(OWN, ordered_at=TROUBLE + 1)
-    assert decide(ordered, TROUBLE + 2, TIMING) is Action.NONE
-    assert decide(ordered, TROUBLE + 1 + TIMING.attempt_timeout, TIMING) is Action.CHANGE
+def test_a_change_in_progress_is_not_repeated() -> None:
+    ordered = situation(OWN, ordered_at=TROUBLE_START + 1)
+    assert decide(ordered, TROUBLE_START + 2, TIMING) is Action.NONE
+    assert decide(ordered, TROUBLE_START + 1 + TIMING.attempt_timeout, TIMING) is Action.CHANGE
 
 
 @pytest.mark.parametrize("rank", [0, 3])
 def test_another_node_takes_over_later_by_its_rank(rank: int) -> None:
-    patience = TIMING.suspicion_timeout + rank * TIMING.rank_step + TIMING.takeover_delay
+    wait = TIMING.suspicion_timeout + rank * TIMING.rank_step + TIMING.takeover_delay
     other = situation(OTHER, rank=rank)
-    assert decide(other, TROUBLE + patience - 0.01, TIMING) is Action.NONE
-    assert decide(other, TROUBLE + patience, TIMING) is Action.TAKE_OVER
+    assert decide(other, TROUBLE_START + wait - 0.01, TIMING) is Action.NONE
+    assert decide(other, TROUBLE_START + wait, TIMING) is Action.TAKE_OVER
 
 
-def test_a_lapsed_registration_is_given_time_to_come_back() -> None:
-    """A store that was out of order had let every registration lapse: nothing was to be changed."""
+def test_a_lapsed_registration_gets_time_to_return() -> None:
+    """While the store is unavailable every registration lapses; that must not change a primary."""
     lapsed = situation(OWN, cause=Cause.LAPSED, leader=InstanceId("a"))
-    assert decide(lapsed, TROUBLE + TIMING.lapse_timeout - 0.1, TIMING) is Action.NONE
-    assert decide(lapsed, TROUBLE + TIMING.lapse_timeout, TIMING) is Action.CHANGE
+    assert decide(lapsed, TROUBLE_START + TIMING.lapse_timeout - 0.1, TIMING) is Action.NONE
+    assert decide(lapsed, TROUBLE_START + TIMING.lapse_timeout, TIMING) is Action.CHANGE
 
 
 def test_a_released_lease_is_taken_over_without_waiting_for_its_holder() -> None:
     leaving = situation(NodeId(""), cause=Cause.LEAVING, leader=InstanceId("a"))
-    assert decide(leaving, TROUBLE, TIMING) is Action.TAKE_OVER
+    assert decide(leaving, TROUBLE_START, TIMING) is Action.TAKE_OVER
     released = Lease(GROUP, NodeId(""), at(8))
     assert quiet_time(Lease(GROUP, OTHER, at(7)), released, False, TIMING) == 0
 
 
-def test_a_lease_that_was_just_written_is_left_alone() -> None:
-    acting = situation(OTHER, quiet_until=TROUBLE + 4)
-    assert decide(acting, TROUBLE + 3, TIMING) is Action.NONE
-    assert decide(acting, TROUBLE + 4, TIMING) is Action.TAKE_OVER
+def test_a_lease_that_was_just_written_is_not_taken_over() -> None:
+    acting = situation(OTHER, quiet_until=TROUBLE_START + 4)
+    assert decide(acting, TROUBLE_START + 3, TIMING) is Action.NONE
+    assert decide(acting, TROUBLE_START + 4, TIMING) is Action.TAKE_OVER
 
 
-def test_quiet_time_tells_old_leases_from_written_ones() -> None:
+def test_quiet_time_distinguishes_unchanged_from_rewritten_leases() -> None:
     old, new = Lease(GROUP, OTHER, at(7)), Lease(GROUP, OTHER, at(8))
     assert quiet_time(old, old, False, TIMING) == 0
     assert quiet_time(old, new, False, TIMING) == TIMING.attempt_timeout
@@ -128,7 +128,7 @@
 
 
 def test_a_former_primary_that_kept_its_old_log_is_not_promoted() -> None:
-    """Found by a hunt: its longer log held commits that the last change had rolled back."""
+    """Its log is longer, but contains commits that the last change rolled back."""
     members = [entry("former"), entry("present"), entry("third")]
     last = OrderedChange(InstanceId("present"), term=2, cut=Position(1, 87))
     former = {InstanceId("former"): status(1, (1, 118))}
@@ -152,15 +152,15 @@
 
 
 def test_a_log_with_an_entry_newer_than_the_cut_is_no_part_of_it() -> None:
-    """A primary that led in between for a few commits, which the last change rolled back."""
+    """A member that led in between made a few commits, which the last change rolled back."""
     members = [entry("between"), entry("present")]
     last = OrderedChange(InstanceId("present"), term=3, cut=Position(1, 87))
     between = {InstanceId("between"): status(2, (2, 80))}
     assert choose_target(members, between, None, last) is None
 
 
-def test_the_next_term_is_above_a_newer_one_that_cannot_be_reached() -> None:
-    """Found by the model: the term of a member in reach alone let an old log follow later."""
+def test_the_next_term_is_above_an_unreachable_newer_one() -> None:
+    """Found by the model: a term based on reachable members alone later qualified an old log."""
     last = OrderedChange(InstanceId("present"), term=5, cut=Position(4, 9))
     assert next_term({InstanceId("third"): status(1, (1, 3))}, last) == 6
     assert next_term({InstanceId("third"): status(7, (7, 3))}, last) == 8
--- a/tests/test_failover_in_vain.py
+++ b/tests/test_failover_in_vain.py
@@ -1,7 +1,7 @@
-"""When a change of primary that came to nothing is tried again.
+"""When a failed change of primary is attempted again.
 
-Guards against: a node that can't finish a change tries it without a pause, and keeps those from
-trying that could.
+Guards against a node that cannot complete a change, retries it without delay, and so blocks other
+nodes that could complete it.
 """
 
 from bramblebeam.core.failover.backoff import (
@@ -14,44 +14,44 @@
 from bramblebeam.services.failover.situation import RANKS
 
 MEMBERS = ("db-b", "db-c")
-A_MOMENT = 0.01
+EPSILON = 0.01
 START = 100.0
 
 
-def fail(tries: FailoverBackoff, times: int, now: float = START) -> None:
+def fail(backoff: FailoverBackoff, times: int, now: float = START) -> None:
     for _ in range(times):
-        tries.record_failure(MEMBERS, now)
+        backoff.record_failure(MEMBERS, now)
 
 
-def test_pauses_grow_to_a_bound() -> None:
-    tries = FailoverBackoff()
-    fail(tries, 1)
-    assert tries.must_wait(MEMBERS, START + INITIAL_DELAY - A_MOMENT)
-    assert not tries.must_wait(MEMBERS, START + INITIAL_DELAY + A_MOMENT)
-    fail(tries, 10)
-    assert tries.must_wait(MEMBERS, START + MAX_DELAY - A_MOMENT)
-    assert not tries.must_wait(MEMBERS, START + MAX_DELAY + A_MOMENT)
+def test_delays_grow_to_a_limit() -> None:
+    backoff = FailoverBackoff()
+    fail(backoff, 1)
+    assert backoff.must_wait(MEMBERS, START + INITIAL_DELAY - EPSILON)
+    assert not backoff.must_wait(MEMBERS, START + INITIAL_DELAY + EPSILON)
+    fail(backoff, 10)
+    assert backoff.must_wait(MEMBERS, START + MAX_DELAY - EPSILON)
+    assert not backoff.must_wait(MEMBERS, START + MAX_DELAY + EPSILON)
 
 
-def test_news_of_the_members_end_a_pause() -> None:
-    tries = FailoverBackoff()
-    fail(tries, 5)
-    assert not tries.must_wait(("db-c",), START)
-    tries.record_failure(("db-c",), START)
-    assert not tries.should_yield
-    assert not tries.must_wait(("db-c",), START + INITIAL_DELAY + A_MOMENT)
+def test_an_update_of_the_members_ends_a_delay() -> None:
+    backoff = FailoverBackoff()
+    fail(backoff, 5)
+    assert not backoff.must_wait(("db-c",), START)
+    backoff.record_failure(("db-c",), START)
+    assert not backoff.should_yield
+    assert not backoff.must_wait(("db-c",), START + INITIAL_DELAY + EPSILON)
 
 
-def test_several_tries_in_vain_leave_the_change_to_others() -> None:
-    tries = FailoverBackoff()
-    fail(tries, FAILURES_BEFORE_YIELD - 1)
-    assert not tries.should_yield
-    fail(tries, 1)
-    assert tries.should_yield
-    tries.reset()
-    assert not tries.should_yield
-    assert not tries.must_wait(MEMBERS, START)
+def test_a_node_yields_after_several_failures() -> None:
+    backoff = FailoverBackoff()
+    fail(backoff, FAILURES_BEFORE_YIELD - 1)
+    assert not backoff.should_yield
+    fail(backoff, 1)
+    assert backoff.should_yield
+    backoff.reset()
+    assert not backoff.should_yield
+    assert not backoff.must_wait(MEMBERS, START)
 
 
-def test_each_other_node_gets_its_turn_within_the_longest_pause() -> None:
+def test_every_other_node_gets_its_turn_within_the_longest_delay() -> None:
     assert (RANKS - 1) * FailoverTiming().rank_step < MAX_DELAY
--- a/tests/test_failover_unwritten_change.py
+++ b/tests/test_failover_unwritten_change.py
@@ -1,4 +1,4 @@
-"""A change of primary that was carried out without the store, and whose node is lost then."""
+"""A change of primary made while the store is unavailable, by a node that is then lost."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
 ENOUGH_CONNECTIONS = 36
 
 
-class LostStore:
-    """Answers nothing."""
+class UnavailableStore:
+    """Store that fails every request."""
 
     async def read(self, group: GroupId, timeout: float) -> Lease | None:
-        raise LeaseStoreUnavailableError("made up")
+        raise LeaseStoreUnavailableError("simulated outage")
 
     async def create(self, group: GroupId, holder: NodeId, timeout: float) -> Lease | None:
-        raise LeaseStoreUnavailableError("made up")
+        raise LeaseStoreUnavailableError("simulated outage")
 
     async def write(self, lease: Lease, content: Lease, timeout: float) -> Lease | None:
-        raise LeaseStoreUnavailableError("made up")
+        raise LeaseStoreUnavailableError("simulated outage")
 
 
 @dataclass
 class Split:
-    """The former primary and one node on one side; the rest changed the primary on the other.
+    """A partition: the former primary and one node on one side, the changed group on the other.
 
-    `lost`: the node that ordered the change, and does not reach the store any more.
+    `lost`: the node that ordered the change and no longer reaches the store.
     """
 
     world: World
@@ -70,7 +70,7 @@
 
 @asynccontextmanager
 async def changed_without_store() -> AsyncIterator[Split]:
-    """A commit that only the former primary has, and a change that the store never heard of."""
+    """Set up a commit that only the former primary has, and a change unknown to the store."""
     async with joined_world(2, ENOUGH_CONNECTIONS) as world:
         clients = [await world.client("latest", place) for place in (0, 1)]
         for client in clients:
@@ -96,29 +96,30 @@
         keep_from(lost, node_id(beside))
         keep_from(beside, node_id(lost))
         cut(lost, "db-a")
-        watch_of(lost).lease._store = LostStore()
+        watch_of(lost).lease._store = UnavailableStore()
         while (await client.run("WRITE parcel 2")).code:
             pass
         yield split
 
 
-async def test_a_former_primary_is_not_promoted_by_a_node_that_never_heard_of_the_change(
+async def test_a_former_primary_is_not_promoted_by_a_node_that_missed_the_change(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Found by hunts (STALE 404, 486 and 565): the commits that its log alone has count again, and
-    the reads of the term between have missed them."""
+    """Found by soak runs (STALE 404, 486 and 565): commits that only its log had became valid
+    again, although reads in the term between had missed them.
+    """
     async with changed_without_store() as split:
         caplog.clear()
         split.world.platform.fault.status = 0
-        place = split.world.nodes.index(split.beside_former)
-        async with keep_writing(await split.world.client("latest", place)):
-            await until(lambda: has_tried(caplog, split.beside_former))
+        index = split.world.nodes.index(split.beside_former)
+        async with keep_writing(await split.world.client("latest", index)):
+            await until(lambda: has_attempted_change(caplog, split.beside_former))
         assert "db-a" not in split.targets
         assert split.newest_terms == {2}
 
 
-def has_tried(caplog: pytest.LogCaptureFixture, node: PlatformNode) -> bool:
-    """Whether the node has taken the lease over and tried to change the primary."""
+def has_attempted_change(caplog: pytest.LogCaptureFixture, node: PlatformNode) -> bool:
+    """Whether the node has taken the lease over and attempted to change the primary."""
     is_holder = watch_of(node).lease.is_own
     number = FAILOVER_COMPLETED.number
     return is_holder and any(
--- a/tests/test_group_choice.py
+++ b/tests/test_group_choice.py
@@ -1,4 +1,4 @@
-"""Which member an attempt to change the primary promotes."""
+"""Choice of the member that an attempt to change the primary promotes."""
 
 import pytest
 
@@ -30,9 +30,9 @@
     assert change.choose() == THIRD
 
 
-def test_lost_primary_is_chosen_where_the_others_are_no_majority() -> None:
+def test_lost_primary_is_chosen_if_the_others_are_no_majority() -> None:
     change = attempt(Cause.CONTACT_LOST, (OLD, 30), (SECOND, 20))
-    assert change.choose() == OLD, "it may hold acknowledged writes that the other one lacks"
+    assert change.choose() == OLD, "it may have acknowledged writes that the other one lacks"
 
 
 @pytest.mark.parametrize("cause", [Cause.TERM_PROMISED, Cause.NO_PRIMARY])
--- a/tests/test_group_machine.py
+++ b/tests/test_group_machine.py
@@ -1,4 +1,4 @@
-"""The group machine in virtual time against a small model of a database group."""
+"""The group machine in virtual time, run against a small model of a database group."""
 
 import heapq
 from dataclasses import dataclass, field
@@ -39,7 +39,7 @@
 
 @dataclass
 class ModelMember:
-    """One member; `heard` is when it last heard a primary of its term."""
+    """One member. `contact_at`: when it last had contact with a primary of its term."""
 
     name: InstanceId
     term: int = 1
@@ -47,7 +47,7 @@
     role: Role = Role.REPLICA
     primary: str = "db-1"
     last: Position = FIRST
-    heard: float = 0.0
+    contact_at: float = 0.0
     dead: bool = False
     cut_clients: bool = False
     cut_peers: bool = False
@@ -57,7 +57,7 @@
     slowness: float = 0.0
 
     def status(self, now: float) -> MemberStatus:
-        contact = int((now - self.heard) * 1000)
+        contact = int((now - self.contact_at) * 1000)
         return MemberStatus(
             self.name,
             self.term,
@@ -74,7 +74,7 @@
 
 @dataclass
 class Model:
-    """Members, watchers, one clock and one ordered queue of calls."""
+    """Members and watchers with one clock and one ordered queue of calls."""
 
     watchers: int = 1
     now: float = 0.0
@@ -93,7 +93,7 @@
         nodes = tuple(NodeId(f"node-{number}") for number in range(self.watchers))
         for node in nodes:
             self.machines[node] = GroupMachine(GROUP, node)
-            self.tell(node, events.GroupReconfigured(SPECS, True, nodes))
+            self.deliver(node, events.GroupReconfigured(SPECS, True, nodes))
         self.at(0.05, self.replicate)
 
     def at(self, delay: float, call: Any) -> None:
@@ -110,12 +110,12 @@
         return not member.dead and member.paused_until <= self.now
 
     def replicate(self) -> None:
-        """One heartbeat and one write of every member that takes itself for the primary."""
+        """Replicate one heartbeat and one write of every member that considers itself primary."""
         self.at(0.05, self.replicate)
         for primary in self.members.values():
             if primary.role is not Role.PRIMARY or not self.alive(primary):
                 continue
-            takers = [
+            receivers = [
                 member
                 for member in self.members.values()
                 if self.alive(member)
@@ -123,32 +123,32 @@
                 and member.promised <= primary.term
             ]
             new = Position(primary.term, primary.last.offset + 1)
-            if primary in takers and len(takers) >= 2:
-                primary.heard = self.now
-            if primary in takers:
+            if primary in receivers and len(receivers) >= 2:
+                primary.contact_at = self.now
+            if primary in receivers:
                 primary.last = new
-            for member in takers:
+            for member in receivers:
                 if member is primary or member.primary != primary.name:
                     continue
-                member.heard = self.now
+                member.contact_at = self.now
                 if not member.frozen_log:
                     member.last = new
 
-    def tell(self, node: NodeId, event: Any) -> None:
+    def deliver(self, node: NodeId, event: Any) -> None:
         until = self.paused_watchers.get(node, 0.0)
         if until > self.now:
-            self.at(until - self.now, lambda: self.tell(node, event))
+            self.at(until - self.now, lambda: self.deliver(node, event))
             return
         machine = self.machines[node]
         for effect in machine.handle(event, self.now):
             self.carry_out(node, effect)
         due = machine.next_wakeup()
         assert due is not None
-        self.at(max(due - self.now, 0.0), lambda: self.wake(node, due))
+        self.at(max(due - self.now, 0.0), lambda: self.wake_up(node, due))
 
-    def wake(self, node: NodeId, due: float) -> None:
+    def wake_up(self, node: NodeId, due: float) -> None:
         if self.machines[node].next_wakeup() == due:
-            self.tell(node, Wakeup())
+            self.deliver(node, Wakeup())
 
     def carry_out(self, node: NodeId, effect: Any) -> None:
         self.log.append((self.now, node, effect))
@@ -158,7 +158,7 @@
             case events.PauseWrites():
                 self.at(LATENCY, lambda: self.arrive(node, effect))
             case Send(to=to, message=message):
-                self.at(LATENCY, lambda: self.tell(to, Received(node, message)))
+                self.at(LATENCY, lambda: self.deliver(to, Received(node, message)))
 
     def arrive(self, node: NodeId, effect: Any) -> None:
         member = self.members[effect.instance]
@@ -174,24 +174,24 @@
         if answer is not None and type(effect) in self.lost:
             self.at(effect.timeout, lambda: self.fail(node, effect, refused=False))
         elif answer is not None:
-            self.at(LATENCY + member.slowness, lambda: self.tell(node, answer))
+            self.at(LATENCY + member.slowness, lambda: self.deliver(node, answer))
 
     def fail(self, node: NodeId, effect: Any, refused: bool) -> None:
         lost = CommandOutcome.LOST
         match effect:
-            case events.QueryStatus(instance=name, asked_at=at):
-                self.tell(node, events.StatusFailed(name, at, refused))
+            case events.QueryStatus(instance=name, queried_at=at):
+                self.deliver(node, events.StatusFailed(name, at, refused))
             case events.Promise(instance=name, term=term):
-                self.tell(node, events.PromiseAnswered(name, term, lost))
+                self.deliver(node, events.PromiseAnswered(name, term, lost))
             case events.Promote(instance=name, term=term):
-                self.tell(node, events.PromoteAnswered(name, term, lost))
+                self.deliver(node, events.PromoteAnswered(name, term, lost))
             case events.PauseWrites(instance=name):
-                self.tell(node, events.PauseAnswered(name, lost))
+                self.deliver(node, events.PauseAnswered(name, lost))
 
     def execute(self, member: ModelMember, effect: Any) -> Any:
         done = CommandOutcome.DONE
         match effect:
-            case events.QueryStatus(asked_at=at):
+            case events.QueryStatus(queried_at=at):
                 return events.StatusObserved(member.name, member.status(self.now), at)
             case events.Promise():
                 return self.promise(member, effect.term)
@@ -234,7 +234,7 @@
     return model
 
 
-def test_nothing_is_changed_in_calm() -> None:
+def test_healthy_group_is_not_changed() -> None:
     model = steady_model(3)
     model.run(60.0)
     assert not model.effects(events.ChangeStarted)
@@ -255,7 +255,7 @@
         assert {m.primary for m in live} == {completed.primary}
 
 
-def test_cut_off_primary_is_replaced_under_three_seconds_and_later_follows() -> None:
+def test_cut_off_primary_is_replaced_within_three_seconds_and_later_follows() -> None:
     model = steady_model(3)
     cut = model.members[NAMES[0]]
     cut.cut_clients = cut.cut_peers = True
@@ -271,7 +271,7 @@
 
 
 def test_primary_cut_from_its_members_only_is_not_chosen_again() -> None:
-    """It answers the watcher, and its log is the longest: nobody else took its last writes."""
+    """It answers the watcher and has the longest log: no other member received its last writes."""
     model = steady_model(1)
     cut = model.members[NAMES[0]]
     cut.cut_peers = True
@@ -309,14 +309,14 @@
         assert not model.effects(events.ChangeStarted)
 
 
-def test_paused_watcher_that_wakes_late_changes_nothing() -> None:
+def test_paused_watcher_that_resumes_late_changes_nothing() -> None:
     model = steady_model(1)
     model.paused_watchers[NodeId("node-0")] = model.now + 20.0
     model.run(25.0)
     assert not model.effects(events.ChangeStarted)
 
 
-def test_watcher_behind_acts_for_a_paused_first_one_which_wakes_without_harm() -> None:
+def test_another_watcher_acts_for_a_paused_first_one_which_resumes_safely() -> None:
     model = steady_model(3)
     first = NodeId("node-0")
     model.paused_watchers[first] = model.now + 5.0
@@ -374,7 +374,7 @@
     assert model.primary().name == NAMES[2]
 
 
-def test_leaving_member_is_not_chosen_while_another_holds_as_much() -> None:
+def test_leaving_member_is_not_chosen_if_another_has_an_equal_log() -> None:
     model = steady_model(1)
     model.members[NAMES[1]].leaving = True
     model.members[NAMES[0]].dead = True
@@ -382,7 +382,7 @@
     assert model.primary().name == NAMES[2]
 
 
-def test_member_kept_out_by_an_abandoned_promise_is_taken_back() -> None:
+def test_member_blocked_by_an_abandoned_promise_rejoins() -> None:
     model = steady_model(1)
     model.members[NAMES[2]].promised = 7
     model.run(6.0)
@@ -393,7 +393,7 @@
 
 def test_planned_change_reaches_the_target() -> None:
     model = steady_model(1)
-    model.tell(NodeId("node-0"), events.ChangeRequested(1, NAMES[2]))
+    model.deliver(NodeId("node-0"), events.ChangeRequested(1, NAMES[2]))
     model.run(2.0)
     [(_, _, finished)] = model.effects(events.RequestFinished)
     assert finished.outcome is ChangeOutcome.DONE
@@ -402,11 +402,11 @@
     assert {m.primary for m in model.members.values()} == {NAMES[2]}
 
 
-def test_planned_change_to_a_lagging_target_is_aborted_and_writes_go_on() -> None:
+def test_planned_change_to_a_lagging_target_is_aborted_and_writes_resume() -> None:
     model = steady_model(1)
     model.members[NAMES[2]].frozen_log = True
     model.run(1.0)
-    model.tell(NodeId("node-0"), events.ChangeRequested(1, NAMES[2]))
+    model.deliver(NodeId("node-0"), events.ChangeRequested(1, NAMES[2]))
     model.run(3.0)
     [(_, _, finished)] = model.effects(events.RequestFinished)
     assert finished.outcome is ChangeOutcome.ABORTED
@@ -417,7 +417,7 @@
 def test_observed_group_is_followed_and_never_commanded() -> None:
     model = steady_model(1)
     node = NodeId("node-0")
-    model.tell(node, events.GroupReconfigured(SPECS, False, (node,)))
+    model.deliver(node, events.GroupReconfigured(SPECS, False, (node,)))
     old, new = model.members[NAMES[0]], model.members[NAMES[1]]
     old.dead = True
     model.run(2.0)
