--- a/src/bramblebeam/core/failover/decision.py
+++ b/src/bramblebeam/core/failover/decision.py
@@ -1,9 +1,9 @@
 """When a node changes the primary of a group.
 
 The lease holder acts first. Another node takes the lease over if the trouble lasts and the lease
-has not been written meanwhile. A holder writes the lease before each change, so a holder that
-does not write has failed, is cut off from the store, or does not observe the trouble. Times are
-seconds of the monotonic clock.
+has not been written meanwhile. A holder writes the lease before each change, so a holder that does
+not write has failed, is cut off from the store, or does not observe the trouble. Times are seconds
+of the monotonic clock.
 """
 
 from dataclasses import dataclass
@@ -107,7 +107,7 @@
 
 
 def is_suspicion_over(situation: Situation, now: float, timing: FailoverTiming) -> bool:
-    """Whether the trouble has elapsed long enough for the lease holder to act."""
+    """Whether the trouble has lasted long enough for the lease holder to act."""
     if situation.cause is None or situation.trouble_since is None:
         return False
     return now - situation.trouble_since >= _holder_wait(situation.cause, timing)
--- a/src/bramblebeam/core/failover/target.py
+++ b/src/bramblebeam/core/failover/target.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CandidateStatus:
-    """Status reported by a reachable member. `paused`: it receives no log entries for now."""
+    """Status reported by a reachable member. `paused`: it receives nothing for now."""
 
     is_primary: bool
     term: int
@@ -27,8 +27,9 @@
     """Whether a member's log certainly has no entry that the last change of primary rolled back.
 
     A former primary that has been unreachable since then keeps its old log. Promoting it would
-    restore commits that sessions have read past, and drop later ones. A log that is a prefix of the
-    cut has no such entries, but with synchronous replicas it may lack acknowledged commits.
+    restore commits that others have read past, and drop commits made since. A log that is part of
+    the target's log up to the cut has no such entries, but with synchronous replicas it may lack
+    acknowledged commits.
     """
     if last_change is None or instance == last_change.target:
         return True
@@ -43,7 +44,10 @@
 def next_term(
     statuses: Mapping[InstanceId, CandidateStatus], last_change: OrderedChange | None
 ) -> int:
-    """Return the lowest term of the next primary, above the last change's even if unreachable."""
+    """Return the lowest term of the next primary, which is above every known term.
+
+    The term of the last change is known even if no member that has it is reachable.
+    """
     known = [status.term for status in statuses.values()]
     if last_change is not None:
         known.append(last_change.term)
@@ -95,7 +99,7 @@
     """Whether a target may be promoted although its log may be empty.
 
     `had_log`: the group is known to have had commits. The caller then waits for a member that has
-    them: at least until `wait_expired`, and as long as a registered member has not reported.
+    them: at least until `wait_expired`, and while a registered member has not reported its log.
     """
     if statuses[target].received.offset > 0 or not had_log:
         return True
--- a/src/bramblebeam/core/failover/unwritten.py
+++ b/src/bramblebeam/core/failover/unwritten.py
@@ -2,7 +2,7 @@
 
 If the external service checks tokens, the lease holder changes the primary even while the store is
 unavailable, and records the change later. If the holder is lost before that, the node that takes
-the lease over finds an older change in it, or none. It could then promote the former primary's log
+the lease over finds an older change in it, or none. It would then promote the former primary's log
 and so restore commits that were rolled back. The members' status reports reveal such a change.
 """
 
--- a/src/bramblebeam/core/group/messages.py
+++ b/src/bramblebeam/core/group/messages.py
@@ -67,7 +67,7 @@
     FAILED = 5
     """No member became primary by this request; failure detection takes over from here."""
     NOT_WATCHED = 6
-    """The requested node does not watch the group; request another node."""
+    """The queried node does not watch the group; query another node."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupStatusReply:
-    """State of a group as a watcher knows it. `watched`: False if the node does not watch it."""
+    """State of a group as a watcher knows it. `watched` False: unknown here, query another node."""
 
     group: GroupId
     watched: bool
--- a/src/bramblebeam/core/group/observation.py
+++ b/src/bramblebeam/core/group/observation.py
@@ -94,7 +94,7 @@
             self.promise_learned_at = now
 
     def record_failure(self, instance: InstanceId, queried_at: float, refused: bool) -> None:
-        """Record a failed query, unless it was sent before this watcher was paused."""
+        """Record a failed query, unless it predates the last status or a pause of this watcher."""
         member = self.members.get(instance)
         if member is None or queried_at < self._resumed_at or queried_at < member.status_queried_at:
             return
--- a/src/bramblebeam/core/group/relocation.py
+++ b/src/bramblebeam/core/group/relocation.py
@@ -62,7 +62,7 @@
     def target(
         self, view: Observations, context: RelocationContext, now: float
     ) -> InstanceId | None:
-        """Return the member to move the primary to now, or None. A member counts as an attempt."""
+        """Return where to move the primary now, or None. A returned member counts as an attempt."""
         primary = view.primary_observation()
         if primary is None or context.is_served(primary.spec.zone):
             self._unserved_since = None
