--- a/src/bramblebeam/core/failover/lease.py
+++ b/src/bramblebeam/core/failover/lease.py
@@ -41,12 +41,12 @@
 class Lease:
     """Entitles its holder to change the primary of a group.
 
-    `token`: the fencing token. It is the store's revision of the last write of the lease, so it
-    rises with each write and no two holders ever have the same one. `holder` is empty if the former
-    holder released the lease. `last_change`: the last change known to be carried out. `unsettled`:
-    a later change that was ordered but not answered. Until it is, no other member may be promoted.
-    `era`: the era of the store as its writer knew it. If the store reports another era, it was
-    restored from a copy, or the write found a lease other than the intended one.
+    `token`: the fencing token. It is the store's revision of the last write of the lease, so it is
+    unique, rises with each write, and no two holders ever have the same one. `holder` is empty if
+    the former holder released the lease. `last_change`: the last change known to be carried out.
+    `unsettled`: a later change that was ordered but not answered. Until it is, no other member may
+    be promoted. `era`: the era of the store as its writer knew it. If the store reports another
+    era, it was restored from a copy, or the write found a lease other than the intended one.
     """
 
     group: GroupId
