--- a/src/bramblebeam/core/failover/lease.py
+++ b/src/bramblebeam/core/failover/lease.py
@@ -1,8 +1,17 @@
 """The lease for changing the primary of a group, kept in the platform's store."""
 
-from bramblebeam.core.identity import (GroupId, InstanceId, NodeId, Position, ZERO_POSITION, incarnation_of, server_name)
-from bramblebeam.core.revision import (FIRST_ERA, Revision)
-from dataclasses import (dataclass, replace)
+from dataclasses import dataclass, replace
+
+from bramblebeam.core.identity import (
+    ZERO_POSITION,
+    GroupId,
+    InstanceId,
+    NodeId,
+    Position,
+    incarnation_of,
+    server_name,
+)
+from bramblebeam.core.revision import FIRST_ERA, Revision
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/bramblebeam/core/gateway/incarnations.py
+++ b/src/bramblebeam/core/gateway/incarnations.py
@@ -1,6 +1,12 @@
 """Tracks the newest incarnation of each database server; older ones have ended."""
 
-from bramblebeam.core.identity import (InstanceId, ServerName, UNKNOWN_INCARNATION, incarnation_of, server_name)
+from bramblebeam.core.identity import (
+    UNKNOWN_INCARNATION,
+    InstanceId,
+    ServerName,
+    incarnation_of,
+    server_name,
+)
 
 MAXIMUM_NAMES = 10_000
 """Names that are remembered, as many as a system has databases. Beyond that the name that was
--- a/src/bramblebeam/core/gateway/messages.py
+++ b/src/bramblebeam/core/gateway/messages.py
@@ -1,12 +1,13 @@
 """Messages between the node that accepted a statement and a node that serves its group."""
 
-from bramblebeam.core.gateway.replies import (Reply)
-from bramblebeam.core.gateway.routes import (Route)
-from bramblebeam.core.gateway.statements import (Action, PreparedStatement, Statement)
-from bramblebeam.core.identity import (Position, ZERO_POSITION)
-from bramblebeam.core.overload.load import (DatabaseLoad, NO_LOADS)
-from bramblebeam.core.tenants import (NO_TENANT, TenantId)
-from typing import (NamedTuple)
+from typing import NamedTuple
+
+from bramblebeam.core.gateway.replies import Reply
+from bramblebeam.core.gateway.routes import Route
+from bramblebeam.core.gateway.statements import Action, PreparedStatement, Statement
+from bramblebeam.core.identity import ZERO_POSITION, Position
+from bramblebeam.core.overload.load import NO_LOADS, DatabaseLoad
+from bramblebeam.core.tenants import NO_TENANT, TenantId
 
 NO_TRANSACTION = 0
 NO_NUMBER = 0
--- a/src/bramblebeam/core/gateway/restart_tracker.py
+++ b/src/bramblebeam/core/gateway/restart_tracker.py
@@ -5,9 +5,16 @@
 so that it holds no acknowledged commit until it has caught up.
 """
 
-from bramblebeam.core.identity import (InstanceId, Position, UNKNOWN_INCARNATION, ZERO_POSITION, incarnation_of)
-from collections.abc import (Collection)
-from typing import (NamedTuple)
+from collections.abc import Collection
+from typing import NamedTuple
+
+from bramblebeam.core.identity import (
+    UNKNOWN_INCARNATION,
+    ZERO_POSITION,
+    InstanceId,
+    Position,
+    incarnation_of,
+)
 
 
 class ReportedPosition(NamedTuple):
--- a/src/bramblebeam/core/routing/execution.py
+++ b/src/bramblebeam/core/routing/execution.py
@@ -5,19 +5,58 @@
 reply is requested again under the same request id; every other outcome is final.
 """
 
-from bramblebeam.core.identity import (InstanceId, NodeId, Position)
-from bramblebeam.core.machine import (Wakeup)
-from bramblebeam.core.role import (Role)
-from bramblebeam.core.routing.attempt import (Attempt, FLOOR_WAIT_MS, POSITION_TIMEOUT, READ_RETRY_REASONS, RECHECK_INTERVAL, REPEAT_INTERVAL, REPEAT_WINDOW, REPLY_MARGIN, TRANSIENT_REASONS, answer_term, new_request, repeated)
-from bramblebeam.core.routing.budget import (RetryBudget)
-from bramblebeam.core.routing.choice import (ReadRequirement, choose_replica, choose_unweighted, sticky_replica)
-from bramblebeam.core.routing.directory import (Directory)
-from bramblebeam.core.routing.effects import (Abandon, Answered, AttemptFailed, Effect, Finish, GroupUpdated, Hold, PositionAnswered, Refresh, RequestPosition, SendRequest, Started, StatementRequest)
-from bramblebeam.core.routing.retry import (RetryGate)
-from bramblebeam.core.session.session import (Session, Transaction)
-from bramblebeam.core.statement import (ExecuteReply, InstanceStatus, PositionReply, PositionRequest, StatementKind)
-from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
-from typing import (Any)
+from typing import Any
+
+from bramblebeam.core.identity import InstanceId, NodeId, Position
+from bramblebeam.core.machine import Wakeup
+from bramblebeam.core.role import Role
+from bramblebeam.core.routing.attempt import (
+    FLOOR_WAIT_MS,
+    POSITION_TIMEOUT,
+    READ_RETRY_REASONS,
+    RECHECK_INTERVAL,
+    REPEAT_INTERVAL,
+    REPEAT_WINDOW,
+    REPLY_MARGIN,
+    TRANSIENT_REASONS,
+    Attempt,
+    answer_term,
+    new_request,
+    repeated,
+)
+from bramblebeam.core.routing.budget import RetryBudget
+from bramblebeam.core.routing.choice import (
+    ReadRequirement,
+    choose_replica,
+    choose_unweighted,
+    sticky_replica,
+)
+from bramblebeam.core.routing.directory import Directory
+from bramblebeam.core.routing.effects import (
+    Abandon,
+    Answered,
+    AttemptFailed,
+    Effect,
+    Finish,
+    GroupUpdated,
+    Hold,
+    PositionAnswered,
+    Refresh,
+    RequestPosition,
+    SendRequest,
+    Started,
+    StatementRequest,
+)
+from bramblebeam.core.routing.retry import RetryGate
+from bramblebeam.core.session.session import Session, Transaction
+from bramblebeam.core.statement import (
+    ExecuteReply,
+    InstanceStatus,
+    PositionReply,
+    PositionRequest,
+    StatementKind,
+)
+from bramblebeam.core.verdict import Reason, Refusal, Verdict
 
 
 class Execution:
--- a/tests/test_failover_unwritten_change.py
+++ b/tests/test_failover_unwritten_change.py
@@ -1,19 +1,22 @@
 """A change of primary made while the store is unavailable, by a node that is then lost."""
 
 from __future__ import annotations
+
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from dataclasses import dataclass
+
 import pytest
-from bramblebeam.core.failover.lease import (Lease)
-from bramblebeam.core.identity import (GroupId, NodeId)
-from bramblebeam.events.catalogue import (FAILOVER_COMPLETED)
-from bramblebeam.platform.node import (PlatformNode)
-from bramblebeam.services.failover.ports import (LeaseStoreUnavailableError)
-from bramblebeam.services.failover.watch import (GroupWatch)
-from collections.abc import (AsyncIterator)
-from contextlib import (asynccontextmanager)
-from dataclasses import (dataclass)
-from platform_standins.cuts import (cut, keep_from)
-from platform_standins.group import (LineDatabase)
-from platform_standins.world import (GROUP, LineClient, World, joined_world, keep_writing, until)
+
+from bramblebeam.core.failover.lease import Lease
+from bramblebeam.core.identity import GroupId, NodeId
+from bramblebeam.events.catalogue import FAILOVER_COMPLETED
+from bramblebeam.platform.node import PlatformNode
+from bramblebeam.services.failover.ports import LeaseStoreUnavailableError
+from bramblebeam.services.failover.watch import GroupWatch
+from platform_standins.cuts import cut, keep_from
+from platform_standins.group import LineDatabase
+from platform_standins.world import GROUP, LineClient, World, joined_world, keep_writing, until
 
 ENOUGH_CONNECTIONS = 36
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,19 +1,35 @@
 """Tenant limits: the operations admitted in any time span, whichever nodes count them."""
 
 import asyncio
-import pytest
 import random
-from bramblebeam.core.gateway.owners import (GroupSize, NodeLocation, OwnerTable)
-from bramblebeam.core.identity import (NodeId, ZoneId)
-from bramblebeam.core.quota.bucket import (ADMITTED_SHARE, INITIAL_TOKENS, LIMIT_SECONDS, REFUND_SHARE, TokenBucket)
-from bramblebeam.core.quota.counter import (QuotaCounter)
-from bramblebeam.core.quota.held_grants import (REQUEST_INTERVAL)
-from bramblebeam.core.quota.messages import (NO_RECEIPT)
-from bramblebeam.core.tenants import (RateLimit, TenantId)
-from member_views import (nodes_in, view_of)
-from platform_standins.world import (running_world, until)
-from quota_search import (allowed, most_in_any_span)
-from test_tenants import (ACME, BOLT, OTHER_SECRET, SECRET, open_session, put_configuration, tenant_entry)
+
+import pytest
+
+from bramblebeam.core.gateway.owners import GroupSize, NodeLocation, OwnerTable
+from bramblebeam.core.identity import NodeId, ZoneId
+from bramblebeam.core.quota.bucket import (
+    ADMITTED_SHARE,
+    INITIAL_TOKENS,
+    LIMIT_SECONDS,
+    REFUND_SHARE,
+    TokenBucket,
+)
+from bramblebeam.core.quota.counter import QuotaCounter
+from bramblebeam.core.quota.held_grants import REQUEST_INTERVAL
+from bramblebeam.core.quota.messages import NO_RECEIPT
+from bramblebeam.core.tenants import RateLimit, TenantId
+from member_views import nodes_in, view_of
+from platform_standins.world import running_world, until
+from quota_search import allowed, most_in_any_span
+from test_tenants import (
+    ACME,
+    BOLT,
+    OTHER_SECRET,
+    SECRET,
+    open_session,
+    put_configuration,
+    tenant_entry,
+)
 
 LIMIT = RateLimit(20.0, 20.0)
 
