--- a/src/bramblebeam/platform/caller_listener.py
+++ b/src/bramblebeam/platform/caller_listener.py
@@ -20,7 +20,7 @@
     format_position,
     parse_statement,
 )
-from bramblebeam.services.far_end import CALLER_STREAM, watch_far_end
+from bramblebeam.services.far_end import CALLER_STREAM, set_keepalive
 from bramblebeam.services.gateway.session import GatewaySession
 
 logger = logging.getLogger(__name__)
@@ -77,7 +77,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the connection."""
         self._transport = cast(asyncio.Transport, transport)
-        watch_far_end(transport, CALLER_STREAM)
+        set_keepalive(transport, CALLER_STREAM)
         self._first_question_due = asyncio.get_running_loop().time() + _FIRST_QUESTION_SECONDS
         self._connections.add(self)
 
--- a/src/bramblebeam/platform/database_connection.py
+++ b/src/bramblebeam/platform/database_connection.py
@@ -22,7 +22,7 @@
     format_statement,
     parse_position,
 )
-from bramblebeam.services.far_end import DATABASE_STREAM, watch_far_end
+from bramblebeam.services.far_end import DATABASE_STREAM, set_keepalive
 from bramblebeam.services.gateway.ports import (
     Command,
     ConnectError,
@@ -71,7 +71,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport and have the system notice a far end that is gone."""
         self._transport = cast(asyncio.Transport, transport)
-        watch_far_end(transport, DATABASE_STREAM)
+        set_keepalive(transport, DATABASE_STREAM)
 
     def data_received(self, data: bytes) -> None:
         """Take bytes; a completed reply goes to the waiting call."""
--- a/src/bramblebeam/platform/http.py
+++ b/src/bramblebeam/platform/http.py
@@ -9,7 +9,7 @@
 import h11
 
 from bramblebeam.core.identity import Address
-from bramblebeam.services.far_end import CALLER_STREAM, STORE_STREAM, watch_far_end
+from bramblebeam.services.far_end import CALLER_STREAM, STORE_STREAM, set_keepalive
 
 _READ_BYTES = 65_536
 _CONNECT_SECONDS = 1.0
@@ -79,7 +79,7 @@
             return
         async with asyncio.timeout(_CONNECT_SECONDS):
             self._reader, self._writer = await asyncio.open_connection(*self._address)
-        watch_far_end(self._writer.transport, STORE_STREAM)
+        set_keepalive(self._writer.transport, STORE_STREAM)
         self._protocol = h11.Connection(h11.CLIENT)
 
     async def _exchange(
@@ -153,7 +153,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         protocol = h11.Connection(h11.SERVER)
-        watch_far_end(writer.transport, CALLER_STREAM)
+        set_keepalive(writer.transport, CALLER_STREAM)
         try:
             while await self._serve_one(protocol, reader, writer):
                 protocol.start_next_cycle()
--- a/src/bramblebeam/services/far_end.py
+++ b/src/bramblebeam/services/far_end.py
@@ -39,7 +39,7 @@
 the caller outlasts."""
 
 
-def watch_far_end(transport: asyncio.BaseTransport, watch: FarEndWatch) -> None:
+def set_keepalive(transport: asyncio.BaseTransport, watch: FarEndWatch) -> None:
     """Set a stream's socket options; a transport without a socket is left as it is."""
     connected = transport.get_extra_info("socket")
     if connected is None:
--- a/src/bramblebeam/services/transport/connection.py
+++ b/src/bramblebeam/services/transport/connection.py
@@ -7,7 +7,7 @@
 from typing import Any, Protocol, cast
 
 from bramblebeam.core.identity import NodeId
-from bramblebeam.services.far_end import PEER_STREAM, watch_far_end
+from bramblebeam.services.far_end import PEER_STREAM, set_keepalive
 from bramblebeam.services.transport.messages import TIMED_OUT, PeerFailure
 from bramblebeam.services.transport.traffic import PeerTraffic
 from bramblebeam.wire.codec import Codec, DecodeError, UnknownTagError
@@ -223,7 +223,7 @@
         if self._closed:
             self._transport.abort()
             return
-        watch_far_end(transport, PEER_STREAM)
+        set_keepalive(transport, PEER_STREAM)
         self.last_used = self._loop.time()
         protocol = self.owner.highest_protocol
         hello = self.owner.codec.encode(Hello(self.owner.node, maximum_protocol=protocol))
