--- a/src/bramblebeam/services/feed/beside_peers.py
+++ b/src/bramblebeam/services/feed/beside_peers.py
@@ -57,7 +57,7 @@
         return batch
 
 
-class EldestPeers(Generic[Item]):
+class LongestRunningPeers(Generic[Item]):
     """Asks the nodes that have run for longest for a list, and merges what they know."""
 
     def __init__(
--- a/src/bramblebeam/services/feed/service.py
+++ b/src/bramblebeam/services/feed/service.py
@@ -25,7 +25,7 @@
 from bramblebeam.kernel import Kernel, Service
 from bramblebeam.kernel.mailbox import Envelope
 from bramblebeam.kernel.service import answer
-from bramblebeam.services.feed.beside_peers import EldestPeers, ListBesidePeers
+from bramblebeam.services.feed.beside_peers import ListBesidePeers, LongestRunningPeers
 from bramblebeam.services.feed.followed import FollowedList
 from bramblebeam.services.feed.peers import (
     PeerSource,
@@ -83,7 +83,7 @@
             version=lambda table: table.version,
             begin_era=self._begin_era,
         )
-        self._eldest = EldestPeers[RouteTable](
+        self._eldest = LongestRunningPeers[RouteTable](
             place.node, lambda: self._view, self._members_changed, self._routes_at, self._routes
         )
         self._store_routes = ListBesidePeers(routes, self._hear_peers)
