--- a/src/bramblebeam/services/feed/beside_peers.py
+++ b/src/bramblebeam/services/feed/beside_peers.py
@@ -30,7 +30,7 @@
 """So many are asked: where none of them knows the list, all have started anew."""
 
 
-class ListBesidePeers(StoreList[Item], Generic[Item]):
+class PeerCheckedList(StoreList[Item], Generic[Item]):
     """A list of the store; in an era after the first, `hear` runs before an answer counts."""
 
     def __init__(self, store: StoreList[Item], hear: Callable[[], Awaitable[None]]) -> None:
--- a/src/bramblebeam/services/feed/service.py
+++ b/src/bramblebeam/services/feed/service.py
@@ -25,7 +25,7 @@
 from bramblebeam.kernel import Kernel, Service
 from bramblebeam.kernel.mailbox import Envelope
 from bramblebeam.kernel.service import answer
-from bramblebeam.services.feed.beside_peers import ListBesidePeers, LongestRunningPeers
+from bramblebeam.services.feed.beside_peers import LongestRunningPeers, PeerCheckedList
 from bramblebeam.services.feed.followed import FollowedList
 from bramblebeam.services.feed.peers import (
     PeerSource,
@@ -86,7 +86,7 @@
         self._eldest = LongestRunningPeers[RouteTable](
             place.node, lambda: self._view, self._members_changed, self._routes_at, self._routes
         )
-        self._store_routes = ListBesidePeers(routes, self._hear_peers)
+        self._store_routes = PeerCheckedList(routes, self._hear_peers)
         self._databases = FollowedList[DatabaseEntry](
             self._take_databases,
             keeps_last_good=False,
