--- a/src/bramblebeam/services/feed/beside_peers.py
+++ b/src/bramblebeam/services/feed/beside_peers.py
@@ -80,7 +80,7 @@
         asked: set[NodeId] = set()
         while loop_time() < deadline and len(asked) < MOST_ASKED:
             self._members_changed.clear()
-            found = eldest(self._view(), self._node, asked)
+            found = longest_running(self._view(), self._node, asked)
             peers = random.sample(found, min(len(found), MOST_ASKED - len(asked)))
             asked.update(peers)
             told = await asyncio.gather(*(self._ask(peer) for peer in peers))
@@ -101,7 +101,7 @@
         return True
 
 
-def eldest(view: MembersView, node: NodeId, without: set[NodeId]) -> list[NodeId]:
+def longest_running(view: MembersView, node: NodeId, without: set[NodeId]) -> list[NodeId]:
     """Return the others that have run for longest, a tenth of those alive, MOST_ASKED at least."""
     others = [
         (member.incarnation, name)
--- a/tests/test_start_after_restore.py
+++ b/tests/test_start_after_restore.py
@@ -18,7 +18,7 @@
 from bramblebeam.kernel.messages import BoundAddressRequest
 from bramblebeam.platform.node import PlatformNode, build_node
 from bramblebeam.platform.settings import parse_settings
-from bramblebeam.services.feed.beside_peers import eldest
+from bramblebeam.services.feed.beside_peers import longest_running
 from member_views import view_of
 from platform_standins.world import World, joined_world, node_settings, until
 
@@ -85,7 +85,7 @@
         name: replace(member, incarnation=1_000 - number)
         for number, (name, member) in enumerate(view.members.items())
     }
-    asked = eldest(MembersView(aged, view.owners), NodeId("n000"), set())
+    asked = longest_running(MembersView(aged, view.owners), NodeId("n000"), set())
     assert asked == sorted(list(aged)[1:], reverse=True)[:found]
 
 
