--- a/src/bramblebeam/services/feed/peers.py
+++ b/src/bramblebeam/services/feed/peers.py
@@ -70,12 +70,12 @@
     async def changes(self, revision: Revision, wait: float) -> Batch[Item]:
         """Return what changed. Raises HistoryLostError, SourceUnavailableError."""
         reply = await self._ask(revision, wait)
-        if reply.whole or told_era(reply) != revision.era:
+        if reply.whole or reply_era(reply) != revision.era:
             raise HistoryLostError
         return self._batch(reply)
 
     def _batch(self, reply: FollowReply) -> Batch[Item]:
-        revision = Revision(told_era(reply), reply.revision)
+        revision = Revision(reply_era(reply), reply.revision)
         return Batch(self._unpack(reply), revision, reply.age)
 
     async def _ask(self, revision: Revision, wait: float) -> FollowReply:
@@ -87,12 +87,12 @@
             raise SourceUnavailableError(repr(error)) from error
         if not isinstance(answer, FollowReply) or not answer.available:
             raise SourceUnavailableError(f"{self._node}: {answer}")
-        if told_era(answer) not in range(FIRST_ERA, HIGHEST_ERA + 1):
+        if reply_era(answer) not in range(FIRST_ERA, HIGHEST_ERA + 1):
             raise SourceUnavailableError(f"{self._node} tells of era {answer.era}")
         return answer
 
 
-def told_era(reply: FollowReply) -> int:
+def reply_era(reply: FollowReply) -> int:
     """Return the era of a reply; a node that knows none tells of the first."""
     return FIRST_ERA if reply.era == UNKNOWN_ERA else reply.era
 
@@ -120,7 +120,7 @@
 
 
 def _revision(reply: FollowReply, told: RouteTableItem | DatabaseItem) -> Revision:
-    return Revision(told_era(reply), told.revision)
+    return Revision(reply_era(reply), told.revision)
 
 
 def _started(entry: DatabaseEntry | None, born: int) -> DatabaseEntry | None:
