--- a/src/bramblebeam/services/feed/peers.py
+++ b/src/bramblebeam/services/feed/peers.py
@@ -142,7 +142,7 @@
     )
 
 
-class Told(NamedTuple):
+class ReplyItems(NamedTuple):
     """The items of an answer: one of the two is empty."""
 
     routes: tuple[RouteTableItem, ...] = ()
@@ -150,9 +150,11 @@
     starts: tuple[DatabaseStart, ...] = ()
 
 
-def told_routes(items: tuple[Versioned[RouteTable], ...]) -> Told:
+def told_routes(items: tuple[Versioned[RouteTable], ...]) -> ReplyItems:
     """Return route tables as they travel; one that can't be read is left out."""
-    return Told(routes=tuple(_told_table(item) for item in items if item.item or item.deleted))
+    return ReplyItems(
+        routes=tuple(_told_table(item) for item in items if item.item or item.deleted)
+    )
 
 
 def _told_table(item: Versioned[RouteTable]) -> RouteTableItem:
@@ -171,10 +173,10 @@
     )
 
 
-def told_databases(items: tuple[Versioned[DatabaseEntry], ...]) -> Told:
+def told_databases(items: tuple[Versioned[DatabaseEntry], ...]) -> ReplyItems:
     """Return databases as they travel; one that can't be read is left out."""
     readable = [item for item in items if item.item or item.deleted]
-    return Told(
+    return ReplyItems(
         databases=tuple(
             DatabaseItem(item.name, item.revision.number, _named(item.item)) for item in readable
         ),
@@ -194,7 +196,7 @@
 
 
 async def follow_reply(
-    request: FollowRequest, followed: FollowedList[Any], pack: Callable[[Any], Told]
+    request: FollowRequest, followed: FollowedList[Any], pack: Callable[[Any], ReplyItems]
 ) -> FollowReply:
     """Answer a node that follows this one, once there is news or its time is over."""
     if request.revision >= 0:
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -34,7 +34,7 @@
 from bramblebeam.platform.store import HistoryGoneError, StoreClient, StoreUnavailableError
 from bramblebeam.platform.store_calls import StoreCalls
 from bramblebeam.services.feed.followed import FollowedList
-from bramblebeam.services.feed.peers import PeerSource, Told, follow_reply
+from bramblebeam.services.feed.peers import PeerSource, ReplyItems, follow_reply
 from bramblebeam.services.feed.ports import (
     Batch,
     HistoryLostError,
@@ -286,7 +286,7 @@
         question = request.message
         if self.is_older:
             question = FollowRequest(*question[:3])
-        reply = await follow_reply(question, self.followed, lambda items: Told())
+        reply = await follow_reply(question, self.followed, lambda items: ReplyItems())
         if self.era is not None:
             return reply._replace(era=self.era)
         return FollowReply(*reply[:7]) if self.is_older else reply
@@ -319,7 +319,9 @@
 async def test_a_node_of_an_earlier_version_is_told_changes_as_before() -> None:
     """It knows no eras, and would ask for the whole list again and again."""
     followed = known_at(at(5, 1))
-    reply = await follow_reply(FollowRequest(ListName.ROUTES, 5, 0.0), followed, lambda _: Told())
+    reply = await follow_reply(
+        FollowRequest(ListName.ROUTES, 5, 0.0), followed, lambda _: ReplyItems()
+    )
     assert not reply.whole
     assert reply.revision == 5
 
