--- a/src/bramblebeam/services/feed/peers.py
+++ b/src/bramblebeam/services/feed/peers.py
@@ -150,7 +150,7 @@
     starts: tuple[DatabaseStart, ...] = ()
 
 
-def told_routes(items: tuple[Versioned[RouteTable], ...]) -> ReplyItems:
+def pack_routes(items: tuple[Versioned[RouteTable], ...]) -> ReplyItems:
     """Return route tables as they travel; one that can't be read is left out."""
     return ReplyItems(
         routes=tuple(_told_table(item) for item in items if item.item or item.deleted)
--- a/src/bramblebeam/services/feed/service.py
+++ b/src/bramblebeam/services/feed/service.py
@@ -31,9 +31,9 @@
     PeerSource,
     database_items,
     follow_reply,
+    pack_routes,
     route_items,
     told_databases,
-    told_routes,
 )
 from bramblebeam.services.feed.ports import Source, StoreList, Versioned
 from bramblebeam.services.feed.sources import ListSources
@@ -178,7 +178,7 @@
     async def _answer(self, request: FollowRequest, envelope: Envelope) -> None:
         reply: FollowReply
         if request.name is ListName.ROUTES:
-            reply = await follow_reply(request, self._routes, told_routes)
+            reply = await follow_reply(request, self._routes, pack_routes)
         else:
             reply = await follow_reply(request, self._databases, told_databases)
         answer(envelope, reply)
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -15,7 +15,7 @@
 from bramblebeam.events.formatting import JsonFormatter
 from bramblebeam.platform.sources import parse_table
 from bramblebeam.platform.tenants import parse_tenants
-from bramblebeam.services.feed.peers import route_items, told_routes
+from bramblebeam.services.feed.peers import pack_routes, route_items
 from bramblebeam.services.feed.ports import Versioned
 from bramblebeam.services.gateway.refused_keys import RefusedKeys
 from bramblebeam.wire.codec import Codec
@@ -150,7 +150,7 @@
     content["routes"][0]["public"] = True
     found = parse_table({**content, "tenants": [listed("acme", SECRET), listed("bolt")]})
     codec = Codec(GATEWAY_NODE_MESSAGES)
-    told = told_routes((Versioned("main", at(3), found),)).routes
+    told = pack_routes((Versioned("main", at(3), found),)).routes
     received = codec.decode(codec.encode(FollowReply(True, True, 3, 0.0, told)))
     (item,) = route_items(received)
     assert item.item == found
