--- a/src/bramblebeam/services/feed/peers.py
+++ b/src/bramblebeam/services/feed/peers.py
@@ -173,7 +173,7 @@
     )
 
 
-def told_databases(items: tuple[Versioned[DatabaseEntry], ...]) -> ReplyItems:
+def pack_databases(items: tuple[Versioned[DatabaseEntry], ...]) -> ReplyItems:
     """Return databases as they travel; one that can't be read is left out."""
     readable = [item for item in items if item.item or item.deleted]
     return ReplyItems(
--- a/src/bramblebeam/services/feed/service.py
+++ b/src/bramblebeam/services/feed/service.py
@@ -31,9 +31,9 @@
     PeerSource,
     database_items,
     follow_reply,
+    pack_databases,
     pack_routes,
     route_items,
-    told_databases,
 )
 from bramblebeam.services.feed.ports import Source, StoreList, Versioned
 from bramblebeam.services.feed.sources import ListSources
@@ -180,7 +180,7 @@
         if request.name is ListName.ROUTES:
             reply = await follow_reply(request, self._routes, pack_routes)
         else:
-            reply = await follow_reply(request, self._databases, told_databases)
+            reply = await follow_reply(request, self._databases, pack_databases)
         answer(envelope, reply)
 
     def _begin_era(self, era: int) -> None:
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -44,7 +44,7 @@
 from bramblebeam.platform.sources import parse_database
 from bramblebeam.services.failover.change import ChangeRunner
 from bramblebeam.services.failover.peers import TransportStepDownPeers
-from bramblebeam.services.feed.peers import database_items, told_databases
+from bramblebeam.services.feed.peers import database_items, pack_databases
 from bramblebeam.services.feed.ports import Versioned
 from bramblebeam.services.gateway.leader_news import FormerLeaderFound, LeaderNews
 from bramblebeam.services.gateway.leaders import LeaderTracker
@@ -99,7 +99,7 @@
         Versioned("db-b", at(6), entry(InstanceId("db-b"))),
     )
     gone = Versioned[DatabaseEntry]("db-c", at(7), None, deleted=True)
-    told = told_databases((*items, gone))
+    told = pack_databases((*items, gone))
     reply = FollowReply(True, True, 7, 0.0, databases=told.databases, starts=told.starts)
     codec = Codec(GATEWAY_NODE_MESSAGES)
     assert database_items(codec.decode(codec.encode(reply))) == (*items, gone)
