--- a/src/bramblebeam/services/feed/following.py
+++ b/src/bramblebeam/services/feed/following.py
@@ -53,12 +53,14 @@
         self._list = followed
         self._failures = 0
 
-    async def look(self, look: Callable[[], Awaitable[Batch[Any]]], until: asyncio.Event) -> None:
+    async def load_cached(
+        self, load_cached: Callable[[], Awaitable[Batch[Any]]], until: asyncio.Event
+    ) -> None:
         """Take a list that may be old, so that something is known until there is better."""
         while not until.is_set() and self._list.revision is None:
             told_at = asyncio.get_running_loop().time()
             try:
-                self._list.merge(await look(), True, told_at)
+                self._list.merge(await load_cached(), True, told_at)
             except SourceUnavailableError as error:
                 await self._failed(None, str(error))
 
--- a/src/bramblebeam/services/feed/sources.py
+++ b/src/bramblebeam/services/feed/sources.py
@@ -101,6 +101,6 @@
         return loop, self._spawn(loop.run(PEER_WAIT) if node else self._run_store(loop))
 
     async def _run_store(self, loop: Following) -> None:
-        await loop.look(self._store.list_cached, self._settled)
+        await loop.load_cached(self._store.list_cached, self._settled)
         await self._settled.wait()
         await loop.run(STORE_WAIT)
