--- a/src/bramblebeam/services/feed/following.py
+++ b/src/bramblebeam/services/feed/following.py
@@ -37,7 +37,7 @@
 """An answer that waited for news was given at most so long before it arrived."""
 
 
-class Following:
+class SourceFollower:
     """Follows a list at a source until cancelled. `failed`: the last question was in vain.
 
     `node`: the node that tells, None: the store itself.
--- a/src/bramblebeam/services/feed/sources.py
+++ b/src/bramblebeam/services/feed/sources.py
@@ -13,7 +13,7 @@
 from bramblebeam.events import log_event
 from bramblebeam.events.catalogue import FEED_FALLBACK
 from bramblebeam.services.feed.followed import FollowedList
-from bramblebeam.services.feed.following import Following
+from bramblebeam.services.feed.following import SourceFollower
 from bramblebeam.services.feed.ports import Source, StoreList
 
 logger = logging.getLogger(__name__)
@@ -58,7 +58,7 @@
         self._spawn = spawn
         self._settled = settled
         self._plan = FeedPlan()
-        self._loops: dict[NodeId | None, tuple[Following, asyncio.Task[None]]] = {}
+        self._loops: dict[NodeId | None, tuple[SourceFollower, asyncio.Task[None]]] = {}
         self._fallback_until = float("-inf")
         self._planned_at = float("-inf")
 
@@ -95,12 +95,12 @@
         for source in wanted - self._loops.keys():
             self._loops[source] = self._start(source)
 
-    def _start(self, node: NodeId | None) -> tuple[Following, asyncio.Task[None]]:
+    def _start(self, node: NodeId | None) -> tuple[SourceFollower, asyncio.Task[None]]:
         source = self._store if node is None else self._peer_source(node)
-        loop = Following(self._name.name.lower(), node, source, self._list)
+        loop = SourceFollower(self._name.name.lower(), node, source, self._list)
         return loop, self._spawn(loop.run(PEER_WAIT) if node else self._run_store(loop))
 
-    async def _run_store(self, loop: Following) -> None:
+    async def _run_store(self, loop: SourceFollower) -> None:
         await loop.load_cached(self._store.list_cached, self._settled)
         await self._settled.wait()
         await loop.run(STORE_WAIT)
