--- a/src/bramblebeam/kernel/kernel.py
+++ b/src/bramblebeam/kernel/kernel.py
@@ -38,7 +38,7 @@
         self.restart_rule = restart_rule or RestartRule()
         self._services: dict[str, Service] = {}
         self._supervisors: dict[str, asyncio.Task[None]] = {}
-        self._life_failed: dict[str, asyncio.Future[BaseException]] = {}
+        self._failure_futures: dict[str, asyncio.Future[BaseException]] = {}
         self._subscribers: dict[type, list[str]] = {}
         self._failures: dict[str, list[float]] = {}
         self._fatal: asyncio.Event = asyncio.Event()
@@ -140,14 +140,14 @@
 
         Errors that come while the service is being closed or restarted already change nothing.
         """
-        failed = self._life_failed.get(name)
+        failed = self._failure_futures.get(name)
         if failed is None or failed.done():
             return
         failed.set_result(error or RuntimeError("unknown failure"))
 
     def _begin_life(self, service: Service) -> None:
         loop = asyncio.get_running_loop()
-        self._life_failed[service.name] = loop.create_future()
+        self._failure_futures[service.name] = loop.create_future()
 
     def _supervise(self, service: Service) -> None:
         task = asyncio.get_running_loop().create_task(self._keep_running(service))
@@ -167,7 +167,7 @@
                 self.report_failure(service.name, start_error)
 
     async def _run_until_failure(self, service: Service) -> BaseException:
-        failed = self._life_failed[service.name]
+        failed = self._failure_futures[service.name]
         runner = asyncio.get_running_loop().create_task(service.run())
         try:
             await asyncio.wait((runner, failed), return_when=asyncio.FIRST_COMPLETED)
@@ -216,7 +216,7 @@
 
     async def _stop_services(self, services: list[Service]) -> None:
         for service in reversed(services):
-            self._life_failed.pop(service.name, None)
+            self._failure_futures.pop(service.name, None)
             supervisor = self._supervisors.pop(service.name, None)
             if supervisor is not None:
                 supervisor.cancel()
