--- a/src/bramblebeam/edges/mysql/connection.py
+++ b/src/bramblebeam/edges/mysql/connection.py
@@ -27,7 +27,7 @@
 from bramblebeam.events.catalogue import (
     CALLER_DENIED,
     CALLER_PROTOCOL_ERROR,
-    STATEMENT_FAILED_INSIDE,
+    STATEMENT_FAILED_INTERNALLY,
 )
 from bramblebeam.events.log import log_event
 
@@ -228,7 +228,7 @@
         except (StreamClosedError, OSError):
             raise
         except Exception as error:
-            log_event(logger, STATEMENT_FAILED_INSIDE, error=f"{type(error).__name__}: {error}")
+            log_event(logger, STATEMENT_FAILED_INTERNALLY, error=f"{type(error).__name__}: {error}")
             self._answers.error(CallerError(UNKNOWN_ERROR, "HY000", "Internal error"))
         finally:
             self._interruptible = False
--- a/src/bramblebeam/events/catalogue.py
+++ b/src/bramblebeam/events/catalogue.py
@@ -54,7 +54,7 @@
 PEER_DATAGRAM_UNREADABLE = define(
     1402, logging.WARNING, "datagram from a peer could not be read", "source", "error"
 )
-STATEMENT_FAILED_INSIDE = define(
+STATEMENT_FAILED_INTERNALLY = define(
     1190, logging.ERROR, "caller's statement failed by a fault of this program", "error"
 )
 CALLER_DENIED = define(
