--- a/src/bramblebeam/events/catalogue.py
+++ b/src/bramblebeam/events/catalogue.py
@@ -128,7 +128,7 @@
 EDGE_DRAINING = define(
     1102, logging.INFO, "no more callers are accepted", "connections", "in_flight"
 )
-CALLER_TURNED_AWAY = define(
+CALLER_REJECTED = define(
     1103, logging.WARNING, "callers are turned away", "service", "reason", "count"
 )
 MEMBER_JOINED = define(1403, logging.INFO, "member is alive", "node", "zone", "incarnation")
--- a/src/bramblebeam/services/edge/service.py
+++ b/src/bramblebeam/services/edge/service.py
@@ -20,7 +20,7 @@
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
 from bramblebeam.edges.mysql.server import MysqlServer
 from bramblebeam.events import log_event
-from bramblebeam.events.catalogue import CALLER_TURNED_AWAY, EDGE_DRAINING, EDGE_LISTENING
+from bramblebeam.events.catalogue import CALLER_REJECTED, EDGE_DRAINING, EDGE_LISTENING
 from bramblebeam.kernel import Kernel, Service
 from bramblebeam.kernel.mailbox import Envelope
 from bramblebeam.kernel.messages import BoundAddressRequest
@@ -177,7 +177,7 @@
         if now - self._turned_away_logged >= TURNED_AWAY_LOG_INTERVAL:
             self._turned_away_logged = now
             count = self._refusals[reason]
-            log_event(logger, CALLER_TURNED_AWAY, service=service, reason=reason.name, count=count)
+            log_event(logger, CALLER_REJECTED, service=service, reason=reason.name, count=count)
         raise caller_error(Refusal(Verdict.NOT_RUN, reason))
 
     def enter(self, in_transaction: bool) -> None:
