--- a/src/bramblebeam/events/catalogue.py
+++ b/src/bramblebeam/events/catalogue.py
@@ -75,7 +75,7 @@
 GROUP_CHANGE_COMPLETED = define(
     1304, logging.WARNING, "change of primary completed", "group", "term", "primary", "duration_ms"
 )
-GROUP_CHANGE_GIVEN_UP = define(
+GROUP_CHANGE_ABANDONED = define(
     1305, logging.WARNING, "attempt to change the primary given up", "group", "term", "detail"
 )
 GROUP_MEMBER_POINTED = define(
--- a/src/bramblebeam/services/group/watch.py
+++ b/src/bramblebeam/services/group/watch.py
@@ -204,7 +204,7 @@
     def _log_given_up(self, effect: events.ChangeGivenUp) -> None:
         log_event(
             logger,
-            catalogue.GROUP_CHANGE_GIVEN_UP,
+            catalogue.GROUP_CHANGE_ABANDONED,
             group=self.machine.group,
             term=effect.term,
             detail=effect.detail,
