--- a/src/bramblebeam/events/catalogue.py
+++ b/src/bramblebeam/events/catalogue.py
@@ -78,7 +78,7 @@
 GROUP_CHANGE_ABANDONED = define(
     1305, logging.WARNING, "attempt to change the primary given up", "group", "term", "detail"
 )
-GROUP_MEMBER_POINTED = define(
+GROUP_MEMBER_REPOINTED = define(
     1306, logging.INFO, "member was told to follow the primary", "group", "instance", "term"
 )
 GROUP_WATCH_STARTED = define(1307, logging.INFO, "watch of a group starts", "group", "rank")
--- a/src/bramblebeam/services/group/watch.py
+++ b/src/bramblebeam/services/group/watch.py
@@ -145,7 +145,7 @@
             return
         log_event(
             logger,
-            catalogue.GROUP_MEMBER_POINTED,
+            catalogue.GROUP_MEMBER_REPOINTED,
             group=self.machine.group,
             instance=effect.instance,
             term=effect.term,
