--- a/src/bramblebeam/events/catalogue.py
+++ b/src/bramblebeam/events/catalogue.py
@@ -359,7 +359,7 @@
     "token",
     "era",
 )
-LEADER_BARRED = define(
+LEADER_BLOCKED = define(
     1339,
     logging.INFO,
     "leader is not used: this node promised so to a change of primary that may be under way",
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -31,7 +31,7 @@
 from bramblebeam.events import log_event
 from bramblebeam.events.catalogue import (
     FORMER_LEADER_FOUND,
-    LEADER_BARRED,
+    LEADER_BLOCKED,
     LEADER_CONFIRMED,
     LEADER_LOST,
     LEADER_PROVEN,
@@ -613,7 +613,7 @@
         if not self._promise.bars(term, loop_time()):
             return False
         if instance != self._barred:
-            log_event(logger, LEADER_BARRED, group=self.group, instance=instance, term=term)
+            log_event(logger, LEADER_BLOCKED, group=self.group, instance=instance, term=term)
         self._barred = instance
         return True
 
