--- a/src/bramblebeam/events/catalogue.py
+++ b/src/bramblebeam/events/catalogue.py
@@ -283,7 +283,7 @@
     "outcome",
     "duration_ms",
 )
-UNTOLD_CHANGE_FOUND = define(
+UNRECORDED_CHANGE_FOUND = define(
     1338,
     logging.WARNING,
     "no member is promoted yet: another node changed the primary, which the lease does not tell",
--- a/src/bramblebeam/services/failover/untold.py
+++ b/src/bramblebeam/services/failover/untold.py
@@ -10,7 +10,7 @@
 from bramblebeam.core.failover.unwritten import SeenOfChanges, last_change
 from bramblebeam.core.identity import GroupId, InstanceId
 from bramblebeam.events import log_event
-from bramblebeam.events.catalogue import UNTOLD_CHANGE_FOUND
+from bramblebeam.events.catalogue import UNRECORDED_CHANGE_FOUND
 from bramblebeam.services.gateway.context import GatewayContext
 from bramblebeam.services.gateway.leaders import LeaderTracker
 
@@ -53,7 +53,7 @@
         """Log that no member that answers follows a change that the lease does not tell."""
         log_event(
             logger,
-            UNTOLD_CHANGE_FOUND,
+            UNRECORDED_CHANGE_FOUND,
             group=self._group,
             term=found.term if found is not None else None,
             told_term=told.term if told is not None else None,
