--- a/src/bramblebeam/events/catalogue.py
+++ b/src/bramblebeam/events/catalogue.py
@@ -250,7 +250,7 @@
     "paused",
     "others",
 )
-MEMBERS_FREE = define(
+MEMBERS_NOT_PAUSED = define(
     1349,
     logging.WARNING,
     "members that were to be paused are not; nothing is ordered, and they are paused once more",
--- a/src/bramblebeam/services/failover/paused_members.py
+++ b/src/bramblebeam/services/failover/paused_members.py
@@ -14,7 +14,7 @@
 from bramblebeam.core.gateway.directory import DatabaseEntry
 from bramblebeam.core.identity import GroupId, InstanceId
 from bramblebeam.events import log_event
-from bramblebeam.events.catalogue import MEMBERS_FREE, MEMBERS_PAUSED
+from bramblebeam.events.catalogue import MEMBERS_NOT_PAUSED, MEMBERS_PAUSED
 from bramblebeam.services.failover.member_orders import MemberOrders, MemberUnreachableError
 from bramblebeam.services.waiting import loop_time
 
@@ -93,7 +93,9 @@
         statuses = await self._look([entry.instance for entry in others])
         free = self.unpaused(others, former, statuses)
         if free:
-            log_event(logger, MEMBERS_FREE, group=self._group, members=", ".join(sorted(free)))
+            log_event(
+                logger, MEMBERS_NOT_PAUSED, group=self._group, members=", ".join(sorted(free))
+            )
         return not free
 
     async def _look(self, instances: Collection[InstanceId]) -> Statuses:
