--- a/src/bramblebeam/events/catalogue.py
+++ b/src/bramblebeam/events/catalogue.py
@@ -499,7 +499,7 @@
 LEASE_RELEASED = define(
     1326, logging.INFO, "lease was given up; nobody needs to wait for it", "group", "token"
 )
-PEER_STREAM_SILENT = define(
+PEER_STREAM_UNRESPONSIVE = define(
     1410,
     logging.WARNING,
     "stream to a peer is silent; the next request opens another one",
--- a/src/bramblebeam/services/transport/service.py
+++ b/src/bramblebeam/services/transport/service.py
@@ -17,7 +17,7 @@
     MESSAGE_NOT_ENCODED,
     PEER_DATAGRAM_UNREADABLE,
     PEER_PROTOCOL_ERROR,
-    PEER_STREAM_SILENT,
+    PEER_STREAM_UNRESPONSIVE,
 )
 from bramblebeam.kernel import Kernel, MailboxFullError, Service
 from bramblebeam.kernel.mailbox import Envelope
@@ -225,7 +225,7 @@
             return
         related = list(self._all) if connection.greeted else []
         others = sum(other.leave_silent(since) for other in related)
-        log_event(logger, PEER_STREAM_SILENT, peer=connection.peer or "?", others=others)
+        log_event(logger, PEER_STREAM_UNRESPONSIVE, peer=connection.peer or "?", others=others)
 
     def protocol_error(self, connection: PeerConnection, detail: str) -> None:
         """Log why a stream is closed."""
