--- a/src/bramblebeam/events/catalogue.py
+++ b/src/bramblebeam/events/catalogue.py
@@ -506,7 +506,7 @@
     "peer",
     "others",
 )
-DATABASE_CONNECTIONS_SILENT = define(
+DATABASE_CONNECTIONS_UNRESPONSIVE = define(
     1336,
     logging.WARNING,
     "connections to a database are silent; those in use are given up where that is safe",
--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -14,7 +14,7 @@
 from bramblebeam.core.tenants import TenantId
 from bramblebeam.core.verdict import Reason, Refusal
 from bramblebeam.events import log_event
-from bramblebeam.events.catalogue import DATABASE_CONNECTIONS_SILENT
+from bramblebeam.events.catalogue import DATABASE_CONNECTIONS_UNRESPONSIVE
 from bramblebeam.services.gateway.pooled import ANSWER_SECONDS, CLOCK_STEP, PooledConnection
 from bramblebeam.services.gateway.ports import ConnectError, DatabaseConnector
 from bramblebeam.services.gateway.resting import RestingConnections
@@ -228,7 +228,7 @@
     def log_silent(self, lent: int) -> None:
         """Log how many connections in use are silent."""
         instance = self.entry.instance
-        log_event(logger, DATABASE_CONNECTIONS_SILENT, instance=instance, lent=lent)
+        log_event(logger, DATABASE_CONNECTIONS_UNRESPONSIVE, instance=instance, lent=lent)
 
     def is_silent(self, lent: PooledConnection) -> bool:
         """Whether a connection has not been heard of since connections were found to be silent."""
