--- a/src/bramblebeam/events/catalogue.py
+++ b/src/bramblebeam/events/catalogue.py
@@ -522,7 +522,7 @@
     "cause",
     "seconds",
 )
-DATABASE_BACK = define(
+DATABASE_REINSTATED = define(
     1346,
     logging.INFO,
     "database gets reads from this node again, after some that were served",
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -16,7 +16,7 @@
 from bramblebeam.core.tenants import TenantId
 from bramblebeam.core.verdict import Reason, Refusal
 from bramblebeam.events import log_event
-from bramblebeam.events.catalogue import DATABASE_BACK, DATABASE_EJECTED
+from bramblebeam.events.catalogue import DATABASE_EJECTED, DATABASE_REINSTATED
 from bramblebeam.services.gateway.metrics import GatewayMetrics
 from bramblebeam.services.gateway.pool import PATIENCE, DatabasePool
 from bramblebeam.services.waiting import loop_time
@@ -252,7 +252,7 @@
         if change is None:
             return
         is_back = change.standing is Standing.IN_SERVICE
-        event = DATABASE_BACK if is_back else DATABASE_EJECTED
+        event = DATABASE_REINSTATED if is_back else DATABASE_EJECTED
         log_event(
             logger,
             event,
