--- a/src/bramblebeam/events/catalogue.py
+++ b/src/bramblebeam/events/catalogue.py
@@ -546,7 +546,7 @@
     "node",
     "error",
 )
-TENANT_SECOND = define(
+TENANT_RATE_SAMPLE = define(
     1127,
     logging.INFO,
     "what a tenant that met its limit asked for in a second, as this node counted and ran it",
--- a/src/bramblebeam/report/counting/run.py
+++ b/src/bramblebeam/report/counting/run.py
@@ -18,7 +18,7 @@
     REQUEST_ATTEMPT_FAILED,
     REQUEST_FORWARD_FAILED,
     REQUEST_REFUSED,
-    TENANT_SECOND,
+    TENANT_RATE_SAMPLE,
 )
 from bramblebeam.report.counting.leaders import LeaderCounts, NodeLeaders
 from bramblebeam.report.counting.lives import Lives
@@ -90,7 +90,7 @@
             REQUEST_REFUSED.number: (statements.was_refused,),
             REQUEST_ATTEMPT_FAILED.number: (statements.attempt_failed,),
             REQUEST_FORWARD_FAILED.number: (statements.forward_failed,),
-            TENANT_SECOND.number: (self._tenant_second,),
+            TENANT_RATE_SAMPLE.number: (self._tenant_second,),
             LINES_LEFT_OUT.number: (self._counts.problems.lines_left_out,),
             MEMBER_JOINED.number: (self._counts.note_zone,),
         }
--- a/src/bramblebeam/services/gateway/tenant_records.py
+++ b/src/bramblebeam/services/gateway/tenant_records.py
@@ -13,7 +13,7 @@
 
 from bramblebeam.core.tenants import RateLimit, TenantId
 from bramblebeam.events import log_event
-from bramblebeam.events.catalogue import ADMITTED_UNCOUNTED, COUNTING_BEGAN, TENANT_SECOND
+from bramblebeam.events.catalogue import ADMITTED_UNCOUNTED, COUNTING_BEGAN, TENANT_RATE_SAMPLE
 
 logger = logging.getLogger(__name__)
 
@@ -96,7 +96,7 @@
         counts = self._second[tenant]
         log_event(
             logger,
-            TENANT_SECOND,
+            TENANT_RATE_SAMPLE,
             tenant=tenant,
             rate=None if limit is None else limit.rate,
             burst=None if limit is None else limit.burst,
--- a/tests/test_tenant_records.py
+++ b/tests/test_tenant_records.py
@@ -7,7 +7,7 @@
 import pytest
 
 from bramblebeam.core.tenants import RateLimit, TenantId
-from bramblebeam.events.catalogue import TENANT_SECOND
+from bramblebeam.events.catalogue import TENANT_RATE_SAMPLE
 from bramblebeam.events.formatting import JsonFormatter
 from bramblebeam.report.counting.build import report_on
 from bramblebeam.services.gateway.tenant_records import (
@@ -40,7 +40,7 @@
         records.note(tenant, Part.SENT)
     records.met_limit(ACME, 10.0)
     (event,) = told(records, 10.0, caplog)
-    assert event["event"] == TENANT_SECOND.number
+    assert event["event"] == TENANT_RATE_SAMPLE.number
     expected = {"tenant": ACME, "rate": 20.0, "burst": 10.0, "counted": 1, "sent": 1}
     assert event["fields"].items() >= expected.items()
     records.note(ACME, Part.SENT)
@@ -70,7 +70,7 @@
 
 def second(at: float, counted: int, sent: int, returned: int = 0) -> str:
     fields = {"counted": counted, "sent": sent, "returned": returned, "refused": 9, "uncounted": 0}
-    return line(at, TENANT_SECOND, tenant="acme", rate=20.0, burst=10.0, **fields)
+    return line(at, TENANT_RATE_SAMPLE, tenant="acme", rate=20.0, burst=10.0, **fields)
 
 
 def test_a_report_adds_up_what_all_nodes_counted_and_sent_against_the_limit(
