--- a/src/bramblebeam/events/catalogue.py
+++ b/src/bramblebeam/events/catalogue.py
@@ -560,7 +560,7 @@
     "uncounted",
     "sent",
 )
-COUNTING_BEGAN = define(
+COUNTING_STARTED = define(
     1128,
     logging.INFO,
     "this node began to count tenants, one of which is named",
--- a/src/bramblebeam/services/gateway/tenant_records.py
+++ b/src/bramblebeam/services/gateway/tenant_records.py
@@ -13,7 +13,7 @@
 
 from bramblebeam.core.tenants import RateLimit, TenantId
 from bramblebeam.events import log_event
-from bramblebeam.events.catalogue import ADMITTED_UNCOUNTED, COUNTING_BEGAN, TENANT_RATE_SAMPLE
+from bramblebeam.events.catalogue import ADMITTED_UNCOUNTED, COUNTING_STARTED, TENANT_RATE_SAMPLE
 
 logger = logging.getLogger(__name__)
 
@@ -106,7 +106,7 @@
     def _log_rest(self) -> None:
         if self._begun:
             first = self._begun[0]
-            log_event(logger, COUNTING_BEGAN, tenants=len(self._begun), first=first)
+            log_event(logger, COUNTING_STARTED, tenants=len(self._begun), first=first)
         for tenant, why in list(self._uncounted_why.items())[:MOST_LINES]:
             operations = self._second[tenant][Part.UNCOUNTED]
             log_event(logger, ADMITTED_UNCOUNTED, tenant=tenant, operations=operations, why=why)
