--- a/src/bramblebeam/events/catalogue.py
+++ b/src/bramblebeam/events/catalogue.py
@@ -621,7 +621,7 @@
     "most",
     "retry_after_ms",
 )
-FORMER_LIFE_PASSED_OVER = define(
+FORMER_INCARNATION_IGNORED = define(
     1521,
     logging.WARNING,
     "entry of a database is passed over: the database has started again since",
--- a/src/bramblebeam/services/feed/service.py
+++ b/src/bramblebeam/services/feed/service.py
@@ -19,7 +19,7 @@
 from bramblebeam.events.catalogue import (
     DIRECTORY_CHANGED,
     FEED_PLAN_CHANGED,
-    FORMER_LIFE_PASSED_OVER,
+    FORMER_INCARNATION_IGNORED,
     ROUTES_IN_FORCE,
 )
 from bramblebeam.kernel import Kernel, Service
@@ -220,7 +220,7 @@
         if self._registry.is_former(entry.instance):
             log_event(
                 logger,
-                FORMER_LIFE_PASSED_OVER,
+                FORMER_INCARNATION_IGNORED,
                 instance=server_name(entry.instance),
                 born=born_at(entry.instance),
                 revision=str(revision),
