--- a/src/bramblebeam/events/catalogue.py
+++ b/src/bramblebeam/events/catalogue.py
@@ -647,7 +647,7 @@
     "known_era",
     "call",
 )
-STORE_ERA_GIVEN_UP = define(
+STORE_ERA_DISCARDED = define(
     1525,
     logging.ERROR,
     "era of a list was a mistake, as nobody else tells of it: a former one counts again",
--- a/src/bramblebeam/services/feed/followed.py
+++ b/src/bramblebeam/services/feed/followed.py
@@ -9,7 +9,7 @@
 
 from bramblebeam.core.revision import ERA_SILENCE_SECONDS, NO_REVISION, Revision
 from bramblebeam.events import log_event
-from bramblebeam.events.catalogue import ITEMS_PASSED_OVER, STORE_ERA_BEGAN, STORE_ERA_GIVEN_UP
+from bramblebeam.events.catalogue import ITEMS_PASSED_OVER, STORE_ERA_BEGAN, STORE_ERA_DISCARDED
 from bramblebeam.services.feed.ports import Batch, HistoryLostError, Versioned
 from bramblebeam.services.gateway.metrics import ListState
 from bramblebeam.services.waiting import loop_time, wait_at_most
@@ -118,7 +118,7 @@
         """Take the present era for a mistake: what is known stays until something else is told."""
         if not whole:
             raise HistoryLostError
-        log_event(logger, STORE_ERA_GIVEN_UP, list=self._name, revision=str(self.revision))
+        log_event(logger, STORE_ERA_DISCARDED, list=self._name, revision=str(self.revision))
         self.revision = None
         self._forgotten = NO_REVISION
         self._known = {
