--- a/src/bramblebeam/events/catalogue.py
+++ b/src/bramblebeam/events/catalogue.py
@@ -654,7 +654,7 @@
     "list",
     "revision",
 )
-ITEMS_PASSED_OVER = define(
+ITEMS_IGNORED = define(
     1524,
     logging.WARNING,
     "items of a list are passed over, as later ones are known; the first of them is named",
--- a/src/bramblebeam/services/feed/followed.py
+++ b/src/bramblebeam/services/feed/followed.py
@@ -9,7 +9,7 @@
 
 from bramblebeam.core.revision import ERA_SILENCE_SECONDS, NO_REVISION, Revision
 from bramblebeam.events import log_event
-from bramblebeam.events.catalogue import ITEMS_PASSED_OVER, STORE_ERA_BEGAN, STORE_ERA_DISCARDED
+from bramblebeam.events.catalogue import ITEMS_IGNORED, STORE_ERA_BEGAN, STORE_ERA_DISCARDED
 from bramblebeam.services.feed.ports import Batch, HistoryLostError, Versioned
 from bramblebeam.services.gateway.metrics import ListState
 from bramblebeam.services.waiting import loop_time, wait_at_most
@@ -193,7 +193,7 @@
         if older:
             log_event(
                 logger,
-                ITEMS_PASSED_OVER,
+                ITEMS_IGNORED,
                 list=self._name,
                 items=len(older),
                 name=older[0].name,
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -23,7 +23,7 @@
 from bramblebeam.core.revision import ERA_SILENCE_SECONDS, HIGHEST_ERA, NO_REVISION, Revision
 from bramblebeam.core.role import Role
 from bramblebeam.events.catalogue import (
-    ITEMS_PASSED_OVER,
+    ITEMS_IGNORED,
     STORE_ERA_BEGAN,
     STORE_ERA_UNUSABLE,
     Event,
@@ -177,7 +177,7 @@
     assert followed.revision == at(4, 1)
     assert followed.confirmed_at == 1.0
     assert followed.whole().items == (item("a", at(3, 1)),)
-    assert len(told(caplog, ITEMS_PASSED_OVER)) == 1
+    assert len(told(caplog, ITEMS_IGNORED)) == 1
 
 
 def test_a_new_era_is_told_once_with_both_revisions(caplog: pytest.LogCaptureFixture) -> None:
