--- a/src/bramblebeam/events/catalogue.py
+++ b/src/bramblebeam/events/catalogue.py
@@ -333,7 +333,7 @@
     "observed",
     "time_left",
 )
-LEADERS_CONTRADICT = define(
+CONFLICTING_LEADERS = define(
     1329,
     logging.ERROR,
     "two databases say that they lead the same term; neither is used in it",
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -30,12 +30,12 @@
 from bramblebeam.core.role import Role
 from bramblebeam.events import log_event
 from bramblebeam.events.catalogue import (
+    CONFLICTING_LEADERS,
     FORMER_LEADER_FOUND,
     LEADER_BLOCKED,
     LEADER_CONFIRMED,
     LEADER_LOST,
     LEADER_PROVEN,
-    LEADERS_CONTRADICT,
 )
 from bramblebeam.services.gateway.leader_news import (
     FormerLeaderFound,
@@ -643,7 +643,7 @@
         assert self.leader is not None
         log_event(
             logger,
-            LEADERS_CONTRADICT,
+            CONFLICTING_LEADERS,
             group=self.group,
             instance=instance,
             leader=self.leader,
