--- a/src/bramblebeam/events/catalogue.py
+++ b/src/bramblebeam/events/catalogue.py
@@ -324,7 +324,7 @@
     "observed",
     "forwarded",
 )
-FORWARDED_STATEMENT_UNSOUND = define(
+FORWARDED_STATEMENT_INVALID = define(
     1335,
     logging.ERROR,
     "statement of another node is declined: its position or its time is no such thing",
--- a/src/bramblebeam/services/gateway/hosting.py
+++ b/src/bramblebeam/services/gateway/hosting.py
@@ -19,7 +19,7 @@
 from bramblebeam.core.tenants import TenantId
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
 from bramblebeam.events import log_event
-from bramblebeam.events.catalogue import FORWARDED_STATEMENT_UNSOUND, STATEMENT_WITHDRAWN
+from bramblebeam.events.catalogue import FORWARDED_STATEMENT_INVALID, STATEMENT_WITHDRAWN
 from bramblebeam.services.gateway.execution import execute_here
 from bramblebeam.services.gateway.request import Request
 from bramblebeam.services.gateway.transaction import Transaction
@@ -130,7 +130,7 @@
         if not is_sound(message):
             log_event(
                 logger,
-                FORWARDED_STATEMENT_UNSOUND,
+                FORWARDED_STATEMENT_INVALID,
                 node=sender,
                 request=message.identifier,
                 observed=str(message.observed_position),
