--- a/src/bramblebeam/events/catalogue.py
+++ b/src/bramblebeam/events/catalogue.py
@@ -444,7 +444,7 @@
     "token",
     "duration_ms",
 )
-FAILOVER_LEFT_TO_OTHERS = define(
+FAILOVER_DEFERRED = define(
     1350,
     logging.INFO,
     "change of primary failed here again; the lease is left to other nodes for a while",
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -16,7 +16,7 @@
 from bramblebeam.events import log_event
 from bramblebeam.events.catalogue import (
     FAILOVER_COMPLETED,
-    FAILOVER_LEFT_TO_OTHERS,
+    FAILOVER_DEFERRED,
     FAILOVER_STARTED,
 )
 from bramblebeam.services.failover.change import ChangeOutcome, ChangeRunner
@@ -236,7 +236,7 @@
         lease = self.lease.known
         if not self._in_vain.steps_aside or lease is None or lease.unsettled is not None:
             return
-        log_event(logger, FAILOVER_LEFT_TO_OTHERS, group=self._group, reason=reason)
+        log_event(logger, FAILOVER_DEFERRED, group=self._group, reason=reason)
         await self.lease.release()
 
     async def _reaches_replica(self) -> bool:
