--- a/src/bramblebeam/events/catalogue.py
+++ b/src/bramblebeam/events/catalogue.py
@@ -382,7 +382,7 @@
 STORE_LOST = define(
     1512, logging.WARNING, "store cannot be read; what is known stays", "list", "revision", "error"
 )
-STORE_REGAINED = define(1513, logging.INFO, "store is read again", "list", "failures")
+STORE_RECOVERED = define(1513, logging.INFO, "store is read again", "list", "failures")
 PEER_FEED_LOST = define(
     1514,
     logging.WARNING,
--- a/src/bramblebeam/services/feed/following.py
+++ b/src/bramblebeam/services/feed/following.py
@@ -15,7 +15,7 @@
     PEER_FEED_LOST,
     PEER_FEED_REGAINED,
     STORE_LOST,
-    STORE_REGAINED,
+    STORE_RECOVERED,
 )
 from bramblebeam.services.feed.followed import FollowedList
 from bramblebeam.services.feed.ports import (
@@ -110,6 +110,6 @@
     def _log_regained(self) -> None:
         name, failures = self._name, self._failures
         if self._node is None:
-            log_event(logger, STORE_REGAINED, list=name, failures=failures)
+            log_event(logger, STORE_RECOVERED, list=name, failures=failures)
             return
         log_event(logger, PEER_FEED_REGAINED, list=name, node=self._node, failures=failures)
