--- a/src/bramblebeam/events/catalogue.py
+++ b/src/bramblebeam/events/catalogue.py
@@ -392,7 +392,7 @@
     "revision",
     "error",
 )
-PEER_FEED_REGAINED = define(
+PEER_FEED_RECOVERED = define(
     1515, logging.INFO, "node tells of the store again", "list", "node", "failures"
 )
 FEED_PLAN_CHANGED = define(
--- a/src/bramblebeam/services/feed/following.py
+++ b/src/bramblebeam/services/feed/following.py
@@ -13,7 +13,7 @@
 from bramblebeam.events import log_event
 from bramblebeam.events.catalogue import (
     PEER_FEED_LOST,
-    PEER_FEED_REGAINED,
+    PEER_FEED_RECOVERED,
     STORE_LOST,
     STORE_RECOVERED,
 )
@@ -112,4 +112,4 @@
         if self._node is None:
             log_event(logger, STORE_RECOVERED, list=name, failures=failures)
             return
-        log_event(logger, PEER_FEED_REGAINED, list=name, node=self._node, failures=failures)
+        log_event(logger, PEER_FEED_RECOVERED, list=name, node=self._node, failures=failures)
