--- a/tests/node_answers.py
+++ b/tests/node_answers.py
@@ -13,14 +13,14 @@
 ABSENT = "127.0.0.1:1"
 
 
-class Asked(NamedTuple):
+class CommandRun(NamedTuple):
     """The address of the node that answered, and what the command printed."""
 
     node: str
     result: Result
 
 
-async def asked(command: str, body_of: Callable[[str], bytes]) -> Asked:
+async def asked(command: str, body_of: Callable[[str], bytes]) -> CommandRun:
     """Run a command that asks both nodes; `body_of` gives the answer to a path."""
 
     async def answer(method: str, path: str) -> HttpAnswer:
@@ -30,6 +30,6 @@
     node = f"127.0.0.1:{(await server.start()).port}"
     try:
         arguments = [command, node, ABSENT]
-        return Asked(node, await asyncio.to_thread(CliRunner().invoke, application, arguments))
+        return CommandRun(node, await asyncio.to_thread(CliRunner().invoke, application, arguments))
     finally:
         server.close()
