--- a/tests/test_platform_leaders.py
+++ b/tests/test_platform_leaders.py
@@ -283,12 +283,12 @@
     """Found in a day's log: a node never found a leader again after a failure inside."""
     async with keeping_world(nodes=1) as world:
         kernel = world.nodes[0].kernel
-        lives = dict(kernel._life_failed)
+        lives = dict(kernel._failure_futures)
         for name in ("gateway", "failover"):
             kernel.report_failure(name, RuntimeError("made up"))
         await until(
             lambda: all(
-                kernel._life_failed.get(name) not in (None, lives[name])
+                kernel._failure_futures.get(name) not in (None, lives[name])
                 for name in ("gateway", "failover")
             )
         )
