--- a/src/bramblebeam/services/feed/followed.py
+++ b/src/bramblebeam/services/feed/followed.py
@@ -104,7 +104,7 @@
         items = tuple(sorted(changed, key=lambda item: item.revision))
         return Batch(items, max(revision, self.revision or NO_REVISION))
 
-    async def wait_news(self, revision: Revision, wait: float) -> None:
+    async def wait_for_change(self, revision: Revision, wait: float) -> None:
         """Wait until more than `revision` is known, for at most `wait` seconds."""
         deadline = loop_time() + wait
         while self.revision is None or self.revision <= revision:
--- a/src/bramblebeam/services/feed/peers.py
+++ b/src/bramblebeam/services/feed/peers.py
@@ -201,7 +201,7 @@
     """Answer a node that follows this one, once there is news or its time is over."""
     if request.revision >= 0:
         asked = _asked_revision(request, followed)
-        await followed.wait_news(asked, min(request.wait, LONGEST_WAIT))
+        await followed.wait_for_change(asked, min(request.wait, LONGEST_WAIT))
     if followed.revision is None:
         return NOT_AVAILABLE
     batch = _changes_for(request, followed)
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -354,7 +354,7 @@
 
 async def test_who_waits_in_a_former_era_is_woken_by_the_new_one() -> None:
     followed = known_at(at(9))
-    waiting = asyncio.ensure_future(followed.wait_news(at(9), 60.0))
+    waiting = asyncio.ensure_future(followed.wait_for_change(at(9), 60.0))
     await asyncio.sleep(0)
     followed.merge(Batch((), at(4, 1)), True, 0.0)
     await waiting
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -83,7 +83,7 @@
 async def test_a_waiting_caller_is_woken_by_a_change() -> None:
     followed, _ = make_list()
     followed.merge(Batch((item("a", 5),), at(5)), True, 0.0)
-    waiting = asyncio.ensure_future(followed.wait_news(at(5), 60.0))
+    waiting = asyncio.ensure_future(followed.wait_for_change(at(5), 60.0))
     await asyncio.sleep(0)
     assert not waiting.done()
     followed.merge(Batch((item("a", 6),), at(6)), False, 0.0)
