--- a/src/bramblebeam/services/feed/beside_peers.py
+++ b/src/bramblebeam/services/feed/beside_peers.py
@@ -74,7 +74,7 @@
         self._source_at = source_at
         self._list = followed
 
-    async def hear(self) -> None:
+    async def query(self) -> None:
         """Return once one has told the list, MOST_ASKED don't know it, or the time is over."""
         deadline = loop_time() + PATIENCE_SECONDS
         asked: set[NodeId] = set()
--- a/src/bramblebeam/services/feed/service.py
+++ b/src/bramblebeam/services/feed/service.py
@@ -157,7 +157,7 @@
 
     async def _hear_peers(self) -> None:
         if self._expects_others:
-            await self._eldest.hear()
+            await self._eldest.query()
 
     def _follow(self) -> None:
         for sources in self._sources:
