--- a/tests/node_answers.py
+++ b/tests/node_answers.py
@@ -20,7 +20,7 @@
     result: Result
 
 
-async def asked(command: str, body_of: Callable[[str], bytes]) -> CommandRun:
+async def run_at_nodes(command: str, body_of: Callable[[str], bytes]) -> CommandRun:
     """Run a command that asks both nodes; `body_of` gives the answer to a path."""
 
     async def answer(method: str, path: str) -> HttpAnswer:
--- a/tests/test_in_force_command.py
+++ b/tests/test_in_force_command.py
@@ -6,7 +6,7 @@
 
 from bramblebeam.cli.in_force import BEHIND, InForce, lines_of, read_in_force
 from bramblebeam.platform.node import METRICS_PATH, _figures
-from node_answers import ABSENT, asked
+from node_answers import ABSENT, run_at_nodes
 from platform_standins.world import running_world, until
 
 WELL = InForce("a", 27, (1, 12), 0.4, (1, 15), 0.2)
@@ -43,7 +43,7 @@
 
 
 async def test_nodes_that_do_not_answer_or_tell_nothing_are_named() -> None:
-    node, result = await asked("in-force", lambda path: b"# nothing of ours\nother 1\n")
+    node, result = await run_at_nodes("in-force", lambda path: b"# nothing of ours\nother 1\n")
     assert result.exit_code == 1
     assert f"{node}: its metrics lack" in result.output
     assert f"{ABSENT}:" in result.output
--- a/tests/test_queue_view.py
+++ b/tests/test_queue_view.py
@@ -8,7 +8,7 @@
 from bramblebeam.cli.queues import table_lines
 from bramblebeam.platform.node import QUEUES_PATH, _figures
 from bramblebeam.services.gateway.queue_view import queue_rows
-from node_answers import ABSENT, asked
+from node_answers import ABSENT, run_at_nodes
 from platform_standins.world import running_world
 from test_silent_connections import pools, served
 from test_slot_queue import ordered_world
@@ -40,7 +40,7 @@
         assert path == QUEUES_PATH
         return json.dumps([row]).encode()
 
-    node, result = await asked("queues", body_of)
+    node, result = await run_at_nodes("queues", body_of)
     assert result.exit_code == 1
     assert f"{node}  g" in result.output
     assert f"{ABSENT}:" in result.output
--- a/tests/test_tenant_view.py
+++ b/tests/test_tenant_view.py
@@ -5,7 +5,7 @@
 from bramblebeam.cli.tenants import AT_ITS_LIMIT, table_lines
 from bramblebeam.core.quota.bucket import HOME_SHARE
 from bramblebeam.platform.node import TENANTS_PATH, _figures
-from node_answers import ABSENT, asked
+from node_answers import ABSENT, run_at_nodes
 from platform_standins.world import running_world, until
 from test_tenants import ACME, BOLT, OTHER_SECRET, SECRET, listed, started, tell
 
@@ -39,7 +39,7 @@
         assert path == TENANTS_PATH
         return json.dumps([row]).encode()
 
-    node, result = await asked("tenants", body_of)
+    node, result = await run_at_nodes("tenants", body_of)
     assert result.exit_code == 1
     assert f"acme    0.50   7        110      {node} 0.5" in result.output
     assert f"{ABSENT}:" in result.output
