--- a/src/bramblebeam/kernel/__init__.py
+++ b/src/bramblebeam/kernel/__init__.py
@@ -1,4 +1,4 @@
-"""The micro-kernel: services with mailboxes that find each other by name."""
+"""The micro-kernel: services with mailboxes that address each other by name."""
 
 from bramblebeam.kernel.kernel import Kernel, RestartRule
 from bramblebeam.kernel.mailbox import Mailbox, MailboxFullError, ServiceFailedError
--- a/src/bramblebeam/kernel/kernel.py
+++ b/src/bramblebeam/kernel/kernel.py
@@ -1,4 +1,4 @@
-"""The registry and life cycle of services."""
+"""Registry and lifecycle of services."""
 
 import asyncio
 import logging
@@ -20,19 +20,19 @@
 logger = logging.getLogger(__name__)
 
 CLOSE_SECONDS = 5.0
-"""How long a service may take to close."""
+"""Time limit for closing a service."""
 
 
 @dataclass(frozen=True, slots=True)
 class RestartRule:
-    """A service is restarted up to `limit` times within `window` seconds; then the node stops."""
+    """Restart limit: after `limit` restarts of a service within `window` seconds the node stops."""
 
     limit: int = 3
     window: float = 60.0
 
 
 class Kernel:
-    """Starts services in the given order, restarts failed ones, stops them in reverse order."""
+    """Starts services in registration order, restarts failed ones, stops in reverse order."""
 
     def __init__(self, restart_rule: RestartRule | None = None) -> None:
         self.restart_rule = restart_rule or RestartRule()
@@ -44,22 +44,22 @@
         self._fatal: asyncio.Event = asyncio.Event()
 
     def register(self, *services: Service) -> None:
-        """Add services. Raises ValueError for a name that is taken."""
+        """Add services. Raises ValueError for a name that is already registered."""
         for service in services:
             if service.name in self._services:
                 raise ValueError(f"service {service.name} is registered already")
             self._services[service.name] = service
 
     def names(self) -> Iterable[str]:
-        """Return the names of the registered services."""
+        """Return the names of all registered services."""
         return self._services.keys()
 
     def has(self, name: str) -> bool:
-        """Whether a service of this name is registered."""
+        """Return whether a service of this name is registered."""
         return name in self._services
 
     def subscribe(self, message_type: type, name: str) -> None:
-        """Let every published message of exactly this type reach the service's mailbox."""
+        """Deliver published messages of exactly this type to the service's mailbox."""
         names = self._subscribers.setdefault(message_type, [])
         if name not in names:
             names.append(name)
@@ -67,8 +67,8 @@
     def publish(self, message: Any) -> None:
         """Post an immutable message to each subscriber.
 
-        Published messages may use as many places again as the mailbox is long. A subscriber that
-        has not even those misses the message, which is logged; the publisher goes on.
+        Published messages may fill a mailbox to twice its capacity. A subscriber whose mailbox is
+        full even so misses the message, which is logged; the publisher is not affected.
         """
         for name in self._subscribers.get(type(message), ()):
             mailbox = self._services[name].mailbox
@@ -83,17 +83,17 @@
         self._services[name].mailbox.put(Envelope(message, None))
 
     def forward(self, name: str, envelope: Envelope) -> None:
-        """Put an envelope, and with it its sender's reply, into a service's mailbox.
+        """Pass an envelope on to a service, which answers the original sender.
 
         Raises KeyError (no such service), MailboxFullError.
         """
         self._services[name].mailbox.put(envelope)
 
     async def call(self, name: str, message: Any, timeout: float | None = None) -> Any:
-        """Send and wait for the answer (`timeout` seconds; None: for ever).
+        """Send and wait for the answer, for `timeout` seconds (None: no limit).
 
         Raises KeyError (no such service), MailboxFullError, TimeoutError, and ServiceFailedError
-        when the service fails or stops before it has answered.
+        if the service fails or stops before it answers.
         """
         reply = asyncio.get_running_loop().create_future()
         self._services[name].mailbox.put(Envelope(message, reply))
@@ -103,15 +103,15 @@
             return await reply
 
     async def start(self) -> None:
-        """Start every service in the order of registration, then serve until stopped.
+        """Start and supervise every service in registration order.
 
-        A service that fails to start stops the ones before it; its error is raised.
+        If a service fails to start, the ones before it are stopped and its error is raised.
         """
         started: list[Service] = []
         try:
             for service in self._services.values():
                 started.append(service)
-                self._begin_life(service)
+                self._reset_failure(service)
                 await service.start()
                 self._supervise(service)
         except BaseException:
@@ -119,14 +119,14 @@
             raise
 
     async def wait_failed(self) -> None:
-        """Return when a service has failed more often than the rule allows."""
+        """Return when a service has failed more often than the restart rule allows."""
         await self._fatal.wait()
 
     async def drain(self) -> None:
-        """Ask every service, last registered first, to prepare a planned stop.
+        """Let every service, last registered first, prepare a planned stop.
 
-        The services drain at the same time: one that waits for work in flight does not keep the
-        others from theirs. Returns when all are done; the caller sets the bound.
+        Services drain concurrently, so that one which waits for work in flight does not delay the
+        others. Returns when all are done; the caller sets the timeout.
         """
         services = reversed(list(self._services.values()))
         await asyncio.gather(*(self._drain(service) for service in services))
@@ -136,16 +136,16 @@
         await self._stop_services(list(self._services.values()))
 
     def report_failure(self, name: str, error: BaseException | None) -> None:
-        """End the service's present life with an error; it is restarted by the rule.
+        """End the service's current run with an error; the restart rule applies.
 
-        Errors that come while the service is being closed or restarted already change nothing.
+        Errors reported while the service is already being closed or restarted are ignored.
         """
         failed = self._failure_futures.get(name)
         if failed is None or failed.done():
             return
         failed.set_result(error or RuntimeError("unknown failure"))
 
-    def _begin_life(self, service: Service) -> None:
+    def _reset_failure(self, service: Service) -> None:
         loop = asyncio.get_running_loop()
         self._failure_futures[service.name] = loop.create_future()
 
@@ -160,7 +160,7 @@
                 self._fatal.set()
                 return
             await self._close(service)
-            self._begin_life(service)
+            self._reset_failure(service)
             try:
                 await service.start()
             except Exception as start_error:
@@ -194,9 +194,9 @@
         return True
 
     async def _close(self, service: Service) -> None:
-        """End the service's children and sockets; senders that wait for it get an error.
+        """Stop the service's child tasks and sockets; fail its unanswered messages.
 
-        A service that does not end in time is left as it is: it must not keep the node.
+        A service that does not stop in time is abandoned, so that it cannot block the node.
         """
         try:
             async with asyncio.timeout(CLOSE_SECONDS):
@@ -226,11 +226,11 @@
 
 
 def _describe(error: BaseException) -> str:
-    """Return the error with the place it was raised at, on one line."""
-    place = ""
-    trace = error.__traceback__
-    while trace is not None:
-        code = trace.tb_frame.f_code
-        place = f" at {code.co_qualname}:{trace.tb_lineno}"
-        trace = trace.tb_next
-    return f"{type(error).__name__}: {error}{place}"
+    """Return the error and where it was raised, on one line."""
+    location = ""
+    traceback = error.__traceback__
+    while traceback is not None:
+        code = traceback.tb_frame.f_code
+        location = f" at {code.co_qualname}:{traceback.tb_lineno}"
+        traceback = traceback.tb_next
+    return f"{type(error).__name__}: {error}{location}"
--- a/src/bramblebeam/kernel/mailbox.py
+++ b/src/bramblebeam/kernel/mailbox.py
@@ -1,4 +1,4 @@
-"""Bounded mailboxes: the only way into a service."""
+"""Bounded mailboxes, through which services receive all messages."""
 
 import asyncio
 from collections import deque
@@ -6,20 +6,20 @@
 from typing import Any
 
 _PRUNE_THRESHOLD = 64
-"""Answered envelopes kept at most, besides as many as are unanswered: each keeps its answer."""
+"""Tracked replies at which answered ones, which keep their answers in memory, are first pruned."""
 
 
 class MailboxFullError(Exception):
-    """The service has more messages waiting than its bound. Retriable later; nothing was done."""
+    """The service's mailbox is full. Nothing was done; may be retried later."""
 
 
 class ServiceFailedError(Exception):
-    """The service failed while it held the message, which may have been handled or not."""
+    """The service failed with the message unanswered; it may or may not have been handled."""
 
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """One message, and the future its answer goes to (None where no answer is wanted)."""
+    """A message, and the future for its answer (None: no answer wanted)."""
 
     message: Any
     reply: asyncio.Future[Any] | None
@@ -28,8 +28,8 @@
 class Mailbox:
     """A bounded queue of envelopes, read by one service.
 
-    The mailbox remembers the unanswered envelopes that the service has taken, so that their
-    senders get an error when the service fails.
+    Tracks the unanswered envelopes that the service has taken, so that their senders get an
+    error when the service fails.
     """
 
     def __init__(self, capacity: int) -> None:
@@ -43,9 +43,9 @@
         return len(self._waiting)
 
     def put(self, envelope: Envelope, reserve: int = 0) -> None:
-        """Add an envelope; `reserve` places beyond the bound may be used.
+        """Add an envelope; the capacity may be exceeded by `reserve`.
 
-        Raises MailboxFullError when those are taken too.
+        Raises MailboxFullError beyond that.
         """
         if len(self._waiting) >= self.capacity + reserve:
             raise MailboxFullError
@@ -53,24 +53,24 @@
         self._available.set()
 
     async def get(self) -> Envelope:
-        """Return the oldest envelope, waiting for one."""
+        """Return the oldest envelope, waiting until there is one."""
         while not self._waiting:
             self._available.clear()
             await self._available.wait()
         return self._take()
 
     def get_nowait(self) -> Envelope | None:
-        """Return the oldest envelope, or None."""
+        """Return the oldest envelope, or None if there is none."""
         return self._take() if self._waiting else None
 
     def fail_taken(self, error: Exception) -> None:
-        """Give every sender whose envelope was taken and not answered the error."""
+        """Fail the unanswered envelopes that the service has taken."""
         for reply in self._taken:
             _fail(reply, error)
         self._taken.clear()
 
     def fail_all(self, error: Exception) -> None:
-        """Give every sender without an answer the error, and empty the mailbox."""
+        """Fail all unanswered envelopes and empty the mailbox."""
         self.fail_taken(error)
         while self._waiting:
             envelope = self._waiting.popleft()
@@ -80,14 +80,14 @@
     def _take(self) -> Envelope:
         envelope = self._waiting.popleft()
         if envelope.reply is not None:
-            self._remember(envelope.reply)
+            self._track(envelope.reply)
         return envelope
 
-    def _remember(self, reply: asyncio.Future[Any]) -> None:
+    def _track(self, reply: asyncio.Future[Any]) -> None:
         self._taken.append(reply)
         if len(self._taken) < self._prune_at:
             return
-        self._taken = [known for known in self._taken if not known.done()]
+        self._taken = [tracked for tracked in self._taken if not tracked.done()]
         self._prune_at = max(_PRUNE_THRESHOLD, 2 * len(self._taken))
 
 
--- a/src/bramblebeam/kernel/messages.py
+++ b/src/bramblebeam/kernel/messages.py
@@ -1,8 +1,8 @@
-"""Messages that any service may be asked."""
+"""Messages that any service may receive."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class BoundAddressRequest:
-    """Ask a service that listens for its address; the answer is an `Address`."""
+    """Requests the bound address of a listening service; the answer is an `Address`."""
--- a/src/bramblebeam/kernel/service.py
+++ b/src/bramblebeam/kernel/service.py
@@ -1,4 +1,4 @@
-"""The base of every service: one task that owns its state and takes messages from its mailbox."""
+"""Base class of services: one task that owns its state and handles messages from its mailbox."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class Service:
-    """One named service.
+    """A named service.
 
     Override `start` (open sockets), `handle` (one message at a time) and `stop` (close). `handle`
-    must not wait long: what waits goes into `spawn`, and answers by the envelope it was given.
-    `start` may run again after a failure. A task that ends with an error ends the service's life:
-    the kernel cancels the children, calls `stop`, gives the senders of unanswered messages a
-    `ServiceFailedError`, and starts the service anew.
+    must not wait long: long work runs in a task started by `spawn`, which answers through the
+    envelope. `start` may run again after a failure. When a task ends with an error, the kernel
+    cancels the children, calls `stop`, fails unanswered messages with `ServiceFailedError`, and
+    restarts the service.
     """
 
     name: ClassVar[str]
@@ -33,25 +33,25 @@
         self._children: set[asyncio.Task[Any]] = set()
 
     async def start(self) -> None:
-        """Open what the service owns. An exception here counts as a failure of the service."""
+        """Open the service's resources. An exception here counts as a failure of the service."""
 
     async def handle(self, envelope: Envelope) -> None:
-        """Take one message; set `envelope.reply`'s result, now or from a child task."""
+        """Handle one message; set the result of `envelope.reply`, now or from a child task."""
         raise NotImplementedError
 
     async def drain(self) -> None:
-        """Prepare a planned stop: give ownership away, let what is in flight end."""
+        """Prepare a planned stop: hand over ownership and finish work in flight."""
 
     async def stop(self) -> None:
-        """Close what the service owns."""
+        """Close the service's resources."""
 
     async def run(self) -> None:
-        """Take messages until cancelled."""
+        """Handle messages until cancelled."""
         while True:
             await self.handle(await self.mailbox.get())
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Run a child task that ends with the service; its failure is the service's."""
+        """Run a child task that ends with the service; if it fails, the service fails."""
         task = asyncio.get_running_loop().create_task(work)
         self._children.add(task)
         task.add_done_callback(self._child_done)
@@ -63,7 +63,7 @@
             self.kernel.report_failure(self.name, task.exception())
 
     async def cancel_children(self) -> None:
-        """Cancel every child task and wait for their ends."""
+        """Cancel all child tasks and wait until they have ended."""
         while self._children:
             children = list(self._children)
             for child in children:
@@ -73,6 +73,6 @@
 
 
 def answer(envelope: Envelope, result: Any) -> None:
-    """Give the envelope's sender its answer, if it still waits for one."""
+    """Answer the envelope's sender, if it still waits."""
     if envelope.reply is not None and not envelope.reply.done():
         envelope.reply.set_result(result)
--- a/src/bramblebeam/metrics.py
+++ b/src/bramblebeam/metrics.py
@@ -1,6 +1,6 @@
-"""Counters and histograms that services feed as they work; the admin service shows them.
+"""Counters and histograms that services update; the admin service exposes them.
 
-Label values come from small fixed sets, never from callers.
+Label values come from small fixed sets, never from caller input.
 """
 
 from prometheus_client import (
@@ -20,7 +20,7 @@
     ["role"],
     registry=REGISTRY,
 )
-"""`role`: `replica` or `primary`. The share of reads served by replicas comes from it."""
+"""`role` is `replica` or `primary`; the share of reads served by replicas is derived from it."""
 
 REPLICA_READS = READS.labels("replica")
 PRIMARY_READS = READS.labels("primary")
--- a/src/bramblebeam/node.py
+++ b/src/bramblebeam/node.py
@@ -1,4 +1,4 @@
-"""One node: the kernel with its services, from start to planned stop."""
+"""Runs one node: the kernel with its services, from start to planned stop."""
 
 import asyncio
 import json
@@ -29,7 +29,7 @@
 logger = logging.getLogger(__name__)
 
 SERVICE_ORDER = ("transport", "edge", "admin", "pool", "group", "configuration", "membership")
-"""Order of start. Services that listen come first: membership tells the others' addresses."""
+"""Start order. Listening services come first, because membership announces their addresses."""
 
 LISTENING_SERVICES = {"peer": "transport", "client": "edge", "admin": "admin"}
 
@@ -37,7 +37,7 @@
 
 
 class ExitCode(IntEnum):
-    """How a node's process ends."""
+    """Exit codes of a node's process."""
 
     STOPPED = 0
     BAD_SETTINGS = 2
@@ -46,9 +46,9 @@
 
 
 def build_kernel(settings: NodeSettings) -> Kernel:
-    """Return a kernel with every service of a node registered, none started.
+    """Return a kernel with every service of a node registered but not started.
 
-    Call it on the loop that the node runs on.
+    Must be called on the event loop that the node runs on.
     """
     kernel = Kernel()
     for name in SERVICE_ORDER:
@@ -58,12 +58,14 @@
 
 def _service_class(name: str) -> Callable[[Kernel, NodeSettings], Service]:
     module = import_module(f"bramblebeam.services.{name}.service")
-    found: Callable[[Kernel, NodeSettings], Service] = getattr(module, f"{name.title()}Service")
-    return found
+    service_class: Callable[[Kernel, NodeSettings], Service] = getattr(
+        module, f"{name.title()}Service"
+    )
+    return service_class
 
 
 class KernelService(AiomiscService):  # type: ignore[misc]
-    """Lets aiomisc start and stop the kernel, which itself needs nothing of it."""
+    """Lets aiomisc start and stop the kernel, which does not depend on aiomisc."""
 
     def __init__(self, kernel: Kernel) -> None:
         super().__init__()
@@ -79,7 +81,7 @@
 
 
 def run_node(settings: NodeSettings) -> ExitCode:
-    """Run a node on uvloop until it is told to stop (SIGTERM, SIGINT) or a service gives up."""
+    """Run a node on uvloop until SIGTERM or SIGINT, or until a service fails too often."""
     process = entrypoint(log_config=False, catch_signals=(), shutdown_timeout=SHUTDOWN_SECONDS)
     with process as loop:
         code: ExitCode = loop.run_until_complete(_run(process, settings))
@@ -97,16 +99,16 @@
 
 
 async def serve(kernel: Kernel, settings: NodeSettings) -> ExitCode:
-    """Tell the bound addresses on standard output, then wait for the end of a started kernel."""
-    stop_asked = asyncio.Event()
+    """Print the ready message of a started kernel, then wait for a stop signal or a failure."""
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop_asked.set)
+        loop.add_signal_handler(number, stop_requested.set)
     log_event(logger, NODE_STARTED, node=settings.node, zone=settings.zone)
     print(json.dumps(await ready_message(kernel, settings)), flush=True)
     failed = asyncio.ensure_future(kernel.wait_failed())
-    asked = asyncio.ensure_future(stop_asked.wait())
-    await asyncio.wait((failed, asked), return_when=asyncio.FIRST_COMPLETED)
+    stopped = asyncio.ensure_future(stop_requested.wait())
+    await asyncio.wait((failed, stopped), return_when=asyncio.FIRST_COMPLETED)
     if failed.done():
         return ExitCode.SERVICE_FAILED
     await drain(kernel, settings)
@@ -115,7 +117,7 @@
 
 
 async def drain(kernel: Kernel, settings: NodeSettings) -> None:
-    """Let every service end its work in flight, for at most `settings.drain_seconds`."""
+    """Let every service finish its work in flight, for at most `settings.drain_seconds`."""
     bound = settings.drain_seconds
     log_event(logger, NODE_STOPPING, node=settings.node, bound_seconds=bound)
     try:
@@ -126,7 +128,7 @@
 
 
 async def ready_message(kernel: Kernel, settings: NodeSettings) -> dict[str, object]:
-    """Return what a node says when it is up: its names and bound addresses."""
+    """Return the message that a started node prints: its names and bound addresses."""
     message: dict[str, object] = {
         "event": "ready",
         "node": settings.node,
--- a/src/bramblebeam/services/waiting.py
+++ b/src/bramblebeam/services/waiting.py
@@ -1,4 +1,4 @@
-"""The steady clock, and waits of loops that look again after a while or when something happened."""
+"""The event loop's monotonic clock, and timed waits for an event."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 
 def loop_time() -> float:
-    """Return the steady clock of the running loop (seconds)."""
+    """Return the time of the running loop's monotonic clock (seconds)."""
     return asyncio.get_running_loop().time()
 
 
 async def wait_at_most(event: asyncio.Event, seconds: float) -> bool:
-    """Wait until `event` is set, for at most `seconds`; return whether it was. It stays set."""
+    """Wait for `event` for at most `seconds`; return whether it was set. Does not clear it."""
     try:
         async with asyncio.timeout(seconds):
             await event.wait()
     except TimeoutError:
-        # The time is over, which is what the caller asked to be told.
+        # The return value reports the timeout.
         return False
     return True
 
 
 async def pause(event: asyncio.Event, seconds: float) -> None:
-    """Wait as `wait_at_most`, and clear the event for the next pause."""
+    """Wait like `wait_at_most`, then clear the event for the next pause."""
     await wait_at_most(event, seconds)
     event.clear()
--- a/src/bramblebeam/settings/__init__.py
+++ b/src/bramblebeam/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: a TOML file and flags, checked before anything starts."""
+"""Settings: a TOML file and flags, validated before anything starts."""
 
 from bramblebeam.settings.load import (
     SettingProblem,
--- a/src/bramblebeam/settings/load.py
+++ b/src/bramblebeam/settings/load.py
@@ -1,4 +1,4 @@
-"""Reads a node's settings: a TOML file, then the flags that override it, then the checks."""
+"""Loads a node's settings: reads a TOML file, applies the flags and validates the result."""
 
 import json
 import tomllib
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingProblem:
-    """One wrong value. `source` is the file's path, or `flags`; `key` is dotted."""
+    """One invalid value. `source` is the file's path, or `flags`; `key` is dotted."""
 
     source: str
     key: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsError:
-    """Every wrong value that was found; the node does not start. Not retriable."""
+    """All invalid values that were found; the node does not start. Not retriable."""
 
     problems: tuple[SettingProblem, ...]
 
@@ -42,7 +42,7 @@
 def load_settings(
     path: Path | None, overrides: Mapping[str, Any] | None = None
 ) -> Result[NodeSettings, SettingsError]:
-    """Return the settings of the file at `path` (None: no file) with the overrides put in.
+    """Return the settings of the file at `path` (None: no file) with overrides applied.
 
     `overrides` maps dotted keys to values.
     """
@@ -55,9 +55,9 @@
             case Result(error=problem):
                 return Error(SettingsError((problem,)))
     for key, value in (overrides or {}).items():
-        problem_found = _put(content, key, value)
-        if problem_found is not None:
-            return Error(SettingsError((problem_found,)))
+        override_problem = _apply_override(content, key, value)
+        if override_problem is not None:
+            return Error(SettingsError((override_problem,)))
     try:
         return Ok(NodeSettings.model_validate(content))
     except ValidationError as error:
@@ -65,11 +65,11 @@
 
 
 def parse_override(text: str) -> Result[tuple[str, Any], SettingProblem]:
-    """Split `KEY=VALUE` of a flag. The value is read as JSON where it is, as text elsewhere."""
+    """Split a flag's `KEY=VALUE`. A value that is valid JSON is decoded; others are text."""
     key, equals, value = text.partition("=")
     if not equals or not key.strip():
         return Error(SettingProblem(FLAGS_SOURCE, text, "expected KEY=VALUE"))
-    return Ok((key.strip(), _from_text(value)))
+    return Ok((key.strip(), _parse_value(value)))
 
 
 def _read(path: Path) -> Result[dict[str, Any], SettingProblem]:
@@ -85,19 +85,19 @@
         return Error(SettingProblem(str(path), "(file)", "expected TOML: nested too deeply"))
 
 
-def _put(content: dict[str, Any], key: str, value: Any) -> SettingProblem | None:
+def _apply_override(content: dict[str, Any], key: str, value: Any) -> SettingProblem | None:
     *parents, last = key.split(".")
     section = content
     for parent in parents:
         inner = section.setdefault(parent, {})
         if not isinstance(inner, dict):
-            return SettingProblem(FLAGS_SOURCE, key, f"{parent} is no section")
+            return SettingProblem(FLAGS_SOURCE, key, f"{parent} is not a section")
         section = inner
     section[last] = value
     return None
 
 
-def _from_text(text: str) -> Any:
+def _parse_value(text: str) -> Any:
     try:
         return json.loads(text)
     except (ValueError, RecursionError):
@@ -117,7 +117,7 @@
                 source=FLAGS_SOURCE if is_flag else path,
                 key=key,
                 expected=_expected(detail["type"], detail["msg"]),
-                found="" if missing else _shown(key, detail["input"]),
+                found="" if missing else _displayed(key, detail["input"]),
             )
         )
     return tuple(found)
@@ -131,8 +131,8 @@
     return "expected: " + message.removeprefix("Input should be ")
 
 
-def _shown(key: str, value: Any) -> str:
-    """Return the value as text for people; secrets and long values are not shown."""
+def _displayed(key: str, value: Any) -> str:
+    """Return the value as text for people; secrets are hidden and long values cut."""
     last = key.rpartition(".")[2]
     if last in ("password", "token"):
         return "(not shown)"
--- a/src/bramblebeam/settings/model.py
+++ b/src/bramblebeam/settings/model.py
@@ -1,4 +1,4 @@
-"""The settings of one node. The table of weights and limits is not here: it is in the store."""
+"""The settings of one node. The table of weights and limits is in the store instead."""
 
 from pathlib import Path
 from typing import Annotated, Literal
@@ -15,32 +15,32 @@
 
 
 class EndpointSettings(_Section):
-    """An address to listen on. Port 0: the system chooses."""
+    """An address to listen on. Port 0: chosen by the system."""
 
     host: str = "127.0.0.1"
     port: Port = 0
 
 
 class TlsSettings(_Section):
-    """Certificate chain and key, PEM files."""
+    """Certificate chain and key, as PEM files."""
 
     certificate: Path
     key: Path
 
 
 class UserSettings(_Section):
-    """A caller's account: the user's name is its service's name."""
+    """A caller's account; the user name is the name of its service."""
 
     name: str
     password: str = ""
 
 
 class ClientSettings(EndpointSettings):
-    """The callers' side."""
+    """The address, accounts and limits for callers."""
 
     tls: TlsSettings | None = None
     users: tuple[UserSettings, ...] = ()
-    """Empty: every user name is let in without a password."""
+    """Empty: every user name is accepted without a password."""
     maximum_connections: int = Field(default=10_000, ge=1)
     maximum_in_flight: int = Field(default=2_000, ge=1)
 
@@ -48,8 +48,8 @@
 class BackendSettings(_Section):
     """The accounts that nodes use at back ends.
 
-    `user` runs the callers' statements: give it `max_user_connections` equal to the instance's
-    slots. `control_user` reads the status, holds the ownership lock and ends connections.
+    `user` runs the callers' statements; set its `max_user_connections` to the instance's slots.
+    `control_user` reads the status, holds the ownership lock and terminates connections.
     """
 
     user: str = "bramblebeam"
@@ -59,7 +59,7 @@
 
 
 class SeedSettings(_Section):
-    """One node to join through, with its UDP and TCP peer address."""
+    """A node to join through, with its peer address (UDP and TCP)."""
 
     node: NodeId
     zone: ZoneId
@@ -67,14 +67,14 @@
 
 
 class PlatformSettings(_Section):
-    """The platform's store. `url` empty: none (rows come from peers only)."""
+    """The platform's store. Empty `url`: no store, rows come from peers only."""
 
     url: str = ""
     timeout_ms: int = Field(default=2_000, ge=10)
 
 
 class AdminTokenSettings(_Section):
-    """An operator's token: its role, and the team whose rows it may touch (`*`: all)."""
+    """An operator's token: its role, and the team whose rows it may change (`*`: all)."""
 
     token: str = Field(min_length=8)
     role: Literal["read", "edit", "operate"]
@@ -82,21 +82,21 @@
 
 
 class AdminSettings(EndpointSettings):
-    """The administration API and metrics."""
+    """The administration API and the metrics endpoint."""
 
     tls: TlsSettings | None = None
     tokens: tuple[AdminTokenSettings, ...] = ()
 
 
 class LogSettings(_Section):
-    """How events are logged."""
+    """Level and format of the log."""
 
     level: Literal["debug", "info", "warning", "error"] = "info"
     format: Literal["text", "json"] = "text"
 
 
 class NodeSettings(_Section):
-    """Everything that one node is told at its start."""
+    """All settings of one node, read at its start."""
 
     node: NodeId
     zone: ZoneId
--- a/src/bramblebeam/wire/__init__.py
+++ b/src/bramblebeam/wire/__init__.py
@@ -1,1 +1,1 @@
-"""The protocol between nodes: cbor2 messages and their framing."""
+"""The protocol between nodes: CBOR messages and their framing."""
--- a/src/bramblebeam/wire/codec.py
+++ b/src/bramblebeam/wire/codec.py
@@ -1,10 +1,9 @@
-"""Encodes typed messages as CBOR and checks what comes in.
+"""Encodes typed messages as CBOR, and decodes and validates incoming ones.
 
-A message travels as `[tag, field, field, ...]` in the order its class declares the fields;
-dataclasses and named tuples inside it travel as arrays in the same way. A newer node may add
-fields with defaults at the end of a message or of a dataclass: an older one leaves them out on
-reading, and a newer one fills them in from the defaults. Named tuples inside a message never
-change. Tags are never given twice.
+A message is encoded as `[tag, field, field, ...]`, in the order in which its class declares the
+fields; nested dataclasses and named tuples are encoded as arrays in the same way. A newer release
+may append fields with defaults to a message or a dataclass: an older node ignores them, and a newer
+node fills in the defaults. Named tuples inside a message never change. Tags are never reused.
 """
 
 import dataclasses
@@ -21,16 +20,16 @@
 
 
 class DecodeError(Exception):
-    """Bytes from a peer are not a message this node understands. Not retriable."""
+    """Bytes from a peer are not a message that this node understands. Not retriable."""
 
 
 class UnknownTagError(DecodeError):
-    """A well-formed message of a type that this node does not know, as a newer node may send."""
+    """A well-formed message of an unknown type, as a newer node may send."""
 
 
 @dataclasses.dataclass(frozen=True)
 class _MessageType:
-    """How one type of message is packed, unpacked and checked."""
+    """How one type of message is packed, unpacked and validated."""
 
     tag: int
     cls: type
@@ -39,29 +38,29 @@
 
     @cached_property
     def validate(self) -> Callable[[Any], Any]:
-        """The check of its fields; made when the first message comes, as it takes a while."""
+        """Validator of the fields, built on first use because building it is slow."""
         return TypeAdapter(self.cls).validator.validate_python
 
 
 class Codec:
-    """Knows the message types by tag and encodes, decodes and checks them."""
+    """Encodes, decodes and validates messages of the types registered by tag."""
 
     def __init__(self, types: dict[int, type]) -> None:
         self._by_tag: dict[int, _MessageType] = {}
         self._by_class: dict[type, _MessageType] = {}
         for tag, cls in types.items():
-            known = _describe(tag, cls)
-            self._by_tag[tag] = known
-            self._by_class[cls] = known
+            message_type = _message_type(tag, cls)
+            self._by_tag[tag] = message_type
+            self._by_class[cls] = message_type
 
     def encode(self, message: Any) -> bytes:
-        """Return the message's bytes. Raises KeyError for a type without a tag."""
-        known = self._by_class[type(message)]
-        encoded: bytes = cbor2.dumps((known.tag, *known.pack(message)))
+        """Return the encoded message. Raises KeyError for a type without a tag."""
+        message_type = self._by_class[type(message)]
+        encoded: bytes = cbor2.dumps((message_type.tag, *message_type.pack(message)))
         return encoded
 
     def decode(self, data: bytes) -> Any:
-        """Return the message. Raises DecodeError for anything that is not a known, valid one."""
+        """Return the message. Raises DecodeError unless it is of a message_type type and valid."""
         if len(data) > MAXIMUM_MESSAGE_BYTES:
             raise DecodeError(f"message of {len(data)} bytes is too large")
         try:
@@ -70,16 +69,16 @@
             raise DecodeError("message is not CBOR") from error
         if not isinstance(body, list) or not body or not isinstance(body[0], int):
             raise DecodeError("message is not an array that starts with a tag")
-        known = self._by_tag.get(body[0])
-        if known is None:
+        message_type = self._by_tag.get(body[0])
+        if message_type is None:
             raise UnknownTagError(f"message tag {body[0]} is unknown")
         try:
-            return known.validate(known.unpack(body[1:]))
+            return message_type.validate(message_type.unpack(body[1:]))
         except (ValidationError, RecursionError) as error:
-            raise DecodeError(f"{known.cls.__name__} has wrong fields: {error}") from error
+            raise DecodeError(f"{message_type.cls.__name__} has wrong fields: {error}") from error
 
 
-def _describe(tag: int, cls: type) -> _MessageType:
+def _message_type(tag: int, cls: type) -> _MessageType:
     shape = message_shape(cls)
     if shape.pack is None or shape.unpack is None:
         raise TypeError(f"{cls.__name__} is neither a dataclass nor a named tuple")
--- a/src/bramblebeam/wire/gateway_registry.py
+++ b/src/bramblebeam/wire/gateway_registry.py
@@ -1,4 +1,4 @@
-"""The messages of nodes that serve callers on shared connections; part of the whole registry."""
+"""Messages of gateway nodes, which serve callers on shared connections; part of the registry."""
 
 from bramblebeam.core.failover import messages as failover
 from bramblebeam.core.feed import messages as feed
@@ -53,4 +53,4 @@
     **FEED_MESSAGES,
     **TRANSPORT_MESSAGES,
 }
-"""All that a gateway's node speaks with its peers."""
+"""All messages that gateway nodes exchange."""
--- a/src/bramblebeam/wire/registry.py
+++ b/src/bramblebeam/wire/registry.py
@@ -1,4 +1,4 @@
-"""Which message has which tag. One block of a hundred a package; a tag is never used twice."""
+"""Message types by tag. Each package has a block of a hundred tags; tags are never reused."""
 
 from bramblebeam.core import statement
 from bramblebeam.core.administration import messages as administration
--- a/src/bramblebeam/wire/shapes.py
+++ b/src/bramblebeam/wire/shapes.py
@@ -1,7 +1,7 @@
-"""How a field's declared type travels: which values are turned into plain arrays, and back.
+"""Converts field values to plain arrays and back, according to their declared types.
 
-Records travel as arrays of their fields in declared order. Named tuples are arrays already;
-a dataclass inside another message is turned into one by the converters built here, once a type.
+Records are encoded as arrays of their fields in declared order. Named tuples are arrays already;
+nested dataclasses are converted by the functions that are built here, once per type.
 """
 
 import dataclasses
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shape:
-    """Converters of one type; None where the value travels as it is."""
+    """Converters of one type; None if values are encoded unchanged."""
 
     pack: Converter | None = None
     unpack: Converter | None = None
@@ -28,7 +28,7 @@
 
 
 def record_fields(cls: type) -> Callable[[Any], tuple[Any, ...]]:
-    """Return a function that gives a dataclass instance's fields as a tuple, in order."""
+    """Return a function that returns the fields of a dataclass instance as a tuple, in order."""
     names = [field.name for field in dataclasses.fields(cls)]
     if not names:
         return lambda _record: ()
@@ -39,7 +39,7 @@
 
 
 def record_shape(cls: type) -> Shape:
-    """Return the converters of a dataclass. `unpack` takes an array, longer ones included."""
+    """Return the converters of a dataclass. `unpack` ignores surplus items of an array."""
     fields = record_fields(cls)
     hints = typing.get_type_hints(cls)
     shapes = [shape_of(hints[field.name]) for field in dataclasses.fields(cls)]
@@ -68,7 +68,7 @@
 
 
 def message_shape(cls: type) -> Shape:
-    """Return the converters of a message. `unpack` takes an array, longer ones included."""
+    """Return the converters of a message. `unpack` ignores surplus items of an array."""
     if not _is_named_tuple(cls):
         return _class_shape(cls)
     _named_tuple_shape(cls)
@@ -77,7 +77,7 @@
 
 
 def shape_of(hint: Any) -> Shape:
-    """Return the converters of a declared type: dataclasses anywhere inside are converted."""
+    """Return the converters of a declared type; dataclasses at any depth are converted."""
     if isinstance(hint, typing.NewType):
         return shape_of(hint.__supertype__)
     if isinstance(hint, type):
@@ -115,7 +115,7 @@
     shapes = [shape_of(hints[name]) for name in cls._fields]
     if all(shape is PLAIN for shape in shapes):
         return PLAIN
-    raise TypeError(f"named tuple {cls.__name__} holds a dataclass; make it a dataclass")
+    raise TypeError(f"named tuple {cls.__name__} contains a dataclass; make it a dataclass")
 
 
 def _union_shape(hint: Any) -> Shape:
@@ -124,7 +124,7 @@
     if not converted:
         return PLAIN
     if len(shapes) > 1:
-        raise TypeError(f"union {hint} holds a dataclass and something else")
+        raise TypeError(f"union {hint} contains a dataclass and another type")
     return converted[0]
 
 
@@ -134,7 +134,7 @@
     if all(shape is PLAIN for shape in inner):
         return PLAIN
     if len(inner) != 1:
-        raise TypeError(f"{hint} holds a dataclass at a fixed place")
+        raise TypeError(f"{hint} contains a dataclass at a fixed position")
     pack, unpack = inner[0].pack, inner[0].unpack
     if pack is None or unpack is None:
         return PLAIN
--- a/src/bramblebeam/wire/stream_compression.py
+++ b/src/bramblebeam/wire/stream_compression.py
@@ -1,7 +1,7 @@
-"""Compression of all that follows the hello on a stream between two nodes.
+"""Compression of a stream between two nodes, of everything after the hello.
 
-Statements that are passed on repeat each other: the route, the tenant, the names of values. A
-compressor that remembers the last ones sends what repeats once, as a payload alone can't.
+Forwarded statements share much content: the route, the tenant, the names of values. Compressing the
+stream instead of each payload sends such repetitions only once.
 """
 
 import zlib
@@ -9,38 +9,38 @@
 from bramblebeam.wire.codec import MAXIMUM_MESSAGE_BYTES, DecodeError
 
 _WINDOW_BITS = 12
-"""4 KB of the past: some ten statements. Together with _MEMORY_LEVEL 40 KB a stream at each end, of
-which a node that runs statements holds one for each other node."""
+"""A window of 4 KB, about ten statements. Together with _MEMORY_LEVEL it takes 40 KB per stream at
+each end, and a node that runs statements has a stream to every other node."""
 _MEMORY_LEVEL = 5
-"""A larger one finds no more in so short a past, and takes twice the memory a step."""
+"""A higher level finds no more matches in so small a window; each step doubles the memory."""
 _LEVEL = 1
-"""The fastest: what repeats is found at any level."""
+"""The fastest level; repetitions are decompressed at any level."""
 
 
 class StreamDeflater:
-    """Compresses what one end writes."""
+    """Compresses what one end sends."""
 
     def __init__(self) -> None:
         self._zlib = zlib.compressobj(_LEVEL, zlib.DEFLATED, -_WINDOW_BITS, _MEMORY_LEVEL)
 
     def compress(self, data: bytes) -> bytes:
-        """Return the bytes to write: the other end can read all of `data` once it has them."""
+        """Return the compressed bytes, flushed so that the peer can read all of `data`."""
         return self._zlib.compress(data) + self._zlib.flush(zlib.Z_SYNC_FLUSH)
 
 
 class StreamInflater:
-    """Reads what the other end has compressed. `maximum`: bytes that one read may grow to."""
+    """Decompresses what the peer sent. `maximum`: decompressed bytes allowed per read."""
 
     def __init__(self, maximum: int = 2 * MAXIMUM_MESSAGE_BYTES) -> None:
         self._zlib = zlib.decompressobj(-_WINDOW_BITS)
         self._maximum = maximum
 
     def feed(self, data: bytes) -> bytes:
-        """Return what was written. Raises DecodeError; the stream is of no use after it."""
+        """Return the decompressed bytes. Raises DecodeError; the stream is unusable afterwards."""
         try:
-            found = self._zlib.decompress(data, self._maximum)
+            decompressed = self._zlib.decompress(data, self._maximum)
         except zlib.error as exc:
             raise DecodeError(f"stream is not compressed: {exc}") from exc
         if self._zlib.unconsumed_tail or self._zlib.eof:
-            raise DecodeError(f"stream ends, or grows over the bound of {self._maximum} bytes")
-        return found
+            raise DecodeError(f"stream ended, or is over the limit of {self._maximum} bytes")
+        return decompressed
--- a/src/platform_node.py
+++ b/src/platform_node.py
@@ -1,14 +1,14 @@
-"""Starts a node on the users' platform from a plain checkout."""
+"""Entry point of a node on the users' platform, run from a plain source checkout."""
 
 import gc
 import signal
 
-# The platform may tell of new settings while the imports run, and that signal ends a process which
-# has said nothing about it. The settings are read after this, so that nothing is missed.
+# The platform sends SIGHUP when settings change, possibly while the imports run; by default the
+# signal ends the process. The settings are read later, so ignoring it here misses no change.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
-# What imports make stays for as long as the process runs: to look for garbage among it, now and in
-# every later collection, only costs a node that starts its first seconds.
+# Objects that imports create live as long as the process. Scanning them for garbage, now and in
+# every later collection, would only slow down a node's first seconds.
 gc.disable()
 
 from bramblebeam.platform.main import main  # noqa: E402
