--- a/src/bramblebeam/events/__init__.py
+++ b/src/bramblebeam/events/__init__.py
@@ -1,4 +1,4 @@
-"""Numbered log events. The catalogue page docs/events.md is generated from this package."""
+"""Numbered log events. The page docs/events.md is generated from this package."""
 
 from bramblebeam.events.catalogue import CATALOGUE, Event
 from bramblebeam.events.log import log_event
--- a/src/bramblebeam/events/bounded.py
+++ b/src/bramblebeam/events/bounded.py
@@ -1,7 +1,7 @@
-"""A log handler that never blocks and bounds the lines of each event.
+"""A log handler that never blocks and limits the rate of lines per event.
 
-Lines that are over the bound, or that the reader of the output does not take in time, are counted
-and left out; a later line tells how many. Nothing waits for the output.
+Lines over the limit, and lines for which the output has no room, are dropped and counted; a later
+line reports how many. Logging never waits for the output.
 """
 
 import logging
@@ -14,14 +14,14 @@
 from bramblebeam.events.catalogue import LINES_LEFT_OUT
 
 LINES_PER_SECOND = 40
-"""Lines of one event that are written in one second."""
+"""Maximum lines of one event per second."""
 MAXIMUM_LINE_BYTES = 4_096
-"""What a pipe takes at once or not at all; longer lines are cut."""
+"""A pipe accepts a write of up to this size whole or not at all; longer lines are truncated."""
 _CUT = b"...\n"
 
 
 class BoundedHandler(logging.Handler):
-    """Writes records to a file descriptor (`clock`: steady seconds)."""
+    """Writes records to a file descriptor. `clock`: a monotonic clock in seconds."""
 
     def __init__(self, descriptor: int, clock: Callable[[], float] = time.monotonic) -> None:
         super().__init__()
@@ -34,7 +34,7 @@
         self._poll.register(descriptor, select.POLLOUT)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write the record, or count it as left out."""
+        """Write the record, or drop and count it."""
         self._next_second()
         number: int = getattr(record, "event_number", 0)
         if self._written[number] >= LINES_PER_SECOND:
@@ -75,7 +75,7 @@
 
 
 def configure_bounded_logging(level: str, formatter: logging.Formatter) -> BoundedHandler:
-    """Send records of at least `level` to standard output, bounded; return the handler."""
+    """Log records of at least `level` to standard output, rate-limited; return the handler."""
     handler = BoundedHandler(1)
     handler.setFormatter(formatter)
     root = logging.getLogger()
--- a/src/bramblebeam/events/explain.py
+++ b/src/bramblebeam/events/explain.py
@@ -1,4 +1,4 @@
-"""Finds the lines of one request in the logs of many processes, and the one that decided it."""
+"""Finds the log lines of a request in the logs of many processes, and the deciding one."""
 
 import json
 from collections.abc import Iterable
@@ -8,13 +8,13 @@
 from bramblebeam.events.catalogue import REQUEST_ATTEMPT_FAILED, REQUEST_REFUSED
 
 BACKGROUND_SECONDS = 3.0
-"""How long before the end of a request a change of belief may have to do with it."""
+"""Changes of known state this long before the end of a request may be related to it."""
 _DECIDING = (REQUEST_REFUSED.number, REQUEST_ATTEMPT_FAILED.number)
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One structured line. `source`: the file it stands in, and what stood before the JSON."""
+    """A structured log line. `source`: its file, and the text before the JSON object."""
 
     time: str
     source: str
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """The lines of a request in order, and the one that decided its end."""
+    """The lines of a request in order of time, and the one that decided its outcome."""
 
     lines: tuple[LogLine, ...]
     deciding: LogLine | None
 
 
 def parse_line(text: str, source: str) -> LogLine | None:
-    """Return a structured line, or None. Words before the JSON object name the process."""
+    """Return a structured line, or None. Text before the JSON object names the process."""
     prefix, brace, rest = text.partition("{")
     if not brace:
         return None
@@ -47,7 +47,7 @@
 
 
 def explain(identifier: str, lines: Iterable[LogLine]) -> Explanation:
-    """Return what the lines tell of the request with this id."""
+    """Return the lines of the request with this id, and the deciding one."""
     own = [line for line in lines if line.fields.get("request") == identifier]
     own.sort(key=lambda line: line.time)
     refused = [line for line in own if line.event == REQUEST_REFUSED.number]
--- a/src/bramblebeam/events/formatting.py
+++ b/src/bramblebeam/events/formatting.py
@@ -1,4 +1,4 @@
-"""Log output: text lines for people, or one JSON object a line for programs."""
+"""Log formats: text lines for people, or one JSON object per line for programs."""
 
 import json
 import logging
@@ -10,7 +10,7 @@
 
 
 class JsonFormatter(logging.Formatter):
-    """Writes a record as one JSON object: time, level, logger, event number, text and fields."""
+    """Formats a record as a JSON object: time, level, logger, event number, text and fields."""
 
     def format(self, record: logging.LogRecord) -> str:
         """Return the record as one line of JSON."""
@@ -34,7 +34,7 @@
 def configure_logging(
     level: str, style: Literal["text", "json"], stream: TextIO | None = None
 ) -> None:
-    """Send every log record of at least `level` to a stream (standard error) in a style."""
+    """Log records of at least `level` to a stream (default: standard error) in a style."""
     handler = logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(JsonFormatter() if style == "json" else logging.Formatter(TEXT_FORMAT))
     root = logging.getLogger()
--- a/src/bramblebeam/events/log.py
+++ b/src/bramblebeam/events/log.py
@@ -1,4 +1,4 @@
-"""Logs one event of the catalogue through `logging`."""
+"""Logs events of the catalogue through `logging`."""
 
 import logging
 from typing import Any
--- a/src/bramblebeam/events/page.py
+++ b/src/bramblebeam/events/page.py
@@ -1,4 +1,4 @@
-"""The page docs/events.md, written from the catalogue."""
+"""Generates the page docs/events.md from the catalogue."""
 
 import logging
 
--- a/src/bramblebeam/services/admin/administration.py
+++ b/src/bramblebeam/services/admin/administration.py
@@ -1,4 +1,4 @@
-"""The operations of the API at one node."""
+"""The operations of the administration API at one node."""
 
 from dataclasses import asdict
 
@@ -59,7 +59,7 @@
         return await self._metrics.render()
 
     async def status(self) -> StatusBody:
-        """Return the system at a glance."""
+        """Return an overview of the system."""
         here = await self._rows.status_here()
         in_force = await self._rows.in_force(here.complete)
         states = [member.state for member in self._views.members.members.values()]
@@ -95,15 +95,15 @@
         return await self._rows.remove(operator, RowKey(kind, name), expected, change_id)
 
     async def in_force(self, version: int) -> InForceBody:
-        """Return where a version is in force."""
+        """Return each zone's progress on a version."""
         return await self._rows.in_force(version)
 
     async def versions(self, limit: int) -> VersionsBody:
-        """Return what the nodes have in force, the slowest first."""
+        """Return the version in force at each node, lowest first."""
         return await self._rows.versions(limit)
 
     async def members(self, zone: str, after: str, limit: int) -> MemberList:
-        """Return a page of the nodes known, of one zone or (empty) of all."""
+        """Return a page of the known nodes, of one zone or (empty) of all."""
         return self._system.members(zone, after, limit)
 
     async def groups(self, after: str, limit: int) -> GroupList:
@@ -127,7 +127,7 @@
     async def drain_instance(
         self, operator: Operator, instance: str, body: DrainBody
     ) -> EditResult:
-        """Edit the back end's weight row; without one in force, create it."""
+        """Set `drain` in the back end's weight row; create the row if none is in force."""
         group = self._views.group_of(InstanceId(instance))
         if group is None:
             raise refuse(404, "instance", f"no group in force has a member {instance!r}")
@@ -144,7 +144,7 @@
         return await self._rows.write(operator, key, edit)
 
     async def _check_primary_can_move(self, group: GroupId, instance: str) -> None:
-        """Refuse the drain of a primary that the system may not move. Raises ApiError 409."""
+        """Refuse to drain a primary that bramblebeam may not move. Raises ApiError 409."""
         found = await self._system.group(group)
         if found.primary == instance and found.failover == "observed":
             message = f"{instance!r} is the primary of {group!r}, which changes its primary itself"
--- a/src/bramblebeam/services/admin/metrics.py
+++ b/src/bramblebeam/services/admin/metrics.py
@@ -1,7 +1,7 @@
 """The node's metrics in the Prometheus text format.
 
-Gauges are read from the other services at each scrape; the counters and histograms that services
-feed themselves are in `bramblebeam.metrics`.
+Gauges are read from the other services at each scrape; counters and histograms that services update
+themselves are in `bramblebeam.metrics`.
 """
 
 from collections.abc import Iterator
@@ -29,7 +29,7 @@
 
 
 class EdgeCounters(Collector):
-    """Shows the counters that the edge keeps."""
+    """Exposes the counters that the edge keeps."""
 
     def __init__(self) -> None:
         self.latest: EdgeStatus | None = None
--- a/src/bramblebeam/services/admin/peers.py
+++ b/src/bramblebeam/services/admin/peers.py
@@ -1,4 +1,4 @@
-"""Questions to other nodes, many at once, within a bound."""
+"""Requests to other nodes and to services of this node, with a timeout."""
 
 import asyncio
 from collections.abc import Mapping
@@ -9,40 +9,44 @@
 from bramblebeam.services.transport.messages import PeerRequest
 
 ASK_SECONDS = 1.0
-"""How long one node is waited for."""
+"""Timeout for the answer of one node."""
 
 Reply = TypeVar("Reply")
 
 
 async def ask_node(
-    kernel: Kernel, node: NodeId, message: Any, wanted: type[Reply], timeout: float = ASK_SECONDS
+    kernel: Kernel,
+    node: NodeId,
+    message: Any,
+    reply_type: type[Reply],
+    timeout: float = ASK_SECONDS,
 ) -> Reply | None:
-    """Return the node's answer, or None without one in `timeout` seconds."""
+    """Return the node's answer, or None if there is none within `timeout` seconds."""
     try:
         request = PeerRequest(node, message, timeout)
         reply = await kernel.call("transport", request, timeout=timeout + 0.1)
     except (TimeoutError, MailboxFullError, ServiceFailedError, KeyError):
         return None
-    return reply if isinstance(reply, wanted) else None
+    return reply if isinstance(reply, reply_type) else None
 
 
 async def ask_nodes(
-    kernel: Kernel, questions: Mapping[NodeId, Any], wanted: type[Reply]
+    kernel: Kernel, messages: Mapping[NodeId, Any], reply_type: type[Reply]
 ) -> dict[NodeId, Reply | None]:
-    """Ask each node its question, all at once."""
-    nodes = list(questions)
-    asked = (ask_node(kernel, node, questions[node], wanted) for node in nodes)
-    return dict(zip(nodes, await asyncio.gather(*asked), strict=True))
+    """Send each node its request, concurrently; None for nodes that do not answer in time."""
+    nodes = list(messages)
+    pending = (ask_node(kernel, node, messages[node], reply_type) for node in nodes)
+    return dict(zip(nodes, await asyncio.gather(*pending), strict=True))
 
 
 async def ask_service(
-    kernel: Kernel, name: str, message: Any, wanted: type[Reply], timeout: float = ASK_SECONDS
+    kernel: Kernel, name: str, message: Any, reply_type: type[Reply], timeout: float = ASK_SECONDS
 ) -> Reply | None:
-    """Ask a service of this node; None without an answer in time."""
+    """Return the answer of a service of this node, or None if there is none in time."""
     if not kernel.has(name):
         return None
     try:
         reply = await kernel.call(name, message, timeout=timeout)
     except (TimeoutError, MailboxFullError, ServiceFailedError):
         return None
-    return reply if isinstance(reply, wanted) else None
+    return reply if isinstance(reply, reply_type) else None
--- a/src/bramblebeam/services/admin/rows.py
+++ b/src/bramblebeam/services/admin/rows.py
@@ -1,4 +1,4 @@
-"""The API's operations on rows."""
+"""The administration API's operations on rows."""
 
 import json
 import logging
@@ -46,7 +46,7 @@
 
 
 class RowOperations:
-    """Reads and edits of the shared table at one node."""
+    """Reads and edits the shared table at one node."""
 
     def __init__(self, kernel: Kernel) -> None:
         self._kernel = kernel
@@ -75,8 +75,8 @@
         """Return one row, which may be a deletion, or None. Raises ApiError 503."""
         return (await self._ask(RowQuery(key), RowAnswer)).row
 
-    async def _ask(self, query: Any, wanted: type[Answer]) -> Answer:
-        found = await ask_service(self._kernel, "configuration", query, wanted)
+    async def _ask(self, query: Any, reply_type: type[Answer]) -> Answer:
+        found = await ask_service(self._kernel, "configuration", query, reply_type)
         if found is None:
             raise _unavailable("the configuration service does not answer")
         return found
@@ -95,7 +95,7 @@
         return await self._edit(operator, edit)
 
     async def in_force(self, version: int) -> InForceBody:
-        """Return where a version is in force."""
+        """Return each zone's progress on a version."""
         query = InForceQuery(version)
         found = await ask_service(
             self._kernel, "configuration", query, InForceStatus, query.timeout + 1.0
@@ -112,7 +112,7 @@
         )
 
     async def versions(self, limit: int) -> VersionsBody:
-        """Return what up to `limit` nodes have in force, the slowest first."""
+        """Return the versions in force at up to `limit` nodes, lowest first."""
         query = VersionsQuery()
         found = await ask_service(
             self._kernel, "configuration", query, VersionsStatus, query.timeout + 1.0
@@ -152,7 +152,7 @@
 
 
 def row_body(row: Row) -> RowBody:
-    """Return a row as the API shows it; a deleted one has no spec."""
+    """Return a row in the API's format; a deleted row has no spec."""
     return RowBody(
         kind=row.key.kind,
         name=row.key.name,
@@ -163,7 +163,7 @@
 
 
 def zone_body(zone: InForceReply) -> ZoneInForce:
-    """Return a zone's summary as the API shows it."""
+    """Return a zone's progress in the API's format."""
     return ZoneInForce(
         zone=zone.zone,
         lowest=zone.lowest,
@@ -174,7 +174,7 @@
 
 
 def _edit_result(edit: EditRow, reply: EditReply) -> EditResult:
-    """Return the result of an edit that was written. Raises ApiError for any other."""
+    """Return the result of a written edit. Raises ApiError for any other outcome."""
     current = row_body(reply.current) if reply.current is not None else None
     match reply.status:
         case EditStatus.WRITTEN:
--- a/src/bramblebeam/services/admin/service.py
+++ b/src/bramblebeam/services/admin/service.py
@@ -1,4 +1,4 @@
-"""The admin service: the HTTP server, the views it shows, and answers to other nodes' admin."""
+"""The admin service: the HTTP server, its views, and answers to other nodes' admin services."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
         self._address = Address(settings.admin.host, settings.admin.port)
 
     async def start(self) -> None:
-        """Listen. Raises OSError, ssl.SSLError."""
+        """Start listening. Raises OSError, ssl.SSLError."""
         for view in (ConfigurationChanged, MembersChanged, InstanceStatus, GroupChanged):
             self.kernel.subscribe(view, self.name)
         if self.kernel.has("transport"):
@@ -69,14 +69,14 @@
         await self._server.stop()
 
     async def handle(self, envelope: Envelope) -> None:
-        """Take one message."""
+        """Handle one message."""
         match envelope.message:
             case ConfigurationChanged(view):
                 self._views.configuration = view
             case MembersChanged(view):
                 self._views.members = view
             case InstanceStatus() as status:
-                self._note_status(status)
+                self._record_status(status)
             case GroupChanged() as changed:
                 self._views.groups[changed.group] = changed
             case BoundAddressRequest():
@@ -86,7 +86,7 @@
             case PeerDelivery(_, DrainNodeRequest(operator)):
                 self._begin_drain(operator, envelope)
 
-    def _note_status(self, status: InstanceStatus) -> None:
+    def _record_status(self, status: InstanceStatus) -> None:
         if status.owner == self._settings.node:
             self._views.statuses[status.instance] = status
         else:
@@ -114,7 +114,7 @@
         answer(envelope, reply)
 
     def _begin_drain(self, operator: str, envelope: Envelope) -> None:
-        """Stop this process as if its supervisor had asked it."""
+        """Stop this process as its supervisor would, by SIGTERM."""
         log_event(logger, ADMIN_NODE_DRAIN, operator=operator, node=self._settings.node)
         answer(envelope, DrainNodeReply(self._settings.node))
         signal.raise_signal(signal.SIGTERM)
--- a/src/bramblebeam/services/admin/system.py
+++ b/src/bramblebeam/services/admin/system.py
@@ -1,4 +1,4 @@
-"""The API's operations on nodes, groups and pools."""
+"""The administration API's operations on nodes, groups and pools."""
 
 import logging
 from collections.abc import Iterable
@@ -48,14 +48,14 @@
 
 
 class SystemOperations:
-    """Questions to the owners of back ends, and operators' commands to nodes."""
+    """Queries the owners of back ends, and forwards operators' commands to nodes."""
 
     def __init__(self, kernel: Kernel, views: Views) -> None:
         self._kernel = kernel
         self._views = views
 
     def members(self, zone: str, after: str, limit: int) -> MemberList:
-        """Return a page of the nodes known here, by zone and name; `after`: `ZONE/NODE`."""
+        """Return a page of the known nodes, sorted by zone and name; `after`: `ZONE/NODE`."""
         named = {
             f"{member.spec.zone}/{member.spec.node}": member
             for member in self._views.members.members.values()
@@ -95,7 +95,9 @@
     async def change_primary(
         self, operator: Operator, group: GroupId, instance: InstanceId
     ) -> ChangePrimaryResult:
-        """Ask the group's watchers in turn. Raises ApiError 403, 404, 409, 503, 504."""
+        """Request a change of primary from the group's watchers in turn.
+
+        Raises ApiError 403, 404, 409, 503, 504."""
         operator.require_row(group)
         spec = self._group(group)
         if all(member.instance != instance for member in spec.members):
@@ -123,7 +125,7 @@
             raise _unknown(f"node {node!r} did not answer")
         return NodeDrainResult(node=node)
 
-    # Which owners to ask, and what they said.
+    # Queries to the owners of back ends, and their answers.
 
     def _page(self, after: str, limit: int) -> tuple[dict[GroupId, GroupSpec], str | None]:
         known = self._views.configuration.groups
@@ -144,8 +146,8 @@
             for instance, owner in self._views.owners_of(group).items():
                 if owner is not None:
                     wanted.setdefault(owner, []).append(instance)
-        questions = {node: NodeStatusRequest(tuple(listed)) for node, listed in wanted.items()}
-        return await ask_nodes(self._kernel, questions, NodeStatusReply)
+        requests = {node: NodeStatusRequest(tuple(listed)) for node, listed in wanted.items()}
+        return await ask_nodes(self._kernel, requests, NodeStatusReply)
 
     def _group_body(self, name: GroupId, spec: GroupSpec, answers: Answers) -> GroupBody:
         owners = self._views.owners_of(spec)
@@ -193,7 +195,7 @@
     async def _ask_watchers(
         self, spec: GroupSpec, request: ChangePrimaryRequest
     ) -> ChangePrimaryReply | None:
-        """Ask the owners of the members until one watches the group."""
+        """Send the request to the owners of the members in turn, until one watches the group."""
         reply = None
         for node in sorted({owner for owner in self._views.owners_of(spec).values() if owner}):
             reply = await ask_node(self._kernel, node, request, ChangePrimaryReply, CHANGE_SECONDS)
--- a/src/bramblebeam/services/admin/traffic.py
+++ b/src/bramblebeam/services/admin/traffic.py
@@ -1,4 +1,4 @@
-"""The counters of traffic between nodes, as the transport keeps them."""
+"""Exposes the transport's counters of traffic between nodes."""
 
 from collections.abc import Iterator, Mapping
 
@@ -12,7 +12,7 @@
 
 
 class TrafficCounters(Collector):
-    """Shows messages and bytes by direction and type of message, a small fixed set."""
+    """Exposes messages and bytes by direction and message type, a small fixed set."""
 
     def __init__(self) -> None:
         self.latest: PeerTraffic | None = None
--- a/src/bramblebeam/services/admin/views.py
+++ b/src/bramblebeam/services/admin/views.py
@@ -1,4 +1,4 @@
-"""What the admin service of a node knows from the views that other services publish."""
+"""The state that the admin service keeps from messages published by other services."""
 
 from dataclasses import dataclass, field
 
@@ -13,7 +13,7 @@
 
 @dataclass
 class Views:
-    """The latest of each. Only the admin service's own task writes them."""
+    """The latest views and statuses. Only the admin service's own task changes them."""
 
     members: MembersView = field(default_factory=MembersView)
     configuration: ConfigurationView = field(default_factory=ConfigurationView)
@@ -21,7 +21,7 @@
     groups: dict[GroupId, GroupChanged] = field(default_factory=dict)
 
     def owned_statuses(self, node: NodeId) -> dict[InstanceId, InstanceStatus]:
-        """Return the statuses of the instances that the node owns by the members known now."""
+        """Return the statuses of the instances that the node owns, by the current members."""
         return {
             instance: status
             for instance, status in self.statuses.items()
@@ -33,14 +33,14 @@
         return self.owners_of(group).get(status.instance) if group else None
 
     def group_of(self, instance: InstanceId) -> GroupId | None:
-        """Return the group that the instance is a member of."""
+        """Return the group that the instance is a member of, or None."""
         for name, group in self.configuration.groups.items():
             if any(member.instance == instance for member in group.members):
                 return name
         return None
 
     def owners_of(self, group: GroupSpec) -> dict[InstanceId, NodeId | None]:
-        """Return the owning node of each member of the group; None without one in its zone."""
+        """Return the owner of each member of the group; None if its zone has no node."""
         return {
             member.instance: owner_of(
                 f"instance/{member.instance}", self.members.owners.get(member.zone, ())
--- a/src/bramblebeam/services/configuration/__init__.py
+++ b/src/bramblebeam/services/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration service: rows from the store and from peers, edits, and what is in force."""
+"""The configuration service: rows from the store and from peers, edits, and rows in force."""
--- a/src/bramblebeam/services/configuration/editor.py
+++ b/src/bramblebeam/services/configuration/editor.py
@@ -1,4 +1,4 @@
-"""Carries out the effects of an edit at the platform's store."""
+"""Runs an edit against the platform's store."""
 
 import asyncio
 from typing import Any
@@ -32,17 +32,17 @@
 
 
 async def run_edit(client: PlatformClient | None, edit: EditRow, in_force: int) -> EditReply:
-    """Check the row, write it, settle a lost answer; end within `EDIT_SECONDS`."""
+    """Validate and write a row, resolving lost answers; return within `EDIT_SECONDS`."""
     if edit.spec:
         checked = parse_spec(edit.key, edit.spec)
         if checked.is_error():
             return EditReply(EditStatus.INVALID, None, checked.error)
     if client is None:
         return EditReply(EditStatus.UNAVAILABLE, None, "this node has no platform store")
-    return await _drive(client, edit, in_force)
+    return await _run_machine(client, edit, in_force)
 
 
-async def _drive(client: PlatformClient, edit: EditRow, in_force: int) -> EditReply:
+async def _run_machine(client: PlatformClient, edit: EditRow, in_force: int) -> EditReply:
     loop = asyncio.get_running_loop()
     machine = EditMachine(edit, in_force, loop.time() + EDIT_SECONDS)
     effects = machine.begin()
@@ -51,19 +51,19 @@
         for effect in effects:
             if isinstance(effect, EditFinished):
                 return effect.reply
-            event = await _carry_out(client, effect, machine, loop)
+            event = await _run_effect(client, effect, machine, loop)
         if not effects:
             await asyncio.sleep(max((machine.next_wakeup() or 0.0) - loop.time(), 0.0))
         effects = machine.handle(event, loop.time())
 
 
-async def _carry_out(
+async def _run_effect(
     client: PlatformClient, effect: Any, machine: EditMachine, loop: asyncio.AbstractEventLoop
 ) -> Any:
-    """Ask the store, no longer than the edit's deadline."""
-    due = machine.next_wakeup() or 0.0
+    """Send the effect's request to the store; wait until the edit's deadline at most."""
+    deadline = machine.next_wakeup() or 0.0
     try:
-        async with asyncio.timeout(max(due - loop.time(), 0.0)):
+        async with asyncio.timeout(max(deadline - loop.time(), 0.0)):
             if isinstance(effect, ReadRow):
                 return _read_event(await client.get_row(effect.key))
             return _write_event(await client.write_row(effect.written))
--- a/src/bramblebeam/services/configuration/in_force.py
+++ b/src/bramblebeam/services/configuration/in_force.py
@@ -1,4 +1,4 @@
-"""Asks every zone how far it is with a version: one question to one reader of each zone."""
+"""Queries every zone for the versions in force, with one request to one reader per zone."""
 
 import asyncio
 from collections.abc import Mapping
@@ -25,20 +25,20 @@
 Reply = TypeVar("Reply", InForceReply, ZoneVersionsReply)
 
 
-async def ask_zones(kernel: Kernel, members: MembersView, query: InForceQuery) -> InForceStatus:
-    """Ask all zones at once; a zone whose readers do not answer in time is unreachable."""
-    question = InForceRequest(query.version)
-    replies = await _ask_each(kernel, members, question, InForceReply, query.timeout)
+async def query_zones(kernel: Kernel, members: MembersView, query: InForceQuery) -> InForceStatus:
+    """Query all zones concurrently; a zone whose readers do not answer in time is unreachable."""
+    message = InForceRequest(query.version)
+    replies = await _query_each(kernel, members, message, InForceReply, query.timeout)
     found = tuple(reply for reply in replies.values() if reply is not None)
     return InForceStatus(found, _missing(replies))
 
 
-async def ask_versions(
+async def query_versions(
     kernel: Kernel, members: MembersView, query: VersionsQuery
 ) -> VersionsStatus:
-    """Ask all zones at once for the version of each of their nodes."""
-    question = ZoneVersionsRequest()
-    replies = await _ask_each(kernel, members, question, ZoneVersionsReply, query.timeout)
+    """Query all zones concurrently for the version of each of their nodes."""
+    message = ZoneVersionsRequest()
+    replies = await _query_each(kernel, members, message, ZoneVersionsReply, query.timeout)
     found = tuple(reply for reply in replies.values() if reply is not None)
     return VersionsStatus(found, _missing(replies))
 
@@ -47,35 +47,35 @@
     return tuple(zone for zone, reply in replies.items() if reply is None)
 
 
-async def _ask_each(
+async def _query_each(
     kernel: Kernel,
     members: MembersView,
-    question: InForceRequest | ZoneVersionsRequest,
-    wanted: type[Reply],
+    message: InForceRequest | ZoneVersionsRequest,
+    reply_type: type[Reply],
     timeout: float,
 ) -> dict[ZoneId, Reply | None]:
     zones = sorted(members.owners)
-    asked = (_ask_zone(kernel, members, zone, question, wanted, timeout) for zone in zones)
-    return dict(zip(zones, await asyncio.gather(*asked), strict=True))
+    queries = (_query_zone(kernel, members, zone, message, reply_type, timeout) for zone in zones)
+    return dict(zip(zones, await asyncio.gather(*queries), strict=True))
 
 
-async def _ask_zone(
+async def _query_zone(
     kernel: Kernel,
     members: MembersView,
     zone: ZoneId,
-    question: InForceRequest | ZoneVersionsRequest,
-    wanted: type[Reply],
+    message: InForceRequest | ZoneVersionsRequest,
+    reply_type: type[Reply],
     timeout: float,
 ) -> Reply | None:
-    """Ask the zone's readers in turn, each for its part of the time."""
+    """Query the zone's readers in turn, each with an equal share of the timeout."""
     readers = zone_readers(members, zone)
     for reader in readers:
-        part = timeout / len(readers)
+        share = timeout / len(readers)
         try:
-            request = PeerRequest(reader, question, part)
-            reply = await kernel.call("transport", request, timeout=part + 0.1)
+            request = PeerRequest(reader, message, share)
+            reply = await kernel.call("transport", request, timeout=share + 0.1)
         except (TimeoutError, MailboxFullError, ServiceFailedError):
             continue
-        if isinstance(reply, wanted) and getattr(reply, "reader", True):
+        if isinstance(reply, reply_type) and getattr(reply, "reader", True):
             return reply
     return None
--- a/src/bramblebeam/services/configuration/machine_list.py
+++ b/src/bramblebeam/services/configuration/machine_list.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of machines, as a hint to the membership service where to join."""
+"""Reads the platform's list of machines, which hints the membership service where to join."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,14 +12,14 @@
 from bramblebeam.services.membership.messages import HintedMachine, MachineHint
 
 ALONE_SECONDS = 5.0
-"""Between two readings of a node that knows no other node."""
+"""Seconds between reads while the node knows no other node."""
 
 READER_SECONDS = 30.0
-"""Between two readings of a reader; other nodes that know members do not read the list."""
+"""Seconds between reads of a reader; other nodes that know members do not read the list."""
 
 
 class MachineListFeed:
-    """Reads the list at the start, while the node is alone, and now and then as a reader."""
+    """Reads the list at the start, and repeatedly at a reader or while no other node is known."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._random = Random()
 
     async def run(self) -> None:
-        """Read and hint until cancelled."""
+        """Read the list and send hints until cancelled."""
         await self._read()
         while True:
             pause = ALONE_SECONDS if self._alone() else READER_SECONDS
--- a/src/bramblebeam/services/configuration/messages.py
+++ b/src/bramblebeam/services/configuration/messages.py
@@ -1,6 +1,6 @@
-"""What other services of the node ask the configuration service.
+"""Messages that other services of the node send to the configuration service.
 
-An edit is asked by `core.configuration.messages.EditRow`; its answer is an `EditReply`.
+An edit is requested by `core.configuration.messages.EditRow` and answered by an `EditReply`.
 """
 
 from dataclasses import dataclass
@@ -12,14 +12,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationStatusQuery:
-    """Ask for the state of the rows at this node; the answer is a `ConfigurationStatus`."""
+    """Requests the state of the rows at this node; the answer is a `ConfigurationStatus`."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationStatus:
-    """`rows`: how many are in force. `complete`: every change up to this store version is here.
+    """The state of the rows at this node.
 
-    `ready`: the rows may be served by. `watching`: this node reads the store.
+    `rows`: number in force. `complete`: every change up to this store version has been received.
+    `ready`: the node may serve traffic by the rows. `watching`: this node reads the store.
     """
 
     rows: int
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RowsQuery:
-    """Ask for up to `limit` rows in force whose keys come after `after`; answer: `RowsPage`."""
+    """Requests up to `limit` rows in force with keys after `after`; the answer is a `RowsPage`."""
 
     kind: str
     prefix: str
@@ -40,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RowsPage:
-    """Rows in the order of their keys; `more`: there are others after them."""
+    """Rows in the order of their keys. `more`: there are further rows."""
 
     rows: tuple[Row, ...]
     complete: int
@@ -49,21 +50,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RowQuery:
-    """Ask for one row; the answer is a `RowAnswer`."""
+    """Requests one row; the answer is a `RowAnswer`."""
 
     key: RowKey
 
 
 @dataclass(frozen=True, slots=True)
 class RowAnswer:
-    """The row here; one that is deleted has an empty spec. None: never seen."""
+    """The row as known at this node (None: unknown); a deleted row has an empty spec."""
 
     row: Row | None
 
 
 @dataclass(frozen=True, slots=True)
 class InForceQuery:
-    """Ask how far every zone is with a version; `timeout` (seconds) bounds the answer."""
+    """Requests every zone's progress on a version, within `timeout` seconds."""
 
     version: int
     timeout: float = 1.0
@@ -71,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InForceStatus:
-    """How far the zones are, and the zones of which no reader answered in time."""
+    """Each zone's progress, and the zones in which no reader answered in time."""
 
     zones: tuple[InForceReply, ...]
     unreachable: tuple[ZoneId, ...]
@@ -79,14 +80,14 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionsQuery:
-    """Ask what each node has in force; `timeout` (seconds) bounds the answer."""
+    """Requests the version in force at each node, within `timeout` seconds."""
 
     timeout: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class VersionsStatus:
-    """What each node has in force, by zone, and the zones of which no reader answered in time."""
+    """The version in force at each node, by zone, and the zones in which no reader answered."""
 
     zones: tuple[ZoneVersionsReply, ...]
     unreachable: tuple[ZoneId, ...]
--- a/src/bramblebeam/services/configuration/publisher.py
+++ b/src/bramblebeam/services/configuration/publisher.py
@@ -1,4 +1,4 @@
-"""Builds the view of the rows in force, publishes it, and logs what came into force."""
+"""Builds and publishes the view of the rows in force, and logs rows that came into force."""
 
 from __future__ import annotations
 
@@ -19,48 +19,48 @@
 logger = logging.getLogger(__name__)
 
 ROWS_LOGGED_SINGLY = 20
-"""More rows at once, as at the start, are logged as a count only."""
+"""Further rows of a batch, as at the start, are logged as a count only."""
 
 SHARE_OF_TIME = 0.05
-"""The most of the node's time that is spent on building views, in a burst of edits."""
+"""Maximum share of the node's time that is spent on building views in a burst of edits."""
 
 
 class ViewPublisher:
-    """Puts rows in force; in a burst, several rows in one view."""
+    """Brings rows into force; in a burst, several rows in one view."""
 
     def __init__(self, kernel: Kernel) -> None:
         self._kernel = kernel
         self._builder = ViewBuilder()
         self._pending: list[Row] = []
         self._ready = False
-        self._rest_until = 0.0
+        self._next_publish_at = 0.0
         self._timer: asyncio.TimerHandle | None = None
 
     def apply(self, rows: tuple[Row, ...]) -> None:
-        """Put rows in force now, or as soon as the last view has been paid for."""
+        """Bring rows into force now, or once SHARE_OF_TIME allows building another view."""
         self._pending += rows
         loop = asyncio.get_running_loop()
         if self._timer is not None:
             return
-        if loop.time() >= self._rest_until:
+        if loop.time() >= self._next_publish_at:
             self._publish()
         else:
-            self._timer = loop.call_at(self._rest_until, self._publish)
+            self._timer = loop.call_at(self._next_publish_at, self._publish)
 
     def begin(self) -> None:
-        """Publish from now on: the rows may be served."""
+        """Start publishing: the node may serve traffic by the rows."""
         self._ready = True
         self._publish()
 
     def close(self) -> None:
-        """Publish nothing more."""
+        """Stop publishing."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def _publish(self) -> None:
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         self._timer = None
         rows, self._pending = self._pending, []
         if rows:
@@ -68,7 +68,7 @@
         if self._ready:
             self._kernel.publish(ConfigurationChanged(self._builder.view))
         now = loop.time()
-        self._rest_until = now + (now - began) / SHARE_OF_TIME
+        self._next_publish_at = now + (now - started_at) / SHARE_OF_TIME
 
     def _build(self, rows: list[Row]) -> None:
         for invalid in self._builder.apply(rows):
--- a/src/bramblebeam/services/configuration/service.py
+++ b/src/bramblebeam/services/configuration/service.py
@@ -1,4 +1,4 @@
-"""The asyncio shell of the configuration relay."""
+"""The service that runs the configuration relay on asyncio."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 from bramblebeam.kernel.mailbox import Envelope
 from bramblebeam.kernel.service import answer
 from bramblebeam.services.configuration.editor import run_edit
-from bramblebeam.services.configuration.in_force import ask_versions, ask_zones
+from bramblebeam.services.configuration.in_force import query_versions, query_zones
 from bramblebeam.services.configuration.machine_list import MachineListFeed
 from bramblebeam.services.configuration.messages import (
     ConfigurationStatus,
@@ -78,9 +78,9 @@
     RowsWanted,
     RowsGiven,
 )
-_LONGEST_SLEEP = 60.0
+_MAX_SLEEP = 60.0
 ROWS_LOGGED_SINGLY = 100
-"""Of a larger batch, as at a node's start, only the first rows are logged one by one."""
+"""Of a larger batch, as at a node's start, only the first rows are logged individually."""
 
 
 class ConfigurationService(Service):
@@ -99,13 +99,13 @@
         self._timer: asyncio.TimerHandle | None = None
 
     async def start(self) -> None:
-        """Subscribe, register the relay's messages, and begin; rows stay over a restart."""
+        """Subscribe, register the relay's messages and start; rows are kept over a restart."""
         self.kernel.subscribe(MembersChanged, self.name)
         if self._settings.platform.url:
             timeout = self._settings.platform.timeout_ms / 1000
             self._client = PlatformClient(self._settings.platform.url, timeout)
             self._feed = StoreFeed(self, self._client)
-            machines = MachineListFeed(self.kernel, self._client, self._alone, self._is_reader)
+            machines = MachineListFeed(self.kernel, self._client, self._is_alone, self._is_reader)
             self.spawn(machines.run())
         if self.kernel.has("transport"):
             route = PeerRoute(self.name, (*RELAY_MESSAGES, InForceRequest, ZoneVersionsRequest))
@@ -123,10 +123,10 @@
             await self._client.close()
 
     async def handle(self, envelope: Envelope) -> None:
-        """Take one message."""
+        """Handle one message."""
         match envelope.message:
             case PeerDelivery(_, InForceRequest(version)):
-                answer(envelope, self._summary(version))
+                answer(envelope, self._zone_progress(version))
             case PeerDelivery(_, ZoneVersionsRequest()):
                 answer(envelope, self._versions())
             case PeerDelivery(sender, message):
@@ -150,13 +150,13 @@
                 self.feed(envelope.message)
 
     def feed(self, event: Any) -> None:
-        """Give the relay one event and carry out its effects."""
+        """Pass an event to the relay and carry out the resulting effects."""
         now = asyncio.get_running_loop().time()
         for effect in self.relay.handle(event, now):
             self._carry_out(effect)
         self._set_timer()
 
-    def _alone(self) -> bool:
+    def _is_alone(self) -> bool:
         return len(self._members.members) <= 1
 
     def _is_reader(self) -> bool:
@@ -169,11 +169,11 @@
     def _set_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        due = self.relay.next_wakeup()
-        if due is None:
+        wakeup_at = self.relay.next_wakeup()
+        if wakeup_at is None:
             return
         loop = asyncio.get_running_loop()
-        when = min(max(due, loop.time() + 0.001), loop.time() + _LONGEST_SLEEP)
+        when = min(max(wakeup_at, loop.time() + 0.001), loop.time() + _MAX_SLEEP)
         self._timer = loop.call_at(when, self._wake)
 
     def _wake(self) -> None:
@@ -226,8 +226,8 @@
         rows = heapq.nsmallest(query.limit + 1, wanted)
         return RowsPage(tuple(rows[: query.limit]), self._complete, len(rows) > query.limit)
 
-    def _summary(self, version: int) -> InForceReply:
-        """Answer for the own zone; ask the members that seem to be behind."""
+    def _zone_progress(self, version: int) -> InForceReply:
+        """Return the own zone's progress on a version; probe members that seem to lag."""
         for effect in self.relay.probe_lagging(version):
             self._carry_out(effect)
         return self.relay.in_force(version)
@@ -237,10 +237,10 @@
         return ZoneVersionsReply(self._settings.zone, tuple(sorted(completes.items())))
 
     async def _in_force(self, query: InForceQuery, envelope: Envelope) -> None:
-        answer(envelope, await ask_zones(self.kernel, self._members, query))
+        answer(envelope, await query_zones(self.kernel, self._members, query))
 
     async def _all_versions(self, query: VersionsQuery, envelope: Envelope) -> None:
-        answer(envelope, await ask_versions(self.kernel, self._members, query))
+        answer(envelope, await query_versions(self.kernel, self._members, query))
 
     async def _edit(self, edit: EditRow, envelope: Envelope) -> None:
         in_force = self.relay.table.version_of(edit.key)
--- a/src/bramblebeam/services/configuration/store_feed.py
+++ b/src/bramblebeam/services/configuration/store_feed.py
@@ -25,10 +25,10 @@
 
 
 class FeedOwner(Protocol):
-    """The service that the feed works for."""
+    """The service that receives the feed's events."""
 
     def feed(self, event: Any) -> None:
-        """Take one event."""
+        """Handle one event."""
 
     def spawn(self, work: Any) -> asyncio.Task[Any]:
         """Run a child task."""
@@ -44,7 +44,7 @@
         self._lost = False
 
     def carry_out(self, effect: Any) -> None:
-        """Begin a listing or a watch, or end the one under way."""
+        """End the listing or watch under way; start the requested one, if any."""
         if self._task is not None:
             self._task.cancel()
         self._task = None
@@ -57,7 +57,7 @@
     async def _list(self) -> None:
         match await self._client.list_rows():
             case Result(tag="ok", ok=listing):
-                self._told(RowsListed(listing.version, listing.rows))
+                self._received(RowsListed(listing.version, listing.rows))
             case Result(error=error):
                 self._failed(error)
 
@@ -65,11 +65,11 @@
         async for result in self._client.watch_rows(after):
             match result:
                 case Result(tag="ok", ok=changes):
-                    self._told(RowsWatched(changes.version, changes.rows))
+                    self._received(RowsWatched(changes.version, changes.rows))
                 case Result(error=error):
                     self._failed(error)
 
-    def _told(self, event: RowsListed | RowsWatched) -> None:
+    def _received(self, event: RowsListed | RowsWatched) -> None:
         if self._lost:
             self._lost = False
             log_event(logger, CONFIGURATION_STORE_READ, version=event.version)
--- a/src/bramblebeam/services/feed/__init__.py
+++ b/src/bramblebeam/services/feed/__init__.py
@@ -1,1 +1,1 @@
-"""Follows the platform's store: routes and registered databases."""
+"""The feed service: follows the platform's store for routes and registered databases."""
--- a/src/bramblebeam/services/feed/beside_peers.py
+++ b/src/bramblebeam/services/feed/beside_peers.py
@@ -1,7 +1,7 @@
-"""The store's list as a node takes it at its start, after the store came back from a copy.
+"""Reads the store's list at a node's start, after the store was restored from a backup.
 
-The copy may be older than what the other nodes have in force, and the node itself remembers
-nothing. It hears those that have run for longest before it takes the store's word.
+The backup may be older than what the other nodes have in force, and a starting node has no state of
+its own. So it queries the nodes that have run for longest before it relies on the store's list.
 """
 
 from __future__ import annotations
@@ -20,26 +20,26 @@
 
 Item = TypeVar("Item")
 
-PATIENCE_SECONDS = 1.0
-"""A node waits so long for one that knows the list. In virtual time 198 nodes that start at once
-have met after 1.7 s; one that joins others that run knows them after 0.3 s."""
-ELDEST_SHARE = 0.1
-"""The part of the nodes among which those that are asked are drawn, so that not all nodes ask the
-same three where thousands start at once."""
-MOST_ASKED = 3
-"""So many are asked: where none of them knows the list, all have started anew."""
+QUERY_TIMEOUT = 1.0
+"""How long a node waits for another one that has the list. In simulated time, 198 nodes that start
+together have met after 1.7 s; a node that joins running ones knows them after 0.3 s."""
+CANDIDATE_SHARE = 0.1
+"""Share of the nodes from which the queried ones are drawn, so that thousands of nodes that start
+together do not all query the same three."""
+MAX_QUERIED = 3
+"""Number of nodes to query; if none of them has the list, all nodes have restarted."""
 
 
 class PeerCheckedList(StoreList[Item], Generic[Item]):
-    """A list of the store; in an era after the first, `hear` runs before an answer counts."""
+    """A list of the store; after the first era, `query_peers` runs before an answer is used."""
 
-    def __init__(self, store: StoreList[Item], hear: Callable[[], Awaitable[None]]) -> None:
+    def __init__(self, store: StoreList[Item], query_peers: Callable[[], Awaitable[None]]) -> None:
         self._store = store
-        self._hear = hear
-        self._has_heard = False
+        self._query_peers = query_peers
+        self._has_queried = False
 
     async def list(self) -> Batch[Item]:
-        """Return the whole list as it is now. Raises SourceUnavailableError."""
+        """Return the current list. Raises SourceUnavailableError."""
         return await self._after_peers(await self._store.list())
 
     async def list_cached(self) -> Batch[Item]:
@@ -51,14 +51,14 @@
         return await self._store.changes(revision, wait)
 
     async def _after_peers(self, batch: Batch[Item]) -> Batch[Item]:
-        if batch.revision.era > FIRST_ERA and not self._has_heard:
-            await self._hear()
-            self._has_heard = True
+        if batch.revision.era > FIRST_ERA and not self._has_queried:
+            await self._query_peers()
+            self._has_queried = True
         return batch
 
 
 class LongestRunningPeers(Generic[Item]):
-    """Asks the nodes that have run for longest for a list, and merges what they know."""
+    """Queries the nodes that have run for longest for a list, and merges their answers."""
 
     def __init__(
         self,
@@ -75,38 +75,38 @@
         self._list = followed
 
     async def query(self) -> None:
-        """Return once one has told the list, MOST_ASKED don't know it, or the time is over."""
-        deadline = loop_time() + PATIENCE_SECONDS
-        asked: set[NodeId] = set()
-        while loop_time() < deadline and len(asked) < MOST_ASKED:
+        """Return once a node has sent the list, MAX_QUERIED lack it, or the timeout is over."""
+        deadline = loop_time() + QUERY_TIMEOUT
+        queried: set[NodeId] = set()
+        while loop_time() < deadline and len(queried) < MAX_QUERIED:
             self._members_changed.clear()
-            found = longest_running(self._view(), self._node, asked)
-            peers = random.sample(found, min(len(found), MOST_ASKED - len(asked)))
-            asked.update(peers)
-            told = await asyncio.gather(*(self._ask(peer) for peer in peers))
-            if any(told):
+            candidates = longest_running(self._view(), self._node, queried)
+            peers = random.sample(candidates, min(len(candidates), MAX_QUERIED - len(queried)))
+            queried.update(peers)
+            answered = await asyncio.gather(*(self._query(peer) for peer in peers))
+            if any(answered):
                 return
             if not peers:
                 await wait_at_most(self._members_changed, deadline - loop_time())
 
-    async def _ask(self, peer: NodeId) -> bool:
-        """Merge what a node knows; False: it knows nothing, or gives no answer."""
-        told_at = loop_time()
+    async def _query(self, peer: NodeId) -> bool:
+        """Merge a node's list; return False if it has none or does not answer."""
+        queried_at = loop_time()
         try:
             batch = await self._source_at(peer).list()
         except SourceUnavailableError:
-            # It has started anew as well, or is gone: the next one is asked, or the store counts.
+            # It has restarted too or is gone: the next one is queried, or the store's list used.
             return False
-        self._list.merge(batch, True, told_at)
+        self._list.merge(batch, True, queried_at)
         return True
 
 
-def longest_running(view: MembersView, node: NodeId, without: set[NodeId]) -> list[NodeId]:
-    """Return the others that have run for longest, a tenth of those alive, MOST_ASKED at least."""
+def longest_running(view: MembersView, node: NodeId, excluded: set[NodeId]) -> list[NodeId]:
+    """Return the other live nodes that have run for longest: a tenth, MAX_QUERIED at least."""
     others = [
         (member.incarnation, name)
         for name, member in view.members.items()
-        if name != node and name not in without and member.state is MemberState.ALIVE
+        if name != node and name not in excluded and member.state is MemberState.ALIVE
     ]
-    count = max(MOST_ASKED, round(len(others) * ELDEST_SHARE))
+    count = max(MAX_QUERIED, round(len(others) * CANDIDATE_SHARE))
     return [name for _, name in sorted(others)[:count]]
--- a/src/bramblebeam/services/feed/followed.py
+++ b/src/bramblebeam/services/feed/followed.py
@@ -1,4 +1,4 @@
-"""One list that this node follows: what is known of it, and who waits for news."""
+"""The state of a list that this node follows, merged from several sources."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 Item = TypeVar("Item")
 
 MAXIMUM_DELETED = 1_000
-"""So many deleted items are remembered for those who follow this node."""
+"""Number of deleted items that are kept for nodes that follow this one."""
 
 
 class FollowedList(Generic[Item]):
-    """Merges what several sources tell: of one name the highest revision counts.
-
-    `take` gets what is news. `revision`: up to which the list is known, None: nothing is known.
-    `confirmed_at`: when the store surely had nothing newer (steady clock, seconds).
-    `keeps_last_good`: an item that can't be read any more stays as it was; else it is gone.
-    `version`: the order that the items' writers gave them, where they have one. It goes before that
-    of revisions: a store that came back from a copy has an older item at a later revision.
-    `begin_era` is called when the list is of a new era, before its items are taken, and
-    `forget_revisions` when an era proved a mistake: lower revisions follow.
+    """Merges the answers of several sources; the highest revision of a name is used.
+
+    `apply` is called with changed items. `revision`: the list is known up to here (None: unknown).
+    `confirmed_at`: when the store last had nothing newer (monotonic clock, seconds).
+    `keeps_last_good`: an item that becomes unreadable keeps its last content; else it is deleted.
+    `version`: returns the writers' own order of items, if any. It takes precedence over revisions,
+    because a store that was restored from a backup has an older item at a later revision.
+    `begin_era` is called when the list enters a new era, before its items are applied, and
+    `forget_revisions` when an era turns out to be wrong: lower revisions follow.
     """
 
     def __init__(
         self,
-        take: Callable[[list[Versioned[Item]]], None],
+        apply: Callable[[list[Versioned[Item]]], None],
         keeps_last_good: bool = True,
         name: str = "",
         version: Callable[[Item], int] | None = None,
@@ -46,58 +46,59 @@
         self.revision: Revision | None = None
         self.confirmed_at = float("-inf")
         self._name = name
-        self._take = take
+        self._apply = apply
         self._keeps_last_good = keeps_last_good
         self._version = version
         self._begin_era = begin_era
         self._forget_revisions = forget_revisions
-        self._era_told_at = float("-inf")
+        self._era_reported_at = float("-inf")
         self._known: dict[str, Versioned[Item]] = {}
         self._forgotten = NO_REVISION
         self._changed = asyncio.Event()
 
-    def merge(self, batch: Batch[Item], whole: bool, told_at: float) -> None:
-        """Take an answer that a source gave at `told_at` or later (steady clock, seconds).
+    def merge(self, batch: Batch[Item], whole: bool, answered_at: float) -> None:
+        """Merge an answer that a source gave at `answered_at` or later (monotonic clock, seconds).
 
-        One of a former era tells nothing of the present one, and changes nothing, unless nobody has
-        told of the present one for long. Raises HistoryLostError where that takes the whole list.
+        An answer of a former era is ignored, unless the current era has not been reported for
+        ERA_SILENCE_SECONDS. Raises HistoryLostError if the whole list is needed for that.
         """
         last = {item.name: self._readable(item) for item in batch.items}
-        self._log_passed_over(last.values())
+        self._log_ignored(last.values())
         if self._is_of_former_era(batch):
-            # What the store confirmed long after the present era was told shows that it is none.
-            if told_at - batch.age - self._era_told_at < ERA_SILENCE_SECONDS:
+            # The store confirmed the former era long after the last report of the current one, so
+            # the current one is wrong.
+            if answered_at - batch.age - self._era_reported_at < ERA_SILENCE_SECONDS:
                 return
             self._forget_era(whole)
-        self._note_era(batch, told_at)
-        self._era_told_at = max(self._era_told_at, told_at)
-        news = [joined for item in last.values() if (joined := self._joined(item, batch))]
+        self._record_era(batch, answered_at)
+        self._era_reported_at = max(self._era_reported_at, answered_at)
+        changed = [merged for item in last.values() if (merged := self._merged(item, batch))]
         if whole:
-            news.extend(self._missing_from(batch))
-        self._known.update((item.name, item) for item in news)
-        self.confirmed_at = max(self.confirmed_at, told_at - batch.age)
+            changed.extend(self._missing_from(batch))
+        self._known.update((item.name, item) for item in changed)
+        self.confirmed_at = max(self.confirmed_at, answered_at - batch.age)
         advanced = self.revision is None or batch.revision > self.revision
         if advanced:
             self.revision = batch.revision
         self._forget_deleted()
-        if news:
-            self._take(news)
-        if news or advanced:
+        if changed:
+            self._apply(changed)
+        if changed or advanced:
             self._changed.set()
             self._changed = asyncio.Event()
 
     def state(self) -> ListState:
-        """Return how new the list is."""
+        """Return how recent the list is."""
         age = loop_time() - self.confirmed_at
         return ListState(self._name, self.revision or NO_REVISION, age)
 
     def whole(self) -> Batch[Item]:
-        """Return every item."""
+        """Return all items."""
         items = tuple(item for item in self._known.values() if not item.deleted)
         return Batch(items, self.revision or NO_REVISION)
 
     def since(self, revision: Revision) -> Batch[Item]:
-        """Return what changed after a revision. Raises HistoryLostError."""
+        """Return the changes after a revision. Raises HistoryLostError."""
         if revision < self._forgotten:
             raise HistoryLostError
         changed = (item for item in self._known.values() if item.revision > revision)
@@ -105,7 +106,7 @@
         return Batch(items, max(revision, self.revision or NO_REVISION))
 
     async def wait_for_change(self, revision: Revision, wait: float) -> None:
-        """Wait until more than `revision` is known, for at most `wait` seconds."""
+        """Wait for a revision after `revision`, for at most `wait` seconds."""
         deadline = loop_time() + wait
         while self.revision is None or self.revision <= revision:
             if not await wait_at_most(self._changed, deadline - loop_time()):
@@ -115,7 +116,7 @@
         return self.revision is not None and batch.revision.era < self.revision.era
 
     def _forget_era(self, whole: bool) -> None:
-        """Take the present era for a mistake: what is known stays until something else is told."""
+        """Discard the current era as wrong; known items stay until a source reports others."""
         if not whole:
             raise HistoryLostError
         log_event(logger, STORE_ERA_DISCARDED, list=self._name, revision=str(self.revision))
@@ -126,27 +127,27 @@
         }
         self._forget_revisions()
 
-    def _joined(self, item: Versioned[Item], batch: Batch[Item]) -> Versioned[Item] | None:
-        """Return what is known of a name with an item that was told; None: the item is no news.
+    def _merged(self, item: Versioned[Item], batch: Batch[Item]) -> Versioned[Item] | None:
+        """Merge a received item with the known one; return None if it changes nothing.
 
-        Its revision is the later of both, and so is its content, by its version first.
+        The result has the later revision of both, and the later content, by version first.
         """
         known = self._known.get(item.name)
-        # The store may tell of a deletion with the item's last revision: it is as late as the list.
-        told = item._replace(revision=batch.revision) if item.deleted else item
+        # The store may report a deletion at the item's last revision; it is as late as the list.
+        received = item._replace(revision=batch.revision) if item.deleted else item
         if known is None:
-            return told
-        told_version, known_version = self._version_of(told), self._version_of(known)
+            return received
+        received_version, known_version = self._version_of(received), self._version_of(known)
         is_later = _is_later(item, known)
-        if told_version > known_version or (told_version == known_version and is_later):
-            return told._replace(revision=max(told.revision, known.revision))
-        return known._replace(revision=told.revision) if is_later else None
+        if received_version > known_version or (received_version == known_version and is_later):
+            return received._replace(revision=max(received.revision, known.revision))
+        return known._replace(revision=received.revision) if is_later else None
 
     def _version_of(self, item: Versioned[Item]) -> int:
         return 0 if self._version is None or item.item is None else self._version(item.item)
 
     def _readable(self, item: Versioned[Item]) -> Versioned[Item]:
-        """Return what counts in place of an item that can't be read, at its new revision."""
+        """Return an item, or if it can't be read, its replacement at the new revision."""
         known = self._known.get(item.name)
         if item.item is not None or item.deleted or known is None:
             return item
@@ -155,9 +156,10 @@
         return item._replace(item=known.item, deleted=known.deleted)
 
     def _missing_from(self, batch: Batch[Item]) -> list[Versioned[Item]]:
-        """Return as deleted what a whole list lacks; a later entry than the list stays.
+        """Return deletions of known items that a whole list lacks; items later than the list stay.
 
-        What has a version stays, too, in the list's era: a copy may lack what was made since.
+        Items with a version stay too and move to the list's era, because a backup may lack items
+        that were created since.
         """
         named = {item.name for item in batch.items}
         missing = [
@@ -185,10 +187,10 @@
         self._forgotten = max(self._forgotten, oldest.revision)
         del self._known[oldest.name]
 
-    # What is logged.
+    # Logging.
 
-    def _log_passed_over(self, items: Iterable[Versioned[Item]]) -> None:
-        """Log in one line what does not count, as later ones are known."""
+    def _log_ignored(self, items: Iterable[Versioned[Item]]) -> None:
+        """Log in one line the items that are ignored because later ones are known."""
         older = [item for item in items if self._is_older(item)]
         if older:
             log_event(
@@ -205,28 +207,28 @@
         known = self._known.get(item.name)
         return known is not None and item.revision < known.revision
 
-    def _note_era(self, batch: Batch[Item], told_at: float) -> None:
-        """Tell that a list is of a new era, if an earlier one was known."""
+    def _record_era(self, batch: Batch[Item], answered_at: float) -> None:
+        """Log and announce that the list enters a new era, if an earlier one was known."""
         former = self.revision
         if former is None or not former.number or batch.revision.era == former.era:
             return
-        told = {item.name: item.item for item in batch.items}
+        received = {item.name: item.item for item in batch.items}
         known = {item.name: item.item for item in self._known.values() if not item.deleted}
-        names = told.keys() | known.keys()
+        names = received.keys() | known.keys()
         log_event(
             logger,
             STORE_ERA_BEGAN,
             list=self._name,
             revision=str(batch.revision),
             former_revision=str(former),
-            differing=sum(told.get(name) != known.get(name) for name in names),
-            confirmed_ms_ago=round((told_at - self.confirmed_at) * 1_000),
+            differing=sum(received.get(name) != known.get(name) for name in names),
+            confirmed_ms_ago=round((answered_at - self.confirmed_at) * 1_000),
         )
         self._begin_era(batch.revision.era)
 
 
 def _is_later(item: Versioned[Item], known: Versioned[Item]) -> bool:
-    """Whether an item counts by its revision; the store deletes at an item's last revision."""
+    """Return whether an item is later by revision; deletions come at an item's last revision."""
     if item.revision > known.revision:
         return True
     return item.deleted and not known.deleted and item.revision == known.revision
--- a/src/bramblebeam/services/feed/following.py
+++ b/src/bramblebeam/services/feed/following.py
@@ -30,17 +30,17 @@
 FIRST_RETRY = 0.1
 MAXIMUM_RETRY = 0.6
 FIRST_WAIT = 0.5
-"""How long the first question after a failure waits for news (seconds). The store may be in a new
-era, which a question that waits for changes of the former one learns with its answer only; with a
-longer wait a change written meanwhile would be late. A slow store has a second more to answer."""
+"""How long the first request after a failure waits for changes (seconds). The store may be in a new
+era, of which a request that waits for changes of the former one learns only from its answer; a
+longer wait would delay changes written meanwhile. A slow store has another second to answer."""
 TRAVEL_SECONDS = 0.5
-"""An answer that waited for news was given at most so long before it arrived."""
+"""Maximum travel time of an answer that waited for changes."""
 
 
 class SourceFollower:
-    """Follows a list at a source until cancelled. `failed`: the last question was in vain.
+    """Follows a list at a source until cancelled. `failed`: the last request failed.
 
-    `node`: the node that tells, None: the store itself.
+    `node`: the node that is the source (None: the store itself).
     """
 
     def __init__(
@@ -54,40 +54,40 @@
         self._failures = 0
 
     async def load_cached(
-        self, load_cached: Callable[[], Awaitable[Batch[Any]]], until: asyncio.Event
+        self, load: Callable[[], Awaitable[Batch[Any]]], until: asyncio.Event
     ) -> None:
-        """Take a list that may be old, so that something is known until there is better."""
+        """Load a list that may be old, to have one until a current list arrives."""
         while not until.is_set() and self._list.revision is None:
-            told_at = asyncio.get_running_loop().time()
+            answered_at = asyncio.get_running_loop().time()
             try:
-                self._list.merge(await load_cached(), True, told_at)
+                self._list.merge(await load(), True, answered_at)
             except SourceUnavailableError as error:
                 await self._failed(None, str(error))
 
     async def run(self, wait: float) -> None:
-        """Ask again and again; each question waits for news for `wait` seconds."""
+        """Send requests in a loop; each waits up to `wait` seconds for changes."""
         revision: Revision | None = None
         while True:
             try:
-                revision = await self._ask(revision, FIRST_WAIT if self._failures else wait)
+                revision = await self._request(revision, FIRST_WAIT if self._failures else wait)
             except HistoryLostError:
                 revision = None
             except SourceUnavailableError as error:
                 await self._failed(revision, str(error))
 
-    async def _ask(self, revision: Revision | None, wait: float) -> Revision:
+    async def _request(self, revision: Revision | None, wait: float) -> Revision:
         loop = asyncio.get_running_loop()
-        told_at = loop.time()
+        answered_at = loop.time()
         if revision is None:
             batch = await self._source.list()
         else:
             batch = await self._source.changes(revision, wait)
-            told_at = max(told_at, loop.time() - TRAVEL_SECONDS)
+            answered_at = max(answered_at, loop.time() - TRAVEL_SECONDS)
         if self._failures:
             self._log_regained()
         self._failures = 0
         self.failed = False
-        self._list.merge(batch, revision is None, told_at)
+        self._list.merge(batch, revision is None, answered_at)
         return batch.revision
 
     async def _failed(self, revision: Revision | None, error: str) -> None:
@@ -100,12 +100,12 @@
 
     def _log_lost(self, revision: Revision | None, error: str) -> None:
         name = self._name
-        told = None if revision is None else str(revision)
+        known = None if revision is None else str(revision)
         if self._node is None:
-            log_event(logger, STORE_LOST, list=name, revision=told, error=error)
+            log_event(logger, STORE_LOST, list=name, revision=known, error=error)
             return
         node = self._node
-        log_event(logger, PEER_FEED_LOST, list=name, node=node, revision=told, error=error)
+        log_event(logger, PEER_FEED_LOST, list=name, node=node, revision=known, error=error)
 
     def _log_regained(self) -> None:
         name, failures = self._name, self._failures
--- a/src/bramblebeam/services/feed/peers.py
+++ b/src/bramblebeam/services/feed/peers.py
@@ -1,4 +1,4 @@
-"""Lists told by other nodes, and the answers to nodes that ask this one."""
+"""Lists that are read from other nodes, and the replies to nodes that read from this one."""
 
 from __future__ import annotations
 
@@ -42,14 +42,14 @@
 Item = TypeVar("Item")
 
 ANSWER_MARGIN = 0.5
-SILENCE = 0.5
-"""A node from which nothing came for so long, not even to a probe, has failed (seconds)."""
-LONGEST_WAIT = 5.0
+SILENCE_TIMEOUT = 0.5
+"""A node that sent nothing for this long (seconds), not even for a probe, has failed."""
+MAX_WAIT = 5.0
 NOT_AVAILABLE = FollowReply(available=False)
 
 
 class PeerSource(Generic[Item]):
-    """A list as another node knows it. `unpack` finds the list's items in an answer."""
+    """A list as known by another node. `unpack` returns the list's items of a reply."""
 
     def __init__(
         self,
@@ -64,11 +64,11 @@
         self._unpack = unpack
 
     async def list(self) -> Batch[Item]:
-        """Return the whole list as the node knows it. Raises SourceUnavailableError."""
+        """Return the node's whole list. Raises SourceUnavailableError."""
         return self._batch(await self._ask(Revision(UNKNOWN_ERA, UNKNOWN_REVISION), 0.0))
 
     async def changes(self, revision: Revision, wait: float) -> Batch[Item]:
-        """Return what changed. Raises HistoryLostError, SourceUnavailableError."""
+        """Return the changes after a revision. Raises HistoryLostError, SourceUnavailableError."""
         reply = await self._ask(revision, wait)
         if reply.whole or reply_era(reply) != revision.era:
             raise HistoryLostError
@@ -79,8 +79,10 @@
         return Batch(self._unpack(reply), revision, reply.age)
 
     async def _ask(self, revision: Revision, wait: float) -> FollowReply:
-        question = FollowRequest(self._name, revision.number, wait, revision.era)
-        request = PeerRequest(self._node, question, wait + ANSWER_MARGIN, SILENCE, repeatable=True)
+        follow = FollowRequest(self._name, revision.number, wait, revision.era)
+        request = PeerRequest(
+            self._node, follow, wait + ANSWER_MARGIN, SILENCE_TIMEOUT, repeatable=True
+        )
         try:
             answer = await self._kernel.call("transport", request)
         except (MailboxFullError, ServiceFailedError) as error:
@@ -88,62 +90,67 @@
         if not isinstance(answer, FollowReply) or not answer.available:
             raise SourceUnavailableError(f"{self._node}: {answer}")
         if reply_era(answer) not in range(FIRST_ERA, HIGHEST_ERA + 1):
-            raise SourceUnavailableError(f"{self._node} tells of era {answer.era}")
+            raise SourceUnavailableError(f"{self._node} reports era {answer.era}")
         return answer
 
 
 def reply_era(reply: FollowReply) -> int:
-    """Return the era of a reply; a node that knows none tells of the first."""
+    """Return the era of a reply; nodes of a release without eras are in the first."""
     return FIRST_ERA if reply.era == UNKNOWN_ERA else reply.era
 
 
 def route_items(reply: FollowReply) -> tuple[Versioned[RouteTable], ...]:
-    """Return the route tables that a node told of."""
+    """Return the route tables of a reply."""
     return tuple(
-        Versioned(told.name, _revision(reply, told), _table(told), deleted=not told.version)
-        for told in reply.routes
+        Versioned(
+            item.name,
+            _revision(reply, item),
+            _table(item),
+            deleted=not item.version,
+        )
+        for item in reply.routes
     )
 
 
 def database_items(reply: FollowReply) -> tuple[Versioned[DatabaseEntry], ...]:
-    """Return the databases that a node told of."""
+    """Return the databases of a reply."""
     starts = {start.name: start.born for start in reply.starts}
     return tuple(
         Versioned(
-            told.name,
-            _revision(reply, told),
-            _started(told.entry, starts.get(told.name, NOT_TOLD)),
-            deleted=told.entry is None,
+            item.name,
+            _revision(reply, item),
+            _incarnation_entry(item.entry, starts.get(item.name, NOT_TOLD)),
+            deleted=item.entry is None,
         )
-        for told in reply.databases
+        for item in reply.databases
     )
 
 
-def _revision(reply: FollowReply, told: RouteTableItem | DatabaseItem) -> Revision:
-    return Revision(reply_era(reply), told.revision)
+def _revision(reply: FollowReply, item: RouteTableItem | DatabaseItem) -> Revision:
+    return Revision(reply_era(reply), item.revision)
 
 
-def _started(entry: DatabaseEntry | None, born: int) -> DatabaseEntry | None:
+def _incarnation_entry(entry: DatabaseEntry | None, born: int) -> DatabaseEntry | None:
     if entry is None:
         return None
     return entry._replace(instance=instance_id(entry.instance, born))
 
 
-def _table(told: RouteTableItem) -> RouteTable | None:
-    if not told.version:
+def _table(item: RouteTableItem) -> RouteTable | None:
+    if not item.version:
         return None
     return RouteTable(
-        told.version,
-        {route.database: route for route in told.routes},
-        {group.group: group for group in told.groups},
-        told.transaction_idle,
-        None if told.tenants is None else TenantTable(told.tenants),
-        frozenset(told.public),
+        item.version,
+        {route.database: route for route in item.routes},
+        {group.group: group for group in item.groups},
+        item.transaction_idle,
+        None if item.tenants is None else TenantTable(item.tenants),
+        frozenset(item.public),
     )
 
 
 class ReplyItems(NamedTuple):
-    """The items of an answer: one of the two is empty."""
+    """The items of a reply; either the routes or the databases are empty."""
 
     routes: tuple[RouteTableItem, ...] = ()
     databases: tuple[DatabaseItem, ...] = ()
@@ -151,13 +158,13 @@
 
 
 def pack_routes(items: tuple[Versioned[RouteTable], ...]) -> ReplyItems:
-    """Return route tables as they travel; one that can't be read is left out."""
+    """Return the route tables to send; one that can't be read is left out."""
     return ReplyItems(
-        routes=tuple(_told_table(item) for item in items if item.item or item.deleted)
+        routes=tuple(_pack_table(item) for item in items if item.item or item.deleted)
     )
 
 
-def _told_table(item: Versioned[RouteTable]) -> RouteTableItem:
+def _pack_table(item: Versioned[RouteTable]) -> RouteTableItem:
     table = item.item
     if table is None:
         return RouteTableItem(item.name, item.revision.number)
@@ -174,11 +181,12 @@
 
 
 def pack_databases(items: tuple[Versioned[DatabaseEntry], ...]) -> ReplyItems:
-    """Return databases as they travel; one that can't be read is left out."""
+    """Return the databases to send; one that can't be read is left out."""
     readable = [item for item in items if item.item or item.deleted]
     return ReplyItems(
         databases=tuple(
-            DatabaseItem(item.name, item.revision.number, _named(item.item)) for item in readable
+            DatabaseItem(item.name, item.revision.number, _plain_entry(item.item))
+            for item in readable
         ),
         starts=tuple(
             DatabaseStart(item.name, born_at(item.item.instance))
@@ -188,8 +196,8 @@
     )
 
 
-def _named(entry: DatabaseEntry | None) -> DatabaseEntry | None:
-    """Return an entry under the plain name of its database."""
+def _plain_entry(entry: DatabaseEntry | None) -> DatabaseEntry | None:
+    """Return an entry under its database's name, without the incarnation."""
     if entry is None:
         return None
     return entry._replace(instance=InstanceId(server_name(entry.instance)))
@@ -198,10 +206,10 @@
 async def follow_reply(
     request: FollowRequest, followed: FollowedList[Any], pack: Callable[[Any], ReplyItems]
 ) -> FollowReply:
-    """Answer a node that follows this one, once there is news or its time is over."""
+    """Answer a node that follows this one, on the next change or when its wait time is over."""
     if request.revision >= 0:
-        asked = _asked_revision(request, followed)
-        await followed.wait_for_change(asked, min(request.wait, LONGEST_WAIT))
+        known = _known_revision(request, followed)
+        await followed.wait_for_change(known, min(request.wait, MAX_WAIT))
     if followed.revision is None:
         return NOT_AVAILABLE
     batch = _changes_for(request, followed)
@@ -209,33 +217,33 @@
     if batch is None:
         batch = followed.whole()
     age = asyncio.get_running_loop().time() - followed.confirmed_at
-    told = pack(batch.items)
+    items = pack(batch.items)
     return FollowReply(
         True,
         whole,
         batch.revision.number,
         age,
-        told.routes,
-        told.databases,
-        told.starts,
+        items.routes,
+        items.databases,
+        items.starts,
         batch.revision.era,
     )
 
 
-def _asked_revision(request: FollowRequest, followed: FollowedList[Any]) -> Revision:
-    """Return what the asking node knows; one that knows no eras means the present one."""
+def _known_revision(request: FollowRequest, followed: FollowedList[Any]) -> Revision:
+    """Return the requester's revision; one of a release without eras means the current era."""
     if request.era != UNKNOWN_ERA or followed.revision is None:
         return Revision(max(request.era, FIRST_ERA), request.revision)
     return Revision(followed.revision.era, request.revision)
 
 
 def _changes_for(request: FollowRequest, followed: FollowedList[Any]) -> Batch[Any] | None:
-    """Return what changed since the asked revision; None: the asking node needs the whole list."""
-    asked = _asked_revision(request, followed)
-    if request.revision < 0 or followed.revision is None or asked.era != followed.revision.era:
+    """Return the changes since the requester's revision; None if it needs the whole list."""
+    known = _known_revision(request, followed)
+    if request.revision < 0 or followed.revision is None or known.era != followed.revision.era:
         return None
     try:
-        return followed.since(asked)
+        return followed.since(known)
     except HistoryLostError:
-        # What it asks for was forgotten here: the whole list tells it as well.
+        # This node no longer has these changes; the whole list contains them too.
         return None
--- a/src/bramblebeam/services/feed/ports.py
+++ b/src/bramblebeam/services/feed/ports.py
@@ -1,4 +1,4 @@
-"""The interface between the feed and what tells it of a list: the store, or another node."""
+"""Interfaces between the feed and the sources of its lists: the store, or another node."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 UNKNOWN_AGE = math.inf
-"""The age of a list of which nobody told how old it is (seconds)."""
+"""Age (seconds) of a list whose age is not known."""
 
 
 class SourceUnavailableError(Exception):
-    """The source gave no answer, or none that can be read. Another try may succeed."""
+    """The source gave no answer, or an unreadable one. Retriable."""
 
 
 class HistoryLostError(Exception):
-    """The source has forgotten the changes asked for: take the whole list again."""
+    """The source no longer has the requested changes; the whole list must be read again."""
 
 
 class Versioned(NamedTuple, Generic[Item]):
-    """One item by its name; `item` None: it can't be read, or it was deleted."""
+    """A named item at a revision. `item` is None if it can't be read or was deleted."""
 
     name: str
     revision: Revision
@@ -32,9 +32,9 @@
 
 
 class Batch(NamedTuple, Generic[Item]):
-    """Items up to a revision of the store: a whole list, or changes in their order.
+    """Items up to a revision of the store: a whole list, or changes in order.
 
-    `age`: seconds since the store confirmed it; 0 where the store itself has answered.
+    `age`: seconds since the store confirmed them; 0 if the store itself answered.
     """
 
     items: tuple[Versioned[Item], ...]
@@ -46,21 +46,21 @@
     """A list that can be followed."""
 
     async def list(self) -> Batch[Item]:
-        """Return the whole list as it is now. Raises SourceUnavailableError."""
+        """Return the current list. Raises SourceUnavailableError."""
 
     async def changes(self, revision: Revision, wait: float) -> Batch[Item]:
-        """Return the changes after a revision, waiting for one for up to `wait` seconds.
+        """Return the changes after a revision, waiting up to `wait` seconds for the first.
 
-        Raises HistoryLostError, also where the revision is of another era; SourceUnavailableError.
+        Raises SourceUnavailableError, and HistoryLostError, also for a revision of another era.
         """
 
 
 class StoreList(Source[Item], Protocol[Item]):
-    """A list of the store itself."""
+    """A list that is read from the store itself."""
 
     async def list_cached(self) -> Batch[Item]:
-        """Return the list as it was some seconds ago, of UNKNOWN_AGE and with no revision but
-        the era of the answer.
+        """Return the list as it was some seconds ago.
 
-        It costs the store a part of what the list costs. Raises SourceUnavailableError.
+        It has UNKNOWN_AGE, and its revision states only the era of the answer. It costs the store
+        less than `list`. Raises SourceUnavailableError.
         """
--- a/src/bramblebeam/services/feed/service.py
+++ b/src/bramblebeam/services/feed/service.py
@@ -1,4 +1,4 @@
-"""The feed service: keeps routes and registered databases as new as the store tells."""
+"""The feed service: keeps routes and registered databases up to date with the store."""
 
 from __future__ import annotations
 
@@ -44,17 +44,17 @@
 logger = logging.getLogger(__name__)
 
 REVIEW_INTERVAL = 0.25
-QUIET_SECONDS = 0.6
-"""A node that expects others takes itself for a reader of the store only once it has met no new one
-for so long: as long as its first statements wait for members (`MEMBERS_PATIENCE`)."""
-MOST_SETTLING_SECONDS = 2.5
-"""It waits so long at most: the smallest bound within which a new table must be in force is 3 s."""
+SETTLED_AFTER_SECONDS = 0.6
+"""A node that expects others becomes a reader of the store only after no new member has appeared
+for this long: as long as its first statements wait for members (`MEMBERS_PATIENCE`)."""
+MAX_SETTLING_SECONDS = 2.5
+"""Limit of that wait: the tightest limit for bringing a new table into force is 3 s."""
 LEAVING_SHARE = 0.75
-"""The part of the time in which a leaving database may get work that this node uses."""
+"""Share of a leaving database's drain time in which this node still uses it."""
 
 
 class FeedService(Service):
-    """Publishes `RoutesChanged` and `DirectoryChanged`; tells both lists to nodes that ask."""
+    """Publishes `RoutesChanged` and `DirectoryChanged`; serves both lists to other nodes."""
 
     name: ClassVar[str] = "feed"
 
@@ -78,17 +78,17 @@
         self._settled = asyncio.Event()
         self._members_changed = asyncio.Event()
         self._routes = FollowedList[RouteTable](
-            self._take_routes,
+            self._apply_routes,
             name="routes",
             version=lambda table: table.version,
             begin_era=self._begin_era,
         )
-        self._eldest = LongestRunningPeers[RouteTable](
+        self._longest_running = LongestRunningPeers[RouteTable](
             place.node, lambda: self._view, self._members_changed, self._routes_at, self._routes
         )
-        self._store_routes = PeerCheckedList(routes, self._hear_peers)
+        self._store_routes = PeerCheckedList(routes, self._query_peers)
         self._databases = FollowedList[DatabaseEntry](
-            self._take_databases,
+            self._apply_databases,
             keeps_last_good=False,
             name="databases",
             begin_era=self._begin_era,
@@ -97,7 +97,7 @@
         self._sources: list[ListSources[RouteTable] | ListSources[DatabaseEntry]] = []
 
     async def start(self) -> None:
-        """Begin to follow both lists."""
+        """Start following both lists."""
         self.kernel.subscribe(MembersChanged, self.name)
         await self.kernel.call("transport", PeerRoute(self.name, (FollowRequest,)))
         self._sources = [
@@ -119,16 +119,16 @@
             ),
         ]
         self._follow()
-        self.spawn(self._settle())
+        self.spawn(self._wait_settled())
         self.spawn(self._review())
         self.spawn(self._expire())
 
     def store_state(self) -> StoreState:
-        """Return how new the lists are, for the node's metrics."""
+        """Return how recent the lists are, for the node's metrics."""
         return StoreState((self._routes.state(), self._databases.state()), self._table.version)
 
     async def handle(self, envelope: Envelope) -> None:
-        """Follow the members; answer a node that follows this one."""
+        """Handle changes of the members and requests of nodes that follow this one."""
         match envelope.message:
             case MembersChanged(view):
                 self._view = view
@@ -146,18 +146,18 @@
             case PeerDelivery(_, FollowRequest() as request):
                 self.spawn(self._answer(request, envelope))
 
-    async def _settle(self) -> None:
-        """Let this node read the store, if that is its part, once it has met the others."""
-        deadline = self._now() + MOST_SETTLING_SECONDS
+    async def _wait_settled(self) -> None:
+        """Wait until the members are known, then let this node read the store if planned."""
+        deadline = self._now() + MAX_SETTLING_SECONDS
         is_quiet = not self._expects_others
         while not is_quiet and self._now() < deadline:
             self._members_changed.clear()
-            is_quiet = not await wait_at_most(self._members_changed, QUIET_SECONDS)
+            is_quiet = not await wait_at_most(self._members_changed, SETTLED_AFTER_SECONDS)
         self._settled.set()
 
-    async def _hear_peers(self) -> None:
+    async def _query_peers(self) -> None:
         if self._expects_others:
-            await self._eldest.query()
+            await self._longest_running.query()
 
     def _follow(self) -> None:
         for sources in self._sources:
@@ -186,8 +186,8 @@
     def _begin_era(self, era: int) -> None:
         self.kernel.publish(StoreEraBegan(era))
 
-    def _take_routes(self, news: list[Versioned[RouteTable]]) -> None:
-        for versioned in news:
+    def _apply_routes(self, changes: list[Versioned[RouteTable]]) -> None:
+        for versioned in changes:
             table = versioned.item
             if table is not None and self._is_newer(table):
                 self._table = table
@@ -201,22 +201,22 @@
                 self.kernel.publish(RoutesChanged(table))
 
     def _is_newer(self, table: RouteTable) -> bool:
-        """Whether a table that the list has taken is another one: of two alike the later counts."""
+        """Return whether a table replaces the known one; of two at one version the later does."""
         known = self._table
         return table.version > known.version or (table.version == known.version and table != known)
 
-    def _take_databases(self, news: list[Versioned[DatabaseEntry]]) -> None:
+    def _apply_databases(self, changes: list[Versioned[DatabaseEntry]]) -> None:
         now = self._now()
         changed = False
-        for found in news:
-            if found.deleted:
-                changed |= self._registry.remove(found.name, now, found.revision)
-            elif found.item is not None:
-                changed |= self._take_database(found.item, found.revision, now)
+        for versioned in changes:
+            if versioned.deleted:
+                changed |= self._registry.remove(versioned.name, now, versioned.revision)
+            elif versioned.item is not None:
+                changed |= self._apply_database(versioned.item, versioned.revision, now)
         if changed:
             self._publish_directory()
 
-    def _take_database(self, entry: DatabaseEntry, revision: Revision, now: float) -> bool:
+    def _apply_database(self, entry: DatabaseEntry, revision: Revision, now: float) -> bool:
         if self._registry.is_former(entry.instance):
             log_event(
                 logger,
@@ -230,8 +230,8 @@
 
     async def _expire(self) -> None:
         while True:
-            due = self._registry.next_expiry()
-            pause = 0.5 if due is None else max(0.05, min(0.5, due - self._now()))
+            expires_at = self._registry.next_expiry()
+            pause = 0.5 if expires_at is None else max(0.05, min(0.5, expires_at - self._now()))
             await asyncio.sleep(pause)
             if self._registry.expire(self._now()):
                 self._publish_directory()
--- a/src/bramblebeam/services/feed/sources.py
+++ b/src/bramblebeam/services/feed/sources.py
@@ -1,4 +1,4 @@
-"""The sources of one list that run at a time: the store, other nodes, or both."""
+"""Selects the sources that a list is read from: the store, other nodes, or both."""
 
 from __future__ import annotations
 
@@ -21,25 +21,26 @@
 Item = TypeVar("Item")
 
 STORE_WAIT = 2.5
-"""How long one question to the store waits (seconds): a silent connection is found a margin of 1 s
-after that. With the pause before the next question and its answer that is less than the 4 s after
-which a node whose connections were lost counts as in touch again."""
+"""How long a request to the store waits (seconds); an unresponsive connection is detected 1 s
+later. With the pause before the next request and its answer, that is less than the 4 s after which
+a node whose connections were lost is considered reconnected."""
 PEER_WAIT = 1.0
 CONFIRMATION_SECONDS = 5.5
-"""What no source confirmed for so long may be out of date: the store is asked directly.
+"""A list that no source has confirmed for this long may be outdated; the store is read directly.
 
-A reader that hears nothing has its list confirmed each STORE_WAIT, its followers a PEER_WAIT later.
+Without changes, a reader's list is confirmed every STORE_WAIT, its followers' a PEER_WAIT later.
 """
 FALLBACK_SECONDS = 5.0
-"""For how long at least the store is read in place of nodes that failed."""
+"""Minimum time for which the store is read in place of failed nodes."""
 
 Spawn = Callable[[Coroutine[Any, Any, None]], asyncio.Task[None]]
 
 
 class ListSources(Generic[Item]):
-    """Starts and stops the loops of one list, by the plan and by what becomes of its sources.
+    """Starts and stops the loops of one list, by the plan and the state of its sources.
 
-    `settled`: set once the node knows who reads the store; before, it takes a look there only.
+    `settled`: set once the node knows which nodes read the store. Before, it only loads the cached
+    list from there.
     """
 
     def __init__(
@@ -63,14 +64,14 @@
         self._planned_at = float("-inf")
 
     def follow(self, plan: FeedPlan, now: float) -> None:
-        """Follow by a new plan."""
+        """Switch to a new plan."""
         self._plan = plan
         self._planned_at = now
         self.review(now)
 
     def review(self, now: float) -> None:
-        """Read the store where no node tells of it, until they have done so for a while."""
-        if not self._plan.reads_store and self._settled.is_set() and self._is_untold(now):
+        """Start reading the store if no peer confirms the list, and stop a while after they do."""
+        if not self._plan.reads_store and self._settled.is_set() and self._is_unconfirmed(now):
             if self._fallback_until <= now:
                 age = now - self._list.confirmed_at
                 age_ms = round(age * 1000) if age < float("inf") else None
@@ -81,7 +82,7 @@
             sources.append(None)
         self._run_only(sources)
 
-    def _is_untold(self, now: float) -> bool:
+    def _is_unconfirmed(self, now: float) -> bool:
         peers = [loop for node, (loop, _) in self._loops.items() if node is not None]
         if peers and all(loop.failed for loop in peers):
             return True
