--- a/tests/node_answers.py
+++ b/tests/node_answers.py
@@ -1,4 +1,4 @@
-"""Commands that ask nodes at their metrics addresses: one that answers, and one that is absent."""
+"""Runs commands that query nodes' metrics addresses: one node answers, one is absent."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,14 +14,14 @@
 
 
 class CommandRun(NamedTuple):
-    """The address of the node that answered, and what the command printed."""
+    """The address of the node that answered, and the result of the command."""
 
     node: str
     result: Result
 
 
 async def run_at_nodes(command: str, body_of: Callable[[str], bytes]) -> CommandRun:
-    """Run a command that asks both nodes; `body_of` gives the answer to a path."""
+    """Run a command that queries both nodes; `body_of` returns the answer to a path."""
 
     async def answer(method: str, path: str) -> HttpAnswer:
         return HttpAnswer(200, body_of(path))
--- a/tests/run_logs.py
+++ b/tests/run_logs.py
@@ -1,6 +1,6 @@
-"""Logs of a run as nodes write them, for tests of the report and for its measurement.
+"""Generates logs of a run in the nodes' format, for tests and benchmarks of the report.
 
-`python run_logs.py DIRECTORY --nodes 200 --lines 5000` writes a log a node.
+`python run_logs.py DIRECTORY --nodes 200 --lines 5000` writes one log per node.
 """
 
 import argparse
@@ -31,7 +31,7 @@
 
 
 def line(at: float, event: Event | int, **fields: object) -> str:
-    """Return a line as a node logs it `at` seconds after the begin of the run."""
+    """Return a log line of a node, `at` seconds after the start of the run."""
     found = CATALOGUE[event] if isinstance(event, int) else event
     level = {10: "debug", 20: "info", 30: "warning", 40: "error", 50: "critical"}[found.level]
     content = {
@@ -46,7 +46,7 @@
 
 
 def start(at: float, node: str, zone: str = ZONES[0]) -> list[str]:
-    """Return the lines of a start, in the order in which a node writes them."""
+    """Return the lines of a node's start, in the order in which it writes them."""
     return [
         line(at - 0.01, EDGE_LISTENING, host="0.0.0.0", port=3307),
         line(at, NODE_STARTED, node=node, zone=zone),
@@ -56,19 +56,19 @@
 
 
 def proven(at: float, term: int, instance: str, group: str = "g") -> str:
-    """Return the line of a leader that was found."""
+    """Return the line of a proven leader."""
     return line(at, LEADER_PROVEN, group=group, instance=instance, term=term, position="1.1")
 
 
 def missed(at: float, instance: str, proof_age_ms: float | None, group: str = "g") -> str:
-    """Return the line of a leader that is missed."""
+    """Return the line of a lost leader."""
     reason = "no answer came in time"
     fields = {"group": group, "instance": instance, "reason": reason}
     return line(at, LEADER_LOST, **fields, proof_age_ms=proof_age_ms)
 
 
 def refused(at: float, waited_ms: int = 640, **fields: object) -> str:
-    """Return the line of a statement without success."""
+    """Return the line of a refused statement."""
     usual: dict[str, object] = {
         "request": "r1",
         "session": "s1",
@@ -86,7 +86,7 @@
 
 
 def attempt(at: float, number: int = 1, **fields: object) -> str:
-    """Return the line of an attempt in vain."""
+    """Return the line of a failed attempt."""
     usual: dict[str, object] = {
         "request": "r1",
         "instance": "db-a",
@@ -100,7 +100,7 @@
 
 
 def long_log(number: int, lines: int) -> Iterator[str]:
-    """Yield so many lines of a node: mostly attempts and refusals, and one change of leader."""
+    """Yield `lines` lines of a node: mostly attempts and refusals, and one change of leader."""
     random = Random(number)
     yield from start(0.0, f"edge-{number}", ZONES[number % len(ZONES)])
     yield proven(0.6, 1, "db-a")
@@ -133,7 +133,7 @@
     options = parser.parse_args()
     options.directory.mkdir(parents=True, exist_ok=True)
     for number in range(options.nodes):
-        text = "".join(f"{told}\n" for told in long_log(number, options.lines))
+        text = "".join(f"{entry}\n" for entry in long_log(number, options.lines))
         (options.directory / f"node-{number}.log").write_text(text)
 
 
--- a/tests/system.py
+++ b/tests/system.py
@@ -1,4 +1,4 @@
-"""A whole system on one loop: platform, a group of three members, and nodes, on loopback."""
+"""A complete system on one event loop, on loopback: platform, a group of three members, nodes."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -38,7 +38,7 @@
     admins: dict[str, tuple[str, int]] = field(default_factory=dict)
 
     async def caller(self, node: str, session: str = "") -> CallerClient:
-        """Connect, waiting until the node takes callers of the group."""
+        """Connect, waiting until the node accepts callers of the group."""
         client = CallerClient(session, SERVICE, GROUP, carries_token=True)
         outcome = await client.connect(node, self.clients[node])
         while outcome.outcome != "ok":
@@ -52,7 +52,7 @@
 
 
 async def until_ok(client: CallerClient, sql: str) -> Answer:
-    """Run a statement, again for as long as it is refused as not run."""
+    """Run a statement; repeat it while it is refused as not run."""
     while True:
         answer = await client.execute(sql)
         if answer.outcome.outcome != "not_run":
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -103,7 +103,7 @@
         assert (await call(node, "GET", "/api/v1/rows/weight/none"))[0] == 404
 
 
-async def test_every_node_tells_where_a_version_is_in_force() -> None:
+async def test_every_node_reports_where_a_version_is_in_force() -> None:
     async with system(3, *TOKENS) as (_, nodes):
         _, written, _ = await edit(nodes[0], 1, 7)
         version = written["version"]
--- a/tests/test_admin_commands.py
+++ b/tests/test_admin_commands.py
@@ -73,7 +73,7 @@
         assert (late.exit_code, "2 of 2 nodes of zone-a" in late.output) == (4, True)
 
 
-def test_a_node_that_cannot_be_asked_is_told_with_its_own_exit_code(
+def test_an_unreachable_node_has_its_own_exit_code(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setenv("BRAMBLEBEAM_ADMIN", "http://127.0.0.1:1")
--- a/tests/test_configuration_service.py
+++ b/tests/test_configuration_service.py
@@ -89,7 +89,7 @@
         assert json.loads(reply.current.spec) == stored.spec
 
 
-async def test_the_store_down_leaves_rows_in_force_and_edits_end_as_not_done(
+async def test_without_the_store_rows_stay_in_force_and_edits_end_as_not_done(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(editor, "EDIT_SECONDS", 1.0)
@@ -113,7 +113,7 @@
         assert [node.view.weights["quito-1"].read_weight for node in nodes] == [100, 100]
 
 
-async def test_a_watch_cut_and_a_compaction_are_made_up_for() -> None:
+async def test_a_node_catches_up_after_a_cut_watch_and_a_compaction() -> None:
     async with system(2) as (server, nodes):
         server.set_faults(Faults(down=True))
         server.store.replace(ObjectName(*WEIGHT), 1, weight(50), {})
@@ -124,7 +124,7 @@
         assert [node.view.weights["quito-1"].read_weight for node in nodes] == [50, 50]
 
 
-async def test_a_service_that_failed_goes_on_with_its_rows_and_reads_the_store_again() -> None:
+async def test_a_restarted_service_keeps_its_rows_and_reads_the_store_again() -> None:
     async with system(2) as (server, nodes):
         await until(lambda: weights(nodes) == [100] * 2 and server.statistics.watches_open == 2)
         for node in nodes:
@@ -160,7 +160,7 @@
 
 
 class Hints(Service):
-    """Stands for the membership service."""
+    """Stands in for the membership service."""
 
     name = "membership"
 
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -1,4 +1,4 @@
-"""The store's eras: what its answers and other nodes tell of them, well or badly."""
+"""The store's eras, as reported correctly or wrongly by its answers and by other nodes."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
         await platform.stop()
 
 
-def told(caplog: pytest.LogCaptureFixture, event: Event) -> list[str]:
+def logged(caplog: pytest.LogCaptureFixture, event: Event) -> list[str]:
     return [
         record.getMessage()
         for record in caplog.records
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize(("header", "era"), [(None, 0), ("0", 0), ("3", 3), ("0012", 12)])
-def test_an_answer_tells_its_era(header: str | None, era: int) -> None:
+def test_an_answer_reports_its_era(header: str | None, era: int) -> None:
     headers = () if header is None else (("store-era", header),)
     assert era_of(HttpAnswer(200, b"", headers)) == era
 
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("header", BAD_ERAS)
-def test_what_is_no_era_is_refused(header: str) -> None:
+def test_an_invalid_era_is_refused(header: str) -> None:
     with pytest.raises(EraFormatError):
         era_of(HttpAnswer(200, b"", (("store-era", header),)))
 
@@ -116,14 +116,14 @@
         platform.told_era = header
         with caplog.at_level(logging.INFO), pytest.raises(StoreUnavailableError):
             await client.list(KIND)
-        (line,) = told(caplog, STORE_ERA_UNUSABLE)
+        (line,) = logged(caplog, STORE_ERA_UNUSABLE)
         assert len(line) < 300
         platform.told_era = None
         assert (await client.list(KIND))[1].era == 2
 
 
-async def test_a_watch_of_a_former_era_is_not_gone_on_with() -> None:
-    """The new count has overtaken the watched number: no refusal tells, only the era does."""
+async def test_a_watch_of_a_former_era_is_not_continued() -> None:
+    """The new revisions have passed the watched one, so only the era shows the restore."""
     async with store() as (platform, client):
         platform.put(KIND, "a", {})
         _, revision = await client.list(KIND)
@@ -134,7 +134,7 @@
             await client.watch(KIND, revision, 0.0)
 
 
-async def test_a_list_in_parts_of_two_eras_is_none(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_list_with_pages_of_two_eras_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     async with store() as (platform, client):
         for name in ("a", "b"):
             platform.put(KIND, name, {})
@@ -146,8 +146,8 @@
         assert [found.name for found in (await client.list(KIND))[0]] == ["a", "b"]
 
 
-async def test_a_cached_list_is_not_relied_on_for_revisions() -> None:
-    """It may be older than the era that its answer tells."""
+async def test_the_revisions_of_a_cached_list_are_not_used() -> None:
+    """The list may be older than the era that its answer reports."""
     async with store() as (platform, client):
         platform.put(KIND, "a", {})
         platform.go_back(platform.copy())
@@ -163,32 +163,32 @@
     return Versioned(name, revision, content or f"{name}{revision}")
 
 
-def test_an_answer_of_a_former_era_that_comes_late_changes_nothing(
+def test_a_late_answer_of_a_former_era_changes_nothing(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    news: list[Versioned[str]] = []
-    followed = FollowedList[str](news.extend)
+    applied: list[Versioned[str]] = []
+    followed = FollowedList[str](applied.extend)
     followed.merge(Batch((item("a", at(9)),), at(9)), True, 0.0)
     followed.merge(Batch((item("a", at(3, 1)),), at(4, 1)), True, 1.0)
-    news.clear()
+    applied.clear()
     with caplog.at_level(logging.INFO):
         followed.merge(Batch((item("a", at(11)), item("b", at(12))), at(12)), True, 5.0)
-    assert not news
+    assert not applied
     assert followed.revision == at(4, 1)
     assert followed.confirmed_at == 1.0
     assert followed.whole().items == (item("a", at(3, 1)),)
-    assert len(told(caplog, ITEMS_IGNORED)) == 1
+    assert len(logged(caplog, ITEMS_IGNORED)) == 1
 
 
-def test_a_new_era_is_told_once_with_both_revisions(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_new_era_is_logged_once_with_both_revisions(caplog: pytest.LogCaptureFixture) -> None:
     eras: list[int] = []
-    followed = FollowedList[str](lambda news: None, begin_era=eras.append)
+    followed = FollowedList[str](lambda applied: None, begin_era=eras.append)
     followed.merge(Batch((item("a", at(9)), item("b", at(2), "b")), at(9)), True, 0.0)
     with caplog.at_level(logging.INFO):
         for _ in range(2):
             again = (item("a", at(3, 1)), item("b", at(2, 1), "b"))
             followed.merge(Batch(again, at(4, 1)), True, 1.0)
-    (line,) = told(caplog, STORE_ERA_BEGAN)
+    (line,) = logged(caplog, STORE_ERA_BEGAN)
     assert "revision=1.4" in line
     assert "former_revision=0.9" in line
     assert "differing=1" in line
@@ -200,7 +200,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told_versions", "in_force"),
+    ("received_versions", "in_force"),
     [
         pytest.param([20], "23", id="the copy's older one"),
         pytest.param([20, 23, 27], "27", id="written again, and a newer one"),
@@ -208,11 +208,11 @@
         pytest.param([], "23", id="none at all"),
     ],
 )
-def test_a_version_in_force_never_goes_back(told_versions: list[int], in_force: str) -> None:
-    followed = FollowedList[str](lambda news: None, version=versions)
+def test_a_version_in_force_never_goes_back(received_versions: list[int], in_force: str) -> None:
+    followed = FollowedList[str](lambda applied: None, version=versions)
     followed.merge(Batch((item("main", at(46), "23"),), at(46)), True, 0.0)
     followed.merge(Batch((), at(5, 1)), True, 1.0)
-    for number, version in enumerate(told_versions, start=6):
+    for number, version in enumerate(received_versions, start=6):
         batch = Batch((item("main", at(number, 1), str(version)),), at(number, 1))
         followed.merge(batch, False, 1.0)
     (found,) = followed.whole().items
@@ -221,16 +221,18 @@
 
 
 def test_two_restores_in_a_row() -> None:
-    followed = FollowedList[str](lambda news: None)
+    followed = FollowedList[str](lambda applied: None)
     for era, number in ((0, 40), (1, 30), (2, 20)):
         followed.merge(Batch((item("a", at(number, era)),), at(number, era)), True, 0.0)
     assert followed.whole().items == (item("a", at(20, 2)),)
 
 
 @pytest.mark.parametrize("silence", [ERA_SILENCE_SECONDS - 1, ERA_SILENCE_SECONDS])
-def test_an_era_that_one_answer_made_up_counts_for_a_while_only(silence: float) -> None:
-    news: list[Versioned[str]] = []
-    followed = FollowedList[str](news.extend)
+def test_an_era_that_a_single_wrong_answer_reported_is_discarded_after_a_while(
+    silence: float,
+) -> None:
+    applied: list[Versioned[str]] = []
+    followed = FollowedList[str](applied.extend)
     followed.merge(Batch((item("a", at(3)),), at(4)), True, 0.0)
     followed.merge(Batch((item("a", at(9, 700)),), at(9, 700)), True, 1.0)
     later = Batch((item("a", at(5)), item("b", at(6))), at(6))
@@ -244,22 +246,22 @@
     assert followed.whole() == later
 
 
-def test_a_node_that_is_cut_off_from_the_store_makes_no_era_a_mistake() -> None:
-    """It tells on what it had, and the store is down for all: nobody tells of the present era."""
+def test_a_node_that_is_cut_off_from_the_store_does_not_discard_an_era() -> None:
+    """It still sends its list, while the store is down and no node reports the current era."""
     followed = known_at(at(4, 1))
     last = ERA_SILENCE_SECONDS * 3
     followed.merge(Batch((item("a", at(9)),), at(9), age=last + 1.0), True, last)
     assert followed.revision == at(4, 1)
 
 
-def test_a_registry_follows_when_an_era_proves_a_mistake() -> None:
+def test_a_registry_accepts_lower_revisions_after_an_era_is_discarded() -> None:
     registry = Registry(5.0)
     registry.put(ENTRY, at(9, 700), now=0.0)
     registry.forget_revisions()
     assert registry.put(ENTRY._replace(leaving=True), at(5), now=1.0)
 
 
-def test_a_store_whose_answers_all_tell_a_lower_era_is_believed_again() -> None:
+def test_a_store_whose_answers_all_report_a_lower_era_is_accepted_again() -> None:
     now = 0.0
     eras = StoreEras(lambda: now)
     eras.take(HttpAnswer(200, b"", (("store-era", "700"),)), "list")
@@ -275,7 +277,7 @@
 
 
 class Kernel:
-    """A transport that answers from another node's list, as one of an earlier version or not."""
+    """A transport that answers from another node's list. `is_older`: as an earlier version."""
 
     def __init__(self, followed: FollowedList[str], is_older: bool) -> None:
         self.followed = followed
@@ -293,7 +295,7 @@
 
 
 def known_at(revision: Revision) -> FollowedList[str]:
-    followed = FollowedList[str](lambda news: None)
+    followed = FollowedList[str](lambda applied: None)
     followed.merge(Batch((), revision), True, 0.0)
     return followed
 
@@ -304,20 +306,20 @@
 
 @pytest.mark.parametrize("is_older", [False, True], ids=["this version", "an earlier version"])
 async def test_a_node_is_followed_within_an_era(is_older: bool) -> None:
-    asked = source(Kernel(known_at(at(7)), is_older))
-    assert (await asked.list()).revision == at(7)
-    assert (await asked.changes(at(7), 0.0)).revision == at(7)
+    peer_source = source(Kernel(known_at(at(7)), is_older))
+    assert (await peer_source.list()).revision == at(7)
+    assert (await peer_source.changes(at(7), 0.0)).revision == at(7)
 
 
-async def test_a_node_in_another_era_tells_its_whole_list() -> None:
-    asked = source(Kernel(known_at(at(5, 1)), is_older=False))
+async def test_a_node_in_another_era_sends_its_whole_list() -> None:
+    peer_source = source(Kernel(known_at(at(5, 1)), is_older=False))
     with pytest.raises(HistoryLostError):
-        await asked.changes(at(7), 0.0)
-    assert (await asked.list()).revision == at(5, 1)
+        await peer_source.changes(at(7), 0.0)
+    assert (await peer_source.list()).revision == at(5, 1)
 
 
-async def test_a_node_of_an_earlier_version_is_told_changes_as_before() -> None:
-    """It knows no eras, and would ask for the whole list again and again."""
+async def test_a_node_of_an_earlier_version_gets_changes_as_before() -> None:
+    """It knows no eras; after a whole list it would request the whole list again and again."""
     followed = known_at(at(5, 1))
     reply = await follow_reply(
         FollowRequest(ListName.ROUTES, 5, 0.0), followed, lambda _: ReplyItems()
@@ -326,13 +328,13 @@
     assert reply.revision == 5
 
 
-async def test_what_a_node_of_an_earlier_version_tells_is_of_the_first_era() -> None:
-    asked = source(Kernel(known_at(at(5)), is_older=True))
-    assert (await asked.list()).revision == at(5)
+async def test_the_answer_of_a_node_of_an_earlier_version_is_of_the_first_era() -> None:
+    peer_source = source(Kernel(known_at(at(5)), is_older=True))
+    assert (await peer_source.list()).revision == at(5)
 
 
 @pytest.mark.parametrize("era", [-2, HIGHEST_ERA + 1, 2**62])
-async def test_an_absurd_era_of_another_node_is_not_taken(era: int) -> None:
+async def test_an_invalid_era_of_another_node_is_refused(era: int) -> None:
     kernel = Kernel(known_at(at(5)), is_older=False)
     kernel.era = era
     with pytest.raises(SourceUnavailableError):
@@ -347,12 +349,12 @@
         FollowReply(True, True, 7, 0.5, era=2),
     ],
 )
-def test_eras_travel_between_nodes(message: FollowRequest | FollowReply) -> None:
+def test_eras_are_sent_between_nodes(message: FollowRequest | FollowReply) -> None:
     codec = Codec(GATEWAY_NODE_MESSAGES)
     assert codec.decode(codec.encode(message)) == message
 
 
-async def test_who_waits_in_a_former_era_is_woken_by_the_new_one() -> None:
+async def test_a_waiter_in_a_former_era_is_woken_by_the_new_one() -> None:
     followed = known_at(at(9))
     waiting = asyncio.ensure_future(followed.wait_for_change(at(9), 60.0))
     await asyncio.sleep(0)
--- a/tests/test_events_bounded.py
+++ b/tests/test_events_bounded.py
@@ -1,4 +1,4 @@
-"""Logs that never block, and the way from an id to its lines."""
+"""Logging that never blocks, and the command that finds the lines of a request id."""
 
 import json
 import logging
@@ -19,7 +19,7 @@
 
 
 class Output:
-    """A pipe with a logger on it, and a clock that stands still."""
+    """A pipe with a logger that writes to it, and a clock that is set by hand."""
 
     def __init__(self, name: str) -> None:
         self.reader, self.writer = os.pipe()
@@ -40,20 +40,20 @@
         return [json.loads(line) for line in data.splitlines()]
 
 
-def test_lines_over_the_bound_are_counted_and_told() -> None:
+def test_lines_over_the_limit_are_counted_and_reported() -> None:
     output = Output("bound")
     for _ in range(LINES_PER_SECOND + 7):
         log_event(output.logger, READINESS_CHANGED, ready=True)
     assert len(output.lines()) == LINES_PER_SECOND
     output.now = 1.0
     log_event(output.logger, READINESS_CHANGED, ready=False)
-    told, line = output.lines()
-    assert told["event"] == LINES_LEFT_OUT.number
-    assert told["fields"] == {"events": {str(READINESS_CHANGED.number): 7}}
+    dropped, line = output.lines()
+    assert dropped["event"] == LINES_LEFT_OUT.number
+    assert dropped["fields"] == {"events": {str(READINESS_CHANGED.number): 7}}
     assert line["fields"] == {"ready": False}
 
 
-def test_nothing_waits_for_an_output_that_nobody_reads() -> None:
+def test_logging_does_not_wait_for_an_output_that_is_not_read() -> None:
     output = Output("stopped")
     for second in range(200):
         output.now = float(second)
--- a/tests/test_feed_sources.py
+++ b/tests/test_feed_sources.py
@@ -1,4 +1,4 @@
-"""When a node asks the store, and what it takes from answers that can't be read or may be old."""
+"""When a node reads the store, and how it handles unreadable or possibly outdated answers."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Source:
-    """A list at one place. `calls`: what was asked there; `silent`: it gives no answer."""
+    """A source of a list. `calls`: the calls it received; `silent`: it gives no answer."""
 
     def __init__(self, revision: int) -> None:
         self.revision = revision
@@ -60,13 +60,13 @@
 
 
 class Parts:
-    """A list with a store and one peer."""
+    """A followed list with a store and one peer as its sources."""
 
     def __init__(self) -> None:
         self.store, self.peer = Source(5), Source(7)
-        self.news: list[Versioned[str]] = []
+        self.applied: list[Versioned[str]] = []
         self.settled = asyncio.Event()
-        self.followed = FollowedList[str](self.news.extend)
+        self.followed = FollowedList[str](self.applied.extend)
         self.tasks: list[asyncio.Task[None]] = []
         self.sources = ListSources(
             ListName.ROUTES,
@@ -97,36 +97,36 @@
         pytest.param(FeedPlan(False, (PEER,)), True, ["list cached"], id="told by a reader"),
     ],
 )
-async def test_a_node_that_starts_asks_the_store_for_little(
+async def test_a_starting_node_makes_few_calls_to_the_store(
     plan: FeedPlan, settles: bool, at_store: list[str]
 ) -> None:
-    """Found on a day of 195 nodes: each that started made four calls before it met the readers."""
+    """In a run of 195 nodes, each made four calls at its start, before it knew the readers."""
     parts = Parts()
     parts.follow(FeedPlan())
-    await until(lambda: parts.news != [])
+    await until(lambda: parts.applied != [])
     parts.follow(plan)
     if settles:
         parts.settled.set()
-    asked = parts.peer if plan.peers else parts.store
-    await until(lambda: not settles or "changes" in asked.calls)
+    source = parts.peer if plan.peers else parts.store
+    await until(lambda: not settles or "changes" in source.calls)
     assert parts.store.calls == at_store
     parts.stop()
 
 
-async def test_a_cached_list_claims_nothing_and_gives_way_to_any_other() -> None:
+async def test_a_cached_list_confirms_nothing_and_is_replaced_by_any_other() -> None:
     parts = Parts()
     parts.follow(FeedPlan())
-    await until(lambda: parts.news != [])
+    await until(lambda: parts.applied != [])
     assert parts.followed.revision == NO_REVISION
     assert parts.followed.confirmed_at == float("-inf")
     parts.follow(FeedPlan(False, (PEER,)))
     parts.settled.set()
     await until(lambda: parts.followed.revision == at(7))
-    assert parts.news[-1].item == "a7"
+    assert parts.applied[-1].item == "a7"
     parts.stop()
 
 
-async def test_a_node_that_cannot_look_waits_for_its_readers() -> None:
+async def test_a_node_that_cannot_reach_the_store_waits_for_its_readers() -> None:
     parts = Parts()
     parts.store.silent = True
     parts.follow(FeedPlan())
@@ -203,10 +203,13 @@
     assert not [record for record in caplog.records if record.event_number == 1519]  # type: ignore[attr-defined]
 
 
-def test_the_last_good_content_stays_also_for_those_who_are_told() -> None:
-    """Found by reading: a reader kept the database, and its followers took it for deleted, as the
-    reader's whole list left it out."""
-    reader, follower = FollowedList[str](lambda news: None), FollowedList[str](lambda news: None)
+def test_followers_keep_the_last_good_content_too() -> None:
+    """A reader kept a database whose entry became unreadable, but left it out of its whole list, so
+    that its followers considered it deleted."""
+    reader, follower = (
+        FollowedList[str](lambda applied: None),
+        FollowedList[str](lambda applied: None),
+    )
     reader.merge(Batch((Versioned("a", at(5), "a5"),), at(5)), True, 0.0)
     follower.merge(reader.whole(), True, 0.0)
     reader.merge(Batch((Versioned("a", at(6), None),), at(6)), False, 1.0)
@@ -217,13 +220,13 @@
     assert follower.whole().items == (Versioned("a", at(7), "a7"),)
 
 
-def test_an_item_that_could_never_be_read_is_not_there() -> None:
-    followed = FollowedList[str](lambda news: None)
+def test_an_item_that_was_never_readable_is_absent() -> None:
+    followed = FollowedList[str](lambda applied: None)
     followed.merge(Batch((Versioned("a", at(6), None),), at(6)), True, 0.0)
     assert [item for item in followed.whole().items if item.item is not None] == []
 
 
-# What the platform tells of databases.
+# Entries of databases in the store.
 
 
 @pytest.mark.parametrize(
@@ -242,12 +245,12 @@
         pools = dict(before)
         content = {**world.platform.found("servers", "db-c")["spec"], **change}
         world.platform.put("servers", "db-c", content)
-        await _news_taken(world)
+        await _changes_applied(world)
         assert dict(before) == pools
         assert pools["db-c"].entry.leaving is not is_used  # type: ignore[index]
 
 
-async def test_a_database_whose_entry_went_serves_on_and_comes_back() -> None:
+async def test_a_database_whose_entry_is_deleted_keeps_serving_until_it_is_back() -> None:
     async with running_world() as world:
         context = world.nodes[0].gateway.context
         await until(lambda: len(context.placement.pools) == 3)
@@ -261,8 +264,8 @@
         assert dict(context.placement.pools) == pools
 
 
-async def _news_taken(world: World) -> None:
-    """Wait until the node has taken whatever the store has told so far."""
+async def _changes_applied(world: World) -> None:
+    """Wait until the node has applied all changes that were made in the store so far."""
     feed = world.nodes[0].kernel._services["feed"]
     last = world.platform._revision
     await until(lambda: (feed._databases.revision or at(0)) >= at(last))  # type: ignore[attr-defined]
--- a/tests/test_in_force_command.py
+++ b/tests/test_in_force_command.py
@@ -1,4 +1,4 @@
-"""What an operator sees of the configuration that nodes go by."""
+"""The command that shows operators the configuration in force at nodes."""
 
 import math
 
@@ -28,12 +28,12 @@
     assert [line.split()[0] for line in lines][: len(behind)] == behind
 
 
-async def test_a_node_tells_it_in_its_metrics() -> None:
+async def test_a_node_reports_it_in_its_metrics() -> None:
     async with running_world() as world:
         world.configure(27)
         gateway = world.nodes[0].gateway
         await until(lambda: gateway.context.table.version == 27)
-        # Until then it has taken the routes from a cached list, whose age nobody knows.
+        # Until then the routes are those of a cached list, whose age is unknown.
         await until(lambda: gateway.context.metrics.store_state().lists[0].age < math.inf)
         body = (await _figures(gateway, METRICS_PATH)).body
         found = read_in_force("a", body.decode())
@@ -42,7 +42,7 @@
         assert found.routes_age < 60.0
 
 
-async def test_nodes_that_do_not_answer_or_tell_nothing_are_named() -> None:
+async def test_nodes_that_do_not_answer_or_lack_the_metrics_are_named() -> None:
     node, result = await run_at_nodes("in-force", lambda path: b"# nothing of ours\nother 1\n")
     assert result.exit_code == 1
     assert f"{node}: its metrics lack" in result.output
--- a/tests/test_kernel.py
+++ b/tests/test_kernel.py
@@ -162,7 +162,7 @@
     await kernel.stop()
 
 
-async def test_services_stop_in_reverse_order_and_drain_side_by_side() -> None:
+async def test_services_stop_in_reverse_order_and_drain_concurrently() -> None:
     kernel = Kernel()
     first, second = AdderService(kernel), OtherService(kernel)
     journal = first.journal
@@ -182,7 +182,7 @@
     ]
 
 
-async def test_failing_drain_does_not_keep_others_from_theirs() -> None:
+async def test_failing_drain_does_not_stop_other_drains() -> None:
     kernel = Kernel()
     first, second = AdderService(kernel), OtherService(kernel)
     kernel.register(first, second)
@@ -212,7 +212,7 @@
     assert (first.stops, second.stops) == (1, 1)
 
 
-async def test_a_service_that_never_closes_does_not_keep_the_node(
+async def test_a_service_that_never_closes_does_not_block_the_node(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("bramblebeam.kernel.kernel.CLOSE_SECONDS", 0.05)
--- a/tests/test_kernel_mailbox.py
+++ b/tests/test_kernel_mailbox.py
@@ -1,4 +1,4 @@
-"""Memory of a mailbox."""
+"""Memory use of a mailbox."""
 
 import asyncio
 import gc
@@ -11,7 +11,7 @@
     pass
 
 
-async def test_answers_given_long_ago_are_let_go() -> None:
+async def test_old_answers_are_released() -> None:
     mailbox = Mailbox(10)
     answers: weakref.WeakSet[LargeAnswer] = weakref.WeakSet()
     for _ in range(1_000):
--- a/tests/test_loop_clock.py
+++ b/tests/test_loop_clock.py
@@ -1,7 +1,7 @@
-"""What leases and time limits need of the loop that nodes run on, uvloop.
+"""Requirements of leases and time limits on uvloop, the event loop that nodes run on.
 
-A right that ends at some moment is checked by the loop's time. That is worth something only if the
-clock is read for it: a process may stand still for seconds between two callbacks, or within one.
+The end of a lease is checked by the loop's time. That is safe only if each check reads the clock,
+because a process may stall for seconds between two callbacks or within one.
 """
 
 import asyncio
@@ -19,52 +19,50 @@
 from bramblebeam.services.gateway.ports import Command
 from test_gateway_leaders import FIRST, SECOND, claim, make_tracker, now, take_all, word
 
-COARSEST = 0.002
-"""A reading is cut to a millisecond, of a clock that may itself move in such steps (seconds)."""
-STANDSTILL = 0.05
+CLOCK_RESOLUTION = 0.002
+"""Readings are cut to a millisecond, and the clock itself may advance in such steps (seconds)."""
+STALL_SECONDS = 0.05
 
 
-def stand_still() -> None:
-    """Hold the loop up in the middle of a callback."""
-    time.sleep(STANDSTILL)
+def stall() -> None:
+    """Block the loop in the middle of a callback."""
+    time.sleep(STALL_SECONDS)
 
 
-def test_the_loop_reads_its_clock_anew_at_each_call() -> None:
+def test_the_loop_reads_its_clock_at_each_call() -> None:
     async def read() -> tuple[float, float, float]:
-        stand_still()
+        stall()
         before = time.monotonic()
         return before, now(), time.monotonic()
 
     before, reading, after = uvloop.run(read())
-    assert before - COARSEST <= reading <= after
+    assert before - CLOCK_RESOLUTION <= reading <= after
 
 
-def test_a_timer_counts_from_when_it_is_set_though_the_turn_is_old() -> None:
+def test_a_timer_starts_when_it_is_set_even_late_in_an_iteration() -> None:
     delay = 0.03
 
     async def wait() -> tuple[float, float]:
-        stand_still()
+        stall()
         began = now()
         await asyncio.sleep(delay)
         return began, now()
 
     began, ended = uvloop.run(wait())
-    assert ended - began >= delay - COARSEST
+    assert ended - began >= delay - CLOCK_RESOLUTION
 
 
 @pytest.mark.parametrize(
     ("left", "may_use"),
-    [(LEASE_SECONDS / 2, True), (STANDSTILL / 2, False), (0.0, False)],
-    ids=["holds", "ends in the standstill", "over"],
+    [(LEASE_SECONDS / 2, True), (STALL_SECONDS / 2, False), (0.0, False)],
+    ids=["holds", "ends in the stall", "over"],
 )
-def test_a_lease_is_checked_after_a_standstill_within_the_callback(
-    left: float, may_use: bool
-) -> None:
+def test_a_lease_is_checked_after_a_stall_within_the_callback(left: float, may_use: bool) -> None:
     async def decide() -> bool:
         tracker = make_tracker([])
         take_all(tracker, [claim(FIRST, 1), word(SECOND, 1)])
         tracker.lease.confirmed_at = now() + left + SEND_MARGIN - LEASE_SECONDS
-        stand_still()
+        stall()
         return tracker.may_use(FIRST)
 
     assert uvloop.run(decide()) is may_use
@@ -76,7 +74,7 @@
         yield server
 
 
-def what_came(accepted: socket.socket) -> bytes:
+def received_bytes(accepted: socket.socket) -> bytes:
     """Return what can be read without waiting."""
     try:
         return accepted.recv(64, socket.MSG_DONTWAIT)
@@ -85,7 +83,7 @@
 
 
 def test_a_statement_leaves_in_the_callback_that_checked_the_lease() -> None:
-    """Not at the end of the turn: what else runs in it may take long."""
+    """Not at the end of the loop's iteration, in which other callbacks may take long."""
 
     async def send(server: socket.socket) -> bytes:
         loop = asyncio.get_running_loop()
@@ -95,9 +93,9 @@
         accepted, _ = server.accept()
         with accepted:
             sending = asyncio.ensure_future(connection.run([Command(COMMIT, "id1")], 60.0))
-            came: asyncio.Future[bytes] = loop.create_future()
-            loop.call_soon(lambda: came.set_result(what_came(accepted)))
-            found = await came
+            received: asyncio.Future[bytes] = loop.create_future()
+            loop.call_soon(lambda: received.set_result(received_bytes(accepted)))
+            found = await received
             sending.cancel()
         return found
 
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -51,7 +51,7 @@
 
 
 class FailingService(Service):
-    """Fails in every life."""
+    """Fails in every run."""
 
     name = "failing"
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files, flags and their errors; the example file; the events' page."""
+"""Settings files, flags and their errors; the example file; the events page."""
 
 import json
 import logging
@@ -54,7 +54,7 @@
     assert problems(tmp_path, text) == [("node.toml", key)]
 
 
-def test_every_wrong_value_is_told_at_once(tmp_path: Path) -> None:
+def test_all_wrong_values_are_reported_at_once(tmp_path: Path) -> None:
     text = 'node = 1\nzone = "z"\nregion = "r"\n[client]\nport = -1\n'
     assert len(problems(tmp_path, text)) == 2
 
@@ -115,7 +115,7 @@
     assert keys_of(content) == leaf_keys(NodeSettings)
 
 
-def test_config_check_tells_problems_as_json(tmp_path: Path) -> None:
+def test_config_check_prints_problems_as_json(tmp_path: Path) -> None:
     file = tmp_path / "node.toml"
     file.write_text(MINIMAL + "[log]\nlevel = 'loud'\n")
     run = CliRunner().invoke(application, ["config", "check", str(file), "--json"])
--- a/tests/test_start_after_restore.py
+++ b/tests/test_start_after_restore.py
@@ -1,7 +1,7 @@
-"""A node that starts after the store came back from a copy, before the operator wrote again.
+"""A node that starts after the store was restored from a backup, before the operator writes again.
 
-It remembers nothing, and all that the store has is an older table: routes that were dropped, keys
-that were taken away. The nodes that lived through the restore still have the newest one in force.
+The store has only an older table, with routes that were dropped and keys that were revoked, and the
+starting node has no state. The nodes that kept running still have the newest table in force.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @asynccontextmanager
 async def another_node(world: World) -> AsyncIterator[PlatformNode]:
-    """A node that starts now and knows one that runs."""
+    """Start another node, which knows one of the running nodes."""
     peer = await world.nodes[0].kernel.call("transport", BoundAddressRequest())
     settings = parse_settings(node_settings("node-late", world.platform.port))
     node = build_node(settings._replace(seeds=(Seed(NodeId("node-0"), peer),)))
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("nodes", [1, 3])
 @pytest.mark.parametrize("is_restored", [False, True], ids=["control", "restored"])
-async def test_it_takes_the_newest_table_that_others_have_in_force(
+async def test_it_uses_the_newest_table_that_others_have_in_force(
     nodes: int, is_restored: bool
 ) -> None:
     async with joined_world(nodes, CONNECTIONS) as world:
@@ -58,8 +58,8 @@
             assert version_at(late) == 23
 
 
-async def test_where_nobody_has_a_newer_one_the_stores_counts() -> None:
-    """As where all nodes have started anew."""
+async def test_it_uses_the_stores_table_if_no_node_has_a_newer_one() -> None:
+    """As when all nodes have restarted."""
     async with joined_world(1, CONNECTIONS) as world:
         world.configure(20)
         await until(lambda: version_at(world.nodes[0]) == 20)
@@ -78,22 +78,22 @@
 
 
 @pytest.mark.parametrize(("others", "found"), [(0, 0), (2, 2), (7, 3), (30, 3), (200, 20)])
-def test_those_that_have_run_for_longest_are_asked(others: int, found: int) -> None:
+def test_the_longest_running_nodes_are_queried(others: int, found: int) -> None:
     nodes = {ZoneId("zone-0"): tuple(NodeId(f"n{number:03}") for number in range(others + 1))}
     view = view_of(nodes, int)
     aged = {
         name: replace(member, incarnation=1_000 - number)
         for number, (name, member) in enumerate(view.members.items())
     }
-    asked = longest_running(MembersView(aged, view.owners), NodeId("n000"), set())
-    assert asked == sorted(list(aged)[1:], reverse=True)[:found]
+    queried = longest_running(MembersView(aged, view.owners), NodeId("n000"), set())
+    assert queried == sorted(list(aged)[1:], reverse=True)[:found]
 
 
 def version_at(node: PlatformNode) -> int:
     return node.gateway.context.table.version
 
 
-async def test_the_metrics_tell_the_era_and_the_version_in_force() -> None:
+async def test_the_metrics_report_the_era_and_the_version_in_force() -> None:
     async with joined_world(1, CONNECTIONS) as world:
         world.configure(20)
         await until(lambda: version_at(world.nodes[0]) == 20)
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -1,10 +1,10 @@
-"""The incident: a change that was confirmed came into force seven seconds late, at every node.
+"""An incident in which a confirmed change came into force seven seconds late, at every node.
 
-The store had been away for two seconds and had come back from a copy some seconds old. Its count
-of revisions fell, and the operator's next three changes got numbers that were given out before.
-Each node took the highest number of a name for the newest, and passed them over without a word
-until the fourth change overtook what it had seen. Proved by the plays below: they fail with the
-restore and pass without it, and a line tells which two numbers decided.
+The store was down for two seconds and was restored from a backup that was some seconds old. Its
+revisions went back, so the operator's next three changes got revisions that had been used before.
+Nodes took the highest revision of a name for the newest, and silently ignored these changes until
+the fourth one passed the revision they knew. The tests reproduced this: they failed with the
+restore and passed without it, and a log line shows the two revisions that were compared.
 """
 
 from collections.abc import AsyncIterator
@@ -26,7 +26,7 @@
 from revisions import at
 
 WRITES_SINCE_COPY = 40
-"""Writes by databases between the copy and its return."""
+"""Writes by databases between the backup and the restore."""
 
 
 def write_often(world: World, writes: int) -> None:
@@ -38,8 +38,8 @@
     await until(lambda: all(node.gateway.context.table.version == version for node in world.nodes))
 
 
-async def copied_before_23(world: World) -> StoreCopy:
-    """Return a copy of the store at version 20; version 23 is in force, and much was written."""
+async def backup_before_23(world: World) -> StoreCopy:
+    """Return a backup of the store at version 20, after many writes and with 23 in force."""
     world.configure(20)
     await until_in_force(world, 20)
     copy = world.platform.copy()
@@ -55,12 +55,12 @@
 async def test_what_is_written_after_a_restore_comes_into_force(
     nodes: int, is_restored: bool, is_overtaken: bool
 ) -> None:
-    """`is_overtaken`: the new count is past the old one before the store is read again.
+    """`is_overtaken`: the new revisions pass the old ones before the store is read again.
 
-    No refusal of a watch tells of the restore then, only the era does.
+    Then no watch is refused, and only the era shows the restore.
     """
     async with running_world(nodes=nodes, configured=False) as world:
-        copy = await copied_before_23(world)
+        copy = await backup_before_23(world)
         if is_restored:
             world.platform.fault.status = 503
             world.platform.go_back(copy)
@@ -72,8 +72,8 @@
         await until_in_force(world, 27)
 
 
-async def test_the_same_version_with_other_content_counts_if_it_is_written_later() -> None:
-    """What the operator writes again after a restore may not be what was lost."""
+async def test_other_content_of_the_same_version_is_used_if_it_is_written_later() -> None:
+    """What the operator writes after a restore may differ from what was lost."""
     async with running_world() as world:
         world.configure(23)
         await until_in_force(world, 23)
@@ -97,17 +97,17 @@
 READY = LEAVING._replace(leaving=False)
 GRACE = 5.0
 LONG_ENOUGH = 10.0
-"""More than three heartbeats: an entry that nobody writes is gone from the store by then."""
+"""More than three heartbeats; the store has dropped an entry that is not renewed by then."""
 
 
 def offered(registry: Registry, now: float) -> bool:
-    """Whether the database may get new work."""
+    """Return whether the database may get new work."""
     entry = registry.directory(now).entries.get(READY.instance)
     return entry is not None and not entry.leaving
 
 
-def test_a_database_that_said_it_leaves_stays_so_over_a_restore() -> None:
-    """The copy has its entry from before. New work would go to a database that ends."""
+def test_a_leaving_database_stays_leaving_over_a_restore() -> None:
+    """The backup has its earlier entry; new work would go to a database that is ending."""
     registry = Registry(GRACE)
     registry.put(READY, at(3), now=0.0)
     registry.put(LEAVING, at(9), now=1.0)
@@ -117,7 +117,7 @@
     assert not offered(registry, 1.0 + GRACE)
 
 
-def test_another_life_of_it_does_not() -> None:
+def test_a_later_incarnation_of_a_leaving_database_is_not_leaving() -> None:
     registry = Registry(GRACE)
     registry.put(LEAVING._replace(instance=instance_id("db-b", 5)), at(9), now=1.0)
     again = READY._replace(instance=instance_id("db-b", 6))
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize("is_forgotten", [False, True], ids=["lately", "a while ago"])
 def test_a_database_that_left_stays_gone_until_it_writes_again(is_forgotten: bool) -> None:
-    """The copy has an entry that went since: its database has ended, or serves on for a moment."""
+    """The backup has an entry that was deleted since: its database has ended or is about to."""
     registry = Registry(GRACE)
     registry.put(READY, at(3), now=0.0)
     registry.remove("db-b", now=1.0)
@@ -141,8 +141,8 @@
     assert offered(registry, now + 1.0)
 
 
-def test_a_database_that_is_still_registered_after_a_while_is_there() -> None:
-    """Its registration had lapsed by mistake. What changes nothing tells of no revision."""
+def test_a_database_that_is_still_registered_after_a_while_is_offered() -> None:
+    """Its registration had lapsed by mistake. A renewal without a change has no new revision."""
     registry = Registry(GRACE)
     registry.put(READY, at(3), now=0.0)
     registry.remove("db-b", now=1.0)
@@ -152,7 +152,7 @@
     assert offered(registry, 2.0 + LONG_ENOUGH)
 
 
-def test_a_database_that_the_copy_lacks_is_kept_for_a_while() -> None:
+def test_a_database_that_the_backup_lacks_is_kept_for_a_while() -> None:
     registry = Registry(GRACE)
     registry.put(READY, at(9), now=0.0)
     registry.remove("db-b", now=2.0, revision=at(6, era=1))
@@ -165,8 +165,8 @@
 
 
 @pytest.fixture
-async def told(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[World]:
-    """Six nodes, two of which read the store and tell the others."""
+async def followed_world(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[World]:
+    """Six nodes, two of which read the store and are followed by the others."""
     monkeypatch.setattr(plan_module, "MAX_DIRECT_READERS", 3)
     async with joined_world(6, 36) as world:
         await until(lambda: len(readers(world)) == plan_module.READERS_PER_REGION)
@@ -184,7 +184,7 @@
 
 
 class LostList:
-    """A list of a store that cannot be reached."""
+    """A list of a store that is unreachable."""
 
     async def list(self) -> Batch[RouteTable]:
         raise SourceUnavailableError("made up")
@@ -198,17 +198,19 @@
 
 @pytest.mark.parametrize("restores", [1, 2])
 @pytest.mark.parametrize("is_cut_off", [False, True], ids=["both read on", "one is cut off"])
-async def test_those_who_are_told_follow_over_restores(
-    told: World, restores: int, is_cut_off: bool
+async def test_followers_of_readers_follow_over_restores(
+    followed_world: World, restores: int, is_cut_off: bool
 ) -> None:
-    copy = await copied_before_23(told)
+    copy = await backup_before_23(followed_world)
     if is_cut_off:
-        cut_off = feed_of(readers(told)[0])
+        cut_off = feed_of(readers(followed_world)[0])
         for sources in cut_off._sources:
             for loop, _ in sources._loops.values():
                 loop._source = LostList()
     for _ in range(restores):
-        told.platform.go_back(copy)
-    told.configure(27)
-    others = [node for node in told.nodes if not is_cut_off or feed_of(node) is not cut_off]
+        followed_world.platform.go_back(copy)
+    followed_world.configure(27)
+    others = [
+        node for node in followed_world.nodes if not is_cut_off or feed_of(node) is not cut_off
+    ]
     await until(lambda: all(node.gateway.context.table.version == 27 for node in others))
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -1,4 +1,4 @@
-"""The whole path: callers, nodes, a database group and the platform, without any process."""
+"""End-to-end: callers, nodes, a database group and the platform, all in one process."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -66,7 +66,7 @@
     await reader.close()
 
 
-async def test_writes_go_on_after_the_primary_is_lost(system: System) -> None:
+async def test_writes_continue_after_the_primary_is_lost(system: System) -> None:
     client = await system.caller("b1", "driver-8")
     await until_ok(client, "UPDATE entries SET v = 'before' WHERE k = 'k'")
     lost = system.primary()
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize("name", SERVICE_ORDER)
-async def test_a_service_that_fails_once_is_restarted_and_the_node_goes_on(
+async def test_a_service_that_fails_once_is_restarted_and_the_node_keeps_serving(
     system: System, name: str
 ) -> None:
     kernel = system.kernels["a1"]
@@ -162,7 +162,7 @@
 
 
 async def write_until_ok(system: System, client: CallerClient, value: str) -> None:
-    """Write again also where the connection was lost: the value is the same."""
+    """Write until it succeeds, reconnecting as needed; repeating the write is harmless."""
     while True:
         if not client.connected:
             await client.connect("a1", system.clients["a1"])
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Old:
-    """A message as an older release knows it."""
+    """A message as an older release defines it."""
 
     name: str
     count: int = 1
@@ -58,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class New:
-    """The same message with a field more."""
+    """The same message with one more field."""
 
     name: str
     count: int = 1
@@ -89,7 +89,7 @@
     assert CODEC.decode(cbor2.dumps(body)).status == STATUS
 
 
-def test_unknown_tag_is_told_apart() -> None:
+def test_unknown_tag_has_its_own_error() -> None:
     with pytest.raises(UnknownTagError):
         CODEC.decode(cbor2.dumps([99_999]))
 
@@ -103,7 +103,7 @@
         CODEC.decode(cbor2.dumps(body))
 
 
-def test_dataclass_that_could_not_travel_is_refused_at_the_start() -> None:
+def test_dataclass_that_cannot_be_encoded_is_refused_at_the_start() -> None:
     class Holder(NamedTuple):
         record: Old
 
@@ -118,14 +118,14 @@
 
 
 class OldTuple(NamedTuple):
-    """A message as an older release knows it, as a named tuple."""
+    """A message as an older release defines it, as a named tuple."""
 
     name: str
     count: int = 1
 
 
 class NewTuple(NamedTuple):
-    """The same message with a field more."""
+    """The same message with one more field."""
 
     name: str
     count: int = 1
@@ -149,13 +149,13 @@
     route = Route("r", "db", GroupId("g"), Consistency.SESSION, 0.8, 1.0, 2.5, 2)
     prepared = PreparedStatement("shape", True)
     statement = Statement(Action.EXECUTE, "s1", "thing data")
-    asked = ForwardedStatement(
+    forwarded = ForwardedStatement(
         route, "id", statement, prepared, {"zone": "a"}, Position(3, 9), 0.25, 0.7, 12, True
     )
     refusal = Refusal(Verdict.UNKNOWN, Reason.DEADLINE, "late")
-    told = ForwardedReply(Reply(("row",), "sig", refusal, TransactionState.FAILED, Position(3, 9)))
+    reply = ForwardedReply(Reply(("row",), "sig", refusal, TransactionState.FAILED, Position(3, 9)))
     loads = (DatabaseLoad(InstanceId("db-a"), 0.25, 0.03, 0.1, usable=False),)
-    for message in (asked, told, told._replace(loads=loads)):
+    for message in (forwarded, reply, reply._replace(loads=loads)):
         arrived = CODEC.decode(CODEC.encode(message))
         assert arrived == message
         assert type(arrived) is type(message)
--- a/tests/test_wire_fuzz.py
+++ b/tests/test_wire_fuzz.py
@@ -1,4 +1,4 @@
-"""Bad input from peers and in settings files is a clear error: never a crash, never a hang."""
+"""Bad input from peers and in settings files gives a clear error, never a crash or a hang."""
 
 import dataclasses
 from pathlib import Path
@@ -65,8 +65,8 @@
 def test_a_changed_byte_is_a_message_or_refused(tag: int, data: st.DataObject) -> None:
     defaults = [_plain(value) for value in _field_defaults(MESSAGES[tag])]
     encoded = bytearray(cbor2.dumps([tag, *defaults]))
-    place = data.draw(st.integers(0, len(encoded) - 1))
-    encoded[place] = data.draw(st.integers(0, 255))
+    position = data.draw(st.integers(0, len(encoded) - 1))
+    encoded[position] = data.draw(st.integers(0, 255))
     decoded_or_refused(bytes(encoded))
 
 
