--- a/src/bramblebeam/kernel/kernel.py
+++ b/src/bramblebeam/kernel/kernel.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RestartRule:
-    """Restart limit: after `limit` restarts of a service within `window` seconds the node stops."""
+    """A service may be restarted `limit` times within `window` seconds; then the node stops."""
 
     limit: int = 3
     window: float = 60.0
--- a/src/bramblebeam/kernel/mailbox.py
+++ b/src/bramblebeam/kernel/mailbox.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 _PRUNE_THRESHOLD = 64
-"""Tracked replies at which answered ones, which keep their answers in memory, are first pruned."""
+"""Maximum answered replies that are tracked, or as many as are unanswered: each keeps its answer."""
 
 
 class MailboxFullError(Exception):
