--- a/src/bramblebeam/kernel/mailbox.py
+++ b/src/bramblebeam/kernel/mailbox.py
@@ -6,7 +6,8 @@
 from typing import Any
 
 _PRUNE_THRESHOLD = 64
-"""Maximum answered replies that are tracked, or as many as are unanswered: each keeps its answer."""
+"""Maximum answered replies that are tracked, or as many as are unanswered; each keeps its answer
+in memory."""
 
 
 class MailboxFullError(Exception):
