--- a/src/bramblebeam/services/failover/untold.py
+++ b/src/bramblebeam/services/failover/untold.py
@@ -1,18 +1,16 @@
 """Finds out whether there was a change of primary that the group's lease does not tell."""
 
 from __future__ import annotations
-
 import logging
-from collections.abc import Mapping
-
-from bramblebeam.core.failover.lease import OrderedChange
-from bramblebeam.core.failover.target import CandidateStatus
-from bramblebeam.core.failover.unwritten import ObservedLeadership, infer_last_change
-from bramblebeam.core.identity import GroupId, InstanceId
-from bramblebeam.events import log_event
-from bramblebeam.events.catalogue import UNTOLD_CHANGE_FOUND
-from bramblebeam.services.gateway.context import GatewayContext
-from bramblebeam.services.gateway.leaders import LeaderTracker
+from bramblebeam.core.failover.lease import (OrderedChange)
+from bramblebeam.core.failover.target import (CandidateStatus)
+from bramblebeam.core.failover.unwritten import (ObservedLeadership, infer_last_change)
+from bramblebeam.core.identity import (GroupId, InstanceId)
+from bramblebeam.events import (log_event)
+from bramblebeam.events.catalogue import (UNRECORDED_CHANGE_FOUND)
+from bramblebeam.services.gateway.context import (GatewayContext)
+from bramblebeam.services.gateway.leaders import (LeaderTracker)
+from collections.abc import (Mapping)
 
 logger = logging.getLogger(__name__)
 
@@ -53,7 +51,7 @@
         """Log that no member that answers follows a change that the lease does not tell."""
         log_event(
             logger,
-            UNTOLD_CHANGE_FOUND,
+            UNRECORDED_CHANGE_FOUND,
             group=self._group,
             term=found.term if found is not None else None,
             told_term=told.term if told is not None else None,
--- a/src/bramblebeam/services/group/watch.py
+++ b/src/bramblebeam/services/group/watch.py
@@ -2,24 +2,22 @@
 
 import asyncio
 import logging
-from collections.abc import Callable, Coroutine
-from typing import Any
-
-from expression import Error, Result
-
-from bramblebeam.core.group import events
-from bramblebeam.core.group.events import CommandOutcome
-from bramblebeam.core.group.machine import GroupMachine
-from bramblebeam.core.group.messages import MemberStatus
-from bramblebeam.core.identity import Address, InstanceId, NodeId
-from bramblebeam.core.machine import Send, Wakeup
-from bramblebeam.edges.backend import BackendResult
-from bramblebeam.edges.backend.status import STATUS_QUERY, StatusFormatError, parse_status
-from bramblebeam.events import catalogue, log_event
-from bramblebeam.metrics import PRIMARY_CHANGE_SECONDS
-from bramblebeam.services.group import commands
-from bramblebeam.services.group.member import CommandFailure, FailureKind, MemberClient
-from bramblebeam.settings.model import BackendSettings
+from bramblebeam.core.group import (events)
+from bramblebeam.core.group.events import (CommandOutcome)
+from bramblebeam.core.group.machine import (GroupMachine)
+from bramblebeam.core.group.messages import (MemberStatus)
+from bramblebeam.core.identity import (Address, InstanceId, NodeId)
+from bramblebeam.core.machine import (Send, Wakeup)
+from bramblebeam.edges.backend import (BackendResult)
+from bramblebeam.edges.backend.status import (STATUS_QUERY, StatusFormatError, parse_status)
+from bramblebeam.events import (catalogue, log_event)
+from bramblebeam.metrics import (PRIMARY_CHANGE_SECONDS)
+from bramblebeam.services.group import (commands)
+from bramblebeam.services.group.member import (CommandFailure, FailureKind, MemberClient)
+from bramblebeam.settings.model import (BackendSettings)
+from collections.abc import (Callable, Coroutine)
+from expression import (Error, Result)
+from typing import (Any)
 
 logger = logging.getLogger(__name__)
 
@@ -145,7 +143,7 @@
             return
         log_event(
             logger,
-            catalogue.GROUP_MEMBER_POINTED,
+            catalogue.GROUP_MEMBER_REPOINTED,
             group=self.machine.group,
             instance=effect.instance,
             term=effect.term,
@@ -204,7 +202,7 @@
     def _log_given_up(self, effect: events.ChangeGivenUp) -> None:
         log_event(
             logger,
-            catalogue.GROUP_CHANGE_GIVEN_UP,
+            catalogue.GROUP_CHANGE_ABANDONED,
             group=self.machine.group,
             term=effect.term,
             detail=effect.detail,
--- a/tests/node_answers.py
+++ b/tests/node_answers.py
@@ -1,4 +1,4 @@
-"""Commands that ask nodes at their metrics addresses: one that answers, and one that is absent."""
+"""Runs commands that query nodes' metrics addresses: one node answers, one is absent."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,15 +13,15 @@
 ABSENT = "127.0.0.1:1"
 
 
-class Asked(NamedTuple):
-    """The address of the node that answered, and what the command printed."""
+class CommandRun(NamedTuple):
+    """The address of the node that answered, and the result of the command."""
 
     node: str
     result: Result
 
 
-async def asked(command: str, body_of: Callable[[str], bytes]) -> Asked:
-    """Run a command that asks both nodes; `body_of` gives the answer to a path."""
+async def run_at_nodes(command: str, body_of: Callable[[str], bytes]) -> CommandRun:
+    """Run a command that queries both nodes; `body_of` returns the answer to a path."""
 
     async def answer(method: str, path: str) -> HttpAnswer:
         return HttpAnswer(200, body_of(path))
@@ -30,6 +30,6 @@
     node = f"127.0.0.1:{(await server.start()).port}"
     try:
         arguments = [command, node, ABSENT]
-        return Asked(node, await asyncio.to_thread(CliRunner().invoke, application, arguments))
+        return CommandRun(node, await asyncio.to_thread(CliRunner().invoke, application, arguments))
     finally:
         server.close()
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -1,19 +1,17 @@
 """Lists of the store merged from several sources, and which nodes read the store."""
 
 import asyncio
-from collections.abc import AsyncIterator
-
 import pytest
-
-from bramblebeam.core.feed import plan as plan_module
-from bramblebeam.core.feed.plan import FeedPlan, feed_plan
-from bramblebeam.core.gateway.owners import NodeLocation
-from bramblebeam.core.membership.view import MembersView
-from bramblebeam.services.feed.followed import MAXIMUM_DELETED, FollowedList
-from bramblebeam.services.feed.ports import Batch, HistoryLostError, Versioned
-from member_views import nodes_in, view_of
-from platform_standins.world import World, joined_world, until
-from revisions import at
+from bramblebeam.core.feed import (plan as plan_module)
+from bramblebeam.core.feed.plan import (FeedPlan, feed_plan)
+from bramblebeam.core.gateway.owners import (NodeLocation)
+from bramblebeam.core.membership.view import (MembersView)
+from bramblebeam.services.feed.followed import (FollowedList, MAXIMUM_DELETED)
+from bramblebeam.services.feed.ports import (Batch, HistoryLostError, Versioned)
+from collections.abc import (AsyncIterator)
+from member_views import (nodes_in, view_of)
+from platform_standins.world import (World, joined_world, until)
+from revisions import (at)
 
 
 def make_list() -> tuple[FollowedList[str], list[Versioned[str]]]:
@@ -83,7 +81,7 @@
 async def test_a_waiting_caller_is_woken_by_a_change() -> None:
     followed, _ = make_list()
     followed.merge(Batch((item("a", 5),), at(5)), True, 0.0)
-    waiting = asyncio.ensure_future(followed.wait_news(at(5), 60.0))
+    waiting = asyncio.ensure_future(followed.wait_for_change(at(5), 60.0))
     await asyncio.sleep(0)
     assert not waiting.done()
     followed.merge(Batch((item("a", 6),), at(6)), False, 0.0)
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -3,25 +3,23 @@
 import asyncio
 import json
 import logging
-from typing import Any
-
 import pytest
-
-from bramblebeam.core.feed.messages import FollowReply
-from bramblebeam.core.gateway.routes import Consistency, Route, RouteTable
-from bramblebeam.core.identity import GroupId
-from bramblebeam.core.tenants import NO_TENANT, RateLimit, Tenant, TenantId, TenantTable, digest_of
-from bramblebeam.core.verdict import Reason, Refusal
-from bramblebeam.events.formatting import JsonFormatter
-from bramblebeam.platform.sources import parse_table
-from bramblebeam.platform.tenants import parse_tenants
-from bramblebeam.services.feed.peers import route_items, told_routes
-from bramblebeam.services.feed.ports import Versioned
-from bramblebeam.services.gateway.refused_keys import RefusedKeys
-from bramblebeam.wire.codec import Codec
-from bramblebeam.wire.gateway_registry import GATEWAY_NODE_MESSAGES
-from platform_standins.world import LineClient, World, configuration, running_world, until
-from revisions import at
+from bramblebeam.core.feed.messages import (FollowReply)
+from bramblebeam.core.gateway.routes import (Consistency, Route, RouteTable)
+from bramblebeam.core.identity import (GroupId)
+from bramblebeam.core.tenants import (NO_TENANT, RateLimit, Tenant, TenantId, TenantTable, digest_of)
+from bramblebeam.core.verdict import (Reason, Refusal)
+from bramblebeam.events.formatting import (JsonFormatter)
+from bramblebeam.platform.sources import (parse_table)
+from bramblebeam.platform.tenants import (parse_tenants)
+from bramblebeam.services.feed.peers import (pack_routes, route_items)
+from bramblebeam.services.feed.ports import (Versioned)
+from bramblebeam.services.gateway.refused_keys import (RefusedKeys)
+from bramblebeam.wire.codec import (Codec)
+from bramblebeam.wire.gateway_registry import (GATEWAY_NODE_MESSAGES)
+from platform_standins.world import (LineClient, World, configuration, running_world, until)
+from revisions import (at)
+from typing import (Any)
 
 SECRET = "aj3nr26tta828m82thhk"
 OTHER_SECRET = "mgjqnirth5mgjy5rcpih"
@@ -170,7 +168,7 @@
         {**content, "tenants": [tenant_entry("acme", SECRET), tenant_entry("bolt")]}
     )
     codec = Codec(GATEWAY_NODE_MESSAGES)
-    reported = told_routes((Versioned("main", at(3), found),)).routes
+    reported = pack_routes((Versioned("main", at(3), found),)).routes
     received = codec.decode(codec.encode(FollowReply(True, True, 3, 0.0, reported)))
     (item,) = route_items(received)
     assert item.item == found
