--- a/src/bramblebeam/services/pool/absent_edges.py
+++ b/src/bramblebeam/services/pool/absent_edges.py
@@ -31,7 +31,7 @@
         """Take the view of the members."""
         self._members = members
 
-    def heard(self, session: str) -> None:
+    def record_request(self, session: str) -> None:
         """Note a request of a session: it tells its edge's latest start."""
         start = start_of(session)
         self._starts[NodeId(start.rpartition("/")[0])] = start
--- a/src/bramblebeam/services/pool/service.py
+++ b/src/bramblebeam/services/pool/service.py
@@ -146,7 +146,7 @@
     # Statements.
 
     def _execute(self, sender: NodeId, request: ExecuteRequest, envelope: Envelope) -> None:
-        self._edges.heard(request.request.session)
+        self._edges.record_request(request.request.session)
         if not self._memory.begin(request, envelope, self._now()):
             return
         held = self._table.find(request.instance)
--- a/tests/test_pool_absent_edges.py
+++ b/tests/test_pool_absent_edges.py
@@ -35,9 +35,9 @@
 
 def test_idle_sessions_of_an_earlier_start_are_absent() -> None:
     found = edges(MemberState.ALIVE)
-    found.heard("n1/a/1")
+    found.record_request("n1/a/1")
     assert not found.absent("n1/a/1", 9.0)
-    found.heard("n1/b/1")
+    found.record_request("n1/b/1")
     assert found.absent("n1/a/1", 9.0)
     assert not found.absent("n1/a/1", 1.0)
     assert not found.absent("n1/b/1", 9.0)
