--- a/src/bramblebeam/services/pool/absent_edges.py
+++ b/src/bramblebeam/services/pool/absent_edges.py
@@ -36,7 +36,7 @@
         start = start_of(session)
         self._starts[NodeId(start.rpartition("/")[0])] = start
 
-    def absent(self, session: str, idle: float) -> bool:
+    def is_absent(self, session: str, idle: float) -> bool:
         """Whether the session's edge is dead, was started anew, or is in a zone out of reach.
 
         `idle`: seconds since the session's last statement. A start that was heard counts only
--- a/src/bramblebeam/services/pool/service.py
+++ b/src/bramblebeam/services/pool/service.py
@@ -131,7 +131,7 @@
         now = self._now()
         for held in self._table.all():
             for pinned in held.runner.transactions:
-                if self._edges.absent(pinned.session, now - pinned.used_at):
+                if self._edges.is_absent(pinned.session, now - pinned.used_at):
                     held.runner.abandon(pinned.session)
 
     # Requests to other nodes.
--- a/tests/test_pool_absent_edges.py
+++ b/tests/test_pool_absent_edges.py
@@ -22,22 +22,22 @@
 
 
 def test_sessions_of_dead_nodes_are_absent() -> None:
-    assert edges(MemberState.DEAD).absent("n1/a/1", 0.0)
-    assert not edges(MemberState.SUSPECT).absent("n1/a/1", 9.0)
-    assert not edges(MemberState.LEAVING).absent("n1/a/1", 9.0)
-    assert not edges(MemberState.DEAD).absent("own/a/1", 9.0)
-    assert not edges(MemberState.DEAD).absent("unknown/a/1", 9.0)
+    assert edges(MemberState.DEAD).is_absent("n1/a/1", 0.0)
+    assert not edges(MemberState.SUSPECT).is_absent("n1/a/1", 9.0)
+    assert not edges(MemberState.LEAVING).is_absent("n1/a/1", 9.0)
+    assert not edges(MemberState.DEAD).is_absent("own/a/1", 9.0)
+    assert not edges(MemberState.DEAD).is_absent("unknown/a/1", 9.0)
 
 
 def test_sessions_in_a_zone_out_of_reach_are_absent() -> None:
-    assert edges(MemberState.ALIVE, frozenset({ZoneId("z")})).absent("n1/a/1", 0.0)
+    assert edges(MemberState.ALIVE, frozenset({ZoneId("z")})).is_absent("n1/a/1", 0.0)
 
 
 def test_idle_sessions_of_an_earlier_start_are_absent() -> None:
     found = edges(MemberState.ALIVE)
     found.record_request("n1/a/1")
-    assert not found.absent("n1/a/1", 9.0)
+    assert not found.is_absent("n1/a/1", 9.0)
     found.record_request("n1/b/1")
-    assert found.absent("n1/a/1", 9.0)
-    assert not found.absent("n1/a/1", 1.0)
-    assert not found.absent("n1/b/1", 9.0)
+    assert found.is_absent("n1/a/1", 9.0)
+    assert not found.is_absent("n1/a/1", 1.0)
+    assert not found.is_absent("n1/b/1", 9.0)
