--- a/src/bramblebeam/services/pool/confirmation.py
+++ b/src/bramblebeam/services/pool/confirmation.py
@@ -18,7 +18,7 @@
 Confirmed = Result[Position, Refusal]
 
 
-class Confirmation:
+class PositionConfirmer:
     """One round at a time on its own control connection.
 
     A question that comes while a round runs waits for the next one: a round's answer is only good
--- a/src/bramblebeam/services/pool/instance.py
+++ b/src/bramblebeam/services/pool/instance.py
@@ -26,7 +26,7 @@
     POOL_BACKEND_REACHABLE,
     POOL_BACKEND_UNREACHABLE,
 )
-from bramblebeam.services.pool.confirmation import Confirmation
+from bramblebeam.services.pool.confirmation import PositionConfirmer
 from bramblebeam.services.pool.connector import SlotConnector
 from bramblebeam.services.pool.control import ControlConnection
 from bramblebeam.services.pool.slots import SlotConnections
@@ -63,7 +63,7 @@
         self.wanted = False
         self.slots: SlotConnections | None = None
         self.monitor: StatusMonitor | None = None
-        self.confirmation = Confirmation(spec, settings)
+        self.confirmation = PositionConfirmer(spec, settings)
         self.positions = SessionPositions()
         self.lost_ownership: Callable[[], None] = lambda: None
         self.became_unreachable: Callable[[], None] = lambda: None
