--- a/src/bramblebeam/services/pool/instance.py
+++ b/src/bramblebeam/services/pool/instance.py
@@ -119,7 +119,7 @@
 
     # What the claim does (see `SlotOwner`).
 
-    def owned_by(self, owner: NodeId) -> None:
+    def record_owner(self, owner: NodeId) -> None:
         """Take note of the owner: this node's or another's edges may not know it yet."""
         self._successor = owner
         self._successor_until = self._loop.time() + FORWARDING_SECONDS
