--- a/src/bramblebeam/services/pool/ownership.py
+++ b/src/bramblebeam/services/pool/ownership.py
@@ -66,7 +66,7 @@
     def cut_slots(self) -> None:
         """Close every connection at once."""
 
-    def owned_by(self, owner: NodeId) -> None:
+    def record_owner(self, owner: NodeId) -> None:
         """Another node owns the instance, by a handover or because it keeps it."""
 
 
