--- a/src/bramblebeam/services/pool/instance.py
+++ b/src/bramblebeam/services/pool/instance.py
@@ -207,7 +207,7 @@
         if self.monitor is not None:
             self.monitor.refresh()
 
-    def note_term(self, term: int) -> None:
+    def record_term(self, term: int) -> None:
         """Take note of a term of the group; ask for the status where it is of a lower one."""
         self.known_term = max(self.known_term, term)
         status = self.status
