--- a/src/bramblebeam/services/pool/instance.py
+++ b/src/bramblebeam/services/pool/instance.py
@@ -65,7 +65,7 @@
         self.monitor: StatusMonitor | None = None
         self.confirmation = PositionConfirmer(spec, settings)
         self.positions = SessionPositions()
-        self.lost_ownership: Callable[[], None] = lambda: None
+        self.on_ownership_lost: Callable[[], None] = lambda: None
         self.became_unreachable: Callable[[], None] = lambda: None
         self.taking_over: Callable[[], bool] = lambda: False
         self.known_term = 0
@@ -239,13 +239,13 @@
     def _lost(self, control: ControlConnection) -> None:
         """Give the ownership up, unless it has changed since the control connection was used."""
         if self._control is control and self.owned:
-            self.lost_ownership()
+            self.on_ownership_lost()
 
     async def _follow(self, monitor: StatusMonitor) -> None:
         try:
             await monitor.follow()
         except MONITOR_ERRORS:
-            self.lost_ownership()
+            self.on_ownership_lost()
 
     async def _follow_retained(
         self, slots: SlotConnections, control: ControlConnection, opened: OpenSlots
@@ -264,7 +264,7 @@
             self._foreign = frozenset()
             slots.set_retained(0)
         except MONITOR_ERRORS:
-            self.lost_ownership()
+            self.on_ownership_lost()
 
     def _note_status(self, status: InstanceStatus) -> None:
         before = self._last_status
