--- a/src/bramblebeam/services/pool/instance.py
+++ b/src/bramblebeam/services/pool/instance.py
@@ -66,7 +66,7 @@
         self.confirmation = PositionConfirmer(spec, settings)
         self.positions = SessionPositions()
         self.on_ownership_lost: Callable[[], None] = lambda: None
-        self.became_unreachable: Callable[[], None] = lambda: None
+        self.on_unreachable: Callable[[], None] = lambda: None
         self.taking_over: Callable[[], bool] = lambda: False
         self.known_term = 0
         """The highest term of the group that this node has heard of; it may have no primary yet."""
@@ -215,7 +215,7 @@
             return
         self.monitor.refresh()
         if not status.reachable:
-            self.became_unreachable()
+            self.on_unreachable()
 
     async def next_status(self, until: float) -> bool:
         """Wait for a status that is asked for from now on; False when `until` comes first."""
@@ -273,7 +273,7 @@
             log_event(logger, POOL_BACKEND_UNREACHABLE, instance=self.spec.instance)
             if self.slots is not None:
                 self.slots.suspend(Reason.UNREACHABLE)
-            self.became_unreachable()
+            self.on_unreachable()
         if before is not None and not before.reachable and status.reachable:
             if self.slots is not None:
                 self.slots.resume()
--- a/src/bramblebeam/services/pool/instances.py
+++ b/src/bramblebeam/services/pool/instances.py
@@ -137,7 +137,7 @@
         claim = OwnershipClaim(spec, node, backend, instance, self._ask_peer)
         runner = StatementRunner(instance, self._deadlines)
         instance.on_ownership_lost = claim.control_lost
-        instance.became_unreachable = runner.cut_hopeless
+        instance.on_unreachable = runner.cut_hopeless
         instance.taking_over = claim.taking_over
         retention = RequestRetention(runner)
         task = self._spawn(claim.run())
