--- a/src/bramblebeam/services/pool/ownership.py
+++ b/src/bramblebeam/services/pool/ownership.py
@@ -113,7 +113,7 @@
         """Tell that the control connection answers no more."""
         self._events.put_nowait(ControlLost())
 
-    def release_to_nobody(self) -> None:
+    def release_unrequested(self) -> None:
         """Free the instance, though no peer asks for it."""
         self._events.put_nowait(WantedChanged(False))
         self._events.put_nowait(ReleaseRequested(self._node, 0))
