--- a/src/bramblebeam/services/pool/instances.py
+++ b/src/bramblebeam/services/pool/instances.py
@@ -136,7 +136,7 @@
         self._apply_weight(instance)
         claim = OwnershipClaim(spec, node, backend, instance, self._ask_peer)
         runner = StatementRunner(instance, self._deadlines)
-        instance.on_ownership_lost = claim.control_lost
+        instance.on_ownership_lost = claim.notify_control_lost
         instance.on_unreachable = runner.cut_hopeless
         instance.taking_over = claim.taking_over
         retention = RequestRetention(runner)
--- a/src/bramblebeam/services/pool/ownership.py
+++ b/src/bramblebeam/services/pool/ownership.py
@@ -109,7 +109,7 @@
         """Claim the instance no more, and hand it over when asked."""
         self._events.put_nowait(Stopping())
 
-    def control_lost(self) -> None:
+    def notify_control_lost(self) -> None:
         """Tell that the control connection answers no more."""
         self._events.put_nowait(ControlLost())
 
