--- a/src/bramblebeam/services/pool/forwarding.py
+++ b/src/bramblebeam/services/pool/forwarding.py
@@ -10,7 +10,7 @@
 from bramblebeam.core.identity import NodeId
 from bramblebeam.core.statement import ExecuteReply, ExecuteRequest, StatementKind
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
-from bramblebeam.services.pool.ownership import AskPeer
+from bramblebeam.services.pool.ownership import RequestPeer
 from bramblebeam.services.transport.messages import PeerFailure
 
 REPLY_MARGIN = 0.5
@@ -28,7 +28,7 @@
 
 
 async def forward(
-    request: ExecuteRequest, reply: ExecuteReply, successor: NodeId, spent: float, ask: AskPeer
+    request: ExecuteRequest, reply: ExecuteReply, successor: NodeId, spent: float, ask: RequestPeer
 ) -> ExecuteReply:
     """Return the successor's answer, or `reply`, the refusal of this node, if it was not reached.
 
--- a/src/bramblebeam/services/pool/instances.py
+++ b/src/bramblebeam/services/pool/instances.py
@@ -13,7 +13,7 @@
 from bramblebeam.core.pool.limits import limits_of, limits_of_groups
 from bramblebeam.services.pool.deadlines import Deadlines
 from bramblebeam.services.pool.instance import Instance, StatusChanged
-from bramblebeam.services.pool.ownership import AskPeer, OwnershipClaim
+from bramblebeam.services.pool.ownership import OwnershipClaim, RequestPeer
 from bramblebeam.services.pool.retention import RequestRetention
 from bramblebeam.services.pool.statements import StatementRunner
 from bramblebeam.settings.model import NodeSettings
@@ -46,7 +46,7 @@
         self,
         settings: NodeSettings,
         spawn: Spawn,
-        ask_peer: AskPeer,
+        ask_peer: RequestPeer,
         status_changed: StatusChanged,
     ) -> None:
         self._settings = settings
--- a/src/bramblebeam/services/pool/ownership.py
+++ b/src/bramblebeam/services/pool/ownership.py
@@ -70,7 +70,7 @@
         """Another node owns the instance, by a handover or because it keeps it."""
 
 
-AskPeer = Callable[[NodeId, Any, float], Awaitable[Any]]
+RequestPeer = Callable[[NodeId, Any, float], Awaitable[Any]]
 
 
 class OwnershipClaim:
@@ -82,7 +82,7 @@
         node: NodeId,
         settings: BackendSettings,
         slots: SlotOwner,
-        ask_peer: AskPeer,
+        ask_peer: RequestPeer,
     ) -> None:
         self.spec = spec
         self.machine = ClaimMachine(node, spec.instance)
