--- a/src/bramblebeam/services/pool/instances.py
+++ b/src/bramblebeam/services/pool/instances.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class HeldInstance:
+class InstanceEntry:
     """One instance with its claim and its statements."""
 
     instance: Instance
@@ -55,15 +55,15 @@
         self._status_changed = status_changed
         self._assignment = Assignment(settings.node, settings.zone)
         self._configuration = ConfigurationView()
-        self._held: dict[InstanceId, HeldInstance] = {}
+        self._held: dict[InstanceId, InstanceEntry] = {}
         self._stopping = False
         self._deadlines = Deadlines()
 
-    def find(self, instance: InstanceId) -> HeldInstance | None:
+    def find(self, instance: InstanceId) -> InstanceEntry | None:
         """Return what this node has of the instance, or None."""
         return self._held.get(instance)
 
-    def all(self) -> list[HeldInstance]:
+    def all(self) -> list[InstanceEntry]:
         """Return every instance that this node has something of."""
         return list(self._held.values())
 
@@ -141,7 +141,7 @@
         instance.taking_over = claim.taking_over
         retention = RequestRetention(runner)
         task = self._spawn(claim.run())
-        self._held[instance_id] = HeldInstance(instance, claim, runner, retention, task)
+        self._held[instance_id] = InstanceEntry(instance, claim, runner, retention, task)
 
     def _apply_limits(self) -> None:
         groups = {held.instance.spec.group for held in self._held.values()}
@@ -159,7 +159,7 @@
         held.claim.release_to_nobody()
         self._spawn(self._end_when_unused(held))
 
-    async def _end_when_unused(self, held: HeldInstance) -> None:
+    async def _end_when_unused(self, held: InstanceEntry) -> None:
         try:
             async with asyncio.timeout(DISMISSAL_BOUND):
                 await asyncio.sleep(DISMISSAL_NOTICE)
