--- a/src/bramblebeam/services/pool/requests.py
+++ b/src/bramblebeam/services/pool/requests.py
@@ -9,7 +9,7 @@
 from bramblebeam.kernel.service import answer
 
 
-class RequestMemory:
+class RequestDeduplicator:
     """Joins repeats to the request that runs, and answers those of recent ones."""
 
     def __init__(self) -> None:
--- a/src/bramblebeam/services/pool/service.py
+++ b/src/bramblebeam/services/pool/service.py
@@ -39,7 +39,7 @@
 from bramblebeam.services.pool.instance import NOT_OWNER_RETRY_MS
 from bramblebeam.services.pool.instances import InstanceTable
 from bramblebeam.services.pool.report import count_read, pool_status
-from bramblebeam.services.pool.requests import RequestMemory, failed, may_be_cut
+from bramblebeam.services.pool.requests import RequestDeduplicator, failed, may_be_cut
 from bramblebeam.services.pool.statements import StatementRunner
 from bramblebeam.services.pool.subscribers import Subscribers
 from bramblebeam.services.transport.messages import (
@@ -76,7 +76,7 @@
         self._settings = settings
         self._edges = AbsentEdges(settings.node)
         self._table = InstanceTable(settings, self.spawn, self._ask_peer, self._status_changed)
-        self._memory = RequestMemory()
+        self._memory = RequestDeduplicator()
         self._running: dict[RequestId, tuple[ExecuteRequest, asyncio.Task[None]]] = {}
         self._subscribers = Subscribers()
         self._handlers: dict[type, Callable[[NodeId, Any, Envelope], None]] = {
