--- a/src/bramblebeam/services/pool/requests.py
+++ b/src/bramblebeam/services/pool/requests.py
@@ -61,7 +61,7 @@
     return ExecuteReply(request.request, refusal=Refusal(verdict, Reason.CONNECTION_LOST, detail))
 
 
-def may_be_cut(request: ExecuteRequest) -> bool:
+def may_be_cancelled(request: ExecuteRequest) -> bool:
     """Whether an abandoned request is ended at once. A write that commits by itself goes on."""
     return request.kind is StatementKind.READ or bool(request.transaction)
 
--- a/src/bramblebeam/services/pool/service.py
+++ b/src/bramblebeam/services/pool/service.py
@@ -39,7 +39,7 @@
 from bramblebeam.services.pool.instance import NOT_OWNER_RETRY_MS
 from bramblebeam.services.pool.instances import InstanceTable
 from bramblebeam.services.pool.report import count_read, pool_status
-from bramblebeam.services.pool.requests import RequestDeduplicator, failed, may_be_cut
+from bramblebeam.services.pool.requests import RequestDeduplicator, failed, may_be_cancelled
 from bramblebeam.services.pool.statements import StatementRunner
 from bramblebeam.services.pool.subscribers import Subscribers
 from bramblebeam.services.transport.messages import (
@@ -205,7 +205,7 @@
 
     def _abandon(self, sender: NodeId, request: AbandonRequest, envelope: Envelope) -> None:
         for running, task in list(self._running.values()):
-            if running.request.session == request.session and may_be_cut(running):
+            if running.request.session == request.session and may_be_cancelled(running):
                 task.cancel()
         held = self._table.find(request.instance)
         if held is not None:
