--- a/src/bramblebeam/services/pool/slots.py
+++ b/src/bramblebeam/services/pool/slots.py
@@ -118,9 +118,9 @@
         connection = slot.connection
         if not connection.broken and not connection.busy:
             await self._reset(connection)
-        self.give_back_clean(slot)
+        self.release_clean(slot)
 
-    def give_back_clean(self, slot: Slot) -> None:
+    def release_clean(self, slot: Slot) -> None:
         """Take a slot back whose connection needs no reset, or is broken."""
         connection = self._held.pop(slot.ticket).connection
         if connection.broken or connection.busy or connection.in_transaction:
@@ -184,7 +184,7 @@
         slot = Slot(ticket, self, opened.ok)
         self._held[ticket] = slot
         if self.retired:
-            self.give_back_clean(slot)
+            self.release_clean(slot)
             return not_run(Reason.NOT_OWNER, "the instance has another owner")
         return slot
 
