--- a/src/bramblebeam/services/pool/instances.py
+++ b/src/bramblebeam/services/pool/instances.py
@@ -137,7 +137,7 @@
         claim = OwnershipClaim(spec, node, backend, instance, self._ask_peer)
         runner = StatementRunner(instance, self._deadlines)
         instance.on_ownership_lost = claim.notify_control_lost
-        instance.on_unreachable = runner.cut_hopeless
+        instance.on_unreachable = runner.abort_on_unreachable
         instance.taking_over = claim.taking_over
         retention = RequestRetention(runner)
         task = self._spawn(claim.run())
--- a/src/bramblebeam/services/pool/statements.py
+++ b/src/bramblebeam/services/pool/statements.py
@@ -221,7 +221,7 @@
         allowed = request.deadline_ms / 1000
         return min(allowed, limit.deadline) if limit is not None and limit.deadline else allowed
 
-    def cut_hopeless(self) -> None:
+    def abort_on_unreachable(self) -> None:
         """End what runs on a back end that is unreachable and need not be waited for.
 
         Plain reads: other instances may serve them. All else, where the group has a higher term:
