--- a/src/bramblebeam/services/pool/statements.py
+++ b/src/bramblebeam/services/pool/statements.py
@@ -244,7 +244,7 @@
         for pinned in self.transactions.of_session(session):
             self._give_up(pinned, "abandoned")
 
-    def give_up_idle(self, now: float) -> None:
+    def end_idle(self, now: float) -> None:
         """Roll back idle transactions, and close streams that nobody fetches from."""
         self.streams.end_idle(now)
         for pinned in self.transactions.idle(now):
