--- a/src/bramblebeam/services/pool/transactions.py
+++ b/src/bramblebeam/services/pool/transactions.py
@@ -20,7 +20,7 @@
     session: str
     slot: Slot
     used_at: float
-    turn: asyncio.Lock = field(default_factory=asyncio.Lock)
+    statement_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     """Held by the statement that runs now."""
     ended: bool = False
 
