--- a/src/bramblebeam/services/pool/streams.py
+++ b/src/bramblebeam/services/pool/streams.py
@@ -44,7 +44,7 @@
         return take_portion(self.rows)
 
     @property
-    def over(self) -> bool:
+    def exhausted(self) -> bool:
         """Whether every row was handed out."""
         return not self.rows and not self.more
 
@@ -71,11 +71,11 @@
         rows = deque(result.rows)
         head = take_portion(rows)
         stream = ResultStream(request, connection, finish, self._loop.time(), rows, result.more)
-        if stream.over:
+        if stream.exhausted:
             finish(True)
         else:
             self._open[request] = stream
-        return replace(result, rows=head, more=not stream.over)
+        return replace(result, rows=head, more=not stream.exhausted)
 
     async def fetch(self, stream: ResultStream) -> ExecuteReply:
         """Return the next rows of a stream."""
