--- a/src/bramblebeam/services/pool/statements.py
+++ b/src/bramblebeam/services/pool/statements.py
@@ -27,7 +27,7 @@
 from bramblebeam.services.pool.execution import Answer, StatementRun, position_of
 from bramblebeam.services.pool.instance import Instance
 from bramblebeam.services.pool.slots import Slot
-from bramblebeam.services.pool.streams import ResultStreams, fits
+from bramblebeam.services.pool.streams import ResultStreams, fits_in_message
 from bramblebeam.services.pool.transactions import PinnedTransaction, PinnedTransactions
 
 logger = logging.getLogger(__name__)
@@ -175,7 +175,7 @@
         self, pinned: PinnedTransaction, request: ExecuteRequest, answer: Answer
     ) -> ExecuteReply:
         connection = pinned.slot.connection
-        if not isinstance(answer, Refusal) and not fits(answer):
+        if not isinstance(answer, Refusal) and not fits_in_message(answer):
 
             def finish(complete: bool) -> None:
                 if not complete:
@@ -307,4 +307,4 @@
 
 def _needs_its_slot(request: ExecuteRequest, result: BackendResult) -> bool:
     """Whether the slot stays with the request: for a transaction, or for more rows."""
-    return request.kind is StatementKind.BEGIN or not fits(result)
+    return request.kind is StatementKind.BEGIN or not fits_in_message(result)
--- a/src/bramblebeam/services/pool/streams.py
+++ b/src/bramblebeam/services/pool/streams.py
@@ -127,7 +127,7 @@
     return sum(len(value) if isinstance(value, str | bytes) else VALUE_BYTES for value in row)
 
 
-def fits(result: BackendResult) -> bool:
+def fits_in_message(result: BackendResult) -> bool:
     """Whether the whole result fits into one message."""
     if result.more:
         return False
