--- a/src/bramblebeam/services/edge/confirmations.py
+++ b/src/bramblebeam/services/edge/confirmations.py
@@ -26,7 +26,7 @@
         return self.sessions.setdefault(name, len(self.sessions))
 
 
-class Confirmations:
+class ConfirmationBatcher:
     """At most one question to an instance at a time.
 
     A statement must not take an answer whose question was sent before the statement arrived: it
--- a/src/bramblebeam/services/edge/driver.py
+++ b/src/bramblebeam/services/edge/driver.py
@@ -19,7 +19,7 @@
     Started,
 )
 from bramblebeam.core.statement import AbandonRequest, ExecuteReply, PositionReply
-from bramblebeam.services.edge.confirmations import Confirmations
+from bramblebeam.services.edge.confirmations import ConfirmationBatcher
 from bramblebeam.services.edge.groups import GroupTracker
 from bramblebeam.services.edge.peers import Peers
 from bramblebeam.services.transport.messages import PeerFailure
@@ -44,7 +44,7 @@
     def __init__(self, peers: Peers, tracker: GroupTracker) -> None:
         self._peers = peers
         self._tracker = tracker
-        self._confirmations = Confirmations(peers)
+        self._confirmations = ConfirmationBatcher(peers)
 
     async def run(self, machine: StatementMachine, session: str) -> Finish:
         """Carry the statement to its final answer.
--- a/tests/test_edge_confirmations.py
+++ b/tests/test_edge_confirmations.py
@@ -6,7 +6,7 @@
 from bramblebeam.core.identity import InstanceId, NodeId, Position
 from bramblebeam.core.routing.effects import RequestPosition
 from bramblebeam.core.statement import PositionReply, PositionRequest
-from bramblebeam.services.edge.confirmations import Confirmations
+from bramblebeam.services.edge.confirmations import ConfirmationBatcher
 
 A = InstanceId("a")
 NEWEST = Position(1, 100)
@@ -26,13 +26,13 @@
         return PositionReply(A, NEWEST, floors=floors if self.knows_names else ())
 
 
-def ask(confirmations: Confirmations, *names: str) -> Any:
+def ask(confirmations: ConfirmationBatcher, *names: str) -> Any:
     return confirmations.confirm(RequestPosition(NodeId("n"), PositionRequest(A, names), 1.0))
 
 
 async def test_statements_that_wait_together_share_a_question_and_get_their_own_floors() -> None:
     owner = Owner()
-    confirmations = Confirmations(owner)  # type: ignore[arg-type]
+    confirmations = ConfirmationBatcher(owner)  # type: ignore[arg-type]
     names = ["s1", "s2", "", "s1", "s3"]
     asked = [ask(confirmations, *([name] if name else [])) for name in names]
     replies = await asyncio.gather(*asked)
@@ -45,7 +45,7 @@
 
 async def test_a_statement_never_joins_a_question_that_was_sent_before_it_came() -> None:
     owner = Owner()
-    confirmations = Confirmations(owner)  # type: ignore[arg-type]
+    confirmations = ConfirmationBatcher(owner)  # type: ignore[arg-type]
     first = asyncio.create_task(ask(confirmations, "s1"))
     await asyncio.sleep(0.005)
     second = await ask(confirmations, "s2")
@@ -55,6 +55,6 @@
 
 
 async def test_an_owner_that_knows_no_names_gives_the_newest_position() -> None:
-    confirmations = Confirmations(Owner(knows_names=False))  # type: ignore[arg-type]
+    confirmations = ConfirmationBatcher(Owner(knows_names=False))  # type: ignore[arg-type]
     reply = await ask(confirmations, "s1")
     assert (reply.position, reply.floors) == (NEWEST, ())
--- a/tests/test_edge_transactions.py
+++ b/tests/test_edge_transactions.py
@@ -28,7 +28,7 @@
     StatementKind,
 )
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
-from bramblebeam.services.edge.confirmations import Confirmations
+from bramblebeam.services.edge.confirmations import ConfirmationBatcher
 from bramblebeam.services.edge.peers import Peers
 from edge_harness import GROUP, NODE, SERVICE, P, configuration, members
 
@@ -126,7 +126,7 @@
 
 async def test_position_confirmed_for_an_earlier_question_is_not_shared() -> None:
     peers = SlowPeers()
-    confirmations = Confirmations(cast(Peers, peers))
+    confirmations = ConfirmationBatcher(cast(Peers, peers))
     question = RequestPosition(NODE, PositionRequest(InstanceId("p")), 1.0)
     first = asyncio.create_task(confirmations.confirm(question))
     asked_first = await peers.questions.get()
