--- a/src/bramblebeam/services/edge/groups.py
+++ b/src/bramblebeam/services/edge/groups.py
@@ -69,7 +69,7 @@
             use.changed.set_result(None)
             use.changed = None
 
-    def views_changed(self) -> None:
+    def refresh_all(self) -> None:
         """Ask anew for every group in use: owners or members may be others now."""
         for group in list(self._uses):
             self.refresh(group)
--- a/src/bramblebeam/services/edge/service.py
+++ b/src/bramblebeam/services/edge/service.py
@@ -103,10 +103,10 @@
                 self.tracker.observe(status)
             case ConfigurationChanged(view):
                 self.directory.configure(view)
-                self.tracker.views_changed()
+                self.tracker.refresh_all()
             case MembersChanged(view):
                 self.directory.set_members(view)
-                self.tracker.views_changed()
+                self.tracker.refresh_all()
             case BoundAddressRequest() if self._server is not None:
                 answer(envelope, self._server.address)
             case EdgeStatusRequest():
