--- a/src/bramblebeam/services/edge/service.py
+++ b/src/bramblebeam/services/edge/service.py
@@ -180,7 +180,7 @@
             log_event(logger, CALLER_TURNED_AWAY, service=service, reason=reason.name, count=count)
         raise caller_error(Refusal(Verdict.NOT_RUN, reason))
 
-    def enter(self, in_transaction: bool) -> None:
+    def begin_statement(self, in_transaction: bool) -> None:
         """Count a statement in. Raises CallerError above the cap, or when the node stops."""
         if self._draining and not in_transaction:
             self._refuse(Reason.STOPPING)
