--- a/src/bramblebeam/services/edge/service.py
+++ b/src/bramblebeam/services/edge/service.py
@@ -189,7 +189,7 @@
         self._in_flight += 1
         self._statements += 1
 
-    def leave(self) -> None:
+    def end_statement(self) -> None:
         """Count a statement out."""
         self._in_flight -= 1
         self.check_drained()
