--- a/src/bramblebeam/services/edge/service.py
+++ b/src/bramblebeam/services/edge/service.py
@@ -40,7 +40,7 @@
 """Seconds between records of callers turned away: each one would add to an overload."""
 
 
-LAST_ARRIVALS_SECONDS = 0.25
+DRAIN_GRACE_SECONDS = 0.25
 """How long a stopping node still takes statements: longer than any caller's way to it."""
 
 
@@ -121,7 +121,7 @@
         if self._server is not None:
             self._server.close()
         log_event(logger, EDGE_DRAINING, connections=len(self._callers), in_flight=self._in_flight)
-        await asyncio.sleep(LAST_ARRIVALS_SECONDS)
+        await asyncio.sleep(DRAIN_GRACE_SECONDS)
         self._draining = True
         self.check_drained()
         await self._drained.wait()
--- a/tests/test_edge_service.py
+++ b/tests/test_edge_service.py
@@ -12,7 +12,7 @@
 from bramblebeam.edges.mysql.server import ConnectionInfo
 from bramblebeam.services.edge.caller import Caller
 from bramblebeam.services.edge.messages import EdgeStatusRequest
-from bramblebeam.services.edge.service import LAST_ARRIVALS_SECONDS
+from bramblebeam.services.edge.service import DRAIN_GRACE_SECONDS
 from bramblebeam.services.transport.messages import PeerFailure
 from bramblebeam.settings.model import ClientSettings
 from edge_harness import GROUP, R1, R2, Harness, P, start_harness
@@ -379,7 +379,7 @@
     drain = asyncio.create_task(harness.kernel.drain())
     await asyncio.sleep(0)
     await harness.run(query, idle, "SELECT value FROM t")
-    await asyncio.sleep(2 * LAST_ARRIVALS_SECONDS)
+    await asyncio.sleep(2 * DRAIN_GRACE_SECONDS)
     code, text = await harness.run(error_of, idle, "SELECT value FROM t")
     assert code == 9117 and "not run" in text
     assert not drain.done()
