--- a/tests/pool_harness.py
+++ b/tests/pool_harness.py
@@ -140,7 +140,7 @@
 
 
 @asynccontextmanager
-async def before_backend(
+async def running_harness(
     backend: FakeBackend, harness_class: type[AnyHarness]
 ) -> AsyncIterator[AnyHarness]:
     """Run a back end with node `a` as its owner; stop every node and the back end at the end."""
--- a/tests/test_pool_floors.py
+++ b/tests/test_pool_floors.py
@@ -8,7 +8,7 @@
 from bramblebeam.core.identity import Position
 from bramblebeam.core.statement import PositionReply, PositionRequest, StatementKind
 from pool_backend import FakeBackend
-from pool_harness import INSTANCE, BackendHarness, before_backend
+from pool_harness import INSTANCE, BackendHarness, running_harness
 
 
 class FakeHarness(BackendHarness):
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 async def harness() -> AsyncIterator[FakeHarness]:
-    async with before_backend(FakeBackend(), FakeHarness) as harness:
+    async with running_harness(FakeBackend(), FakeHarness) as harness:
         yield harness
 
 
--- a/tests/test_pool_service.py
+++ b/tests/test_pool_service.py
@@ -20,7 +20,7 @@
 from bramblebeam.edges.backend import BackendConnection
 from bramblebeam.services.pool import status as status_module
 from pool_backend import FakeBackend
-from pool_harness import INSTANCE, BackendHarness, before_backend, wait_for
+from pool_harness import INSTANCE, BackendHarness, running_harness, wait_for
 
 
 class FakeHarness(BackendHarness):
@@ -43,7 +43,7 @@
 
 @pytest.fixture
 async def harness() -> AsyncIterator[FakeHarness]:
-    async with before_backend(FakeBackend(), FakeHarness) as harness:
+    async with running_harness(FakeBackend(), FakeHarness) as harness:
         yield harness
 
 
