--- a/src/bramblebeam/services/edge/__init__.py
+++ b/src/bramblebeam/services/edge/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' side of a node."""
+"""The edge service: serves the callers' MySQL connections of a node."""
--- a/src/bramblebeam/services/edge/caller.py
+++ b/src/bramblebeam/services/edge/caller.py
@@ -1,4 +1,4 @@
-"""One caller connection: each statement by its class to the edge itself or to a back end."""
+"""One caller connection: dispatches each statement to the edge itself or to a back end."""
 
 from __future__ import annotations
 
@@ -51,14 +51,14 @@
         self.edge = edge
         self.session = Session(edge.next_session_identifier(), ServiceId(""))
         self.connection = Connection(0, "", "", edge.node)
-        self._counted = False
+        self._admitted = False
 
-    # Life of the connection.
+    # Connection lifecycle.
 
     async def opened(self, connection: ConnectionInfo) -> None:
-        """Take the connection, its session's name and token. Raises CallerError.
+        """Start a session with the connection's session name and token. Raises CallerError.
 
-        Runs again when the connection changes its user: nothing of the former one is kept.
+        Runs again when the connection changes its user; no state of the former user is kept.
         """
         self.connection = Connection(
             connection.id, connection.user, connection.remote, self.edge.node
@@ -67,15 +67,17 @@
         session = Session(self.edge.next_session_identifier(), service)
         self.session = session
         self.edge.admit(self, session.service)
-        self._counted = True
+        self._admitted = True
         session.roaming_name = connection.attributes.get(SESSION_ATTRIBUTE, "")
         if len(session.roaming_name) > MAXIMUM_SESSION_NAME_LENGTH:
-            raise bad_request(f"{SESSION_ATTRIBUTE} is longer than {MAXIMUM_SESSION_NAME_LENGTH}")
-        self._take_token(connection.attributes.get(TOKEN_ATTRIBUTE, ""))
+            raise bad_request(
+                f"{SESSION_ATTRIBUTE} is longer than {MAXIMUM_SESSION_NAME_LENGTH} characters"
+            )
+        self._adopt_token(connection.attributes.get(TOKEN_ATTRIBUTE, ""))
         if connection.database:
             await self.use(connection.database)
 
-    def _take_token(self, text: str) -> None:
+    def _adopt_token(self, text: str) -> None:
         if not text:
             return
         match decode_token(text):
@@ -85,9 +87,9 @@
                 raise bad_request(f"{TOKEN_ATTRIBUTE}: {detail}")
 
     async def use(self, database: str) -> None:
-        """Change the group. Raises CallerError for an unknown one or inside a transaction."""
+        """Change the group. Raises CallerError for an unknown group or in a transaction."""
         if self.session.in_transaction and database != self.session.group:
-            raise bad_request("the database cannot change inside a transaction")
+            raise bad_request("the database cannot be changed in a transaction")
         group = GroupId(database)
         configuration = self.edge.directory.configuration
         if configuration.version == 0:
@@ -96,19 +98,19 @@
             raise CallerError(UNKNOWN_DATABASE, "42000", f"Unknown database '{database}'")
         self.edge.admit_to_group(self, self.session.service, group)
         self.session.group = group
-        self.edge.tracker.use(group)
+        self.edge.tracker.record_use(group)
 
     async def reset(self) -> None:
-        """Roll back and forget the connection's settings, not what the session wrote."""
+        """Roll back and reset the connection's settings, but keep the record of its writes."""
         self._abandon_transaction()
         self.session.reset()
         self.edge.check_drained()
 
     async def closed(self) -> None:
-        """Give up what the session left behind."""
+        """Abandon an open transaction and unregister the connection."""
         self._abandon_transaction()
-        if self._counted:
-            self._counted = False
+        if self._admitted:
+            self._admitted = False
             self.edge.release(self)
 
     def _abandon_transaction(self) -> None:
@@ -121,7 +123,7 @@
 
     @property
     def connection_id(self) -> int:
-        """The connection's number at this node."""
+        """The connection's id at this node."""
         return self.connection.connection_id
 
     @property
@@ -139,8 +141,8 @@
     async def execute(self, sql: str, attributes: dict[str, Any]) -> OkResult | RowsResult:
         """Run one statement. Raises CallerError."""
         statement_class = self.edge.classifier.classify(sql)
-        answer_by = _ANSWERS[statement_class.action]
-        return await answer_by(self, sql, attributes, statement_class)
+        handler = _HANDLERS[statement_class.action]
+        return await handler(self, sql, attributes, statement_class)
 
     async def _forward(
         self, sql: str, attributes: dict[str, Any], statement_class: StatementClass
@@ -157,7 +159,7 @@
             if not session.autocommit and not statement_class.implicit_commit:
                 await self._open_transaction("BEGIN")
             elif statement_class.needs_connection:
-                raise bad_request("it needs the connection of the statement before it")
+                raise bad_request("the statement needs the connection of the statement before it")
         finish = await self.run(statement)
         return self._result(finish)
 
@@ -182,12 +184,12 @@
         return self._result(finish)
 
     async def run(self, statement: StatementRequest) -> Finish:
-        """Carry one statement to its end. Raises CallerError for a refusal."""
+        """Run one statement to its end. Raises CallerError for a refusal."""
         session = self.session
         if not session.group:
             raise CallerError(NO_DATABASE, "3D000", "No database selected")
         edge = self.edge
-        edge.enter(session.in_transaction)
+        edge.begin_statement(session.in_transaction)
         try:
             finish = await edge.driver.run(self._machine(statement), session.identifier)
         except BaseException:
@@ -195,7 +197,7 @@
             session.record_uncertain_write(session.group)
             raise
         finally:
-            edge.leave()
+            edge.end_statement()
         if finish.refusal is not None:
             edge.count_refusal(finish.refusal)
             raise caller_error(finish.refusal)
@@ -206,7 +208,7 @@
         session = self.session
         if session.transaction is not None:
             return PinnedExecution(session, statement, edge.directory)
-        edge.tracker.use(session.group)
+        edge.tracker.record_use(session.group)
         return Execution(session, statement, edge.directory, edge.budget)
 
     # Statements that the edge answers itself.
@@ -238,11 +240,11 @@
     def rows(
         self, columns: tuple[ColumnSpec, ...], rows: tuple[tuple[Any, ...], ...]
     ) -> RowsResult:
-        """Return a whole result with the session's flags."""
+        """Return a complete result with the session's flags."""
         return RowsResult(columns, rows, self.session.in_transaction, self.session.autocommit)
 
     def ok(self, affected_rows: int = 0, last_insert_id: int = 0) -> OkResult:
-        """Return the end of a statement without rows, with the session's flags and token."""
+        """Return the result of a statement without rows, with the session's flags and token."""
         session = self.session
         return OkResult(
             affected_rows,
@@ -256,7 +258,7 @@
 def _caller_request(sql: str, attributes: dict[str, Any], statement_class: StatementClass) -> str:
     """Return the caller's own id of a write, from a query attribute or a comment.
 
-    Raises CallerError for text that cannot be an id: it must not be cut, nor be passed over.
+    Raises CallerError for an invalid id, which must be neither truncated nor ignored.
     """
     if statement_class.action is not Action.WRITE:
         return ""
@@ -265,11 +267,13 @@
     if text is None:
         return ""
     if not is_request_id(text):
-        raise bad_request(f"{REQUEST_ATTRIBUTE} is 1 to 128 letters, digits or signs of _.:+/@-")
+        raise bad_request(
+            f"{REQUEST_ATTRIBUTE} must be 1 to 128 letters, digits or characters of _.:+/@-"
+        )
     return text
 
 
-_ANSWERS = {
+_HANDLERS = {
     Action.READ: Caller._forward,
     Action.WRITE: Caller._forward,
     Action.BEGIN: Caller._begin,
@@ -277,4 +281,4 @@
     Action.ROLLBACK: Caller._end,
     **dict.fromkeys(LOCAL_ANSWERS, Caller._local),
 }
-"""What answers a statement of each class."""
+"""The handler of each class of statements."""
--- a/src/bramblebeam/services/edge/driver.py
+++ b/src/bramblebeam/services/edge/driver.py
@@ -1,4 +1,4 @@
-"""Drives the machine of one statement: carries out its effects and feeds it what happens."""
+"""Drives a statement's state machine: performs its effects and passes it the resulting events."""
 
 import asyncio
 from typing import Any, Protocol
@@ -25,21 +25,21 @@
 from bramblebeam.services.transport.messages import PeerFailure
 
 FALLBACK_REFRESH_INTERVAL = 0.5
-"""Seconds between questions about a group whose reads fall back to the primary."""
+"""Seconds between status requests for a group whose reads fall back to the primary."""
 
 
 class StatementMachine(Protocol):
     """`Execution` or `PinnedExecution`."""
 
     def handle(self, event: Any, now: float) -> list[Effect]:
-        """Take one event at time `now` (seconds)."""
+        """Process one event at time `now` (seconds); return the effects."""
 
     def next_wakeup(self) -> float | None:
         """Return when `Wakeup` is due (seconds)."""
 
 
 class Driver:
-    """Runs statements' machines. One for a node; it holds no state of a statement."""
+    """Runs the state machines of a node's statements; it holds no state of a statement itself."""
 
     def __init__(self, peers: Peers, tracker: GroupTracker) -> None:
         self._peers = peers
@@ -47,20 +47,20 @@
         self._confirmations = ConfirmationBatcher(peers)
 
     async def run(self, machine: StatementMachine, session: str) -> Finish:
-        """Carry the statement to its final answer.
+        """Run the statement to its final result.
 
-        When cancelled, it tells the owner that was asked last to give the statement up.
+        When cancelled, it requests the owner that was last sent the statement to abandon it.
         """
         loop = asyncio.get_running_loop()
-        asked: SendRequest | None = None
+        last_sent: SendRequest | None = None
         event: Any = Started()
         try:
             while True:
                 for effect in machine.handle(event, loop.time()):
                     match effect:
                         case SendRequest():
-                            asked = effect
-                            event = await self._ask(effect)
+                            last_sent = effect
+                            event = await self._send(effect)
                         case Finish():
                             return effect
                         case Refresh(group):
@@ -68,16 +68,16 @@
                         case Abandon(node, instance, abandoned):
                             self._peers.post(node, AbandonRequest(abandoned, instance))
                         case RequestPosition():
-                            event = await self._ask_position(effect)
+                            event = await self._request_position(effect)
                         case Hold():
                             event = await self._hold(effect, machine.next_wakeup())
         except asyncio.CancelledError:
-            if asked is not None:
-                abandon = AbandonRequest(session, asked.request.instance)
-                self._peers.post(asked.node, abandon)
+            if last_sent is not None:
+                abandon = AbandonRequest(session, last_sent.request.instance)
+                self._peers.post(last_sent.node, abandon)
             raise
 
-    async def _ask(self, effect: SendRequest) -> Any:
+    async def _send(self, effect: SendRequest) -> Any:
         answer = await self._peers.request(effect.node, effect.request, effect.timeout)
         match answer:
             case ExecuteReply():
@@ -86,7 +86,7 @@
                 return AttemptFailed(sent, detail)
         return AttemptFailed(True, f"unexpected answer {type(answer).__name__}")
 
-    async def _ask_position(self, effect: RequestPosition) -> Any:
+    async def _request_position(self, effect: RequestPosition) -> Any:
         answer = await self._confirmations.confirm(effect)
         match answer:
             case PositionReply():
--- a/src/bramblebeam/services/edge/groups.py
+++ b/src/bramblebeam/services/edge/groups.py
@@ -1,4 +1,4 @@
-"""Keeps the statuses of the groups in use fresh and wakes the statements held for news of them."""
+"""Refreshes the statuses of groups in use and wakes statements held until a group changes."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -13,21 +13,23 @@
 RENEWAL_INTERVAL = 5.0
 """Seconds between renewals of a subscription."""
 MINIMUM_REFRESH_INTERVAL = 0.1
-"""Seconds that at least pass between two questions about one group."""
+"""Minimum seconds between two refreshes of one group."""
 UNUSED_AFTER = 60.0
-"""Seconds after which a group that no statement used is no longer subscribed to."""
+"""Seconds without a statement after which a group is no longer subscribed to."""
 SUBSCRIBE_TIMEOUT = 1.0
-"""Seconds to wait for an owner's answer."""
+"""Seconds to wait for an owner's reply."""
 CHECK_INTERVAL = 0.5
-"""Seconds between looks at which subscriptions are due."""
+"""Seconds between checks for subscriptions to renew."""
 
 
-class _Use:
-    __slots__ = ("asked_at", "changed", "used_at")
+class _TrackedGroup:
+    """A group in use; `changed` is set when the group changes."""
+
+    __slots__ = ("changed", "refreshed_at", "used_at")
 
     def __init__(self, now: float) -> None:
         self.used_at = now
-        self.asked_at = -RENEWAL_INTERVAL
+        self.refreshed_at = -RENEWAL_INTERVAL
         self.changed: asyncio.Future[None] | None = None
 
 
@@ -43,71 +45,71 @@
         self._directory = directory
         self._peers = peers
         self._spawn = spawn
-        self._uses: dict[GroupId, _Use] = {}
+        self._groups: dict[GroupId, _TrackedGroup] = {}
 
-    def use(self, group: GroupId) -> None:
-        """Note that a statement uses the group; the first use subscribes at once."""
+    def record_use(self, group: GroupId) -> None:
+        """Record that a statement uses the group; the first use subscribes at once."""
         now = asyncio.get_running_loop().time()
-        use = self._uses.get(group)
-        if use is not None:
-            use.used_at = now
+        tracked = self._groups.get(group)
+        if tracked is not None:
+            tracked.used_at = now
             return
         if self._directory.group(group) is None:
             return
-        self._uses[group] = _Use(now)
+        self._groups[group] = _TrackedGroup(now)
         self.refresh(group)
 
     def observe(self, status: InstanceStatus) -> None:
-        """Take a status that an owner pushed."""
+        """Record a status that an owner pushed."""
         self._directory.observe(status)
         self.wake(status.group)
 
     def wake(self, group: GroupId) -> None:
-        """Let the statements held for the group look again."""
-        use = self._uses.get(group)
-        if use is not None and use.changed is not None:
-            use.changed.set_result(None)
-            use.changed = None
+        """Wake the statements held for the group."""
+        tracked = self._groups.get(group)
+        if tracked is not None and tracked.changed is not None:
+            tracked.changed.set_result(None)
+            tracked.changed = None
 
     def refresh_all(self) -> None:
-        """Ask anew for every group in use: owners or members may be others now."""
-        for group in list(self._uses):
+        """Refresh every group in use, as its owners or members may have changed."""
+        for group in list(self._groups):
             self.refresh(group)
             self.wake(group)
 
     def refresh(self, group: GroupId, interval: float = MINIMUM_REFRESH_INTERVAL) -> None:
-        """Ask the owners of the group's members for their statuses.
+        """Request the statuses of the group's members from their owners.
 
-        Does nothing where they were asked within `interval` seconds.
+        Does nothing if they were requested within the last `interval` seconds.
         """
-        use = self._uses.get(group)
+        tracked = self._groups.get(group)
         now = asyncio.get_running_loop().time()
-        if use is None or now - use.asked_at < interval:
+        if tracked is None or now - tracked.refreshed_at < interval:
             return
-        use.asked_at = now
+        tracked.refreshed_at = now
         for member in self._directory.group_members(group):
             owner = self._directory.owner(member.instance)
             if owner is not None:
                 self._spawn(self._subscribe(group, member.instance, owner))
 
     async def wait(self, group: GroupId, timeout: float) -> bool:
-        """Wait for news of the group (`timeout` in seconds). False: there were none."""
+        """Wait for a change of the group (`timeout` in seconds). False: there was none."""
         loop = asyncio.get_running_loop()
-        use = self._uses.setdefault(group, _Use(loop.time()))
-        if use.changed is None:
-            use.changed = loop.create_future()
-        done, _ = await asyncio.wait((use.changed,), timeout=timeout)
+        tracked = self._groups.setdefault(group, _TrackedGroup(loop.time()))
+        if tracked.changed is None:
+            tracked.changed = loop.create_future()
+        done, _ = await asyncio.wait((tracked.changed,), timeout=timeout)
         return bool(done)
 
     async def run(self) -> None:
-        """Renew the subscriptions of the groups in use, for ever."""
+        """Renew the subscriptions of the groups in use, until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL)
             now = asyncio.get_running_loop().time()
-            for group, use in list(self._uses.items()):
-                if now - use.used_at > UNUSED_AFTER and use.changed is None:
-                    del self._uses[group]
-                elif now - use.asked_at >= RENEWAL_INTERVAL:
+            for group, tracked in list(self._groups.items()):
+                if now - tracked.used_at > UNUSED_AFTER and tracked.changed is None:
+                    del self._groups[group]
+                elif now - tracked.refreshed_at >= RENEWAL_INTERVAL:
                     self.refresh(group)
 
     async def _subscribe(self, group: GroupId, instance: InstanceId, owner: NodeId) -> None:
--- a/src/bramblebeam/services/edge/local.py
+++ b/src/bramblebeam/services/edge/local.py
@@ -26,7 +26,7 @@
 
 Rows = tuple[tuple[ColumnSpec, ...], tuple[tuple[Any, ...], ...]]
 LocalAnswer = Callable[["Caller", str, StatementClass], Awaitable[Rows | None]]
-"""Returns columns and rows, or None for a statement without rows. Raises CallerError."""
+"""A handler: returns columns and rows, or None without rows. Raises CallerError."""
 
 
 async def _set(caller: Caller, sql: str, statement_class: StatementClass) -> None:
@@ -95,4 +95,4 @@
     Action.EMPTY: _empty,
     Action.REFUSE: _unsupported,
 }
-"""What answers a statement of each class that needs no back end."""
+"""The handlers of the statement classes that need no back end."""
--- a/src/bramblebeam/services/edge/messages.py
+++ b/src/bramblebeam/services/edge/messages.py
@@ -1,4 +1,4 @@
-"""What other services of a node ask the edge."""
+"""Messages that other services of a node send to the edge."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -6,12 +6,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EdgeStatusRequest:
-    """Ask for the edge's counters; the answer is an `EdgeStatus`."""
+    """Requests the edge's counters; the reply is an `EdgeStatus`."""
 
 
 @dataclass(frozen=True, slots=True)
 class EdgeStatus:
-    """Counters of the callers' side since the node started.
+    """Counters of callers' connections and statements since the node started.
 
     `refusals` counts statements and connections refused, by reason in lower case.
     """
--- a/src/bramblebeam/services/edge/peers.py
+++ b/src/bramblebeam/services/edge/peers.py
@@ -1,4 +1,4 @@
-"""Asks the owners of back ends: other nodes over the transport, the own node's pool directly."""
+"""Sends requests to the owners of back ends: via the transport, or directly to the own pool."""
 
 from typing import Any
 
@@ -15,9 +15,9 @@
 
 LOCAL_SERVICE = "pool"
 TRANSPORT = "transport"
-READ_SILENCE = 0.8
-SILENCE = 4.0
-"""For how long nothing may come from a peer that is asked (seconds): by a read, by all else."""
+READ_UNRESPONSIVE_TIMEOUT = 0.8
+UNRESPONSIVE_TIMEOUT = 4.0
+"""How long a peer may be unresponsive before its requests fail (seconds): reads, all others."""
 
 
 class Peers:
@@ -28,38 +28,38 @@
         self._node = node
 
     async def request(self, to: NodeId, message: Any, timeout: float) -> Any:
-        """Return the answer, or a `PeerFailure` (`timeout` in seconds).
+        """Return the reply, or a `PeerFailure` (`timeout` in seconds).
 
-        The transport keeps the timeout; the own pool keeps the deadline in a statement.
+        The transport enforces the timeout; the own pool enforces the deadline of a statement.
         """
         try:
             if to == self._node:
                 bound = None if isinstance(message, ExecuteRequest) else timeout
                 delivery = PeerDelivery(self._node, message)
                 return await self._kernel.call(LOCAL_SERVICE, delivery, bound)
-            request = PeerRequest(to, message, timeout, _silence_bound(message))
+            request = PeerRequest(to, message, timeout, _unresponsive_timeout(message))
             return await self._kernel.call(TRANSPORT, request)
         except MailboxFullError:
-            return PeerFailure(sent=False, detail="too many messages wait")
+            return PeerFailure(sent=False, detail="too many messages are waiting")
         except KeyError as error:
             return PeerFailure(sent=False, detail=f"the node runs no service {error}")
         except (TimeoutError, ServiceFailedError):
-            return PeerFailure(sent=True, detail="no answer came")
+            return PeerFailure(sent=True, detail="no reply was received")
 
     def post(self, to: NodeId, message: Any) -> None:
-        """Send without an answer; the message is lost where the transport cannot take it."""
+        """Send without a reply; the message is lost if the transport cannot accept it."""
         try:
             self._kernel.post(TRANSPORT, PeerPost(to, message))
         except (MailboxFullError, KeyError):
             return
 
 
-def _silence_bound(message: Any) -> float:
-    """Return the bound of silence for a request.
+def _unresponsive_timeout(message: Any) -> float:
+    """Return how long the peer may be unresponsive before a request fails (seconds).
 
-    A read goes elsewhere soon. Anything else waits longer than a short pause of the peer takes: to
-    give it up means that nobody knows whether it ran.
+    A read is soon sent elsewhere. Any other request outwaits a short pause of the peer, because
+    giving it up leaves it unknown whether the request ran.
     """
     if not isinstance(message, ExecuteRequest) or message.transaction:
-        return SILENCE
-    return READ_SILENCE if message.kind is StatementKind.READ else SILENCE
+        return UNRESPONSIVE_TIMEOUT
+    return READ_UNRESPONSIVE_TIMEOUT if message.kind is StatementKind.READ else UNRESPONSIVE_TIMEOUT
--- a/src/bramblebeam/services/edge/results.py
+++ b/src/bramblebeam/services/edge/results.py
@@ -1,4 +1,4 @@
-"""Turns an owner's reply into what the protocol adapter writes, streaming large results."""
+"""Converts owners' replies for the protocol adapter: errors, and streams of large results."""
 
 from collections.abc import AsyncIterator
 from typing import Any
@@ -15,22 +15,22 @@
 
 
 def caller_error(refusal: Refusal) -> CallerError:
-    """Return the error that a caller gets for a refusal."""
+    """Return the error to send to the caller for a refusal."""
     packet = error_packet(refusal)
     return CallerError(packet.code, packet.sqlstate, packet.message)
 
 
 def bad_request(detail: str) -> CallerError:
-    """Return the error of a statement that the edge does not support."""
+    """Return the error for a statement that the edge does not support."""
     return caller_error(Refusal(Verdict.NOT_RUN, Reason.BAD_REQUEST, detail))
 
 
 async def stream_rows(
     peers: Peers, node: NodeId, instance: InstanceId, head: ExecuteReply
 ) -> AsyncIterator[tuple[Any, ...]]:
-    """Yield the rows of a streamed result, one reply's worth in memory at a time.
+    """Yield the rows of a streamed result, with one reply in memory at a time.
 
-    Raises CallerError where the rest is lost. A reader that ends early frees the slot.
+    Raises CallerError if the rest is lost. A consumer that stops early frees the owner's slot.
     """
     reply = head
     open_at_owner = reply.more
--- a/src/bramblebeam/services/edge/service.py
+++ b/src/bramblebeam/services/edge/service.py
@@ -1,4 +1,4 @@
-"""The edge service: owns the callers' listener and what all their sessions share."""
+"""The edge service: owns the callers' listener and the state shared by their sessions."""
 
 from __future__ import annotations
 
@@ -36,16 +36,16 @@
 
 logger = logging.getLogger(__name__)
 
-TURNED_AWAY_LOG_INTERVAL = 1.0
-"""Seconds between records of callers turned away: each one would add to an overload."""
+REJECTION_LOG_INTERVAL = 1.0
+"""Seconds between log records of rejected connections: one for each would add to an overload."""
 
 
 DRAIN_GRACE_SECONDS = 0.25
-"""How long a stopping node still takes statements: longer than any caller's way to it."""
+"""Seconds for which a stopping node still accepts statements: longer than any caller's latency."""
 
 
 class EdgeService(Service):
-    """Accepts callers and carries their statements to the owners of the back ends."""
+    """Accepts callers and sends their statements to the owners of the back ends."""
 
     name: ClassVar[str] = "edge"
 
@@ -61,7 +61,7 @@
         self._client = settings.client
         self._port = settings.client.port
         self._server: MysqlServer | None = None
-        self._boot = uuid.uuid4().hex[:12]
+        self._boot_id = uuid.uuid4().hex[:12]
         self._session_numbers = itertools.count(1)
         self._callers: set[Caller] = set()
         self._connections: Counter[tuple[ServiceId, GroupId]] = Counter()
@@ -69,14 +69,14 @@
         self._in_flight = 0
         self._statements = 0
         self._refusals: Counter[Reason] = Counter()
-        self._turned_away_logged = -TURNED_AWAY_LOG_INTERVAL
+        self._rejection_logged_at = -REJECTION_LOG_INTERVAL
         self._draining = False
         self._drained = asyncio.Event()
 
-    # Life of the service.
+    # Service lifecycle.
 
     async def start(self) -> None:
-        """Listen for callers. Raises OSError where the address can't be had."""
+        """Listen for callers. Raises OSError if the address is not available."""
         for message_type in (ConfigurationChanged, MembersChanged, InstanceStatus):
             self.kernel.subscribe(message_type, self.name)
         if self.kernel.has(TRANSPORT):
@@ -95,7 +95,7 @@
         self.spawn(self.tracker.run())
 
     async def handle(self, envelope: Envelope) -> None:
-        """Take a view, a status or a question."""
+        """Handle a view, a status or a request."""
         match envelope.message:
             case InstanceStatus() as status:
                 self.tracker.observe(status)
@@ -115,8 +115,8 @@
     async def drain(self) -> None:
         """Stop listening, then refuse new statements, and wait for those in flight to end.
 
-        A statement that its caller sent before the stop may still be on its way: what arrives in
-        the first moments is served as usual.
+        A statement that its caller sent before the stop may still be in transit, so statements
+        that arrive during the grace period are served as usual.
         """
         if self._server is not None:
             self._server.close()
@@ -132,33 +132,33 @@
             await self._server.stop()
             self._server = None
 
-    # What callers use.
+    # Operations for callers.
 
     def next_session_identifier(self) -> str:
-        """Return a session identifier that no other session ever had."""
-        return f"{self.node}/{self._boot}/{next(self._session_numbers)}"
+        """Return a session identifier that is unique over all nodes and restarts."""
+        return f"{self.node}/{self._boot_id}/{next(self._session_numbers)}"
 
     def admit(self, caller: Caller, service: ServiceId) -> None:
-        """Count a new connection. Raises CallerError above the node's cap."""
+        """Register a new connection. Raises CallerError above the node's limit or when stopping."""
         if self._draining:
-            self._turn_away(Reason.STOPPING, service)
+            self._reject_connection(Reason.STOPPING, service)
         if len(self._callers) >= self._client.maximum_connections:
-            self._turn_away(Reason.TOO_MANY_CONNECTIONS, service)
+            self._reject_connection(Reason.TOO_MANY_CONNECTIONS, service)
         self._callers.add(caller)
 
     def admit_to_group(self, caller: Caller, service: ServiceId, group: GroupId) -> None:
-        """Count a connection of a service to a group. Raises CallerError above the row's limit."""
+        """Count a service's connection to a group. Raises CallerError above the limit."""
         key = (service, group)
         if self._groups.get(caller) == key:
             return
         if self._connections[key] >= self.directory.limit(service, group).connections:
-            self._turn_away(Reason.TOO_MANY_CONNECTIONS, service)
+            self._reject_connection(Reason.TOO_MANY_CONNECTIONS, service)
         self._leave_group(caller)
         self._groups[caller] = key
         self._connections[key] += 1
 
     def release(self, caller: Caller) -> None:
-        """Forget a connection that has ended."""
+        """Unregister a connection that has ended."""
         self._callers.discard(caller)
         self._leave_group(caller)
         self.check_drained()
@@ -171,17 +171,17 @@
         if not self._connections[key]:
             del self._connections[key]
 
-    def _turn_away(self, reason: Reason, service: ServiceId) -> None:
+    def _reject_connection(self, reason: Reason, service: ServiceId) -> None:
         self._refusals[reason] += 1
         now = asyncio.get_running_loop().time()
-        if now - self._turned_away_logged >= TURNED_AWAY_LOG_INTERVAL:
-            self._turned_away_logged = now
+        if now - self._rejection_logged_at >= REJECTION_LOG_INTERVAL:
+            self._rejection_logged_at = now
             count = self._refusals[reason]
             log_event(logger, CALLER_TURNED_AWAY, service=service, reason=reason.name, count=count)
         raise caller_error(Refusal(Verdict.NOT_RUN, reason))
 
     def begin_statement(self, in_transaction: bool) -> None:
-        """Count a statement in. Raises CallerError above the cap, or when the node stops."""
+        """Count a statement as in flight. Raises CallerError above the limit or when stopping."""
         if self._draining and not in_transaction:
             self._refuse(Reason.STOPPING)
         if self._in_flight >= self._client.maximum_in_flight and not in_transaction:
@@ -190,12 +190,12 @@
         self._statements += 1
 
     def end_statement(self) -> None:
-        """Count a statement out."""
+        """Count a statement as ended."""
         self._in_flight -= 1
         self.check_drained()
 
     def check_drained(self) -> None:
-        """Note whether the last statement and transaction of a stopping node has ended."""
+        """Check whether the last statement and transaction of a stopping node has ended."""
         if not self._draining or self._in_flight:
             return
         if not any(caller.in_transaction for caller in self._callers):
@@ -210,7 +210,7 @@
         raise caller_error(Refusal(Verdict.NOT_RUN, reason))
 
     def kill(self, connection_id: int, query_only: bool, user: str) -> bool:
-        """End a connection of the same user, or its statement. False: there is none."""
+        """End a connection of the same user, or its statement. False: no such connection."""
         known = any(
             caller.connection_id == connection_id and caller.user == user
             for caller in self._callers
--- a/src/bramblebeam/services/pool/__init__.py
+++ b/src/bramblebeam/services/pool/__init__.py
@@ -1,1 +1,1 @@
-"""The pool: owns back-end connections and runs statements on them."""
+"""The pool service: owns back-end connections and runs statements on them."""
--- a/src/bramblebeam/services/pool/absent_edges.py
+++ b/src/bramblebeam/services/pool/absent_edges.py
@@ -1,16 +1,18 @@
-"""Which edges are gone, so that the transactions of their sessions are to be rolled back.
+"""Finds edges that are gone, so that the transactions of their sessions can be rolled back.
 
-A session's name begins with its edge's node and the node's start: `NODE/START/NUMBER`.
+A session's name begins with its edge's node and an identifier of that node's start:
+`NODE/START/NUMBER`.
 """
 
 from bramblebeam.core.identity import NodeId
 from bramblebeam.core.membership.view import MemberState, MembersView
 
 RESTART_IDLE_SECONDS = 3.0
+"""Idle time after which a session of another start than the recorded one counts as absent."""
 
 
 def start_of(session: str) -> str:
-    """Return the part of a session's name that names one start of one node."""
+    """Return the `NODE/START` prefix of a session's name, which identifies one start of a node."""
     return session.rpartition("/")[0]
 
 
@@ -20,7 +22,7 @@
 
 
 class AbsentEdges:
-    """Knows the latest start of each edge, and which nodes cannot come back to a transaction."""
+    """Tracks the latest start of each edge and the nodes that cannot resume a transaction."""
 
     def __init__(self, node: NodeId) -> None:
         self._node = node
@@ -28,19 +30,19 @@
         self._members = MembersView()
 
     def set_members(self, members: MembersView) -> None:
-        """Take the view of the members."""
+        """Set the current view of the members."""
         self._members = members
 
     def record_request(self, session: str) -> None:
-        """Note a request of a session: it tells its edge's latest start."""
+        """Record a request of a session, whose name contains its edge's latest start."""
         start = start_of(session)
         self._starts[NodeId(start.rpartition("/")[0])] = start
 
     def is_absent(self, session: str, idle: float) -> bool:
-        """Whether the session's edge is dead, was started anew, or is in a zone out of reach.
+        """Whether the session's edge is dead, has restarted, or is in an unreachable zone.
 
-        `idle`: seconds since the session's last statement. A start that was heard counts only
-        against a session that has been idle for a while, as an older request may arrive late.
+        `idle`: seconds since the session's last statement. A recorded start counts only against a
+        session that has been idle for a while, as a request of an older start may arrive late.
         """
         start = start_of(session)
         if idle > RESTART_IDLE_SECONDS and self._starts.get(node_of(session), start) != start:
--- a/src/bramblebeam/services/pool/caller_requests.py
+++ b/src/bramblebeam/services/pool/caller_requests.py
@@ -1,7 +1,7 @@
-"""Runs a write that carries the caller's own request id at most once.
+"""Runs a write that carries a caller-supplied request id at most once.
 
-The id is kept in the database, in a row that the write's own transaction inserts first: so a
-repeat over another node, another owner or another primary finds it exactly where the write is.
+The id is stored in the database, in a row that the write's own transaction inserts first. A repeat
+through another node, another owner or another primary therefore finds it wherever the write is.
 """
 
 import re
@@ -22,16 +22,16 @@
     "last_insert_id BIGINT NOT NULL, created_ms BIGINT NOT NULL)"
 )
 CREATE_INDEX = f"CREATE INDEX {TABLE}_created ON {TABLE} (created_ms)"
-LONGEST_ID = 191
+MAXIMUM_ID_LENGTH = 191
 ERROR_DUPLICATE_KEY = 1062
 ERROR_DEADLOCK = 1213
-"""Two writes conflicted and this one was rolled back: perhaps two sendings of one request."""
+"""Two writes conflicted and this one was rolled back; they may be two copies of one request."""
 ERROR_NO_SUCH_TABLE = 1146
 _PLAIN_ID = re.compile(r"[\w.:-]+")
 
 
 class CallerRequest:
-    """One write with the caller's id."""
+    """One write with a caller-supplied request id."""
 
     def __init__(self, run: StatementRun) -> None:
         request = run.request
@@ -41,34 +41,36 @@
         self._id = request.caller_request.replace("\\", "\\\\").replace("'", "''")
         self._digest = xxhash.xxh3_64_hexdigest(request.sql.encode())
         self._is_repeat = False
-        self._commit = f"COMMIT {_hint(request.caller_request)}"
+        self._commit = f"COMMIT {_id_comment(request.caller_request)}"
 
     async def run(self) -> Answer:
-        """Run the write and keep its outcome, or give the outcome that an earlier one had."""
-        if len(self._request.caller_request) > LONGEST_ID:
-            return not_run(Reason.BAD_REQUEST, f"request id over {LONGEST_ID} characters")
+        """Run the write and store its outcome, or return the stored outcome of an earlier run."""
+        if len(self._request.caller_request) > MAXIMUM_ID_LENGTH:
+            return not_run(
+                Reason.BAD_REQUEST, f"request id is longer than {MAXIMUM_ID_LENGTH} characters"
+            )
         if self._request.transaction:
-            return await self._run_inside()
-        answer = await self._run_alone()
+            return await self._run_in_transaction()
+        answer = await self._run_in_own_transaction()
         if self._table_missing(answer):
             created = await self._execute(CREATE_TABLE)
             if isinstance(created, Refusal):
                 return created
             await self._execute(CREATE_INDEX)
-            answer = await self._run_alone()
+            answer = await self._run_in_own_transaction()
         if _code(answer) == ERROR_DEADLOCK:
-            answer = await self._run_alone()
+            answer = await self._run_in_own_transaction()
         return answer
 
-    async def _run_alone(self) -> Answer:
-        begun = await self._execute("BEGIN")
-        if isinstance(begun, Refusal):
-            return begun
-        answer = await self._run_inside()
+    async def _run_in_own_transaction(self) -> Answer:
+        began = await self._execute("BEGIN")
+        if isinstance(began, Refusal):
+            return began
+        answer = await self._run_in_transaction()
         if isinstance(answer, Refusal):
             await self._roll_back()
-            return await self._stored() if self._is_repeat else answer
-        committed = await self._run.guard(
+            return await self._stored_outcome() if self._is_repeat else answer
+        committed = await self._run.await_result(
             self._connection.execute(self._commit), in_doubt=True, in_transaction=True
         )
         if isinstance(committed, Refusal):
@@ -79,46 +81,46 @@
             info=committed.info,
         )
 
-    async def _run_inside(self) -> Answer:
-        """Run the steps between BEGIN and COMMIT."""
-        kept = await self._execute(
+    async def _run_in_transaction(self) -> Answer:
+        """Run the statements between BEGIN and COMMIT."""
+        inserted = await self._execute(
             f"INSERT INTO {TABLE} (id, digest, affected_rows, last_insert_id, created_ms) "
             f"VALUES ('{self._id}', '{self._digest}', 0, 0, {int(time.time() * 1000)})"
         )
-        if isinstance(kept, Refusal):
-            self._is_repeat = kept.code == ERROR_DUPLICATE_KEY
-            return self._has_run() if self._is_repeat else kept
+        if isinstance(inserted, Refusal):
+            self._is_repeat = inserted.code == ERROR_DUPLICATE_KEY
+            return self._duplicate_refusal() if self._is_repeat else inserted
         written = await self._execute(self._request.sql)
         if isinstance(written, Refusal):
             return written
-        noted = await self._execute(
+        updated = await self._execute(
             f"UPDATE {TABLE} SET affected_rows = {written.affected_rows}, "
             f"last_insert_id = {written.last_insert_id} WHERE id = '{self._id}'"
         )
-        return noted if isinstance(noted, Refusal) else written
+        return updated if isinstance(updated, Refusal) else written
 
-    async def _stored(self) -> Answer:
-        """Return the outcome that the first run kept.
+    async def _stored_outcome(self) -> Answer:
+        """Return the outcome that the first run stored.
 
-        The position is one that the primary has applied after the outcome was found there.
+        Its position is the primary's applied position, queried after the outcome was found.
         """
         found = await self._execute(
             f"SELECT digest, affected_rows, last_insert_id FROM {TABLE} WHERE id = '{self._id}'"
         )
         if isinstance(found, Refusal) or not found.rows or found.rows[0][0] != self._digest:
-            return self._has_run()
+            return self._duplicate_refusal()
         state = await self._execute(STATUS_QUERY)
         if isinstance(state, Refusal):
-            return self._has_run()
+            return self._duplicate_refusal()
         _, affected_rows, last_insert_id = found.rows[0]
         return BackendResult(
             affected_rows=int(affected_rows),
             last_insert_id=int(last_insert_id),
-            info=_applied(state),
+            info=_position_info(state),
         )
 
-    def _has_run(self) -> Refusal:
-        detail = f"a request with id {self._request.caller_request} has run before"
+    def _duplicate_refusal(self) -> Refusal:
+        detail = f"a request with id {self._request.caller_request} has already run"
         return Refusal(Verdict.RAN, Reason.DUPLICATE_REQUEST, detail)
 
     def _table_missing(self, answer: Answer) -> bool:
@@ -134,8 +136,8 @@
             self._connection.abort()
 
     async def _execute(self, sql: str) -> Answer:
-        """Run one step. Until COMMIT is sent, a step that fails leaves nothing behind."""
-        return await self._run.guard(
+        """Run one statement. Until COMMIT is sent, a failed statement leaves nothing behind."""
+        return await self._run.await_result(
             self._connection.execute(sql), in_doubt=False, in_transaction=True
         )
 
@@ -144,12 +146,12 @@
     return answer.code if isinstance(answer, Refusal) else 0
 
 
-def _hint(identifier: str) -> str:
-    """Return the id as a comment, so that the back end's logs show it beside the commit."""
+def _id_comment(identifier: str) -> str:
+    """Return the id as an SQL comment, so that the back end's logs show it with the commit."""
     shown = identifier if _PLAIN_ID.fullmatch(identifier) else "?"
     return f"/* bramblebeam_request={shown} */"
 
 
-def _applied(state: BackendResult) -> str:
+def _position_info(state: BackendResult) -> str:
     applied = parse_status(state).applied
     return f"position={applied.term}:{applied.offset}"
--- a/src/bramblebeam/services/pool/confirmation.py
+++ b/src/bramblebeam/services/pool/confirmation.py
@@ -1,4 +1,4 @@
-"""Asks the primary for a position that a majority confirms; concurrent questions share a round."""
+"""Obtains majority-confirmed positions from the primary; concurrent requests share a round."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class PositionConfirmer:
-    """One round at a time on its own control connection.
+    """Runs confirmation rounds one at a time, on a control connection of its own.
 
-    A question that comes while a round runs waits for the next one: a round's answer is only good
-    for questions that were asked before it began.
+    A request that arrives during a round waits for the next one: a round's result is valid only
+    for requests made before the round began.
     """
 
     def __init__(self, spec: InstanceSpec, settings: BackendSettings) -> None:
@@ -32,8 +32,8 @@
         self._next: asyncio.Future[Confirmed] | None = None
         self._runner: asyncio.Task[None] | None = None
 
-    async def ask(self) -> Confirmed:
-        """Return a position confirmed in a round that begins after this call."""
+    async def confirm(self) -> Confirmed:
+        """Return a position confirmed in a round that begins after this call, or a refusal."""
         if self._next is None:
             self._next = asyncio.get_running_loop().create_future()
         answer = self._next
@@ -42,10 +42,10 @@
         return await asyncio.shield(answer)
 
     def close(self) -> None:
-        """Close the connection and end the round under way."""
+        """Close the connection and cancel the round in progress."""
         if self._runner is not None:
             self._runner.cancel()
-        self._drop()
+        self._disconnect()
 
     async def _run_rounds(self) -> None:
         while self._next is not None:
@@ -59,20 +59,22 @@
     async def _round(self) -> Confirmed:
         try:
             async with asyncio.timeout(ROUND_TIMEOUT):
-                connection = await self._connected()
+                connection = await self._get_connection()
                 result = await connection.execute("CALL bramblebeam.confirm()")
         except TimeoutError:
-            self._drop()
-            return Error(not_run(Reason.UNREACHABLE, "no majority confirmed in time", RETRY_MS))
+            self._disconnect()
+            return Error(
+                not_run(Reason.UNREACHABLE, "no majority confirmed the position in time", RETRY_MS)
+            )
         except StatementError as error:
             return Error(not_run(Reason.NO_PRIMARY, error.message, RETRY_MS))
         except (ConnectError, BackendError) as error:
-            self._drop()
+            self._disconnect()
             return Error(not_run(Reason.UNREACHABLE, str(error), RETRY_MS))
         term, offset = result.rows[0][:2]
         return Ok(Position(int(term), int(offset)))
 
-    async def _connected(self) -> BackendConnection:
+    async def _get_connection(self) -> BackendConnection:
         if self._connection is None or self._connection.broken:
             self._connection = await BackendConnection.connect(
                 self._spec.address,
@@ -83,7 +85,7 @@
             )
         return self._connection
 
-    def _drop(self) -> None:
+    def _disconnect(self) -> None:
         if self._connection is not None:
             self._connection.abort()
             self._connection = None
--- a/src/bramblebeam/services/pool/connector.py
+++ b/src/bramblebeam/services/pool/connector.py
@@ -1,4 +1,4 @@
-"""Opens slot connections, and makes sure that their epoch owns the instance."""
+"""Opens slot connections and verifies that their epoch owns the instance."""
 
 from __future__ import annotations
 
@@ -21,8 +21,9 @@
 
 CONNECT_TIMEOUT = 2.0
 FULL_ERRORS = (1040, 1203, 1226)
-"""The back end's codes for too many connections in all, of the user, or by its own limit."""
-FULL_PAUSE = 0.05
+"""Back-end error codes for too many connections: in total, of the user, or by its own limit."""
+FULL_RETRY_INTERVAL = 0.05
+"""Pause before connecting again to a back end that is full (seconds)."""
 RETRY_MS = 50
 
 Opened = Result[BackendConnection, Refusal]
@@ -31,7 +32,7 @@
 class SlotConnector:
     """Opens the slot connections of one ownership epoch.
 
-    `lost` is called when the back end says that the epoch owns the instance no more.
+    `on_lost` is called when the back end reports that the epoch no longer owns the instance.
     """
 
     def __init__(
@@ -40,20 +41,20 @@
         node: NodeId,
         settings: BackendSettings,
         control: ControlConnection,
-        lost: Callable[[], None],
+        on_lost: Callable[[], None],
     ) -> None:
         self._spec = spec
         self._node = node
         self._settings = settings
         self._control = control
-        self._lost = lost
+        self._on_lost = on_lost
         self._loop = asyncio.get_running_loop()
 
     async def open(self, wait_until: float) -> Opened:
-        """Open a connection; a back end that is full is asked again until `wait_until`.
+        """Open a connection; while the back end is full, retry until `wait_until` (loop time).
 
-        The ownership is asked for before, as a connection too many counts at the back end also
-        while nothing uses it, and again on the connection itself.
+        Ownership is checked before connecting, because a surplus connection occupies the back end
+        even while unused, and again on the new connection itself.
         """
         while True:
             if not await self.still_owner():
@@ -65,33 +66,36 @@
                 if error.code not in FULL_ERRORS or self._loop.time() >= wait_until:
                     return Error(not_run(Reason.UNREACHABLE, str(error), RETRY_MS))
                 log_event(logger, POOL_SLOTS_REFUSED, instance=self._spec.instance, code=error.code)
-                await asyncio.sleep(FULL_PAUSE)
-        return await self._checked(connection)
+                await asyncio.sleep(FULL_RETRY_INTERVAL)
+        return await self._verify(connection)
 
     async def still_owner(self) -> bool:
-        """Ask on the control connection: after a pause it tells at once that it was ended."""
+        """Check ownership on the control connection; if it is lost, call `on_lost`.
+
+        If the connection was ended while this process was paused, the query fails at once.
+        """
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 owner = await self._control.still_owner()
         except (BackendError, TimeoutError, OSError):
             owner = False
         if not owner:
-            self._lost()
+            self._on_lost()
         return owner
 
-    async def _checked(self, connection: BackendConnection) -> Opened:
-        """Hand the connection on if it may be used; a new owner may have ended it just now."""
+    async def _verify(self, connection: BackendConnection) -> Opened:
+        """Return the connection if it may be used; a new owner may just have ended it."""
         try:
-            vouched_for = await self._control.vouches_for(connection)
+            owned = await self._control.still_owner_on(connection)
         except BackendError as error:
             connection.abort()
             if not await self.still_owner():
                 return Error(self._not_owner())
             return Error(not_run(Reason.UNREACHABLE, str(error), RETRY_MS))
-        if vouched_for:
+        if owned:
             return Ok(connection)
         connection.abort()
-        self._lost()
+        self._on_lost()
         return Error(self._not_owner())
 
     async def _connect(self) -> BackendConnection:
@@ -105,5 +109,5 @@
         )
 
     def _not_owner(self) -> Refusal:
-        detail = f"this node does not own {self._spec.instance} any more"
+        detail = f"this node no longer owns {self._spec.instance}"
         return not_run(Reason.NOT_OWNER, detail, RETRY_MS)
--- a/src/bramblebeam/services/pool/control.py
+++ b/src/bramblebeam/services/pool/control.py
@@ -1,4 +1,4 @@
-"""The control connection of an instance: the ownership lock, the status, and KILL."""
+"""The control connection of an instance: ownership lock, status queries and KILL."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 LOCK_NAME = "bramblebeam.owner"
 EPOCH_LOCK_PREFIX = "bramblebeam.epoch."
-"""A second lock, whose name nobody else has: connection ids start again when a back end does."""
+"""Prefix of a second lock with a unique name: connection ids repeat when a back end restarts."""
 OWNER_PREFIX = "bramblebeam-owner/"
 SLOT_PREFIX = "bramblebeam/"
 CONNECT_TIMEOUT = 2.0
 SWEEP_PAUSES = (0.002, 0.004, 0.008, 0.016, 0.032, *(0.05,) * 40)
-"""Waits between looks at the process list while connections end (seconds)."""
+"""Pauses between reads of the process list while connections end (seconds)."""
 ERROR_NO_SUCH_THREAD = 1094
 
 
 class ControlConnection:
-    """Runs one control statement at a time, in the order of the calls.
+    """Runs control statements one at a time, in call order.
 
     Every method raises ConnectionLostError or StatementError.
     """
@@ -44,7 +44,7 @@
             f"IS_USED_LOCK('{self.epoch_lock}') AS epoch"
         )
         self.primary_contact_ms = 0
-        self._turn = asyncio.Lock()
+        self._statement_lock = asyncio.Lock()
 
     @classmethod
     async def open(
@@ -62,26 +62,27 @@
 
     @property
     def epoch(self) -> int:
-        """The ownership epoch, if the lock is taken on this connection."""
+        """The ownership epoch, if this connection holds the lock."""
         return self.connection.id
 
     async def execute(self, sql: str) -> BackendResult:
-        """Run one control statement after those before it.
+        """Run one control statement after those queued before it.
 
-        A cancelled caller does not break the connection: the statement goes on to its end.
+        Cancelling the caller does not break the connection: the statement runs to its end.
         """
         statement = asyncio.ensure_future(self._execute(sql))
-        statement.add_done_callback(_take_exception)
+        statement.add_done_callback(_retrieve_exception)
         return await asyncio.shield(statement)
 
     async def _execute(self, sql: str) -> BackendResult:
-        async with self._turn:
+        async with self._statement_lock:
             return await self.connection.execute(sql)
 
     async def try_lock(self) -> LockTaken | LockHeld:
-        """Take the ownership lock if it is free; else tell who holds it.
+        """Take the ownership lock if it is free; otherwise report its holder.
 
-        A slot connection has no right to it (a caller's statement took it): it counts as silent.
+        A slot connection that holds the lock (a caller's statement took it) has no right to it, so
+        it is reported as unresponsive for an infinite time.
         """
         taken = await self.execute(f"SELECT GET_LOCK('{LOCK_NAME}', 0)")
         if _number(taken) == 1:
@@ -96,25 +97,28 @@
             return LockHeld(holder, _owner_node(process), float(process["Time"] or 0))
         return LockHeld(holder, NodeId(""), 0.0)
 
-    async def vouches_for(self, connection: BackendConnection) -> bool:
-        """Tell, by the slot connection's own question, whether this epoch owns the instance."""
+    async def still_owner_on(self, connection: BackendConnection) -> bool:
+        """Check on a slot connection whether this epoch owns the instance."""
         return self._owns(await connection.execute(self._locks_query))
 
     async def still_owner(self) -> bool:
-        """Ask on the control connection: after a pause it tells at once that it was ended."""
+        """Check on the control connection whether this epoch owns the instance.
+
+        If the connection was ended while this process was paused, the query fails at once.
+        """
         return self._owns(await self.execute(self._locks_query))
 
     def _owns(self, locks: BackendResult) -> bool:
         owner, epoch = locks.rows[0]
         return owner is not None and int(owner) == self.epoch and epoch == owner
 
-    async def end(self, connection_id: int) -> None:
-        """Have the back end end a connection, and wait until it is gone."""
+    async def kill_and_wait(self, connection_id: int) -> None:
+        """Kill a connection at the back end and wait until it is gone."""
         await self._kill(connection_id)
         await self._wait_gone({connection_id})
 
     async def sweep(self, keep: frozenset[int]) -> frozenset[int]:
-        """End every slot connection but `keep`; return those of `keep` that are still there."""
+        """Kill every slot connection except `keep`; return those of `keep` that still exist."""
         for pause in SWEEP_PAUSES:
             present = await self.slot_connections()
             others = present - keep
@@ -123,10 +127,10 @@
             for connection_id in others:
                 await self._kill(connection_id)
             await asyncio.sleep(pause)
-        raise TimeoutError(f"connections {sorted(others)} do not end")
+        raise TimeoutError(f"connections {sorted(others)} did not end in time")
 
     async def slot_connections(self) -> frozenset[int]:
-        """Return the ids of all connections of the slots' account."""
+        """Return the ids of all connections of the slot account."""
         return frozenset(
             int(process["Id"])
             for process in await self.processes()
@@ -134,23 +138,23 @@
         )
 
     async def processes(self) -> list[dict[str, Any]]:
-        """Return the rows of the process list by column name."""
+        """Return the rows of the process list, each as a dict by column name."""
         result = await self.execute("SHOW PROCESSLIST")
         names = [column.name for column in result.columns]
         return [dict(zip(names, row, strict=True)) for row in result.rows]
 
     async def status(self, group: GroupId) -> InstanceStatus:
-        """Ask for the instance's state."""
+        """Query the instance's status."""
         status = parse_status(await self.execute(STATUS_QUERY))
         self.primary_contact_ms = status.primary_contact_ms
         return instance_status(status, self.spec.instance, group, self.node, self.epoch)
 
     def abort(self) -> None:
-        """Close at once. The back end frees the lock when it notices."""
+        """Close immediately. The back end frees the lock when it detects the disconnection."""
         self.connection.abort()
 
     async def release(self) -> None:
-        """Free the lock and close."""
+        """Release the lock and close the connection."""
         await self.execute(f"SELECT RELEASE_LOCK('{LOCK_NAME}')")
         await self.connection.close()
 
@@ -167,16 +171,16 @@
             if not present & connection_ids:
                 return
             await asyncio.sleep(pause)
-        raise TimeoutError(f"connections {sorted(connection_ids)} do not end")
+        raise TimeoutError(f"connections {sorted(connection_ids)} did not end in time")
 
 
 def instance_status(
     status: MemberStatus, instance: InstanceId, group: GroupId, owner: NodeId, epoch: int
 ) -> InstanceStatus:
-    """Make an instance's status of a member's answer.
+    """Build an instance's status from a member's status reply.
 
-    The lag is at least the time since the member heard of its primary (or, on a primary, of its
-    majority): what happened since then it can't know.
+    The lag is at least the time since the member's last contact with its primary (on a primary,
+    with its majority), because the member cannot know what has happened since.
     """
     return InstanceStatus(
         instance=instance,
@@ -193,7 +197,7 @@
     )
 
 
-def _take_exception(statement: asyncio.Future[BackendResult]) -> None:
+def _retrieve_exception(statement: asyncio.Future[BackendResult]) -> None:
     if not statement.cancelled():
         statement.exception()
 
--- a/src/bramblebeam/services/pool/deadlines.py
+++ b/src/bramblebeam/services/pool/deadlines.py
@@ -1,7 +1,7 @@
-"""Ends work at its deadline, by one timer for all: cheaper than a timer each.
+"""Enforces deadlines with one shared timer, which is cheaper than a timer for each.
 
-`asyncio.timeout_at` costs about 9 us, more than the rest of a statement's bookkeeping. Deadlines of
-statements are long, so they may be met a little late.
+`asyncio.timeout_at` costs about 9 us, more than the rest of a statement's bookkeeping. Statement
+deadlines are long, so they may be enforced slightly late.
 """
 
 import asyncio
@@ -9,24 +9,24 @@
 from typing import Any, TypeVar
 
 CHECK_INTERVAL = 0.02
-"""A deadline is met at most so much late (seconds)."""
+"""Time between checks: a deadline is enforced at most this late (seconds)."""
 
 T = TypeVar("T")
 
 
 class Deadlines:
-    """The deadlines of the work under way on one event loop."""
+    """Deadlines of the tasks in progress on one event loop."""
 
     def __init__(self) -> None:
-        self._due: dict[asyncio.Task[Any], float] = {}
+        self._deadlines: dict[asyncio.Task[Any], float] = {}
         self._expired: set[asyncio.Task[Any]] = set()
         self._timer: asyncio.TimerHandle | None = None
 
     async def run(self, work: Awaitable[T], deadline: float) -> T:
-        """Await `work` until `deadline` (loop time); then cancel it and raise TimeoutError."""
+        """Await `work`; at `deadline` (loop time) cancel it and raise TimeoutError."""
         task = asyncio.current_task()
         assert task is not None
-        self._due[task] = deadline
+        self._deadlines[task] = deadline
         if self._timer is None:
             self._timer = task.get_loop().call_later(CHECK_INTERVAL, self._check)
         try:
@@ -36,14 +36,14 @@
                 raise TimeoutError from None
             raise
         finally:
-            del self._due[task]
+            del self._deadlines[task]
             self._expired.discard(task)
 
     def _check(self) -> None:
         loop = asyncio.get_running_loop()
         now = loop.time()
-        for task, deadline in self._due.items():
+        for task, deadline in self._deadlines.items():
             if deadline <= now and task not in self._expired:
                 self._expired.add(task)
                 task.cancel()
-        self._timer = loop.call_later(CHECK_INTERVAL, self._check) if self._due else None
+        self._timer = loop.call_later(CHECK_INTERVAL, self._check) if self._deadlines else None
--- a/src/bramblebeam/services/pool/execution.py
+++ b/src/bramblebeam/services/pool/execution.py
@@ -1,4 +1,4 @@
-"""Runs one statement on a connection and turns what comes back into an answer or a verdict."""
+"""Runs one statement on a connection and converts the outcome into a result or a refusal."""
 
 import re
 from collections.abc import Awaitable
@@ -18,20 +18,20 @@
 from bramblebeam.services.pool.deadlines import Deadlines
 
 FIRST_ROWS = 500
-"""Rows of a result that travel with the answer's head; more are fetched."""
+"""Rows of a result that are sent with the first reply; the rest are fetched."""
 
 
 _POSITION = re.compile(r"position=(\d+):(\d+)")
 
 Answer = BackendResult | Refusal
-"""A plain union: an `expression.Result` costs about 7 us, and this is made for each statement."""
+"""A plain union: an `expression.Result` costs about 7 us, and each statement makes an answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class StatementRun:
-    """One statement on one connection, until `deadline` (loop time).
+    """One statement on one connection, run until `deadline` (loop time).
 
-    Where the time is over or the task is cancelled, the connection is broken afterwards.
+    If the deadline passes or the task is cancelled, the connection is broken afterwards.
     """
 
     connection: BackendConnection
@@ -45,14 +45,14 @@
         work = self.connection.execute(request.sql, FIRST_ROWS)
         in_transaction = bool(request.transaction) and request.kind is not StatementKind.BEGIN
         in_doubt = in_doubt_when_interrupted(request)
-        return await self.guard(work, in_doubt=in_doubt, in_transaction=in_transaction)
+        return await self.await_result(work, in_doubt=in_doubt, in_transaction=in_transaction)
 
-    async def guard(
+    async def await_result(
         self, work: Awaitable[BackendResult], *, in_doubt: bool, in_transaction: bool
     ) -> Answer:
-        """Wait for a statement's answer; give the verdict where there is none.
+        """Await a statement's result; return a refusal if there is none.
 
-        `in_doubt`: the statement may have taken effect though its answer is lost.
+        `in_doubt`: the statement may have taken effect although its result was lost.
         """
         try:
             return await self.deadlines.run(work, self.deadline)
@@ -68,6 +68,6 @@
 
 
 def position_of(info: str) -> Position:
-    """Return the position that an OK packet's text tells, or zero."""
+    """Return the position in an OK packet's info text, or the zero position."""
     found = _POSITION.search(info)
     return Position(int(found[1]), int(found[2])) if found else ZERO_POSITION
--- a/src/bramblebeam/services/pool/floors.py
+++ b/src/bramblebeam/services/pool/floors.py
@@ -1,4 +1,4 @@
-"""Answers a question for the floors of sessions: one confirmed round, one look at the ownership."""
+"""Answers a request for sessions' floors with one confirmation round and one ownership check."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 async def confirmed_floors(instance: Instance, request: PositionRequest) -> PositionReply:
     """Return the position that the primary confirms, and each session's floor below it.
 
-    The ownership is asked for at the back end after the question came: until then no other owner
-    can have carried a write that was acknowledged before the question.
+    Ownership is checked at the back end after the request arrived. If this node still owns the
+    instance then, no other owner can have run a write that was acknowledged before the request.
     """
     positions = instance.positions
     mark = positions.mark()
-    alone = not instance.has_foreign_connections
-    confirming = instance.confirmation.ask()
+    no_foreign_connections = not instance.has_foreign_connections
+    confirming = instance.confirmation.confirm()
     if not request.sessions:
-        confirmed, owner = await confirming, False
+        confirmed, still_owner = await confirming, False
     else:
-        confirmed, owner = await asyncio.gather(confirming, instance.still_owner())
+        confirmed, still_owner = await asyncio.gather(confirming, instance.still_owner())
     if confirmed.is_error():
         return PositionReply(request.instance, refusal=confirmed.error)
-    complete = alone and owner and instance.positions is positions
+    complete = no_foreign_connections and still_owner and instance.positions is positions
     floors = positions.floors(request.sessions, confirmed.ok, mark, complete)
     return PositionReply(request.instance, confirmed.ok, floors=floors)
--- a/src/bramblebeam/services/pool/instance.py
+++ b/src/bramblebeam/services/pool/instance.py
@@ -1,4 +1,4 @@
-"""One back-end instance at its owner: its slot connections and its status."""
+"""One back-end instance on the node that owns it: its slot connections and its status."""
 
 from __future__ import annotations
 
@@ -37,9 +37,9 @@
 
 RETAINED_CHECK_INTERVAL = 0.05
 FORWARDING_SECONDS = 10.0
-"""How long work is sent on to a known owner (seconds)."""
+"""How long requests are forwarded to the recorded owner (seconds)."""
 TAKEOVER_HOLD = 0.25
-"""How long a write may wait for this node to take the instance over (seconds)."""
+"""How long a write may be held while this node takes the instance over (seconds)."""
 NOT_OWNER_RETRY_MS = 50
 MONITOR_ERRORS = (BackendError, StatusFormatError, TimeoutError, OSError)
 
@@ -47,7 +47,7 @@
 
 
 class Instance:
-    """The instance's slots and status while this node owns it."""
+    """An instance's slots and status while this node owns it."""
 
     def __init__(
         self,
@@ -69,14 +69,14 @@
         self.on_unreachable: Callable[[], None] = lambda: None
         self.taking_over: Callable[[], bool] = lambda: False
         self.known_term = 0
-        """The highest term of the group that this node has heard of; it may have no primary yet."""
+        """The highest term of the group known to this node; that term may have no primary yet."""
         self._node = node
         self._settings = settings
         self._status_changed = status_changed
         self._control: ControlConnection | None = None
         self._connector: SlotConnector | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self._following: list[asyncio.Task[None]] = []
+        self._monitor_tasks: list[asyncio.Task[None]] = []
         self._retired: list[SlotConnections] = []
         self._last_status: InstanceStatus | None = None
         self._foreign: frozenset[int] = frozenset()
@@ -89,49 +89,53 @@
 
     @property
     def owned(self) -> bool:
-        """Whether this node takes new work for the instance."""
+        """Whether this node accepts new work for the instance."""
         return self.slots is not None
 
     @property
     def status(self) -> InstanceStatus | None:
-        """The status as last seen, or None."""
+        """The latest status, or None."""
         return self.monitor.status if self.monitor is not None and self.owned else None
 
     @property
     def status_age(self) -> float:
-        """Time since the status was asked for (seconds)."""
+        """Time since the latest status was requested (seconds)."""
         return self.monitor.age if self.monitor is not None else 0.0
 
     @property
     def starting(self) -> bool:
-        """Whether this node owns the instance and has not seen its status yet."""
+        """Whether this node owns the instance but has not received its status yet."""
         return self.owned and self.status is None
 
     @property
     def has_foreign_connections(self) -> bool:
-        """Whether a former owner may still end transactions on connections that it retained."""
+        """Whether a former owner may still end transactions on its retained connections."""
         return bool(self._foreign)
 
     @property
     def successor(self) -> NodeId | None:
-        """The node that owned the instance when this one heard of it lately, or None."""
+        """The node that was recently recorded as the owner, or None."""
         return self._successor if self._loop.time() < self._successor_until else None
 
-    # What the claim does (see `SlotOwner`).
+    # Operations of the claim (see `SlotOwner`).
 
     def record_owner(self, owner: NodeId) -> None:
-        """Take note of the owner: this node's or another's edges may not know it yet."""
+        """Record the owner, to forward requests of edges that do not know it yet."""
         self._successor = owner
         self._successor_until = self._loop.time() + FORWARDING_SECONDS
 
     def open_slots(self, control: ControlConnection, opened: OpenSlots) -> None:
-        """Use slots under a new epoch."""
+        """Open slots under a new epoch."""
         self._control = control
         connector = SlotConnector(
-            self.spec, self._node, self._settings, control, partial(self._lost, control)
+            self.spec,
+            self._node,
+            self._settings,
+            control,
+            partial(self._handle_ownership_lost, control),
         )
         self._connector = connector
-        slots = SlotConnections(opened.epoch, self.limits, connector.open, control.end)
+        slots = SlotConnections(opened.epoch, self.limits, connector.open, control.kill_and_wait)
         slots.set_retained(len(opened.retained))
         self.slots = slots
         self.positions = SessionPositions()
@@ -139,24 +143,24 @@
         self._successor_until = 0.0
         self._opened.set()
         self._closed.clear()
-        self.monitor = StatusMonitor(control, self.spec.group, self._note_status)
-        self._following.append(self._spawn(self._follow(self.monitor)))
+        self.monitor = StatusMonitor(control, self.spec.group, self._handle_status)
+        self._monitor_tasks.append(self._spawn(self._follow(self.monitor)))
         if opened.retained:
-            following = self._follow_retained(slots, control, opened)
-            self._following.append(self._spawn(following))
+            work = self._follow_retained(slots, control, opened)
+            self._monitor_tasks.append(self._spawn(work))
 
     async def close_slots(self) -> frozenset[int]:
-        """Start no new work; return the ids of the connections still in use."""
+        """Accept no new work; return the ids of the connections still in use."""
         slots = self._end_ownership()
         if slots is None:
             return frozenset()
-        self._retired = [retired for retired in self._retired if retired.held]
+        self._retired = [retired for retired in self._retired if retired.in_use]
         self._retired.append(slots)
         foreign, self._foreign = self._foreign, frozenset()
         return await slots.retire() | foreign
 
     def cut_slots(self) -> None:
-        """Close every connection at once."""
+        """Close every connection immediately."""
         slots = self._end_ownership()
         if slots is not None:
             slots.cut()
@@ -165,24 +169,25 @@
         slots, self.slots = self.slots, None
         self._opened.clear()
         self._closed.set()
-        self._stop_following()
+        self._stop_monitoring()
         return slots
 
     def set_limits(self, limits: InstanceLimits) -> None:
-        """Take other rows."""
+        """Apply new limits from the configuration."""
         self.limits = limits
         if self.slots is not None:
             self.slots.set_limits(limits)
 
     async def wait_unused(self) -> None:
-        """Return when no transaction, stream or statement uses a connection any more."""
+        """Return once no transaction, stream or statement uses a connection."""
         for slots in list(self._retired):
             await slots.wait_unused()
 
     async def wait_owned(self, kind: StatementKind, until: float) -> bool:
-        """Hold a write while this node takes the instance over; a read has other places to go.
+        """Hold a write while this node takes the instance over; return whether it is owned.
 
-        Not for long, and not where the back end can't be reached: the edge may know a new primary.
+        A read is not held, as another instance can serve it. A write is held only briefly, and not
+        at all while the back end is unreachable, as the edge may know a new primary.
         """
         if kind is StatementKind.READ or not (self.wanted and self.taking_over()):
             return False
@@ -194,21 +199,21 @@
         return self.owned
 
     async def wait_not_owned(self) -> None:
-        """Return when this node takes no new work for the instance."""
+        """Return once this node accepts no new work for the instance."""
         await self._closed.wait()
 
-    def used(self) -> None:
-        """Take note that an edge uses the instance."""
+    def record_use(self) -> None:
+        """Record that an edge uses the instance."""
         if self.monitor is not None:
-            self.monitor.used()
+            self.monitor.record_use()
 
     def refresh(self) -> None:
-        """Ask for the status now."""
+        """Request the status now."""
         if self.monitor is not None:
             self.monitor.refresh()
 
     def record_term(self, term: int) -> None:
-        """Take note of a term of the group; ask for the status where it is of a lower one."""
+        """Record a term of the group; if the status is of a lower one, request it again."""
         self.known_term = max(self.known_term, term)
         status = self.status
         if self.monitor is None or status is None or status.term >= term:
@@ -218,13 +223,13 @@
             self.on_unreachable()
 
     async def next_status(self, until: float) -> bool:
-        """Wait for a status that is asked for from now on; False when `until` comes first."""
+        """Wait for a status requested after this call; False if there is none before `until`."""
         return self.monitor is not None and await self.monitor.next_status(until)
 
     def not_owner(self) -> Refusal:
-        """Return the refusal of new work while this node does not own the instance."""
+        """Return the refusal of new work for an instance that this node does not own."""
         if self.wanted and not self.taking_over():
-            detail = f"back end {self.spec.instance} can't be reached"
+            detail = f"back end {self.spec.instance} is unreachable"
             return not_run(Reason.UNREACHABLE, detail, UNREACHABLE_RETRY_MS)
         detail = f"this node does not own {self.spec.instance}"
         return not_run(Reason.NOT_OWNER, detail, NOT_OWNER_RETRY_MS)
@@ -232,12 +237,12 @@
     # Connections and status.
 
     async def still_owner(self) -> bool:
-        """Ask the back end whether this node's ownership holds now."""
+        """Check at the back end whether this node still owns the instance."""
         connector = self._connector
         return self.owned and connector is not None and await connector.still_owner()
 
-    def _lost(self, control: ControlConnection) -> None:
-        """Give the ownership up, unless it has changed since the control connection was used."""
+    def _handle_ownership_lost(self, control: ControlConnection) -> None:
+        """Give up ownership, unless it changed after `control` was used."""
         if self._control is control and self.owned:
             self.on_ownership_lost()
 
@@ -250,7 +255,7 @@
     async def _follow_retained(
         self, slots: SlotConnections, control: ControlConnection, opened: OpenSlots
     ) -> None:
-        """Take over the slots of a former owner's connections as they end."""
+        """Take over the slots of a former owner's retained connections as these end."""
         retained = frozenset(opened.retained)
         try:
             self._foreign = retained
@@ -260,13 +265,13 @@
                 self._foreign = retained
                 slots.set_retained(len(retained))
             for connection_id in retained:
-                await control.end(connection_id)
+                await control.kill_and_wait(connection_id)
             self._foreign = frozenset()
             slots.set_retained(0)
         except MONITOR_ERRORS:
             self.on_ownership_lost()
 
-    def _note_status(self, status: InstanceStatus) -> None:
+    def _handle_status(self, status: InstanceStatus) -> None:
         before = self._last_status
         self._last_status = status
         if before is not None and before.reachable and not status.reachable:
@@ -288,7 +293,7 @@
         task.add_done_callback(self._tasks.discard)
         return task
 
-    def _stop_following(self) -> None:
-        for task in self._following:
+    def _stop_monitoring(self) -> None:
+        for task in self._monitor_tasks:
             task.cancel()
-        self._following.clear()
+        self._monitor_tasks.clear()
--- a/src/bramblebeam/services/pool/ownership.py
+++ b/src/bramblebeam/services/pool/ownership.py
@@ -1,4 +1,4 @@
-"""The shell of one instance's claim: carries out the claim machine's operations."""
+"""Runs one instance's claim: performs the effects of the claim state machine."""
 
 from __future__ import annotations
 
@@ -51,23 +51,23 @@
 logger = logging.getLogger(__name__)
 
 RETAINED_GRACE_MS = 30_000
-"""How long a new owner leaves retained connections alone (milliseconds)."""
+"""How long a new owner leaves retained connections open (milliseconds)."""
 
 
 class SlotOwner(Protocol):
-    """What the claim does to the instance's slots."""
+    """The claim's operations on the instance's slots."""
 
     def open_slots(self, control: ControlConnection, opened: OpenSlots) -> None:
-        """Use slots under this epoch."""
+        """Open slots under this epoch."""
 
     async def close_slots(self) -> frozenset[int]:
-        """Start no new work; return the ids of the connections still in use."""
+        """Accept no new work; return the ids of the connections still in use."""
 
     def cut_slots(self) -> None:
-        """Close every connection at once."""
+        """Close every connection immediately."""
 
     def record_owner(self, owner: NodeId) -> None:
-        """Another node owns the instance, by a handover or because it keeps it."""
+        """Record that another node owns the instance, after a handover or a refused release."""
 
 
 RequestPeer = Callable[[NodeId, Any, float], Awaitable[Any]]
@@ -82,14 +82,14 @@
         node: NodeId,
         settings: BackendSettings,
         slots: SlotOwner,
-        ask_peer: RequestPeer,
+        request_peer: RequestPeer,
     ) -> None:
         self.spec = spec
         self.machine = ClaimMachine(node, spec.instance)
         self._node = node
         self._settings = settings
         self._slots = slots
-        self._ask_peer = ask_peer
+        self._request_peer = request_peer
         self._control: ControlConnection | None = None
         self._events: asyncio.Queue[object] = asyncio.Queue()
         self._requester = node
@@ -98,28 +98,28 @@
         self._loop = asyncio.get_running_loop()
 
     def taking_over(self) -> bool:
-        """Whether the back end answers, so that a wanted instance will soon be owned."""
+        """Whether the back end responds, so that a wanted instance will soon be owned."""
         return not self.machine.control_failed
 
     def set_wanted(self, wanted: bool) -> None:
-        """Tell whether the member table names this node as the owner."""
+        """Set whether the member table assigns the instance to this node."""
         self._events.put_nowait(WantedChanged(wanted))
 
     def stop_claiming(self) -> None:
-        """Claim the instance no more, and hand it over when asked."""
+        """Stop claiming the instance, and hand it over on request."""
         self._events.put_nowait(Stopping())
 
     def notify_control_lost(self) -> None:
-        """Tell that the control connection answers no more."""
+        """Report that the control connection is lost."""
         self._events.put_nowait(ControlLost())
 
     def release_unrequested(self) -> None:
-        """Free the instance, though no peer asks for it."""
+        """Release the instance without a request from a peer."""
         self._events.put_nowait(WantedChanged(False))
         self._events.put_nowait(ReleaseRequested(self._node, 0))
 
     async def release(self, request: ReleaseRequest) -> ReleaseReply:
-        """Hand the instance over, if this node holds it and the asking one should have it."""
+        """Hand the instance over if this node holds it and the requester should own it."""
         waiter: asyncio.Future[ReleaseReply] = self._loop.create_future()
         self._release_waiters.append(waiter)
         self._requester = request.requester
@@ -127,12 +127,12 @@
         return await waiter
 
     async def run(self) -> None:
-        """Take events until cancelled; then cut what is open."""
+        """Process events until cancelled; then cut all connections."""
         try:
             while True:
                 event = await self._next_event()
                 for effect in self.machine.handle(event, self._loop.time()):
-                    self._carry_out(effect)
+                    self._perform(effect)
         finally:
             for operation in self._operations:
                 operation.cancel()
@@ -149,7 +149,7 @@
         except TimeoutError:
             return Wakeup()
 
-    def _carry_out(self, effect: object) -> None:
+    def _perform(self, effect: object) -> None:
         match effect:
             case OpenSlots():
                 assert self._control is not None
@@ -178,7 +178,7 @@
         task.add_done_callback(self._operations.discard)
 
     async def _finish(self, operation: Awaitable[object]) -> None:
-        """Put the operation's one answer into the queue."""
+        """Queue the single event in which the operation results."""
         try:
             self._events.put_nowait(await operation)
         except (BackendError, TimeoutError, OSError):
@@ -197,7 +197,7 @@
                 self._control = await ControlConnection.open(self.spec, self._settings, self._node)
                 return ControlOpened(self._control.epoch)
             case RequestRelease():
-                return await self._ask_release(effect)
+                return await self._request_release(effect)
             case CloseSlots():
                 return SlotsClosed(tuple(sorted(await self._slots.close_slots())))
             case ReleaseLock():
@@ -212,7 +212,7 @@
             case TryLock():
                 return await control.try_lock()
             case Evict():
-                await control.end(effect.connection_id)
+                await control.kill_and_wait(effect.connection_id)
                 log_event(
                     logger,
                     POOL_HOLDER_EVICTED,
@@ -222,15 +222,15 @@
                 return Evicted()
             case Sweep():
                 return Swept(tuple(sorted(await control.sweep(frozenset(effect.keep)))))
-        raise TypeError(f"unknown operation {effect!r}")
+        raise TypeError(f"unknown effect {effect!r}")
 
-    async def _ask_release(self, ask: RequestRelease) -> object:
-        request = ReleaseRequest(self.spec.instance, ask.epoch, self._node)
-        reply = await self._ask_peer(ask.node, request, LEASE_SECONDS)
+    async def _request_release(self, effect: RequestRelease) -> object:
+        request = ReleaseRequest(self.spec.instance, effect.epoch, self._node)
+        reply = await self._request_peer(effect.node, request, LEASE_SECONDS)
         if isinstance(reply, PeerFailure):
             return ReleaseUnanswered()
         if not reply.granted:
-            self._slots.owned_by(ask.node)
+            self._slots.record_owner(effect.node)
         return ReleaseAnswered(reply.granted, tuple(reply.retained), reply.grace_ms / 1000)
 
     async def _release_lock(self) -> object:
@@ -248,7 +248,7 @@
         reply = ReleaseReply(self.spec.instance, effect.granted, effect.retained, grace)
         waiters, self._release_waiters = self._release_waiters, []
         if effect.granted and waiters:
-            self._slots.owned_by(self._requester)
+            self._slots.record_owner(self._requester)
         for waiter in waiters:
             if not waiter.done():
                 waiter.set_result(reply)
--- a/src/bramblebeam/services/pool/report.py
+++ b/src/bramblebeam/services/pool/report.py
@@ -1,4 +1,4 @@
-"""What operators are shown of the pools, and counters of what they served."""
+"""The pool status shown to operators, and the counters of reads served."""
 
 from collections.abc import Iterable
 
@@ -16,7 +16,7 @@
 
 
 def pool_status(instances: Iterable[Instance]) -> PoolStatus:
-    """Return the slots of each instance that is owned."""
+    """Return the slot usage of each owned instance."""
     owned = [
         _report(instance, instance.slots.machine)
         for instance in instances
@@ -51,7 +51,7 @@
 
 
 def count_read(request: ExecuteRequest, reply: ExecuteReply, status: InstanceStatus | None) -> None:
-    """Count a read by the role of its back end; one in a transaction had no choice."""
+    """Count a read by its back end's role, except in a transaction, where there was no choice."""
     if request.kind is not StatementKind.READ or request.transaction or reply.refusal is not None:
         return
     if status is not None:
--- a/src/bramblebeam/services/pool/requests.py
+++ b/src/bramblebeam/services/pool/requests.py
@@ -1,4 +1,4 @@
-"""Requests that must not run twice: those that run now, and the answers of recent ones."""
+"""Deduplicates requests that must not run twice, both running and recently answered ones."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class RequestDeduplicator:
-    """Joins repeats to the request that runs, and answers those of recent ones."""
+    """Joins repeats to the running request, and answers repeats of recent requests."""
 
     def __init__(self) -> None:
         self._results = RecentResults()
         self._waiting: dict[RequestId, list[Envelope]] = {}
 
     def begin(self, request: ExecuteRequest, envelope: Envelope, now: float) -> bool:
-        """Take a request; False: it is a repeat, and is answered now or with the first one."""
+        """Register a request. False: it is a repeat, answered now or with the original."""
         if request.kind is StatementKind.READ:
             return True
         if self._answer_known(request, envelope, now):
@@ -28,14 +28,14 @@
     def finish(
         self, request: ExecuteRequest, envelope: Envelope, reply: ExecuteReply, now: float
     ) -> None:
-        """Answer a request, and everyone who has asked for it again meanwhile."""
+        """Answer a request and the repeats of it received meanwhile."""
         waiting = self._waiting.pop(request.request, None)
         if waiting is None:
             answer(envelope, reply)
             return
         self._results.remember(reply, now)
-        for one in waiting:
-            answer(one, reply)
+        for waiting_envelope in waiting:
+            answer(waiting_envelope, reply)
 
     def _answer_known(self, request: ExecuteRequest, envelope: Envelope, now: float) -> bool:
         waiting = self._waiting.get(request.request)
@@ -47,22 +47,22 @@
             answer(envelope, known)
             return True
         if request.repeat:
-            detail = "the first answer is not remembered"
+            detail = "the reply to the original request is no longer available"
             refusal = Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST, detail)
             answer(envelope, ExecuteReply(request.request, refusal=refusal))
             return True
         return False
 
 
-def failed(request: ExecuteRequest, detail: str) -> ExecuteReply:
-    """Return the answer to a request that ended by a fault of this program, or was given up."""
+def failed_reply(request: ExecuteRequest, detail: str) -> ExecuteReply:
+    """Return the reply to a request that ended by an internal error or was cancelled."""
     is_read = request.kind is StatementKind.READ
     verdict = Verdict.NOT_RUN if is_read else Verdict.UNKNOWN
     return ExecuteReply(request.request, refusal=Refusal(verdict, Reason.CONNECTION_LOST, detail))
 
 
 def may_be_cancelled(request: ExecuteRequest) -> bool:
-    """Whether an abandoned request is ended at once. A write that commits by itself goes on."""
+    """Whether an abandoned request is cancelled at once; an autocommitted write continues."""
     return request.kind is StatementKind.READ or bool(request.transaction)
 
 
--- a/src/bramblebeam/services/pool/service.py
+++ b/src/bramblebeam/services/pool/service.py
@@ -1,4 +1,4 @@
-"""The pool service: owns instances' connections and answers the edges of all nodes."""
+"""The pool service: owns instances' connections and serves the edges of all nodes."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 from bramblebeam.services.pool.instance import NOT_OWNER_RETRY_MS
 from bramblebeam.services.pool.instances import InstanceTable
 from bramblebeam.services.pool.report import count_read, pool_status
-from bramblebeam.services.pool.requests import RequestDeduplicator, failed, may_be_cancelled
+from bramblebeam.services.pool.requests import RequestDeduplicator, failed_reply, may_be_cancelled
 from bramblebeam.services.pool.statements import StatementRunner
 from bramblebeam.services.pool.subscribers import Subscribers
 from bramblebeam.services.transport.messages import (
@@ -62,8 +62,8 @@
     ReleaseRequest,
 )
 IDLE_CHECK_INTERVAL = 1.0
-PASSED_ON_TIMEOUT = 5.0
-"""How long a former owner waits for an answer that it passes on (seconds)."""
+FORWARD_TIMEOUT = 5.0
+"""How long a former owner waits for the successor's reply to a request (seconds)."""
 
 
 class PoolService(Service):
@@ -75,8 +75,8 @@
         super().__init__(kernel)
         self._settings = settings
         self._edges = AbsentEdges(settings.node)
-        self._table = InstanceTable(settings, self.spawn, self._ask_peer, self._status_changed)
-        self._memory = RequestDeduplicator()
+        self._table = InstanceTable(settings, self.spawn, self._request_peer, self._status_changed)
+        self._deduplicator = RequestDeduplicator()
         self._running: dict[RequestId, tuple[ExecuteRequest, asyncio.Task[None]]] = {}
         self._subscribers = Subscribers()
         self._handlers: dict[type, Callable[[NodeId, Any, Envelope], None]] = {
@@ -89,21 +89,21 @@
         }
 
     async def start(self) -> None:
-        """Follow the views and take the edges' requests."""
+        """Subscribe to the views and to the edges' requests."""
         self.kernel.subscribe(MembersChanged, self.name)
         self.kernel.subscribe(ConfigurationChanged, self.name)
         self.kernel.subscribe(GroupChanged, self.name)
         if self.kernel.has("transport"):
             await self.kernel.call("transport", PeerRoute(self.name, PEER_MESSAGES))
-        self.spawn(self._keep_house())
+        self.spawn(self._run_maintenance())
         self._table.apply()
 
     async def stop(self) -> None:
-        """Cut what is left and forget everything."""
+        """Cut the remaining connections and drop every instance."""
         self._table.cut()
 
     async def handle(self, envelope: Envelope) -> None:
-        """Take one message of a peer's edge or a new view."""
+        """Handle a request of a peer or a new view."""
         message = envelope.message
         if isinstance(message, PeerDelivery):
             self._handlers[type(message.message)](message.sender, message.message, envelope)
@@ -114,29 +114,29 @@
             self._edges.set_members(message.view)
             self._abandon_absent()
         elif isinstance(message, GroupChanged):
-            self._note_term(message)
+            self._record_term(message)
         elif isinstance(message, PoolStatusRequest):
-            answer(envelope, pool_status(held.instance for held in self._table.all()))
+            answer(envelope, pool_status(entry.instance for entry in self._table.all()))
         elif type(message) in self._handlers:
             self._handlers[type(message)](self._settings.node, message, envelope)
 
-    def _note_term(self, changed: GroupChanged) -> None:
-        """Look at a group's instances at once when its primary has changed."""
-        for held in self._table.all():
-            if held.instance.spec.group == changed.group:
-                held.instance.note_term(changed.term)
+    def _record_term(self, changed: GroupChanged) -> None:
+        """Check a group's instances at once after a change of its primary."""
+        for entry in self._table.all():
+            if entry.instance.spec.group == changed.group:
+                entry.instance.record_term(changed.term)
 
     def _abandon_absent(self) -> None:
-        """Roll back the transactions of edges that are gone."""
+        """Roll back the transactions of absent edges."""
         now = self._now()
-        for held in self._table.all():
-            for pinned in held.runner.transactions:
+        for entry in self._table.all():
+            for pinned in entry.runner.transactions:
                 if self._edges.is_absent(pinned.session, now - pinned.used_at):
-                    held.runner.abandon(pinned.session)
+                    entry.runner.abandon(pinned.session)
 
     # Requests to other nodes.
 
-    async def _ask_peer(self, node: NodeId, message: Any, timeout: float) -> Any:
+    async def _request_peer(self, node: NodeId, message: Any, timeout: float) -> Any:
         try:
             request = PeerRequest(node, message, timeout)
             return await self.kernel.call("transport", request, timeout + 0.5)
@@ -147,15 +147,15 @@
 
     def _execute(self, sender: NodeId, request: ExecuteRequest, envelope: Envelope) -> None:
         self._edges.record_request(request.request.session)
-        if not self._memory.begin(request, envelope, self._now()):
+        if not self._deduplicator.begin(request, envelope, self._now()):
             return
-        held = self._table.find(request.instance)
-        if held is None:
+        entry = self._table.find(request.instance)
+        if entry is None:
             refusal = _not_owner(request.instance)
             reply = ExecuteReply(request.request, refusal=refusal)
-            self._memory.finish(request, envelope, reply, self._now())
+            self._deduplicator.finish(request, envelope, reply, self._now())
             return
-        task = self.spawn(self._run(held.runner, sender, request, envelope))
+        task = self.spawn(self._run(entry.runner, sender, request, envelope))
         self._running[request.request] = (request, task)
 
     async def _run(
@@ -170,15 +170,15 @@
             reply = await self._execute_or_forward(runner, sender, request)
         except Exception as error:
             log_event(logger, POOL_REQUEST_FAILED, instance=request.instance, error=repr(error))
-            reply = failed(request, repr(error))
+            reply = failed_reply(request, repr(error))
         finally:
             self._running.pop(request.request, None)
             if reply is None:
-                reply = failed(request, "the request was given up")
+                reply = failed_reply(request, "the request was cancelled")
             runner.instance.positions.record(request, reply)
             count_read(request, reply, runner.instance.status)
             reply = self._subscribers.with_status(reply, runner.instance.status, sender)
-            self._memory.finish(request, envelope, reply, self._now())
+            self._deduplicator.finish(request, envelope, reply, self._now())
 
     async def _execute_or_forward(
         self, runner: StatementRunner, sender: NodeId, request: ExecuteRequest
@@ -188,64 +188,68 @@
         successor = runner.instance.successor
         if successor in (None, sender) or not may_be_forwarded(request, reply):
             return reply
-        return await forward(request, reply, successor, self._now() - arrived, self._ask_peer)
+        return await forward(request, reply, successor, self._now() - arrived, self._request_peer)
 
     def _fetch(self, sender: NodeId, request: FetchRequest, envelope: Envelope) -> None:
-        held = self._table.find(request.instance)
-        stream = held.runner.streams.find(request.request) if held is not None else None
-        if held is None or stream is None or stream.busy:
-            refusal = not_run(Reason.CONNECTION_LOST, "no such result is open")
-            self._pass_on(sender, envelope, ExecuteReply(request.request, refusal=refusal))
+        entry = self._table.find(request.instance)
+        stream = entry.runner.streams.find(request.request) if entry is not None else None
+        if entry is None or stream is None or stream.busy:
+            refusal = not_run(Reason.CONNECTION_LOST, "the request has no open result")
+            self._forward_or_refuse(
+                sender, envelope, ExecuteReply(request.request, refusal=refusal)
+            )
             return
         if request.cancel:
-            held.runner.streams.end(stream, complete=False)
+            entry.runner.streams.end(stream, complete=False)
             answer(envelope, ExecuteReply(request.request))
             return
-        self.spawn(self._answer_later(envelope, held.runner.streams.fetch(stream)))
+        self.spawn(self._answer_when_done(envelope, entry.runner.streams.fetch(stream)))
 
     def _abandon(self, sender: NodeId, request: AbandonRequest, envelope: Envelope) -> None:
         for running, task in list(self._running.values()):
             if running.request.session == request.session and may_be_cancelled(running):
                 task.cancel()
-        held = self._table.find(request.instance)
-        if held is not None:
-            held.runner.abandon(request.session)
+        entry = self._table.find(request.instance)
+        if entry is not None:
+            entry.runner.abandon(request.session)
         answer(envelope, None)
 
     def _position(self, sender: NodeId, request: PositionRequest, envelope: Envelope) -> None:
-        held = self._table.find(request.instance)
-        if held is None or not held.instance.owned:
+        entry = self._table.find(request.instance)
+        if entry is None or not entry.instance.owned:
             refusal = _not_owner(request.instance)
-            self._pass_on(sender, envelope, PositionReply(request.instance, refusal=refusal))
+            self._forward_or_refuse(
+                sender, envelope, PositionReply(request.instance, refusal=refusal)
+            )
             return
-        self.spawn(self._answer_later(envelope, confirmed_floors(held.instance, request)))
+        self.spawn(self._answer_when_done(envelope, confirmed_floors(entry.instance, request)))
 
     def _subscribe(self, sender: NodeId, request: SubscribeRequest, envelope: Envelope) -> None:
-        held = self._table.find(request.instance)
-        if held is None or not held.instance.owned:
-            self._pass_on(sender, envelope, SubscribeReply(request.instance, owned=False))
+        entry = self._table.find(request.instance)
+        if entry is None or not entry.instance.owned:
+            self._forward_or_refuse(sender, envelope, SubscribeReply(request.instance, owned=False))
             return
-        held.instance.used()
+        entry.instance.record_use()
         if sender != self._settings.node:
             self._subscribers.add(request.instance, sender, self._now())
-        answer(envelope, SubscribeReply(request.instance, True, held.instance.status))
+        answer(envelope, SubscribeReply(request.instance, True, entry.instance.status))
 
-    def _pass_on(self, sender: NodeId, envelope: Envelope, refusal: Any) -> None:
-        """Let the successor answer; without one, or without its answer, give `refusal`."""
+    def _forward_or_refuse(self, sender: NodeId, envelope: Envelope, refusal: Any) -> None:
+        """Forward the request to the successor; without one or its reply, answer `refusal`."""
         request = envelope.message
         if isinstance(request, PeerDelivery):
             request = request.message
-        held = self._table.find(request.instance)
-        successor = held.instance.successor if held is not None else None
+        entry = self._table.find(request.instance)
+        successor = entry.instance.successor if entry is not None else None
         if successor in (None, sender):
             answer(envelope, refusal)
             return
-        self.spawn(self._ask_successor(successor, request, envelope, refusal))
+        self.spawn(self._request_successor(successor, request, envelope, refusal))
 
-    async def _ask_successor(
+    async def _request_successor(
         self, successor: NodeId, request: Any, envelope: Envelope, refusal: Any
     ) -> None:
-        reply = await self._ask_peer(successor, request, PASSED_ON_TIMEOUT)
+        reply = await self._request_peer(successor, request, FORWARD_TIMEOUT)
         if isinstance(reply, PeerFailure):
             reply = refusal
         elif isinstance(reply, SubscribeReply):
@@ -265,27 +269,27 @@
     # Handover.
 
     def _release(self, sender: NodeId, request: ReleaseRequest, envelope: Envelope) -> None:
-        held = self._table.find(request.instance)
-        if held is None:
+        entry = self._table.find(request.instance)
+        if entry is None:
             answer(envelope, ReleaseReply(request.instance, granted=False))
             return
-        self.spawn(self._answer_later(envelope, held.claim.release(request)))
+        self.spawn(self._answer_when_done(envelope, entry.claim.release(request)))
 
     async def drain(self) -> None:
-        """Hand every instance over, and let transactions and streams end (bounded by the node)."""
+        """Hand every instance over and let transactions and streams end (bounded by the node)."""
         await self._table.hand_over()
 
     # Tasks.
 
-    async def _keep_house(self) -> None:
+    async def _run_maintenance(self) -> None:
         while True:
             await asyncio.sleep(IDLE_CHECK_INTERVAL)
-            for held in self._table.all():
-                held.runner.give_up_idle(self._now())
-                self.spawn(held.retention.clear(self._now()))
+            for entry in self._table.all():
+                entry.runner.end_idle(self._now())
+                self.spawn(entry.retention.clear(self._now()))
             self._abandon_absent()
 
-    async def _answer_later(self, envelope: Envelope, work: Coroutine[Any, Any, Any]) -> None:
+    async def _answer_when_done(self, envelope: Envelope, work: Coroutine[Any, Any, Any]) -> None:
         answer(envelope, await work)
 
     @staticmethod
--- a/src/bramblebeam/services/pool/slots.py
+++ b/src/bramblebeam/services/pool/slots.py
@@ -1,4 +1,4 @@
-"""The slot connections of one ownership epoch: the shell of the slot machine."""
+"""The slot connections of one ownership epoch; runs the slot state machine."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class Slot:
-    """The right to use one connection until it is given back."""
+    """The right to use one connection until the slot is released."""
 
     ticket: int
     connections: SlotConnections
@@ -40,7 +40,7 @@
 
 
 class SlotConnections:
-    """Grants slots and keeps the connections behind them."""
+    """Grants slots and manages the connections behind them."""
 
     def __init__(
         self,
@@ -56,41 +56,41 @@
         self._open_connection = open_connection
         self._end_connection = end_connection
         self._idle: list[BackendConnection] = []
-        self._held: dict[int, Slot] = {}
+        self._in_use: dict[int, Slot] = {}
         self._waiting: dict[int, asyncio.Future[Refusal | None]] = {}
         self._next_ticket = 0
         self._opening = 0
         self._closing = 0
         self._retained = 0
-        self._ending: set[asyncio.Task[None]] = set()
-        self._quiet = asyncio.Event()
+        self._closing_tasks: set[asyncio.Task[None]] = set()
+        self._progress = asyncio.Event()
         self._timer: asyncio.TimerHandle | None = None
         self._loop = asyncio.get_running_loop()
         self.machine.handle(Opened(), self._loop.time())
 
     @property
-    def held(self) -> frozenset[int]:
-        """The back end's ids of the connections that serve something now."""
-        return frozenset(slot.connection.id for slot in self._held.values())
+    def in_use(self) -> frozenset[int]:
+        """The back end's ids of the connections in use."""
+        return frozenset(slot.connection.id for slot in self._in_use.values())
 
     @property
     def own(self) -> frozenset[int]:
-        """The back end's ids of all connections that are held or idle."""
-        return self.held | {connection.id for connection in self._idle}
+        """The back end's ids of all connections, in use or idle."""
+        return self.in_use | {connection.id for connection in self._idle}
 
     def set_limits(self, limits: InstanceLimits) -> None:
-        """Take other rows; idle connections beyond them are closed now, others as they end."""
-        self._carry_out(self.machine.handle(LimitsChanged(limits), self._loop.time()))
+        """Apply new limits. Surplus connections are closed: idle ones now, others when released."""
+        self._perform(self.machine.handle(LimitsChanged(limits), self._loop.time()))
         self._trim()
 
     def suspend(self, reason: Reason) -> None:
-        """Refuse what waits and what comes, until `resume`; what runs goes on."""
-        self._carry_out(self.machine.handle(Closed(reason), self._loop.time()))
+        """Refuse waiting and new requests until `resume`; running statements continue."""
+        self._perform(self.machine.handle(Closed(reason), self._loop.time()))
 
     def resume(self) -> None:
         """Grant slots again."""
         if not self.retired:
-            self._carry_out(self.machine.handle(Opened(), self._loop.time()))
+            self._perform(self.machine.handle(Opened(), self._loop.time()))
 
     def set_retained(self, count: int) -> None:
         """Account for connections that a former owner still uses."""
@@ -99,7 +99,7 @@
         self._occupied_changed()
 
     async def acquire(self, service: ServiceId, wait_until: float) -> Slot | Refusal:
-        """Wait for a slot until `wait_until` (loop time), and for its connection."""
+        """Wait for a slot until `wait_until` (loop time), then for its connection."""
         self._next_ticket += 1
         ticket = self._next_ticket
         effects = self.machine.handle(Arrived(ticket, service, wait_until), self._loop.time())
@@ -109,20 +109,20 @@
                 return refusal
         if self._idle:
             slot = Slot(ticket, self, self._idle.pop())
-            self._held[ticket] = slot
+            self._in_use[ticket] = slot
             return slot
         return await self._connect(ticket, wait_until)
 
-    async def give_back(self, slot: Slot) -> None:
-        """Take a slot back after its connection's session state was reset."""
+    async def release(self, slot: Slot) -> None:
+        """Release a slot after resetting its connection's session state."""
         connection = slot.connection
         if not connection.broken and not connection.busy:
             await self._reset(connection)
         self.release_clean(slot)
 
     def release_clean(self, slot: Slot) -> None:
-        """Take a slot back whose connection needs no reset, or is broken."""
-        connection = self._held.pop(slot.ticket).connection
+        """Release a slot whose connection needs no reset or is broken."""
+        connection = self._in_use.pop(slot.ticket).connection
         if connection.broken or connection.busy or connection.in_transaction:
             self._end(connection)
         elif self.retired or self.machine.free < 0:
@@ -132,40 +132,40 @@
         self._finish(slot.ticket)
 
     async def retire(self) -> frozenset[int]:
-        """Grant nothing more, close what is idle; return the ids of connections still in use."""
+        """Grant no more slots, close idle connections; return the ids of those still in use."""
         self.retired = True
-        self._carry_out(self.machine.handle(Closed(Reason.NOT_OWNER), self._loop.time()))
+        self._perform(self.machine.handle(Closed(Reason.NOT_OWNER), self._loop.time()))
         self._close_idle()
         while self._opening or self._closing:
-            self._quiet.clear()
-            await self._quiet.wait()
-        return self.held
+            self._progress.clear()
+            await self._progress.wait()
+        return self.in_use
 
     async def wait_unused(self) -> None:
-        """Return when no connection is held any more."""
-        while self._held or self._closing:
-            self._quiet.clear()
-            await self._quiet.wait()
+        """Return once no connection is in use."""
+        while self._in_use or self._closing:
+            self._progress.clear()
+            await self._progress.wait()
 
     def cut(self) -> None:
-        """Close every connection at once: ownership was lost."""
+        """Close every connection immediately, as ownership was lost."""
         self.retired = True
-        self._carry_out(self.machine.handle(Closed(Reason.NOT_OWNER), self._loop.time()))
+        self._perform(self.machine.handle(Closed(Reason.NOT_OWNER), self._loop.time()))
         for connection in self._idle:
             connection.abort()
         self._idle.clear()
-        for slot in self._held.values():
+        for slot in self._in_use.values():
             slot.connection.abort()
 
     async def _wait(self, ticket: int, effects: list[Effect]) -> Refusal | None:
         granted = self._loop.create_future()
         self._waiting[ticket] = granted
-        self._carry_out(effects)
+        self._perform(effects)
         try:
             refusal: Refusal | None = await granted
         except asyncio.CancelledError:
             self._waiting.pop(ticket, None)
-            self._carry_out(self.machine.handle(Withdrawn(ticket), self._loop.time()))
+            self._perform(self.machine.handle(Withdrawn(ticket), self._loop.time()))
             raise
         return refusal
 
@@ -176,13 +176,13 @@
             opened = await self._open_connection(wait_until)
         finally:
             self._opening -= 1
-            self._quiet.set()
+            self._progress.set()
             if opened is None or opened.is_error():
                 self._finish(ticket)
         if opened.is_error():
             return opened.error
         slot = Slot(ticket, self, opened.ok)
-        self._held[ticket] = slot
+        self._in_use[ticket] = slot
         if self.retired:
             self.release_clean(slot)
             return not_run(Reason.NOT_OWNER, "the instance has another owner")
@@ -197,16 +197,16 @@
     def _finish(self, ticket: int) -> None:
         effects = self.machine.handle(Finished(ticket), self._loop.time())
         if effects:
-            self._carry_out(effects)
+            self._perform(effects)
         if self.retired:
-            self._quiet.set()
+            self._progress.set()
 
     def _trim(self) -> None:
-        """Close idle connections that the slots no longer allow."""
-        while self._idle and self._counted() > self.machine.total:
+        """Close idle connections that exceed the number of slots."""
+        while self._idle and self._connection_count() > self.machine.total:
             self._close(self._idle.pop(0))
 
-    def _counted(self) -> int:
+    def _connection_count(self) -> int:
         return self.machine.in_use + self._retained + len(self._idle)
 
     def _close_idle(self) -> None:
@@ -218,31 +218,31 @@
         self._track(connection.close())
 
     def _end(self, connection: BackendConnection) -> None:
-        """End a connection whose server side may still be at work."""
+        """Close a connection and kill its server side, which may still be running a statement."""
         connection.abort()
         self._track(self._end_connection(connection.id))
 
     def _track(self, closing: Awaitable[None]) -> None:
-        """Count a connection as occupying its slot until the back end has let it go."""
+        """Count a connection as occupying its slot until the back end has closed it."""
         self._closing += 1
         self._occupied_changed()
         task = asyncio.ensure_future(closing)
-        self._ending.add(task)
-        task.add_done_callback(self._ended)
+        self._closing_tasks.add(task)
+        task.add_done_callback(self._connection_closed)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
-        self._ending.discard(task)
+    def _connection_closed(self, task: asyncio.Task[None]) -> None:
+        self._closing_tasks.discard(task)
         self._closing -= 1
         if not task.cancelled():
             task.exception()
         self._occupied_changed()
-        self._quiet.set()
+        self._progress.set()
 
     def _occupied_changed(self) -> None:
         event = OccupiedChanged(self._closing + self._retained)
-        self._carry_out(self.machine.handle(event, self._loop.time()))
+        self._perform(self.machine.handle(event, self._loop.time()))
 
-    def _carry_out(self, effects: list[Effect]) -> None:
+    def _perform(self, effects: list[Effect]) -> None:
         for effect in effects:
             waiting = self._waiting.pop(effect.ticket, None)
             if isinstance(effect, Grant):
@@ -251,7 +251,7 @@
                 else:
                     waiting.set_result(None)
             elif waiting is not None and not waiting.done():
-                detail = "no slot of the back end is free"
+                detail = "no slot of the back end is available"
                 waiting.set_result(not_run(effect.reason, detail, effect.retry_after_ms))
         self._set_timer()
 
@@ -266,4 +266,4 @@
 
     def _wake_up(self) -> None:
         self._timer = None
-        self._carry_out(self.machine.handle(Wakeup(), self._loop.time()))
+        self._perform(self.machine.handle(Wakeup(), self._loop.time()))
--- a/src/bramblebeam/services/pool/statements.py
+++ b/src/bramblebeam/services/pool/statements.py
@@ -32,8 +32,8 @@
 
 logger = logging.getLogger(__name__)
 
-REFRESHING = (Reason.STALE_TERM, Reason.CONNECTION_LOST, Reason.TRANSACTION_LOST)
-"""Refusals that hint at a change of primary."""
+REFRESH_REASONS = (Reason.STALE_TERM, Reason.CONNECTION_LOST, Reason.TRANSACTION_LOST)
+"""Refusals that suggest a change of primary, so that the status is refreshed."""
 READMISSION_AFTER = 0.01
 """A statement that waited longer for its slot is admitted again (seconds)."""
 
@@ -49,18 +49,18 @@
         self.transactions = PinnedTransactions()
         self.streams = ResultStreams()
         self.caller_request_service: ServiceId | None = None
-        """The service that last sent a request with an id of its own."""
+        """The service that last sent a request with a caller-supplied id."""
         self._tasks: set[asyncio.Task[None]] = set()
         self._deadlines = deadlines
         self._running: dict[BackendConnection, StatementKind] = {}
         self._loop = asyncio.get_running_loop()
 
     async def execute(self, request: ExecuteRequest, arrived: float) -> ExecuteReply:
-        """Run a request that arrived at `arrived` (loop time); its answer or its refusal."""
-        self.instance.used()
+        """Run a request that arrived at `arrived` (loop time); return its result or refusal."""
+        self.instance.record_use()
         deadline = arrived + self._seconds_allowed(request)
         if request.minimum_term > self.instance.known_term:
-            self.instance.note_term(request.minimum_term)
+            self.instance.record_term(request.minimum_term)
         if request.transaction and request.kind is not StatementKind.BEGIN:
             return await self._execute_pinned(request, deadline)
         wait_until = min(deadline, arrived + self._seconds_to_wait(request))
@@ -73,43 +73,43 @@
         return await self._execute_on(acquired, request, deadline)
 
     async def _acquire(self, request: ExecuteRequest, wait_until: float) -> Slot | Refusal:
-        """Wait for a slot; the back end's state must still let the request run then."""
+        """Wait for a slot; after a long wait the instance must still admit the request."""
         slots = self.instance.slots
         if slots is None:
             return self.instance.not_owner()
-        asked = self._loop.time()
+        requested_at = self._loop.time()
         acquired = await slots.acquire(request.service, wait_until)
-        if isinstance(acquired, Refusal) or self._loop.time() - asked < READMISSION_AFTER:
+        if isinstance(acquired, Refusal) or self._loop.time() - requested_at < READMISSION_AFTER:
             return acquired
-        judged = self._judge(request)
-        if judged is Admission.RUN:
+        decision = self._check_admission(request)
+        if decision is Admission.RUN:
             return acquired
-        self._give_back(acquired, False)
-        return judged.refusal if isinstance(judged, Deferred) else judged
+        self._release(acquired, False)
+        return decision.refusal if isinstance(decision, Deferred) else decision
 
     async def _admit(self, request: ExecuteRequest, wait_until: float) -> Refusal | None:
-        """Wait until the instance's state lets the request run; None: it may."""
+        """Wait until the instance's state admits the request. None: it is admitted."""
         instance = self.instance
         if not instance.owned and not await instance.wait_owned(request.kind, wait_until):
             return instance.not_owner()
-        asked_once = False
+        polled_once = False
         while True:
-            judged = self._judge(request)
-            if judged is Admission.RUN:
+            decision = self._check_admission(request)
+            if decision is Admission.RUN:
                 return None
-            if isinstance(judged, Deferred):
-                refusal = judged.refusal
-                may_help = not (judged.next_status_only and asked_once)
+            if isinstance(decision, Deferred):
+                refusal = decision.refusal
+                may_be_admitted_later = not (decision.next_status_only and polled_once)
             else:
-                refusal = judged
-                may_help = instance.starting
-            asked_once = True
-            if not may_help:
+                refusal = decision
+                may_be_admitted_later = instance.starting
+            polled_once = True
+            if not may_be_admitted_later:
                 return refusal
             if not await instance.next_status(wait_until):
                 return refusal if instance.owned else instance.not_owner()
 
-    def _judge(self, request: ExecuteRequest) -> Admission | Deferred | Refusal:
+    def _check_admission(self, request: ExecuteRequest) -> Admission | Deferred | Refusal:
         instance = self.instance
         if not instance.owned:
             return instance.not_owner()
@@ -118,26 +118,26 @@
     async def _execute_on(
         self, slot: Slot, request: ExecuteRequest, deadline: float
     ) -> ExecuteReply:
-        seen = self.instance.status
+        status_before = self.instance.status
         dirty = True
         kept = False
         self._running[slot.connection] = request.kind
         try:
             answer = await self._run(slot.connection, request, deadline)
-            kept = not isinstance(answer, Refusal) and _needs_its_slot(request, answer)
+            kept = not isinstance(answer, Refusal) and _keeps_slot(request, answer)
             dirty = leaves_session_state(request)
         finally:
             del self._running[slot.connection]
             if not kept:
-                self._give_back(slot, dirty)
+                self._release(slot, dirty)
         if kept and not isinstance(answer, Refusal):
             answer = self._keep(slot, request, answer)
-        return self._reply(request, answer, seen)
+        return self._reply(request, answer, status_before)
 
     def _keep(self, slot: Slot, request: ExecuteRequest, result: BackendResult) -> BackendResult:
         """Keep the slot for a transaction that has begun, or for rows still to be fetched.
 
-        Returns the part of the result that the answer carries.
+        Returns the part of the result that goes into the reply.
         """
         if request.kind is StatementKind.BEGIN:
             session = request.request.session
@@ -147,7 +147,7 @@
         def finish(complete: bool) -> None:
             if not complete:
                 slot.connection.abort()
-            self._give_back(slot, True)
+            self._release(slot, True)
 
         return self.streams.begin(request.request, slot.connection, result, finish)
 
@@ -155,7 +155,7 @@
         pinned = self.transactions.find(request.transaction)
         if pinned is None:
             return self._refuse(request, refusal_of_unknown_transaction(request))
-        async with pinned.turn:
+        async with pinned.statement_lock:
             if pinned.ended:
                 return self._refuse(request, refusal_of_unknown_transaction(request))
             pinned.used_at = self._loop.time()
@@ -200,7 +200,7 @@
             answer = await CallerRequest(run).run()
         else:
             answer = await run.run()
-        if isinstance(answer, Refusal) and answer.reason in REFRESHING:
+        if isinstance(answer, Refusal) and answer.reason in REFRESH_REASONS:
             self.instance.refresh()
         if isinstance(answer, Refusal) and answer.reason is Reason.DEADLINE:
             log_event(
@@ -213,8 +213,8 @@
 
     def _seconds_to_wait(self, request: ExecuteRequest) -> float:
         limit = self.instance.limits.services.get(request.service)
-        asked = request.wait_ms / 1000
-        return min(asked, limit.queue_wait) if limit is not None else asked
+        requested = request.wait_ms / 1000
+        return min(requested, limit.queue_wait) if limit is not None else requested
 
     def _seconds_allowed(self, request: ExecuteRequest) -> float:
         limit = self.instance.limits.services.get(request.service)
@@ -222,10 +222,11 @@
         return min(allowed, limit.deadline) if limit is not None and limit.deadline else allowed
 
     def abort_on_unreachable(self) -> None:
-        """End what runs on a back end that is unreachable and need not be waited for.
+        """Abort work on an unreachable back end that is not worth waiting for.
 
-        Plain reads: other instances may serve them. All else, where the group has a higher term:
-        no answer of this back end may be relayed any more, so each gets its verdict now.
+        Plain reads are aborted, as other instances may serve them. If the group has a higher term,
+        everything is: no result of this back end may be relayed, so each request gets its verdict
+        now.
         """
         status = self.instance.status
         replaced = status is not None and status.term < self.instance.known_term
@@ -239,46 +240,46 @@
     # Abandoned sessions and idle work.
 
     def abandon(self, session: str) -> None:
-        """The session's caller is gone: roll back and free what it holds."""
+        """Roll back and free everything held by a session whose caller is gone."""
         self.streams.end_of_session(session)
         for pinned in self.transactions.of_session(session):
-            self._give_up(pinned, "abandoned")
+            self._roll_back(pinned, "abandoned")
 
     def end_idle(self, now: float) -> None:
-        """Roll back idle transactions, and close streams that nobody fetches from."""
+        """Roll back idle transactions and those without a connection; close idle streams."""
         self.streams.end_idle(now)
         for pinned in self.transactions.idle(now):
-            self._give_up(pinned, "idle")
+            self._roll_back(pinned, "idle")
         for pinned in self.transactions:
-            if pinned.slot.connection.broken and not pinned.turn.locked():
-                self._give_up(pinned, "connection lost")
+            if pinned.slot.connection.broken and not pinned.statement_lock.locked():
+                self._roll_back(pinned, "connection lost")
 
-    def _give_up(self, pinned: PinnedTransaction, cause: str) -> None:
+    def _roll_back(self, pinned: PinnedTransaction, cause: str) -> None:
         log_event(
             logger, POOL_TRANSACTION_ROLLED_BACK, instance=self.instance.spec.instance, cause=cause
         )
         self._end_transaction(pinned)
 
     def _end_transaction(self, pinned: PinnedTransaction) -> None:
-        """Free the transaction's slot; what is under way on its connection is ended."""
+        """Free the transaction's slot; a statement running on its connection is aborted."""
         if not self.transactions.unpin(pinned):
             return
         connection = pinned.slot.connection
-        if pinned.turn.locked() and connection.busy:
+        if pinned.statement_lock.locked() and connection.busy:
             connection.abort()
-        self._give_back(pinned.slot, True)
+        self._release(pinned.slot, True)
 
     # Replies.
 
     def _reply(
-        self, request: ExecuteRequest, answer: Answer, seen: InstanceStatus | None = None
+        self, request: ExecuteRequest, answer: Answer, status_before: InstanceStatus | None = None
     ) -> ExecuteReply:
-        """Return the answer; `seen` is the status when a read began."""
+        """Build the reply; `status_before` is the status when a read began."""
         if isinstance(answer, Refusal):
             return self._refuse(request, answer)
         position = position_of(answer.info)
-        if request.kind is StatementKind.READ and seen is not None:
-            position = max(seen.applied, request.floor)
+        if request.kind is StatementKind.READ and status_before is not None:
+            position = max(status_before.applied, request.floor)
         return ExecuteReply(
             request=request.request,
             columns=answer.columns,
@@ -293,11 +294,11 @@
     def _refuse(self, request: ExecuteRequest, refusal: Refusal) -> ExecuteReply:
         return ExecuteReply(request.request, refusal=refusal, status=self.instance.status)
 
-    def _give_back(self, slot: Slot, dirty: bool) -> None:
+    def _release(self, slot: Slot, dirty: bool) -> None:
         if dirty and not slot.connection.broken:
-            self._spawn(slot.connections.give_back(slot))
+            self._spawn(slot.connections.release(slot))
         else:
-            slot.connections.give_back_clean(slot)
+            slot.connections.release_clean(slot)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = self._loop.create_task(work)
@@ -305,6 +306,6 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def _needs_its_slot(request: ExecuteRequest, result: BackendResult) -> bool:
+def _keeps_slot(request: ExecuteRequest, result: BackendResult) -> bool:
     """Whether the slot stays with the request: for a transaction, or for more rows."""
     return request.kind is StatementKind.BEGIN or not fits_in_message(result)
--- a/src/bramblebeam/services/pool/status.py
+++ b/src/bramblebeam/services/pool/status.py
@@ -1,4 +1,4 @@
-"""Follows one instance's status while this node owns it."""
+"""Monitors one instance's status while this node owns it."""
 
 from __future__ import annotations
 
@@ -12,35 +12,35 @@
 
 POLL_INTERVAL = 0.2
 UNUSED_POLL_INTERVAL = 1.0
-"""Interval for an instance that nobody uses: half of the lease at most (seconds)."""
+"""Interval for an instance not in use: at most half of the lease (seconds)."""
 UNUSED_AFTER = 15.0
-"""An instance without a statement or a subscription for so long is not in use (seconds)."""
+"""An instance without a statement or a subscription for this long is not in use (seconds)."""
 ALERT_POLL_INTERVAL = 0.05
-"""Interval while the instance hears nothing of its primary: a change may be near (seconds)."""
+"""Interval while the instance has no contact with its primary, which may change soon (seconds)."""
 ALERT_AFTER_MS = 150
 ALERT_UNTIL_MS = 10_000
 WAITING_POLL_INTERVAL = 0.005
-"""Least time between two polls, kept while statements wait for a newer status (seconds)."""
+"""Minimum time between polls, also while statements wait for a newer status (seconds)."""
 UNREACHABLE_AFTER = 1.0
-"""A back end that has not answered a status query for so long gets no new work (seconds)."""
+"""A back end that has not answered a status query for this long gets no new work (seconds)."""
 LOST_AFTER = 3.0
-"""A control connection without an answer for so long is given up (seconds)."""
+"""A control connection without an answer for this long is given up (seconds)."""
 
 
 class StatusMonitor:
-    """Polls the status on the control connection; `follow` runs as long as the ownership."""
+    """Polls the status on the control connection; `follow` runs while the ownership lasts."""
 
     def __init__(
         self,
         control: ControlConnection,
         group: GroupId,
-        changed: Callable[[InstanceStatus], None],
+        on_change: Callable[[InstanceStatus], None],
     ) -> None:
         self.status: InstanceStatus | None = None
         self._control = control
         self._group = group
-        self._changed = changed
-        self._asked_at = 0.0
+        self._on_change = on_change
+        self._requested_at = 0.0
         self._used_at = asyncio.get_running_loop().time()
         self._polled_at = 0.0
         self._polls = 0
@@ -52,26 +52,26 @@
 
     @property
     def age(self) -> float:
-        """Time since the last status was asked for (seconds)."""
-        return self._loop.time() - self._asked_at
+        """Time since the latest status was requested (seconds)."""
+        return self._loop.time() - self._requested_at
 
-    def used(self) -> None:
-        """Take note that an edge uses the instance; a status read for nobody is refreshed."""
+    def record_use(self) -> None:
+        """Record that an edge uses the instance; if it was not in use, refresh the status."""
         now = self._loop.time()
         if now - self._used_at > UNUSED_AFTER:
             self.refresh()
         self._used_at = now
 
     def refresh(self) -> None:
-        """Ask for the status now instead of at the next interval."""
+        """Request the status now instead of at the next interval."""
         self._wake.set()
 
     async def next_status(self, until: float) -> bool:
-        """Wait for a status that is asked for from now on; False where there will be none.
+        """Wait for a status requested after this call; False if there will be none.
 
-        Polls are numbered for this: two of them may have the same reading of the clock. There will
-        be none when `until` comes first, or the control connection is lost. Where the back end
-        gives none, this returns as soon as it counts as unreachable.
+        Polls are numbered for this, because two of them may have the same clock reading. There
+        will be none if `until` passes first or the control connection is lost. If the back end does
+        not answer, this returns as soon as it is marked unreachable.
         """
         next_poll = self._polls + 1
         while self._answered_poll < next_poll:
@@ -82,7 +82,7 @@
         return True
 
     async def follow(self) -> None:
-        """Poll until the control connection is lost; raises BackendError then."""
+        """Poll until the control connection is lost, then raise its error."""
         try:
             while True:
                 await self._poll()
@@ -110,13 +110,13 @@
     async def _pause(self) -> None:
         self._wake.clear()
         if not self._waiters:
-            await self._rest()
+            await self._wait_interval()
         since_poll = self._loop.time() - self._polled_at
         if since_poll < WAITING_POLL_INTERVAL:
             await asyncio.sleep(WAITING_POLL_INTERVAL - since_poll)
 
-    async def _rest(self) -> None:
-        """Wait for the next regular poll, or for a statement that wants a newer status."""
+    async def _wait_interval(self) -> None:
+        """Wait for the next regular poll, or for a request for a newer status."""
         interval = self._interval()
         try:
             async with asyncio.timeout(interval):
@@ -131,8 +131,8 @@
         return ALERT_POLL_INTERVAL if alert else POLL_INTERVAL
 
     async def _poll(self) -> None:
-        asked_at = self._loop.time()
-        self._polled_at = asked_at
+        requested_at = self._loop.time()
+        self._polled_at = requested_at
         self._polls += 1
         poll = self._polls
         query = asyncio.ensure_future(self._control.status(self._group))
@@ -145,21 +145,21 @@
             if not query.done():
                 query.cancel()
         if not done:
-            raise TimeoutError("the back end answers no status query")
-        self._take(query.result(), poll, asked_at)
+            raise TimeoutError("the back end did not answer a status query")
+        self._handle_status(query.result(), poll, requested_at)
 
     def _mark_unreachable(self) -> None:
         if self.status is not None and self.status.reachable:
             self.status = replace(self.status, reachable=False)
-            self._changed(self.status)
+            self._on_change(self.status)
         self._release_waiters()
 
-    def _take(self, status: InstanceStatus, poll: int, asked_at: float) -> None:
+    def _handle_status(self, status: InstanceStatus, poll: int, requested_at: float) -> None:
         self._answered_poll = poll
-        self._asked_at = asked_at
+        self._requested_at = requested_at
         if status != self.status:
             self.status = status
-            self._changed(status)
+            self._on_change(status)
         self._release_waiters()
 
     def _release_waiters(self) -> None:
--- a/src/bramblebeam/services/pool/streams.py
+++ b/src/bramblebeam/services/pool/streams.py
@@ -1,4 +1,4 @@
-"""Results that are larger than one message: their rows are fetched in bounded portions."""
+"""Results larger than one message, whose rows are fetched in bounded portions."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 
 FETCH_ROWS = 500
 PORTION_BYTES = 1024 * 1024
-"""A message carries rows of about so many bytes at most, and one row at least."""
-IDLE_BOUND = 30.0
-"""A result whose rows nobody asks for is given up after so long (seconds)."""
+"""Approximate limit on the rows of one message, which carries at least one row."""
+IDLE_TIMEOUT = 30.0
+"""A result whose rows are not fetched for this long is given up (seconds)."""
 VALUE_BYTES = 8
+"""Assumed size of a value that is neither text nor bytes."""
 
 Row = tuple[Any, ...]
 
 
 @dataclass(slots=True)
 class ResultStream:
-    """The rest of one result. `finish(complete)` gives its slot back or ends its transaction."""
+    """The rest of one result. `finish(complete)` releases its slot or ends its transaction."""
 
     request: RequestId
     connection: BackendConnection
@@ -32,7 +33,7 @@
     used_at: float
     rows: deque[Row]
     more: bool
-    """Whether the back end has rows that were not read yet."""
+    """Whether the back end has rows that have not been read yet."""
     busy: bool = False
 
     async def next_portion(self) -> tuple[Row, ...]:
@@ -45,7 +46,7 @@
 
     @property
     def exhausted(self) -> bool:
-        """Whether every row was handed out."""
+        """Whether every row has been returned."""
         return not self.rows and not self.more
 
 
@@ -67,7 +68,7 @@
         result: BackendResult,
         finish: Callable[[bool], None],
     ) -> BackendResult:
-        """Keep the rest of a result that is too large; return its head."""
+        """Keep the rest of a result that is too large for one message; return its head."""
         rows = deque(result.rows)
         head = take_portion(rows)
         stream = ResultStream(request, connection, finish, self._loop.time(), rows, result.more)
@@ -89,12 +90,12 @@
         finally:
             stream.busy = False
             stream.used_at = self._loop.time()
-        if stream.over:
+        if stream.exhausted:
             self.end(stream, complete=True)
-        return ExecuteReply(stream.request, rows=rows, more=not stream.over)
+        return ExecuteReply(stream.request, rows=rows, more=not stream.exhausted)
 
     def end(self, stream: ResultStream, *, complete: bool) -> None:
-        """End a stream, given up where it is not `complete`."""
+        """End a stream. If it is not `complete`, its remaining rows are given up."""
         if self._open.pop(stream.request, None) is not None:
             stream.finish(complete)
 
@@ -105,14 +106,14 @@
                 self.end(stream, complete=False)
 
     def end_idle(self, now: float) -> None:
-        """Give up the results that nobody fetches from."""
+        """Give up the results whose rows have not been fetched for too long."""
         for stream in list(self._open.values()):
-            if not stream.busy and now - stream.used_at > IDLE_BOUND:
+            if not stream.busy and now - stream.used_at > IDLE_TIMEOUT:
                 self.end(stream, complete=False)
 
 
 def take_portion(rows: deque[Row]) -> tuple[Row, ...]:
-    """Take rows off the front until the portion is full."""
+    """Remove rows from the front until the portion is full, and return them."""
     portion: list[Row] = []
     size = 0
     while rows and size < PORTION_BYTES:
@@ -123,7 +124,7 @@
 
 
 def row_size(row: Row) -> int:
-    """Return about how many bytes a row takes in a message."""
+    """Return the approximate size of a row in a message (bytes)."""
     return sum(len(value) if isinstance(value, str | bytes) else VALUE_BYTES for value in row)
 
 
--- a/src/bramblebeam/services/pool/transactions.py
+++ b/src/bramblebeam/services/pool/transactions.py
@@ -1,4 +1,4 @@
-"""The transactions that are pinned to connections."""
+"""Open transactions, each pinned to a connection."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 from bramblebeam.services.pool.slots import Slot
 
-IDLE_BOUND = 60.0
-"""A transaction without a statement for so long is rolled back (seconds)."""
+IDLE_TIMEOUT = 60.0
+"""A transaction without a statement for this long is rolled back (seconds)."""
 
 
 @dataclass(slots=True)
 class PinnedTransaction:
-    """One open transaction: its connection is used by no other session meanwhile."""
+    """An open transaction, which has exclusive use of its connection."""
 
     name: str
     session: str
     slot: Slot
     used_at: float
     statement_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
-    """Held by the statement that runs now."""
+    """Held by the statement that is running."""
     ended: bool = False
 
 
@@ -42,13 +42,13 @@
         return self._by_name.get(name)
 
     def pin(self, name: str, session: str, slot: Slot, now: float) -> PinnedTransaction:
-        """Keep a slot for a transaction that has just begun."""
+        """Pin a transaction that has just begun to its slot."""
         pinned = PinnedTransaction(name, session, slot, now)
         self._by_name[name] = pinned
         return pinned
 
     def unpin(self, pinned: PinnedTransaction) -> bool:
-        """Forget a transaction that is over; tell whether it was still open."""
+        """Remove a transaction that is over; return whether it was still open."""
         if pinned.ended:
             return False
         pinned.ended = True
@@ -60,9 +60,9 @@
         return [pinned for pinned in self if pinned.session == session]
 
     def idle(self, now: float) -> list[PinnedTransaction]:
-        """Return the transactions that have been idle for too long."""
+        """Return the transactions that have been idle for longer than `IDLE_TIMEOUT`."""
         return [
             pinned
             for pinned in self
-            if not pinned.turn.locked() and now - pinned.used_at > IDLE_BOUND
+            if not pinned.statement_lock.locked() and now - pinned.used_at > IDLE_TIMEOUT
         ]
--- a/tests/edge_harness.py
+++ b/tests/edge_harness.py
@@ -1,4 +1,4 @@
-"""A node's edge with a pool and a group made up in memory."""
+"""A node's edge with an in-memory fake pool and group."""
 
 import asyncio
 import dataclasses
@@ -70,17 +70,17 @@
 def status(
     instance: InstanceId, applied: Position, role: Role = Role.REPLICA, **changes: Any
 ) -> InstanceStatus:
-    made = InstanceStatus(
+    template = InstanceStatus(
         instance, GROUP, applied.term, role, applied, applied, 0, False, True, NODE, 1
     )
-    return dataclasses.replace(made, **changes)
+    return dataclasses.replace(template, **changes)
 
 
 class FakePool(Service):
     """Owns a group of three: a log of values on the primary, replicas that apply on `catch_up`.
 
-    `script` holds answers for the next execute requests, in place of the ordinary ones: a
-    function of the request, a refusal, or a `PeerFailure` after which the statement has run.
+    `script` holds replies to the next execute requests, in place of the ordinary ones: a function
+    of the request, a refusal, or a `PeerFailure`, which is returned although the statement ran.
     """
 
     name: ClassVar[str] = "pool"
@@ -91,12 +91,12 @@
         self.primary = P
         self.log: list[str] = []
         self.applied = {P: 0, R1: 0, R2: 0}
-        self.asked: list[ExecuteRequest] = []
+        self.requests: list[ExecuteRequest] = []
         self.abandoned: list[AbandonRequest] = []
         self.fetches: list[FetchRequest] = []
         self.confirmations = 0
         self.script: list[Any] = []
-        self.remembered: dict[Any, ExecuteReply] = {}
+        self.replies: dict[Any, ExecuteReply] = {}
         self.open: set[str] = set()
         self.was_abandoned = asyncio.Event()
 
@@ -112,7 +112,7 @@
         message = envelope.message.message
         match message:
             case ExecuteRequest():
-                self.asked.append(message)
+                self.requests.append(message)
                 answer(envelope, self._execute(message))
             case SubscribeRequest(instance):
                 answer(envelope, SubscribeReply(instance, True, self.status(instance)))
@@ -129,7 +129,7 @@
     def _execute(self, request: ExecuteRequest) -> Any:
         if request.repeat:
             unknown = Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST)
-            known = self.remembered.get(request.request)
+            known = self.replies.get(request.request)
             return known or ExecuteReply(request.request, unknown)
         scripted = self.script.pop(0) if self.script else None
         if isinstance(scripted, Refusal):
@@ -137,7 +137,7 @@
         if callable(scripted):
             return scripted(request)
         reply = self._run(request)
-        self.remembered[request.request] = reply
+        self.replies[request.request] = reply
         return scripted if isinstance(scripted, PeerFailure) else reply
 
     def _run(self, request: ExecuteRequest) -> ExecuteReply:
@@ -183,7 +183,7 @@
 
 
 class FakeTransport(Service):
-    """Hands everything to the own node's pool."""
+    """Delivers every message to the own node's pool."""
 
     name: ClassVar[str] = "transport"
 
--- a/tests/pool_backend.py
+++ b/tests/pool_backend.py
@@ -1,4 +1,4 @@
-"""A small back end for the pool's tests: locks, process list, KILL, status, transactions."""
+"""A fake back end for the pool's tests: locks, process list, KILL, status, transactions."""
 
 import asyncio
 import re
@@ -63,7 +63,7 @@
 
 
 class FakeSession(CallerSession):
-    """One connection."""
+    """One connection to the fake back end."""
 
     def __init__(self, backend: FakeBackend) -> None:
         self.backend = backend
@@ -98,12 +98,12 @@
 
     async def execute(self, sql: str, attributes: dict[str, Any]) -> OkResult | RowsResult:
         self.used_at = asyncio.get_running_loop().time()
-        word = sql.split(None, 1)[0].upper()
-        if word in ("SELECT", "SHOW", "CALL"):
+        keyword = sql.split(None, 1)[0].upper()
+        if keyword in ("SELECT", "SHOW", "CALL"):
             return await self._query(sql)
-        if word == "KILL":
+        if keyword == "KILL":
             return self._kill(sql)
-        return await self._change(word, sql)
+        return await self._change(keyword, sql)
 
     async def _query(self, sql: str) -> RowsResult:  # noqa: PLR0911
         backend = self.backend
@@ -118,7 +118,7 @@
             columns = (("owner", LONG), ("epoch", LONG))[: sql.count("IS_USED_LOCK")]
             return self._rows(columns, (backend.lock_holder,) * len(columns))
         if "PROCESSLIST" in sql:
-            return self._rows(PROCESS_COLUMNS, *(_process(one) for one in self._others()))
+            return self._rows(PROCESS_COLUMNS, *(_process(one) for one in self._all_sessions()))
         if "STATUS" in sql:
             return self._rows(STATUS_COLUMNS, backend.status_row())
         if "confirm" in sql:
@@ -137,15 +137,15 @@
             return self._rows((("n", LONG),), *((number,) for number in range(2_000)))
         return self._rows((("id", LONG),), (self.id,))
 
-    def _others(self) -> list["FakeSession"]:
+    def _all_sessions(self) -> list["FakeSession"]:
         return list(self.backend.sessions.values())
 
-    async def _change(self, word: str, sql: str) -> OkResult:
+    async def _change(self, keyword: str, sql: str) -> OkResult:
         backend = self.backend
-        if word == "BEGIN":
+        if keyword == "BEGIN":
             self.in_transaction = True
             return OkResult(in_transaction=True)
-        if word == "ROLLBACK":
+        if keyword == "ROLLBACK":
             self.in_transaction = False
             return OkResult()
         if "INTO bramblebeam_requests" in sql:
@@ -162,7 +162,7 @@
             raise CallerError(3101, "HY000", "not the primary")
         if "fail" in sql:
             raise CallerError(1064, "42000", "syntax")
-        if word != "COMMIT":
+        if keyword != "COMMIT":
             backend.executed.append((self.id, sql))
             await _sleep(sql)
             if self.in_transaction:
@@ -183,8 +183,8 @@
 
 
 def _process(session: FakeSession) -> tuple[Any, ...]:
-    silent = int(asyncio.get_running_loop().time() - session.used_at)
-    return (session.id, session.user, silent, session.name)
+    idle = int(asyncio.get_running_loop().time() - session.used_at)
+    return (session.id, session.user, idle, session.name)
 
 
 async def _sleep(sql: str) -> None:
--- a/tests/pool_harness.py
+++ b/tests/pool_harness.py
@@ -1,4 +1,4 @@
-"""Pool services of one zone's nodes, joined without sockets, before one back end."""
+"""Pool services of one zone's nodes, connected without sockets, that share one back end."""
 
 import asyncio
 import itertools
@@ -36,7 +36,7 @@
 
 
 class LoopTransport(Service):
-    """Carries requests between the kernels of one test."""
+    """Delivers requests between the kernels of one test."""
 
     name = "transport"
 
@@ -53,9 +53,9 @@
         if peer is None:
             answer(envelope, PeerFailure(sent=False, detail="down"))
             return
-        self.spawn(self._carry(peer, message, envelope))
+        self.spawn(self._deliver(peer, message, envelope))
 
-    async def _carry(self, peer: Kernel, message: PeerRequest, envelope: Envelope) -> None:
+    async def _deliver(self, peer: Kernel, message: PeerRequest, envelope: Envelope) -> None:
         try:
             delivery = PeerDelivery(self.node, message.message)
             answer(envelope, await peer.call("pool", delivery, message.timeout))
@@ -64,7 +64,7 @@
 
 
 class Harness:
-    """Nodes of one zone before one back end."""
+    """Nodes of one zone that share one back end."""
 
     def __init__(self, port: int) -> None:
         self.port = port
@@ -119,7 +119,7 @@
     async def write(self, node: str, sql: str = "INSERT 1", **fields: Any) -> ExecuteReply:
         return await self.run(node, sql, StatementKind.WRITE, **fields)
 
-    async def owned_by(self, node: str) -> None:
+    async def wait_until_owned_by(self, node: str) -> None:
         await wait_for(lambda: self.owns(node))
 
     async def owns(self, node: str) -> bool:
@@ -131,7 +131,7 @@
 
 
 class BackendHarness(Harness):
-    """Nodes before the small back end."""
+    """Nodes that share one fake back end."""
 
     backend: FakeBackend
 
@@ -143,13 +143,13 @@
 async def running_harness(
     backend: FakeBackend, harness_class: type[AnyHarness]
 ) -> AsyncIterator[AnyHarness]:
-    """Run a back end with node `a` as its owner; stop every node and the back end at the end."""
+    """Run a back end owned by node `a`; stop every node and the back end at the end."""
     address = await backend.start()
     harness = harness_class(address.port)
     harness.backend = backend
     await harness.add("a")
     harness.set_owners("a")
-    await harness.owned_by("a")
+    await harness.wait_until_owned_by("a")
     yield harness
     for kernel in harness.nodes.values():
         await kernel.stop()
--- a/tests/test_edge_path.py
+++ b/tests/test_edge_path.py
@@ -1,4 +1,4 @@
-"""The whole path on real processes: MySQL clients, two nodes, a group of three."""
+"""End-to-end tests on real processes: MySQL clients, two nodes, a group of three."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -21,10 +21,10 @@
 ROAMING_MOVES = 30
 LAG_MS = 60
 SENT_AND_LOST = 9312
-"""May have run: the connection was lost. See docs/errors.md."""
+"""Error code: the connection was lost, and the statement may have run. See docs/errors.md."""
 TRAVEL_SECONDS = 0.2
-"""More than enough for a write to reach a paused node's socket; nothing is measured by it."""
-OWNER_QUESTIONS = 100
+"""Ample time for a write to reach a paused node's socket; nothing is measured by it."""
+OWNER_POLLS = 100
 
 
 @pytest_asyncio.fixture(scope="module", loop_scope="module")
@@ -153,11 +153,11 @@
         connection.close()
 
 
-async def test_a_write_sent_to_a_node_that_dies_is_in_doubt_and_the_next_one_is_not(
+async def test_write_sent_to_a_dying_node_is_in_doubt_and_the_next_one_is_not(
     tmp_path: Path,
 ) -> None:
-    """Beside load a node sent a write to the primary's owner before it read that this one's stream
-    had ended: nobody can know whether such a write ran. The paused node makes that certain."""
+    """Under load, a node sent a write to the primary's owner before it read that the owner's stream
+    had ended, so that the outcome was uncertain. Pausing the owner first makes this certain."""
     async with process_group(tmp_path) as processes:
         pair = Cluster(bench_scenario(2), processes)
         await pair.start()
@@ -173,7 +173,7 @@
         with pytest.raises(pymysql.MySQLError) as caught:
             await write
         assert caught.value.args[0] == SENT_AND_LOST
-        await asyncio.to_thread(_until_run, other, sql, doubts=0)
+        await asyncio.to_thread(_until_run, other, sql, uncertain=0)
 
 
 async def test_killed_node_leaves_nothing_of_a_transaction(cluster: Cluster) -> None:
@@ -192,33 +192,33 @@
 
 
 async def _owner_of_primary(cluster: Cluster) -> str:
-    """Return the node that holds the primary's connections, once it has taken them over."""
+    """Return the node that owns the primary, once it has taken it over."""
     url = f"{cluster.admin_url(next(iter(cluster.clients)))}/api/v1/groups/{GROUP}"
     headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
     async with aiohttp.ClientSession(headers=headers) as http:
-        for _ in range(OWNER_QUESTIONS):
+        for _ in range(OWNER_POLLS):
             async with http.get(url) as response:
                 members = (await response.json())["members"]
             held = [member for member in members if member.get("role") == "primary"]
             if held:
                 return str(held[0]["owner"])
             await asyncio.sleep(TRAVEL_SECONDS)
-    raise AssertionError("no node holds the primary's connections")
+    raise AssertionError("no node owns the primary")
 
 
-def _until_run(connection: Any, sql: str, doubts: int = 1) -> None:
-    """Repeat what was surely not run; the killed node's instances need a new owner first.
+def _until_run(connection: Any, sql: str, uncertain: int = 1) -> None:
+    """Repeat a statement that certainly did not run; the killed node's instances need a new owner.
 
-    `doubts`: so many first attempts may end in doubt, as the node may not have read yet that the
-    killed one's stream has ended. Then it knows, and nothing is sent there any more.
+    `uncertain`: how many first attempts may end in doubt, as the node may not have read yet that
+    the killed node's stream has ended. Once it has, it sends nothing there.
     """
     for attempt in range(50):
         try:
             query(connection, sql)
         except pymysql.MySQLError as error:
             code = error.args[0]
-            is_sent = code == SENT_AND_LOST and attempt < doubts
+            is_sent = code == SENT_AND_LOST and attempt < uncertain
             assert is_sent or 9100 <= code < 9200 or code in (1205, 1213), str(error)
         else:
             return
-    raise AssertionError("the row stayed locked")
+    raise AssertionError("the row is still locked after 50 attempts")
--- a/tests/test_edge_service.py
+++ b/tests/test_edge_service.py
@@ -1,4 +1,4 @@
-"""The edge with real MySQL clients against a pool made up in memory."""
+"""The edge with real MySQL clients and an in-memory fake pool."""
 
 import asyncio
 from typing import Any
@@ -44,7 +44,7 @@
         return query(connection, "SELECT value FROM t")
 
     assert await harness.run(work) == (("INSERT INTO t VALUES (1)",),)
-    write, *reads = harness.pool.asked
+    write, *reads = harness.pool.requests
     assert (write.instance, write.kind) == (P, StatementKind.WRITE)
     assert {read.floor.offset for read in reads} == {1}
     assert reads[-1].instance == P, "both replicas are behind"
@@ -58,7 +58,7 @@
         return [query(connection, "SELECT value FROM t") for _ in range(5)]
 
     assert await harness.run(work) == [(("INSERT INTO t VALUES (1)",),)] * 5
-    assert {request.instance for request in harness.pool.asked[1:]} <= {R1, R2}
+    assert {request.instance for request in harness.pool.requests[1:]} <= {R1, R2}
     counters = await harness.kernel.call("edge", EdgeStatusRequest(), 5.0)
     assert (counters.connections, counters.in_flight, counters.statements) == (0, 0, 6)
 
@@ -88,7 +88,7 @@
     assert harness.pool.confirmations == 1
 
 
-async def test_carried_token_sets_the_floor_without_a_question(harness: Harness) -> None:
+async def test_carried_token_sets_the_floor_without_a_position_request(harness: Harness) -> None:
     def work() -> Any:
         first = harness.connect({"bramblebeam_session": "driver-7"})
         query(first, "INSERT INTO t VALUES (3)")
@@ -114,25 +114,25 @@
         return flags
 
     assert await harness.run(work) == [False, True, True, True, False]
-    names = {request.transaction for request in harness.pool.asked}
+    names = {request.transaction for request in harness.pool.requests}
     assert len(names) == 1 and "" not in names
-    assert {request.instance for request in harness.pool.asked} == {P}
+    assert {request.instance for request in harness.pool.requests} == {P}
 
 
 async def test_autocommit_off_opens_a_transaction(harness: Harness) -> None:
     def work() -> Any:
         connection = harness.connect(autocommit=False)
         query(connection, "UPDATE t SET value = 1")
-        inside = bool(connection.server_status & 1)
+        in_transaction = bool(connection.server_status & 1)
         connection.rollback()
-        return inside, bool(connection.server_status & 1)
+        return in_transaction, bool(connection.server_status & 1)
 
     assert await harness.run(work) == (True, False)
-    kinds = [request.kind for request in harness.pool.asked]
+    kinds = [request.kind for request in harness.pool.requests]
     assert kinds == [StatementKind.BEGIN, StatementKind.WRITE, StatementKind.ROLLBACK]
 
 
-async def test_vanished_caller_has_its_transaction_abandoned(harness: Harness) -> None:
+async def test_transaction_of_a_disconnected_caller_is_abandoned(harness: Harness) -> None:
     def work() -> None:
         connection = harness.connect()
         query(connection, "BEGIN")
@@ -140,22 +140,22 @@
 
     await harness.run(work)
     await asyncio.wait_for(harness.pool.was_abandoned.wait(), 5)
-    assert harness.pool.abandoned[0].session == harness.pool.asked[0].request.session
+    assert harness.pool.abandoned[0].session == harness.pool.requests[0].request.session
 
 
-async def test_lost_answer_is_asked_for_again_and_runs_once(harness: Harness) -> None:
+async def test_lost_reply_is_requested_again_and_the_write_runs_once(harness: Harness) -> None:
     def work() -> Any:
         connection = harness.connect()
         harness.pool.script = [PeerFailure(sent=True, detail="lost")]
         query(connection, "INSERT INTO t VALUES (4)")
 
     await harness.run(work)
-    first, second = harness.pool.asked
+    first, second = harness.pool.requests
     assert first.request == second.request and second.repeat
     assert harness.pool.log == ["INSERT INTO t VALUES (4)"]
 
 
-async def test_forgotten_answer_is_unknown(harness: Harness) -> None:
+async def test_write_without_a_stored_reply_is_unknown(harness: Harness) -> None:
     def work() -> Any:
         connection = harness.connect()
         harness.pool.script = [lambda request: PeerFailure(sent=True, detail="lost")]
@@ -163,10 +163,10 @@
 
     code, text = await harness.run(work)
     assert code == 9312 and "may have run" in text and "not run" not in text
-    assert len(harness.pool.asked) == 2
+    assert len(harness.pool.requests) == 2
 
 
-async def test_overload_is_refused_at_once_with_when_to_come_back(harness: Harness) -> None:
+async def test_overload_is_refused_at_once_with_a_retry_delay(harness: Harness) -> None:
     def work() -> Any:
         connection = harness.connect()
         refusal = Refusal(Verdict.NOT_RUN, Reason.QUEUE_FULL, retry_after_ms=250)
@@ -175,16 +175,16 @@
 
     code, text = await harness.run(work)
     assert code == 9101 and "not run" in text and "retry after 250 ms" in text
-    assert len(harness.pool.asked) == 1
+    assert len(harness.pool.requests) == 1
 
 
 async def test_backend_error_keeps_its_code(harness: Harness) -> None:
     def work() -> Any:
         connection = harness.connect()
-        words = Refusal(
+        refusal = Refusal(
             Verdict.NOT_RUN, Reason.BACKEND_ERROR, "Duplicate entry", code=1062, sqlstate="23000"
         )
-        harness.pool.script = [words]
+        harness.pool.script = [refusal]
         return error_of(connection, "INSERT INTO t VALUES (7)")
 
     assert await harness.run(work) == (1062, "Duplicate entry")
@@ -193,8 +193,8 @@
 async def test_write_without_a_majority_is_unknown(harness: Harness) -> None:
     def work() -> Any:
         connection = harness.connect()
-        words = Refusal(Verdict.UNKNOWN, Reason.BACKEND_ERROR, "no majority", code=3102)
-        harness.pool.script = [words]
+        refusal = Refusal(Verdict.UNKNOWN, Reason.BACKEND_ERROR, "no majority", code=3102)
+        harness.pool.script = [refusal]
         lost = error_of(connection, "INSERT INTO t VALUES (7)")
         query(connection, "SELECT value FROM t")
         return lost
@@ -204,22 +204,22 @@
     assert harness.pool.confirmations == 1, "the next read must see the write if it ran"
 
 
-async def test_answer_of_a_replaced_primary_is_not_relayed(harness: Harness) -> None:
-    def overtaken(request: Any) -> ExecuteReply:
+async def test_reply_of_a_replaced_primary_is_not_relayed(harness: Harness) -> None:
+    def replaced(request: Any) -> ExecuteReply:
         reply = harness.pool._run(request)
         harness.edge.directory.observe_term(GROUP, 9)
         return reply
 
     def work() -> Any:
         connection = harness.connect()
-        harness.pool.script = [overtaken]
+        harness.pool.script = [replaced]
         return error_of(connection, "INSERT INTO t VALUES (8)")
 
     code, text = await harness.run(work)
     assert code == 9305 and "may have run" in text
 
 
-async def test_lost_statement_of_a_transaction_loses_it_as_not_run(harness: Harness) -> None:
+async def test_lost_statement_ends_its_transaction_as_not_run(harness: Harness) -> None:
     def work() -> Any:
         connection = harness.connect()
         query(connection, "BEGIN")
@@ -245,7 +245,7 @@
     assert code == 9312
 
 
-async def test_write_is_held_over_a_change_of_primary(harness: Harness) -> None:
+async def test_write_is_held_during_a_change_of_primary(harness: Harness) -> None:
     def change(request: Any) -> ExecuteReply:
         harness.pool.primary, harness.pool.term = R1, 2
         return harness.pool._run(request)
@@ -256,7 +256,7 @@
         query(connection, "INSERT INTO t VALUES (9)")
 
     await harness.run(work)
-    assert [request.instance for request in harness.pool.asked] == [P, R1]
+    assert [request.instance for request in harness.pool.requests] == [P, R1]
     assert harness.pool.log == ["INSERT INTO t VALUES (9)"]
 
 
@@ -286,14 +286,14 @@
     assert rows == (("head",), ("row 1",), ("row 2",), ("row 3",))
 
 
-async def test_local_statements_ask_no_back_end(harness: Harness) -> None:
+async def test_local_statements_use_no_back_end(harness: Harness) -> None:
     def work() -> Any:
         connection = harness.connect()
         query(connection, "SET NAMES utf8mb4")
         return query(connection, "SELECT @@autocommit AS a, DATABASE(), @@version_comment")
 
     assert await harness.run(work) == ((1, "shop", "bramblebeam"),)
-    assert harness.pool.asked == []
+    assert harness.pool.requests == []
 
 
 @pytest.mark.parametrize(
@@ -314,10 +314,10 @@
         return error_of(harness.connect(), sql)
 
     assert (await harness.run(work))[0] == code
-    assert harness.pool.asked == []
+    assert harness.pool.requests == []
 
 
-async def test_connections_above_the_cap_are_turned_away() -> None:
+async def test_connections_above_the_limit_are_rejected() -> None:
     harness = await start_harness(ClientSettings(maximum_connections=1))
     try:
 
@@ -333,7 +333,7 @@
         await harness.kernel.stop()
 
 
-async def test_change_of_user_keeps_nothing_of_the_former_one(harness: Harness) -> None:
+async def test_change_of_user_keeps_no_state_of_the_former_user(harness: Harness) -> None:
     caller = Caller(harness.edge)
     attributes = {"bramblebeam_session": "driver-7", "bramblebeam_token": "shop=1.9"}
     await caller.opened(ConnectionInfo(1, "app", "shop", attributes, "r"))
@@ -349,27 +349,27 @@
     assert counters.connections == 0
 
 
-async def test_statements_above_the_cap_are_refused_at_once() -> None:
+async def test_statements_above_the_limit_are_refused_at_once() -> None:
     harness = await start_harness(ClientSettings(maximum_in_flight=1))
     try:
         connection = await harness.run(harness.connect)
-        harness.edge.enter(in_transaction=False)
+        harness.edge.begin_statement(in_transaction=False)
         code, text = await harness.run(error_of, connection, "INSERT INTO t VALUES (1)")
         assert code == 9101 and "not run" in text
-        harness.edge.leave()
+        harness.edge.end_statement()
         await harness.run(query, connection, "INSERT INTO t VALUES (1)")
         assert len(harness.pool.log) == 1
     finally:
         await harness.kernel.stop()
 
 
-async def test_caller_request_travels_with_a_write(harness: Harness) -> None:
+async def test_caller_request_id_is_sent_with_a_write(harness: Harness) -> None:
     def work() -> None:
         connection = harness.connect()
         query(connection, "/* bramblebeam_request=stop-17 */ INSERT INTO t VALUES (1)")
 
     await harness.run(work)
-    assert harness.pool.asked[0].caller_request == "stop-17"
+    assert harness.pool.requests[0].caller_request == "stop-17"
 
 
 async def test_planned_stop_lets_a_transaction_end(harness: Harness) -> None:
--- a/tests/test_edge_transactions.py
+++ b/tests/test_edge_transactions.py
@@ -44,9 +44,9 @@
     session = Session("s", SERVICE, GROUP)
     session.transaction = Transaction("t", GROUP, P, NODE, 1)
     machine = PinnedExecution(session, statement, directory)
-    (ask,) = machine.handle(Started(), 0.0)
-    assert isinstance(ask, SendRequest)
-    return session, directory, machine, ask
+    (sent,) = machine.handle(Started(), 0.0)
+    assert isinstance(sent, SendRequest)
+    return session, directory, machine, sent
 
 
 def refusal_of(finish: Any) -> Refusal:
@@ -54,11 +54,11 @@
     return finish.refusal
 
 
-def test_commit_without_an_answer_is_asked_again_then_unknown() -> None:
-    session, _, machine, ask = begin(COMMIT)
+def test_commit_without_a_reply_is_repeated_then_unknown() -> None:
+    session, _, machine, sent = begin(COMMIT)
     (again,) = machine.handle(AttemptFailed(sent=True), 0.1)
     assert isinstance(again, SendRequest) and again.request.repeat
-    assert again.request.request == ask.request.request
+    assert again.request.request == sent.request.request
     (held,) = machine.handle(AttemptFailed(sent=True), 0.2)
     assert isinstance(held, Hold)
     (finish,) = machine.handle(Wakeup(), 5.0)
@@ -76,17 +76,17 @@
 
 
 def test_commit_at_a_replaced_primary_is_unknown() -> None:
-    _, directory, machine, ask = begin(COMMIT)
+    _, directory, machine, sent = begin(COMMIT)
     directory.observe_term(GROUP, 2)
-    reply = ExecuteReply(ask.request.request, position=Position(1, 9))
+    reply = ExecuteReply(sent.request.request, position=Position(1, 9))
     (finish,) = machine.handle(Answered(reply), 0.1)
     assert refusal_of(finish).verdict is Verdict.UNKNOWN
 
 
-def test_lost_statement_loses_the_transaction_as_not_run() -> None:
-    session, _, machine, ask = begin(UPDATE)
+def test_lost_statement_ends_the_transaction_as_not_run() -> None:
+    session, _, machine, sent = begin(UPDATE)
     lost = Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST)
-    abandon, finish = machine.handle(Answered(ExecuteReply(ask.request.request, lost)), 0.1)
+    abandon, finish = machine.handle(Answered(ExecuteReply(sent.request.request, lost)), 0.1)
     assert isinstance(abandon, Abandon)
     refusal = refusal_of(finish)
     assert (refusal.verdict, refusal.reason) == (Verdict.NOT_RUN, Reason.TRANSACTION_LOST)
@@ -104,37 +104,37 @@
 def test_statement_error_keeps_the_transaction_if_the_back_end_does(
     still_open: bool, expected: bool
 ) -> None:
-    session, _, machine, ask = begin(UPDATE)
+    session, _, machine, sent = begin(UPDATE)
     error = Refusal(Verdict.NOT_RUN, Reason.BACKEND_ERROR, "deadlock", code=1213)
-    reply = ExecuteReply(ask.request.request, error, in_transaction=still_open)
+    reply = ExecuteReply(sent.request.request, error, in_transaction=still_open)
     (finish,) = machine.handle(Answered(reply), 0.1)
     assert refusal_of(finish).code == 1213
     assert session.in_transaction is expected
 
 
 class SlowPeers:
-    """Hands each question to the test, which answers it."""
+    """Passes each request to the test, which replies to it."""
 
     def __init__(self) -> None:
-        self.questions: asyncio.Queue[asyncio.Future[PositionReply]] = asyncio.Queue()
+        self.requests: asyncio.Queue[asyncio.Future[PositionReply]] = asyncio.Queue()
 
     async def request(self, to: Any, message: Any, timeout: float) -> PositionReply:
         answer = asyncio.get_running_loop().create_future()
-        self.questions.put_nowait(answer)
+        self.requests.put_nowait(answer)
         return await answer
 
 
-async def test_position_confirmed_for_an_earlier_question_is_not_shared() -> None:
+async def test_position_confirmed_for_an_earlier_request_is_not_shared() -> None:
     peers = SlowPeers()
     confirmations = ConfirmationBatcher(cast(Peers, peers))
-    question = RequestPosition(NODE, PositionRequest(InstanceId("p")), 1.0)
-    first = asyncio.create_task(confirmations.confirm(question))
-    asked_first = await peers.questions.get()
-    later = [asyncio.create_task(confirmations.confirm(question)) for _ in range(3)]
+    request = RequestPosition(NODE, PositionRequest(InstanceId("p")), 1.0)
+    first = asyncio.create_task(confirmations.confirm(request))
+    first_request = await peers.requests.get()
+    later = [asyncio.create_task(confirmations.confirm(request)) for _ in range(3)]
     await asyncio.sleep(0)
-    asked_first.set_result(PositionReply(P, Position(1, 1)))
+    first_request.set_result(PositionReply(P, Position(1, 1)))
     assert (await first).position == Position(1, 1)
-    asked_next = await peers.questions.get()
-    asked_next.set_result(PositionReply(P, Position(1, 2)))
+    next_request = await peers.requests.get()
+    next_request.set_result(PositionReply(P, Position(1, 2)))
     assert [(await task).position for task in later] == [Position(1, 2)] * 3
-    assert peers.questions.empty()
+    assert peers.requests.empty()
--- a/tests/test_pool_absent_edges.py
+++ b/tests/test_pool_absent_edges.py
@@ -1,23 +1,23 @@
-"""Which edges' transactions are rolled back."""
+"""Detection of absent edges, whose sessions' transactions are rolled back."""
 
 from bramblebeam.core.identity import Address, NodeId, NodeSpec, ZoneId
 from bramblebeam.core.membership.view import Member, MemberState, MembersView
 from bramblebeam.services.pool.absent_edges import AbsentEdges, node_of
 
-PLACE = Address("127.0.0.1", 1)
+ADDRESS = Address("127.0.0.1", 1)
 
 
 def edges(state: MemberState, unreachable: frozenset[ZoneId] = frozenset()) -> AbsentEdges:
     members = {}
     for name in ("own", "n1"):
-        spec = NodeSpec(NodeId(name), ZoneId("z"), "r", PLACE, PLACE, PLACE)
+        spec = NodeSpec(NodeId(name), ZoneId("z"), "r", ADDRESS, ADDRESS, ADDRESS)
         members[spec.node] = Member(spec, 1, state)
     found = AbsentEdges(NodeId("own"))
     found.set_members(MembersView(members, {}, unreachable))
     return found
 
 
-def test_sessions_name_their_node() -> None:
+def test_session_name_contains_its_node() -> None:
     assert node_of("rack/7/0f3c/12") == "rack/7"
 
 
@@ -29,7 +29,7 @@
     assert not edges(MemberState.DEAD).is_absent("unknown/a/1", 9.0)
 
 
-def test_sessions_in_a_zone_out_of_reach_are_absent() -> None:
+def test_sessions_in_an_unreachable_zone_are_absent() -> None:
     assert edges(MemberState.ALIVE, frozenset({ZoneId("z")})).is_absent("n1/a/1", 0.0)
 
 
--- a/tests/test_pool_database.py
+++ b/tests/test_pool_database.py
@@ -1,4 +1,4 @@
-"""The pool's service against the stand-in database."""
+"""The pool service against the lab's stand-in database."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -16,7 +16,7 @@
 
 
 class DatabaseHarness(Harness):
-    """Nodes before a group of one member, which is its primary."""
+    """Nodes that share a group of one member, its primary."""
 
     member: DatabaseMember
 
@@ -31,15 +31,15 @@
     await member.start()
     control = await BackendConnection.connect(member.address, "bramblebeam_control", "")
     await control.execute("CALL bramblebeam.promise(1)")
-    listed = f"{INSTANCE}={member.address.host}:{member.address.port}"
-    await control.execute(f"CALL bramblebeam.promote(1, '{listed}')")
+    members = f"{INSTANCE}={member.address.host}:{member.address.port}"
+    await control.execute(f"CALL bramblebeam.promote(1, '{members}')")
     harness = DatabaseHarness(member.address.port)
     harness.member = member
     harness.slots = SLOTS
     for name in ("a", "b"):
         await harness.add(name)
     harness.set_owners("a")
-    await harness.owned_by("a")
+    await harness.wait_until_owned_by("a")
     created = await harness.write("a", "CREATE TABLE stops (id INTEGER PRIMARY KEY, state TEXT)")
     assert created.refusal is None
     yield harness
@@ -59,8 +59,8 @@
 
 async def test_position_is_confirmed(harness: DatabaseHarness) -> None:
     written = await harness.write("a", "INSERT INTO stops VALUES (1, 'done')")
-    asked = await harness.ask("a", PositionRequest(INSTANCE))
-    assert asked.position >= written.position
+    reply = await harness.ask("a", PositionRequest(INSTANCE))
+    assert reply.position >= written.position
 
 
 async def test_rolled_back_transaction_leaves_nothing(harness: DatabaseHarness) -> None:
@@ -76,7 +76,7 @@
     first = await harness.write("a", sql, caller_request="stop-17")
     assert first.refusal is None
     harness.set_owners("b")
-    await harness.owned_by("b")
+    await harness.wait_until_owned_by("b")
     again = await harness.write("b", sql, caller_request="stop-17")
     assert (again.refusal, again.affected_rows) == (None, 1)
     assert again.position >= first.position
@@ -119,7 +119,9 @@
     await wait_for(lambda: harness.serves("a"))
 
 
-async def test_churn_of_owners_keeps_the_slots_and_cuts_nothing(harness: DatabaseHarness) -> None:
+async def test_repeated_handovers_keep_the_slot_limit_and_cut_no_statement(
+    harness: DatabaseHarness,
+) -> None:
     refusals = []
 
     async def load(stop: asyncio.Event) -> None:
@@ -134,7 +136,7 @@
     for number in range(10):
         owner = "ab"[number % 2]
         harness.set_owners(owner)
-        await harness.owned_by(owner)
+        await harness.wait_until_owned_by(owner)
     stop.set()
     await asyncio.gather(*loads)
     assert harness.peak <= SLOTS
--- a/tests/test_pool_service.py
+++ b/tests/test_pool_service.py
@@ -1,4 +1,4 @@
-"""The pool's service against a small back end on loopback."""
+"""The pool service against a fake back end on loopback."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -24,21 +24,21 @@
 
 
 class FakeHarness(BackendHarness):
-    """Nodes before the small back end, and what these tests ask of them."""
+    """Nodes that share a fake back end, with helpers of these tests."""
 
     async def has_sessions(self, count: int) -> bool:
         return len(self.backend.slot_sessions()) == count
 
     async def become_replica(self, node: str, applied: int, lag_ms: int = 0) -> None:
-        """Turn the back end into a replica, and wait until the owner has seen it."""
+        """Turn the back end into a replica and wait until the owner reports it."""
         self.backend.role, self.backend.lag_ms = "replica", lag_ms
         self.backend.applied = applied
 
-        async def seen() -> bool:
+        async def reported() -> bool:
             status = (await self.ask(node, SubscribeRequest(INSTANCE))).status
             return status is not None and status.role is Role.REPLICA
 
-        await wait_for(seen)
+        await wait_for(reported)
 
 
 @pytest.fixture
@@ -71,7 +71,7 @@
     assert harness.backend.peak == 2
 
 
-async def test_changed_rows_take_force_without_a_restart(harness: FakeHarness) -> None:
+async def test_changed_limits_apply_without_a_restart(harness: FakeHarness) -> None:
     harness.slots = 4
     harness.nodes[NodeId("a")].publish(ConfigurationChanged(harness.view()))
     await asyncio.gather(*(harness.read("a", "SELECT sleep 20") for _ in range(8)))
@@ -82,14 +82,14 @@
     assert (await harness.read("a")).refusal is None
 
 
-async def test_transaction_keeps_its_connection_to_itself(harness: FakeHarness) -> None:
+async def test_transaction_has_exclusive_use_of_its_connection(harness: FakeHarness) -> None:
     begun = await harness.run("a", "BEGIN", StatementKind.BEGIN, transaction="t")
     assert begun.in_transaction
-    inside = await harness.read("a", "SELECT 1", transaction="t")
+    own = await harness.read("a", "SELECT 1", transaction="t")
     others = [await harness.read("a") for _ in range(3)]
-    assert all(other.rows != inside.rows for other in others)
+    assert all(other.rows != own.rows for other in others)
     again = await harness.read("a", "SELECT 1", transaction="t")
-    assert again.rows == inside.rows
+    assert again.rows == own.rows
     committed = await harness.run("a", "COMMIT", StatementKind.COMMIT, transaction="t")
     assert not committed.in_transaction and committed.position == Position(1, 1)
     lost = await harness.write("a", transaction="t")
@@ -106,7 +106,7 @@
     assert not any(session.in_transaction for session in harness.backend.slot_sessions())
 
 
-async def test_write_cut_at_its_deadline_is_in_doubt_and_leaves_no_answer(
+async def test_write_cut_at_its_deadline_is_in_doubt_and_leaves_no_stray_result(
     harness: FakeHarness,
 ) -> None:
     cut = await harness.write("a", "INSERT sleep 5000", deadline_ms=50)
@@ -121,7 +121,7 @@
     assert (reply.refusal.verdict, reply.refusal.code) == (Verdict.NOT_RUN, 1064)
 
 
-async def test_repeat_after_a_lost_answer_gets_the_first_answer(harness: FakeHarness) -> None:
+async def test_repeat_after_a_lost_reply_gets_the_first_reply(harness: FakeHarness) -> None:
     request = harness.request("INSERT sleep 30", StatementKind.WRITE)
     first = asyncio.ensure_future(harness.ask("a", request))
     await asyncio.sleep(0)
@@ -135,13 +135,13 @@
     assert len(harness.backend.executed) == 1
 
 
-async def test_repeat_that_is_not_remembered_is_in_doubt(harness: FakeHarness) -> None:
+async def test_repeat_of_an_unknown_request_is_in_doubt(harness: FakeHarness) -> None:
     reply = await harness.write("a", repeat=True)
     assert reply.refusal.verdict is Verdict.UNKNOWN
     assert harness.backend.executed == []
 
 
-async def test_caller_request_runs_once_and_gives_the_same_outcome(harness: FakeHarness) -> None:
+async def test_caller_request_runs_once_and_returns_the_same_outcome(harness: FakeHarness) -> None:
     first = await harness.write("a", caller_request="stop-17")
     again = await harness.write("a", caller_request="stop-17")
     assert (first.affected_rows, first.last_insert_id) == (1, 7)
@@ -175,7 +175,7 @@
         assert (reply.refusal, reply.more, len(reply.rows[0][0])) == (None, False, 2_000_000)
 
 
-async def test_replica_behind_the_floor_is_waited_for(harness: FakeHarness) -> None:
+async def test_read_waits_for_a_replica_behind_the_floor(harness: FakeHarness) -> None:
     harness.backend.offset = 5
     await harness.become_replica("a", applied=3)
     behind = await harness.read("a", floor=Position(1, 4), wait_ms=20)
@@ -210,8 +210,8 @@
 
 
 async def test_positions_are_confirmed_in_shared_rounds(harness: FakeHarness) -> None:
-    asked = (harness.ask("a", PositionRequest(INSTANCE)) for _ in range(20))
-    replies = await asyncio.gather(*asked)
+    requests = (harness.ask("a", PositionRequest(INSTANCE)) for _ in range(20))
+    replies = await asyncio.gather(*requests)
     assert {reply.refusal for reply in replies} == {None}
     assert harness.backend.confirmations <= 2
 
@@ -220,7 +220,7 @@
     await harness.add("b")
     await harness.run("a", "BEGIN", StatementKind.BEGIN, transaction="t")
     harness.set_owners("b")
-    await harness.owned_by("b")
+    await harness.wait_until_owned_by("b")
     replies = await asyncio.gather(*(harness.read("b", "SELECT sleep 10") for _ in range(4)))
     assert [reply.refusal for reply in replies] == [None] * 4
     committed = await harness.run("a", "COMMIT", StatementKind.COMMIT, transaction="t")
@@ -228,10 +228,10 @@
     assert harness.backend.peak <= 2
 
 
-async def test_former_owner_sends_work_on_to_its_successor(harness: FakeHarness) -> None:
+async def test_former_owner_forwards_requests_to_its_successor(harness: FakeHarness) -> None:
     await harness.add("b")
     harness.set_owners("b")
-    await harness.owned_by("b")
+    await harness.wait_until_owned_by("b")
     written = await harness.write("a")
     assert (written.refusal, written.position) == (None, Position(1, 1))
     rows = await harness.read("a", "SELECT numbers")
@@ -243,31 +243,33 @@
     assert begun.refusal.reason is Reason.NOT_OWNER
 
 
-async def test_node_that_is_refused_an_instance_sends_work_on_to_its_owner(
+async def test_node_that_is_refused_an_instance_forwards_requests_to_its_owner(
     harness: FakeHarness,
 ) -> None:
     await harness.add("b")
     best, other = ranked_owners(instance_key(INSTANCE), harness.nodes)
     harness.set_owners(best)
-    await harness.owned_by(best)
+    await harness.wait_until_owned_by(best)
     harness.set_owners(other, seen_by=other)
 
-    async def sent_on() -> bool:
+    async def forwarded() -> bool:
         return (await harness.read(other)).refusal is None
 
-    await wait_for(sent_on)
+    await wait_for(forwarded)
     assert (await harness.write(other)).refusal is None
     assert harness.backend.peak <= 2
 
 
-async def test_silent_holder_is_evicted_and_opens_nothing_more(harness: FakeHarness) -> None:
+async def test_unresponsive_holder_is_evicted_and_opens_no_more_connections(
+    harness: FakeHarness,
+) -> None:
     await harness.add("b")
     await asyncio.gather(*(harness.read("a", "SELECT sleep 10") for _ in range(2)))
     lost = harness.nodes.pop(NodeId("a"))
     for session in harness.backend.sessions.values():
         session.used_at -= 60.0
     harness.set_owners("b")
-    await harness.owned_by("b")
+    await harness.wait_until_owned_by("b")
     busy = [asyncio.ensure_future(harness.read("b", "SELECT sleep 100")) for _ in range(2)]
     await wait_for(lambda: harness.has_sessions(2))
     late = (harness.request("SELECT 1", StatementKind.READ) for _ in range(4))
@@ -278,18 +280,18 @@
     await lost.stop()
 
 
-async def test_planned_stop_hands_over_and_cuts_nothing(harness: FakeHarness) -> None:
+async def test_planned_stop_hands_over_without_cutting_statements(harness: FakeHarness) -> None:
     await harness.add("b")
     running = asyncio.ensure_future(harness.write("a", "INSERT sleep 100"))
     await asyncio.sleep(0.03)
     harness.set_owners("b")
     await harness.nodes[NodeId("a")].drain()
     assert (await running).refusal is None
-    await harness.owned_by("b")
+    await harness.wait_until_owned_by("b")
     assert (await harness.write("b")).refusal is None
 
 
-async def test_instance_that_the_rows_no_longer_name_is_given_up(harness: FakeHarness) -> None:
+async def test_instance_removed_from_the_configuration_is_given_up(harness: FakeHarness) -> None:
     await harness.read("a")
     harness.nodes[NodeId("a")].publish(ConfigurationChanged(ConfigurationView(2)))
     await wait_for(lambda: harness.has_sessions(0))
@@ -307,22 +309,22 @@
     assert (await harness.read("a")).refusal is None
 
 
-async def test_lock_taken_by_a_callers_statement_is_taken_back(harness: FakeHarness) -> None:
+async def test_lock_taken_by_a_callers_statement_is_reclaimed(harness: FakeHarness) -> None:
     await harness.run("a", "BEGIN", StatementKind.BEGIN, transaction="t")
     (session,) = harness.backend.slot_sessions()
     control = harness.backend.lock_holder
     harness.backend.lock_holder = session.id
     harness.backend.server.kill(control, False)
 
-    async def taken_back() -> bool:
+    async def reclaimed() -> bool:
         return harness.backend.lock_holder not in (None, session.id, control)
 
-    await wait_for(taken_back)
-    await harness.owned_by("a")
+    await wait_for(reclaimed)
+    await harness.wait_until_owned_by("a")
     assert (await harness.read("a")).refusal is None
 
 
-async def test_full_back_end_is_waited_for(harness: FakeHarness) -> None:
+async def test_read_waits_while_the_back_end_is_full(harness: FakeHarness) -> None:
     address = harness.backend.server.address
     stray = await BackendConnection.connect(address, "bramblebeam", "")
     harness.backend.maximum_user_connections = 1
@@ -341,7 +343,7 @@
         return harness.backend.lock_holder not in (None, first)
 
     await wait_for(claimed_again)
-    await harness.owned_by("a")
+    await harness.wait_until_owned_by("a")
     assert (await harness.read("a")).refusal is None
 
 
@@ -353,10 +355,10 @@
     await asyncio.sleep(0.05)
     harness.backend.server.kill(harness.backend.lock_holder, False)
     assert (await waiting).refusal.verdict is Verdict.NOT_RUN
-    await harness.owned_by("a")
+    await harness.wait_until_owned_by("a")
 
 
-async def test_use_of_an_instance_that_nobody_used_reads_its_status(
+async def test_use_of_an_unused_instance_refreshes_its_status(
     harness: FakeHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(status_module, "UNUSED_AFTER", 0.0)
--- a/tests/test_pool_status.py
+++ b/tests/test_pool_status.py
@@ -1,4 +1,4 @@
-"""How often an instance's status is asked for while statements wait for a newer one."""
+"""How often an instance's status is polled while statements wait for a newer one."""
 
 import asyncio
 from typing import Any
@@ -40,13 +40,13 @@
         )
 
 
-def test_a_statement_that_waits_again_and_again_does_not_make_polls_follow_without_pause() -> None:
+def test_repeated_waits_keep_the_minimum_interval_between_polls() -> None:
     loop = VirtualLoop()
     control = Control()
 
-    async def wait_again_and_again() -> None:
+    async def wait_repeatedly() -> None:
         stand_in: Any = control
-        monitor = StatusMonitor(stand_in, GroupId("g"), lambda *news: None)
+        monitor = StatusMonitor(stand_in, GroupId("g"), lambda *statuses: None)
         follower = loop.create_task(monitor.follow())
         end = loop.time() + SECONDS
         waits = 0
@@ -56,19 +56,19 @@
         assert waits > 1
         follower.cancel()
 
-    loop.run_until_complete(wait_again_and_again())
+    loop.run_until_complete(wait_repeatedly())
     loop.close()
     assert control.polls <= SECONDS / WAITING_POLL_INTERVAL + 2
 
 
-def test_a_status_that_was_asked_for_at_the_same_reading_is_no_next_one() -> None:
-    """The clock may stand between two events: what was asked first is told by its number."""
+def test_status_requested_at_the_same_clock_reading_is_not_the_next_one() -> None:
+    """Polls are ordered by number, as the clock may read the same at two of them."""
     loop = VirtualLoop()
     control = Control(round_trip=0.0)
 
-    async def wait_once_more() -> tuple[int, int]:
+    async def wait_twice() -> tuple[int, int]:
         stand_in: Any = control
-        monitor = StatusMonitor(stand_in, GroupId("g"), lambda *news: None)
+        monitor = StatusMonitor(stand_in, GroupId("g"), lambda *statuses: None)
         follower = loop.create_task(monitor.follow())
         assert await monitor.next_status(loop.time() + SECONDS)
         before = control.polls
@@ -76,6 +76,6 @@
         follower.cancel()
         return before, control.polls
 
-    before, after = loop.run_until_complete(wait_once_more())
+    before, after = loop.run_until_complete(wait_twice())
     loop.close()
     assert after > before
