--- a/src/bramblebeam/services/edge/confirmations.py
+++ b/src/bramblebeam/services/edge/confirmations.py
@@ -10,7 +10,7 @@
 from bramblebeam.services.edge.peers import Peers
 
 OVERLAP_AFTER = 0.005
-"""Seconds for which the next request waits for the one previous it."""
+"""Seconds for which the next request waits for the one before it."""
 
 _Key = tuple[NodeId, InstanceId]
 
--- a/src/bramblebeam/services/pool/absent_edges.py
+++ b/src/bramblebeam/services/pool/absent_edges.py
@@ -8,7 +8,7 @@
 from bramblebeam.core.membership.view import MemberState, MembersView
 
 RESTART_IDLE_SECONDS = 3.0
-"""Idle time after which a session of another start than the recorded one counts as absent."""
+"""Idle time after which a session of a start other than the recorded one is absent (seconds)."""
 
 
 def start_of(session: str) -> str:
--- a/src/bramblebeam/services/pool/streams.py
+++ b/src/bramblebeam/services/pool/streams.py
@@ -16,7 +16,7 @@
 PORTION_BYTES = 1024 * 1024
 """Approximate limit on the rows of one message, which carries at least one row."""
 IDLE_TIMEOUT = 30.0
-"""A result whose rows are not fetched for this long is given up (seconds)."""
+"""A result whose rows are not fetched for this long is discarded (seconds)."""
 VALUE_BYTES = 8
 """Assumed size of a value that is neither text nor bytes."""
 
@@ -95,18 +95,18 @@
         return ExecuteReply(stream.request, rows=rows, more=not stream.exhausted)
 
     def end(self, stream: ResultStream, *, complete: bool) -> None:
-        """End a stream. If it is not `complete`, its remaining rows are given up."""
+        """End a stream. If it is not `complete`, its remaining rows are discarded."""
         if self._open.pop(stream.request, None) is not None:
             stream.finish(complete)
 
     def end_of_session(self, session: str) -> None:
-        """Give up the results of one session."""
+        """End the results of one session."""
         for stream in list(self._open.values()):
             if stream.request.session == session:
                 self.end(stream, complete=False)
 
     def end_idle(self, now: float) -> None:
-        """Give up the results whose rows have not been fetched for too long."""
+        """End the results whose rows have not been fetched for too long."""
         for stream in list(self._open.values()):
             if not stream.busy and now - stream.used_at > IDLE_TIMEOUT:
                 self.end(stream, complete=False)
--- a/tests/pool_harness.py
+++ b/tests/pool_harness.py
@@ -108,9 +108,9 @@
 
     async def run(self, node: str, sql: str, kind: StatementKind, **fields: Any) -> ExecuteReply:
         request = self.request(sql, kind, **fields)
-        return await self.ask(node, request)
+        return await self.call(node, request)
 
-    async def ask(self, node: str, message: Any) -> Any:
+    async def call(self, node: str, message: Any) -> Any:
         return await self.nodes[NodeId(node)].call("pool", message, 10.0)
 
     async def read(self, node: str, sql: str = "SELECT 1", **fields: Any) -> ExecuteReply:
@@ -123,7 +123,7 @@
         await wait_for(lambda: self.owns(node))
 
     async def owns(self, node: str) -> bool:
-        reply = await self.ask(node, SubscribeRequest(INSTANCE))
+        reply = await self.call(node, SubscribeRequest(INSTANCE))
         return bool(reply.owned)
 
     async def serves(self, node: str) -> bool:
--- a/tests/test_pool_database.py
+++ b/tests/test_pool_database.py
@@ -59,7 +59,7 @@
 
 async def test_position_is_confirmed(harness: DatabaseHarness) -> None:
     written = await harness.write("a", "INSERT INTO stops VALUES (1, 'done')")
-    reply = await harness.ask("a", PositionRequest(INSTANCE))
+    reply = await harness.call("a", PositionRequest(INSTANCE))
     assert reply.position >= written.position
 
 
@@ -108,7 +108,7 @@
     harness.member.reachable.clear()
 
     async def unreachable() -> bool:
-        status = (await harness.ask("a", SubscribeRequest(INSTANCE))).status
+        status = (await harness.call("a", SubscribeRequest(INSTANCE))).status
         return status is not None and not status.reachable
 
     await wait_for(unreachable)
--- a/tests/test_pool_floors.py
+++ b/tests/test_pool_floors.py
@@ -15,7 +15,7 @@
     """Nodes before the small back end, and what these tests ask of them."""
 
     async def floors(self, node: str, *sessions: str) -> tuple[Position, ...]:
-        reply: PositionReply = await self.ask(node, PositionRequest(INSTANCE, sessions))
+        reply: PositionReply = await self.call(node, PositionRequest(INSTANCE, sessions))
         assert reply.refusal is None
         assert reply.position.offset == self.backend.offset
         return reply.floors
--- a/tests/test_pool_service.py
+++ b/tests/test_pool_service.py
@@ -35,7 +35,7 @@
         self.backend.applied = applied
 
         async def reported() -> bool:
-            status = (await self.ask(node, SubscribeRequest(INSTANCE))).status
+            status = (await self.call(node, SubscribeRequest(INSTANCE))).status
             return status is not None and status.role is Role.REPLICA
 
         await wait_for(reported)
@@ -101,7 +101,7 @@
         await harness.run("a", "BEGIN", StatementKind.BEGIN, transaction=name)
     refused = await harness.read("a", wait_ms=20)
     assert refused.refusal.reason is Reason.QUEUE_TIMEOUT
-    await harness.ask("a", AbandonRequest("s", INSTANCE))
+    await harness.call("a", AbandonRequest("s", INSTANCE))
     assert (await harness.read("a")).refusal is None
     assert not any(session.in_transaction for session in harness.backend.slot_sessions())
 
@@ -123,12 +123,12 @@
 
 async def test_repeat_after_a_lost_reply_gets_the_first_reply(harness: FakeHarness) -> None:
     request = harness.request("INSERT sleep 30", StatementKind.WRITE)
-    first = asyncio.ensure_future(harness.ask("a", request))
+    first = asyncio.ensure_future(harness.call("a", request))
     await asyncio.sleep(0)
-    joined = await harness.ask(
+    joined = await harness.call(
         "a", harness.request(request.sql, request.kind, request=request.request, repeat=True)
     )
-    later = await harness.ask(
+    later = await harness.call(
         "a", harness.request(request.sql, request.kind, request=request.request, repeat=True)
     )
     assert joined.position == later.position == (await first).position == Position(1, 1)
@@ -163,7 +163,7 @@
     reply = await harness.read("a", "SELECT numbers")
     rows = list(reply.rows)
     while reply.more:
-        reply = await harness.ask("a", FetchRequest(reply.request, INSTANCE))
+        reply = await harness.call("a", FetchRequest(reply.request, INSTANCE))
         rows.extend(reply.rows)
     assert [row[0] for row in rows] == list(range(2_000))
     assert (await harness.read("a")).refusal is None
@@ -210,7 +210,7 @@
 
 
 async def test_positions_are_confirmed_in_shared_rounds(harness: FakeHarness) -> None:
-    requests = (harness.ask("a", PositionRequest(INSTANCE)) for _ in range(20))
+    requests = (harness.call("a", PositionRequest(INSTANCE)) for _ in range(20))
     replies = await asyncio.gather(*requests)
     assert {reply.refusal for reply in replies} == {None}
     assert harness.backend.confirmations <= 2
@@ -235,9 +235,9 @@
     written = await harness.write("a")
     assert (written.refusal, written.position) == (None, Position(1, 1))
     rows = await harness.read("a", "SELECT numbers")
-    more = await harness.ask("a", FetchRequest(rows.request, INSTANCE))
+    more = await harness.call("a", FetchRequest(rows.request, INSTANCE))
     assert more.rows[0] == (len(rows.rows),)
-    subscribed = await harness.ask("a", SubscribeRequest(INSTANCE))
+    subscribed = await harness.call("a", SubscribeRequest(INSTANCE))
     assert not subscribed.owned and subscribed.status.owner == "b"
     begun = await harness.run("a", "BEGIN", StatementKind.BEGIN, transaction="t")
     assert begun.refusal.reason is Reason.NOT_OWNER
@@ -303,7 +303,7 @@
     read = asyncio.ensure_future(harness.read("a", "SELECT sleep 5000"))
     write = asyncio.ensure_future(harness.write("a", "INSERT sleep 50"))
     await asyncio.sleep(0.03)
-    await harness.ask("a", AbandonRequest("s", INSTANCE))
+    await harness.call("a", AbandonRequest("s", INSTANCE))
     assert (await read).refusal.verdict is Verdict.NOT_RUN
     assert (await write).refusal is None
     assert (await harness.read("a")).refusal is None
@@ -367,7 +367,7 @@
     harness.backend.leaving = True
 
     async def leaving() -> bool:
-        status = (await harness.ask("a", SubscribeRequest(INSTANCE))).status
+        status = (await harness.call("a", SubscribeRequest(INSTANCE))).status
         return status is not None and bool(status.leaving)
 
     await wait_for(leaving)
