--- a/src/bramblebeam/services/pool/control.py
+++ b/src/bramblebeam/services/pool/control.py
@@ -66,7 +66,7 @@
         return self.connection.id
 
     async def execute(self, sql: str) -> BackendResult:
-        """Run one control statement after those queued before it.
+        """Run one control statement after the statements queued before it.
 
         Cancelling the caller does not break the connection: the statement runs to its end.
         """
--- a/src/bramblebeam/services/pool/requests.py
+++ b/src/bramblebeam/services/pool/requests.py
@@ -47,7 +47,7 @@
             answer(envelope, known)
             return True
         if request.repeat:
-            detail = "the reply to the original request is no longer available"
+            detail = "no reply to the original request is stored"
             refusal = Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST, detail)
             answer(envelope, ExecuteReply(request.request, refusal=refusal))
             return True
