--- a/tests/test_pool_floors.py
+++ b/tests/test_pool_floors.py
@@ -1,21 +1,19 @@
 """Floors that an owner gives to named sessions, against a fake database on loopback."""
 
 import asyncio
-from collections.abc import AsyncIterator
-
 import pytest
-
-from bramblebeam.core.identity import Position
-from bramblebeam.core.statement import PositionReply, PositionRequest, StatementKind
-from pool_backend import FakeBackend
-from pool_harness import INSTANCE, BackendHarness, before_backend
+from bramblebeam.core.identity import (Position)
+from bramblebeam.core.statement import (PositionReply, PositionRequest, StatementKind)
+from collections.abc import (AsyncIterator)
+from pool_backend import (FakeBackend)
+from pool_harness import (BackendHarness, INSTANCE, running_harness)
 
 
 class FakeHarness(BackendHarness):
     """Nodes in front of the fake database, and the queries of these tests."""
 
     async def floors(self, node: str, *sessions: str) -> tuple[Position, ...]:
-        reply: PositionReply = await self.ask(node, PositionRequest(INSTANCE, sessions))
+        reply: PositionReply = await self.call(node, PositionRequest(INSTANCE, sessions))
         assert reply.refusal is None
         assert reply.position.offset == self.backend.offset
         return reply.floors
@@ -23,7 +21,7 @@
 
 @pytest.fixture
 async def harness() -> AsyncIterator[FakeHarness]:
-    async with before_backend(FakeBackend(), FakeHarness) as harness:
+    async with running_harness(FakeBackend(), FakeHarness) as harness:
         yield harness
 
 
@@ -56,7 +54,7 @@
     await harness.write("a", session_name="dispatcher")
     await harness.add("b")
     harness.set_owners("b")
-    await harness.owned_by("b")
+    await harness.wait_until_owned_by("b")
     assert await harness.floors("b", "rider") == (Position(1, 2),)
     await harness.write("b", session_name="dispatcher")
     assert await harness.floors("b", "rider", "dispatcher") == (Position(1, 2), Position(1, 3))
@@ -69,7 +67,7 @@
     await harness.run("a", "BEGIN", StatementKind.BEGIN, **fields)
     await harness.add("b")
     harness.set_owners("b")
-    await harness.owned_by("b")
+    await harness.wait_until_owned_by("b")
     assert await harness.floors("b", "customer") == (Position(1, 0),)
     await harness.write("a", **fields)
     committed = await harness.run("a", "COMMIT", StatementKind.COMMIT, **fields)
