--- a/src/bramblebeam/services/edge/service.py
+++ b/src/bramblebeam/services/edge/service.py
@@ -1,36 +1,38 @@
 """The edge service: owns the callers' listener and the state shared by their sessions."""
 
 from __future__ import annotations
+
 import asyncio
 import itertools
 import logging
 import ssl
 import uuid
-from bramblebeam.core.configuration.view import (ConfigurationChanged)
-from bramblebeam.core.identity import (GroupId, ServiceId)
-from bramblebeam.core.membership.view import (MembersChanged)
-from bramblebeam.core.routing.budget import (RetryBudget)
-from bramblebeam.core.routing.classify import (Classifier)
-from bramblebeam.core.routing.directory import (Directory)
-from bramblebeam.core.statement import (InstanceStatus)
-from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
-from bramblebeam.edges.mysql.server import (MysqlServer)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (CALLER_REJECTED, EDGE_DRAINING, EDGE_LISTENING)
-from bramblebeam.kernel import (Kernel, Service)
-from bramblebeam.kernel.mailbox import (Envelope)
-from bramblebeam.kernel.messages import (BoundAddressRequest)
-from bramblebeam.kernel.service import (answer)
-from bramblebeam.services.edge.caller import (Caller)
-from bramblebeam.services.edge.driver import (Driver)
-from bramblebeam.services.edge.groups import (GroupTracker)
-from bramblebeam.services.edge.messages import (EdgeStatus, EdgeStatusRequest)
-from bramblebeam.services.edge.peers import (Peers, TRANSPORT)
-from bramblebeam.services.edge.results import (caller_error)
-from bramblebeam.services.transport.messages import (PeerDelivery, PeerRoute)
-from bramblebeam.settings.model import (ClientSettings, NodeSettings)
-from collections import (Counter)
-from typing import (Any, ClassVar)
+from collections import Counter
+from typing import Any, ClassVar
+
+from bramblebeam.core.configuration.view import ConfigurationChanged
+from bramblebeam.core.identity import GroupId, ServiceId
+from bramblebeam.core.membership.view import MembersChanged
+from bramblebeam.core.routing.budget import RetryBudget
+from bramblebeam.core.routing.classify import Classifier
+from bramblebeam.core.routing.directory import Directory
+from bramblebeam.core.statement import InstanceStatus
+from bramblebeam.core.verdict import Reason, Refusal, Verdict
+from bramblebeam.edges.mysql.server import MysqlServer
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import CALLER_REJECTED, EDGE_DRAINING, EDGE_LISTENING
+from bramblebeam.kernel import Kernel, Service
+from bramblebeam.kernel.mailbox import Envelope
+from bramblebeam.kernel.messages import BoundAddressRequest
+from bramblebeam.kernel.service import answer
+from bramblebeam.services.edge.caller import Caller
+from bramblebeam.services.edge.driver import Driver
+from bramblebeam.services.edge.groups import GroupTracker
+from bramblebeam.services.edge.messages import EdgeStatus, EdgeStatusRequest
+from bramblebeam.services.edge.peers import TRANSPORT, Peers
+from bramblebeam.services.edge.results import caller_error
+from bramblebeam.services.transport.messages import PeerDelivery, PeerRoute
+from bramblebeam.settings.model import ClientSettings, NodeSettings
 
 logger = logging.getLogger(__name__)
 
--- a/src/bramblebeam/services/feed/followed.py
+++ b/src/bramblebeam/services/feed/followed.py
@@ -1,16 +1,18 @@
 """The state of a list that this node follows, merged from several sources."""
 
 from __future__ import annotations
+
 import asyncio
 import logging
-from bramblebeam.core.revision import (ERA_EXPIRY_SECONDS, NO_REVISION, Revision)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (ITEMS_IGNORED, STORE_ERA_BEGAN, STORE_ERA_DISCARDED)
-from bramblebeam.services.feed.ports import (Batch, HistoryLostError, Versioned)
-from bramblebeam.services.gateway.metrics import (ListState)
-from bramblebeam.services.waiting import (loop_time, wait_at_most)
-from collections.abc import (Callable, Iterable)
-from typing import (Generic, TypeVar)
+from collections.abc import Callable, Iterable
+from typing import Generic, TypeVar
+
+from bramblebeam.core.revision import ERA_EXPIRY_SECONDS, NO_REVISION, Revision
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import ITEMS_IGNORED, STORE_ERA_BEGAN, STORE_ERA_DISCARDED
+from bramblebeam.services.feed.ports import Batch, HistoryLostError, Versioned
+from bramblebeam.services.gateway.metrics import ListState
+from bramblebeam.services.waiting import loop_time, wait_at_most
 
 logger = logging.getLogger(__name__)
 
--- a/src/bramblebeam/services/feed/peers.py
+++ b/src/bramblebeam/services/feed/peers.py
@@ -1,20 +1,43 @@
 """Lists that are read from other nodes, and the replies to nodes that read from this one."""
 
 from __future__ import annotations
+
 import asyncio
-from bramblebeam.core.feed.messages import (DatabaseItem, DatabaseStart, FollowReply, FollowRequest, ListName, RouteTableItem, UNKNOWN_ERA, UNKNOWN_REVISION)
-from bramblebeam.core.gateway.directory import (DatabaseEntry)
-from bramblebeam.core.gateway.routes import (RouteTable)
-from bramblebeam.core.identity import (InstanceId, NodeId, UNKNOWN_INCARNATION, incarnation_of, instance_id, server_name)
-from bramblebeam.core.revision import (FIRST_ERA, HIGHEST_ERA, Revision)
-from bramblebeam.core.tenants import (TenantTable)
-from bramblebeam.kernel import (Kernel, MailboxFullError)
-from bramblebeam.kernel.mailbox import (ServiceFailedError)
-from bramblebeam.services.feed.followed import (FollowedList)
-from bramblebeam.services.feed.ports import (Batch, HistoryLostError, SourceUnavailableError, Versioned)
-from bramblebeam.services.transport.messages import (PeerRequest)
-from collections.abc import (Callable)
-from typing import (Any, Generic, NamedTuple, TypeVar)
+from collections.abc import Callable
+from typing import Any, Generic, NamedTuple, TypeVar
+
+from bramblebeam.core.feed.messages import (
+    UNKNOWN_ERA,
+    UNKNOWN_REVISION,
+    DatabaseItem,
+    DatabaseStart,
+    FollowReply,
+    FollowRequest,
+    ListName,
+    RouteTableItem,
+)
+from bramblebeam.core.gateway.directory import DatabaseEntry
+from bramblebeam.core.gateway.routes import RouteTable
+from bramblebeam.core.identity import (
+    UNKNOWN_INCARNATION,
+    InstanceId,
+    NodeId,
+    incarnation_of,
+    instance_id,
+    server_name,
+)
+from bramblebeam.core.revision import FIRST_ERA, HIGHEST_ERA, Revision
+from bramblebeam.core.tenants import TenantTable
+from bramblebeam.kernel import Kernel, MailboxFullError
+from bramblebeam.kernel.mailbox import ServiceFailedError
+from bramblebeam.services.feed.followed import FollowedList
+from bramblebeam.services.feed.ports import (
+    Batch,
+    HistoryLostError,
+    SourceUnavailableError,
+    Versioned,
+)
+from bramblebeam.services.transport.messages import PeerRequest
 
 Item = TypeVar("Item")
 
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -1,17 +1,19 @@
 """Lists of the store merged from several sources, and which nodes read the store."""
 
 import asyncio
+from collections.abc import AsyncIterator
+
 import pytest
-from bramblebeam.core.feed import (plan as plan_module)
-from bramblebeam.core.feed.plan import (FeedPlan, feed_plan)
-from bramblebeam.core.gateway.owners import (NodeLocation)
-from bramblebeam.core.membership.view import (MembersView)
-from bramblebeam.services.feed.followed import (FollowedList, MAXIMUM_DELETED)
-from bramblebeam.services.feed.ports import (Batch, HistoryLostError, Versioned)
-from collections.abc import (AsyncIterator)
-from member_views import (nodes_in, view_of)
-from platform_standins.world import (World, joined_world, until)
-from revisions import (at)
+
+from bramblebeam.core.feed import plan as plan_module
+from bramblebeam.core.feed.plan import FeedPlan, feed_plan
+from bramblebeam.core.gateway.owners import NodeLocation
+from bramblebeam.core.membership.view import MembersView
+from bramblebeam.services.feed.followed import MAXIMUM_DELETED, FollowedList
+from bramblebeam.services.feed.ports import Batch, HistoryLostError, Versioned
+from member_views import nodes_in, view_of
+from platform_standins.world import World, joined_world, until
+from revisions import at
 
 
 def make_list() -> tuple[FollowedList[str], list[Versioned[str]]]:
--- a/tests/test_pool_floors.py
+++ b/tests/test_pool_floors.py
@@ -1,12 +1,14 @@
 """Floors that an owner gives to named sessions, against a fake database on loopback."""
 
 import asyncio
+from collections.abc import AsyncIterator
+
 import pytest
-from bramblebeam.core.identity import (Position)
-from bramblebeam.core.statement import (PositionReply, PositionRequest, StatementKind)
-from collections.abc import (AsyncIterator)
-from pool_backend import (FakeBackend)
-from pool_harness import (BackendHarness, INSTANCE, running_harness)
+
+from bramblebeam.core.identity import Position
+from bramblebeam.core.statement import PositionReply, PositionRequest, StatementKind
+from pool_backend import FakeBackend
+from pool_harness import INSTANCE, BackendHarness, running_harness
 
 
 class FakeHarness(BackendHarness):
