--- a/src/bramblebeam/core/overload/budget.py
+++ b/src/bramblebeam/core/overload/budget.py
@@ -7,8 +7,9 @@
 """
 
 from __future__ import annotations
-from bramblebeam.core.identity import (GroupId)
-from bramblebeam.core.routing.budget import (RetryBudget, RetryLimits)
+
+from bramblebeam.core.identity import GroupId
+from bramblebeam.core.routing.budget import RetryBudget, RetryLimits
 
 SECOND_ATTEMPT_LIMITS = RetryLimits(share=0.1, minimum_rate=2.0, capacity=10.0)
 """A tenth more work than requested is bearable for a database at nine tenths of its capacity.
--- a/tests/test_overload_budget.py
+++ b/tests/test_overload_budget.py
@@ -1,8 +1,14 @@
 """Budget of second attempts: few, and none while statements queue."""
 
 import pytest
-from bramblebeam.core.identity import (GroupId)
-from bramblebeam.core.overload.budget import (AttemptBudget, AttemptBudgets, OVERLOADED_WAIT, SECOND_ATTEMPT_LIMITS)
+
+from bramblebeam.core.identity import GroupId
+from bramblebeam.core.overload.budget import (
+    OVERLOADED_WAIT,
+    SECOND_ATTEMPT_LIMITS,
+    AttemptBudget,
+    AttemptBudgets,
+)
 
 GROUP, OTHER = GroupId("one"), GroupId("two")
 NO_WAIT = 0.0
