--- a/src/bramblebeam/services/gateway/admission.py
+++ b/src/bramblebeam/services/gateway/admission.py
@@ -99,7 +99,7 @@
     return False
 
 
-def settle(context: GatewayContext, request: Request) -> None:
+def refund_unused(context: GatewayContext, request: Request) -> None:
     """Give back the counts of an operation by which nothing can have run."""
     for count in request.account.take_unused():
         returned = AdmissionReturned(count.tenant, count.receipt)
--- a/src/bramblebeam/services/gateway/execution.py
+++ b/src/bramblebeam/services/gateway/execution.py
@@ -6,7 +6,7 @@
 
 from bramblebeam.core.gateway.replies import Reply
 from bramblebeam.core.quota.account import Count
-from bramblebeam.services.gateway.admission import admit, settle
+from bramblebeam.services.gateway.admission import admit, refund_unused
 from bramblebeam.services.gateway.leader_reads import read_latest
 from bramblebeam.services.gateway.reads import read_replica
 from bramblebeam.services.gateway.request import Request
@@ -47,7 +47,7 @@
     try:
         return await _execute_admitted(context, request)
     finally:
-        settle(context, request)
+        refund_unused(context, request)
 
 
 async def _execute_admitted(context: GatewayContext, request: Request) -> Reply:
--- a/src/bramblebeam/services/gateway/transaction.py
+++ b/src/bramblebeam/services/gateway/transaction.py
@@ -15,7 +15,7 @@
 )
 from bramblebeam.core.identity import InstanceId
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
-from bramblebeam.services.gateway.admission import admit, settle
+from bramblebeam.services.gateway.admission import admit, refund_unused
 from bramblebeam.services.gateway.lending import BUSY_PAUSE, at_leader, time_left, time_to_hold
 from bramblebeam.services.gateway.pool import DatabasePool
 from bramblebeam.services.gateway.pooled import CLOCK_STEP, PooledConnection
@@ -69,7 +69,7 @@
             return await self._run(request)
         finally:
             request.leave_slot()
-            settle(self._context, request)
+            refund_unused(self._context, request)
             self._running = False
             self._used_at = self._context.now()
 
@@ -105,7 +105,7 @@
         finally:
             # The caller may have left meanwhile.
             request.leave_slot()
-            settle(self._context, request)
+            refund_unused(self._context, request)
             self._release(dirty=True)
             self._place.end()
 
