--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -101,7 +101,7 @@
         loop = asyncio.get_running_loop()
         self._members_quiet = loop.call_later(MEMBERS_QUIET, self._members_known.set)
 
-    def users(self, group: GroupId) -> tuple[tuple[NodeId, ...], bool]:
+    def leader_users(self, group: GroupId) -> tuple[tuple[NodeId, ...], bool]:
         """Return the other nodes that may use a group's leader, and whether no further one can.
 
         Those that serve the group come first. Any other one may use it too: it may see other
--- a/tests/test_gateway_context.py
+++ b/tests/test_gateway_context.py
@@ -65,7 +65,7 @@
     context.configure(RouteTable(1, {}, {GROUP: GroupSettings(GROUP, 53)}))
     context.take_members(members)
     clock += asked_after
-    nodes, nodes_are_all = context.users(GROUP)
+    nodes, nodes_are_all = context.leader_users(GROUP)
     assert (len(nodes), nodes_are_all) == (asked, are_all)
 
 
