--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -155,7 +155,7 @@
         """
         return self._leaders.get(group)
 
-    def give_up(self, group: GroupId, name: ServerName | None, term: int) -> None:
+    def stop_using_leader(self, group: GroupId, name: ServerName | None, term: int) -> None:
         """Use a database as its group's leader no more, nor another one of a term below `term`.
 
         `name` None: nobody knows the former leader.
