--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -83,7 +83,7 @@
         self.load.configure(table)
         self._review_leaders()
 
-    def take_members(self, members: MembersView) -> None:
+    def update_members(self, members: MembersView) -> None:
         """Follow the members: which groups this node serves may change."""
         if self.owners.nodes != set(members.members):
             self._members_changed_at = self.now()
--- a/src/bramblebeam/services/gateway/service.py
+++ b/src/bramblebeam/services/gateway/service.py
@@ -137,7 +137,7 @@
             case LeaderProven():
                 self.context.metrics.leader_changed()
             case MembersChanged(view):
-                self.context.take_members(view)
+                self.context.update_members(view)
             case PeerDelivery(sender, ForwardedStatement() as statement):
                 self.spawn(self._serve(sender, statement, envelope))
             case PeerDelivery(sender, StatementWithdrawn(number)):
--- a/tests/counting_fleet.py
+++ b/tests/counting_fleet.py
@@ -104,7 +104,7 @@
         context.expects_others = True
         context.limits.start()
         context.configure(configured)
-        context.take_members(self.view)
+        context.update_members(self.view)
         return context
 
     def restart(self, node: NodeId, configured: RouteTable) -> GatewayContext:
--- a/tests/test_gateway_context.py
+++ b/tests/test_gateway_context.py
@@ -63,7 +63,7 @@
     )
     context.expects_others = expects_others
     context.configure(RouteTable(1, {}, {GROUP: GroupSettings(GROUP, 53)}))
-    context.take_members(members)
+    context.update_members(members)
     clock += asked_after
     nodes, nodes_are_all = context.leader_users(GROUP)
     assert (len(nodes), nodes_are_all) == (asked, are_all)
@@ -83,7 +83,7 @@
         place, LineDatabaseConnector(), NoPeers(), lambda found: None, asyncio.ensure_future
     )
     context.expects_others = True
-    context.take_members(view(1))
+    context.update_members(view(1))
     context.resume()
     far_too_long = context.now() + 60.0
     await context.know_members(far_too_long)
--- a/tests/test_meeting_at_databases.py
+++ b/tests/test_meeting_at_databases.py
@@ -46,7 +46,7 @@
     listed = TenantTable([Tenant(name, (), RateLimit(10.0, 10.0)) for name in TENANTS])
     groups = {GROUP: GroupSettings(GROUP, CONNECTIONS)}
     context.configure(RouteTable(1, {}, groups, 3.0, listed if tenants else None))
-    context.take_members(view)
+    context.update_members(view)
     context.update(directory(leader))
     return context
 
--- a/tests/test_tenant_serving.py
+++ b/tests/test_tenant_serving.py
@@ -77,7 +77,7 @@
     listed_tenants = TenantTable([Tenant(name, (), limit) for name in TENANTS])
     groups = {GROUP: GroupSettings(GROUP, CONNECTIONS)}
     context.configure(RouteTable(1, {}, groups, 3.0, listed_tenants if tenants else None))
-    context.take_members(view)
+    context.update_members(view)
     context.update(found)
     return context
 
