--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -223,7 +223,7 @@
         each question decide how many operations the same connections carry. Other reads go to a
         region with a replica: what the leader's connections and slots carry, nobody else can.
         """
-        if not self.meets_at_databases:
+        if not self.runs_near_databases:
             return () if self.serves(group) else self.nearest(group)
         if self.overload.enabled:
             region = self.leader_region(group) if at_leader else None
@@ -260,7 +260,7 @@
         return self.overload.enabled
 
     @property
-    def meets_at_databases(self) -> bool:
+    def runs_near_databases(self) -> bool:
         """Whether the statements for a database meet at one node near it.
 
         So their tenants' connections are there, and one queue decides who is next.
