--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -267,7 +267,7 @@
         """
         return self.table.tenants is not None or self.overload.enabled
 
-    def server_in(self, region: str, group: GroupId, tenant: TenantId) -> NodeId | None:
+    def serving_node_in(self, region: str, group: GroupId, tenant: TenantId) -> NodeId | None:
         """Return the other node that runs a tenant's statements in another region, or None."""
         if region == self.owners.place.region:
             return None
