--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -29,7 +29,7 @@
 """Reads with a smaller bound go to the leader (seconds)."""
 
 
-MEMBERS_PATIENCE = 0.6
+MEMBERS_TIMEOUT = 0.6
 """So long after its start a node serves by whichever members it has met, or alone (seconds)."""
 MEMBERS_QUIET = 0.15
 """A node that has met no new member for so long knows enough to serve (seconds): in a fleet that
@@ -169,7 +169,7 @@
         self._members_changed_at = self.now()
         self.limits.start()
         loop = asyncio.get_running_loop()
-        self._patience = loop.call_later(MEMBERS_PATIENCE, self._members_known.set)
+        self._patience = loop.call_later(MEMBERS_TIMEOUT, self._members_known.set)
         self.placement.reopen()
         for tracker in self._leaders.values():
             self.spawn(tracker.run())
