--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -31,7 +31,7 @@
 
 MEMBERS_TIMEOUT = 0.6
 """So long after its start a node serves by whichever members it has met, or alone (seconds)."""
-MEMBERS_QUIET = 0.15
+MEMBERS_QUIET_PERIOD = 0.15
 """A node that has met no new member for so long knows enough to serve (seconds): in a fleet that
 runs it gets the whole table in one exchange with the first member met."""
 UNSTEADY_SECONDS = 10.0
@@ -99,7 +99,7 @@
         if self._members_quiet is not None:
             self._members_quiet.cancel()
         loop = asyncio.get_running_loop()
-        self._members_quiet = loop.call_later(MEMBERS_QUIET, self._members_known.set)
+        self._members_quiet = loop.call_later(MEMBERS_QUIET_PERIOD, self._members_known.set)
 
     def leader_users(self, group: GroupId) -> tuple[tuple[NodeId, ...], bool]:
         """Return the other nodes that may use a group's leader, and whether no further one can.
--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -13,7 +13,7 @@
 from bramblebeam.platform.node import PlatformNode
 from bramblebeam.services.failover.service import FailoverService
 from bramblebeam.services.gateway import forwarding
-from bramblebeam.services.gateway.context import MEMBERS_QUIET
+from bramblebeam.services.gateway.context import MEMBERS_QUIET_PERIOD
 from bramblebeam.services.gateway.leader_news import LeaderSuspected
 from platform_standins.world import FAR_TOO_LONG, GROUP, World, joined_world, until
 
@@ -99,7 +99,7 @@
         )
         await until(context._members_known.is_set)
         # Timers that were set while the node met the others are due before this one.
-        await asyncio.sleep(2 * MEMBERS_QUIET)
+        await asyncio.sleep(2 * MEMBERS_QUIET_PERIOD)
         assert context._patience is not None
         context._patience.cancel()
         context.expects_others = True
