--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -34,7 +34,7 @@
 MEMBERS_QUIET_PERIOD = 0.15
 """A node that has met no new member for so long knows enough to serve (seconds): in a fleet that
 runs it gets the whole table in one exchange with the first member met."""
-UNSTEADY_SECONDS = 10.0
+MEMBERSHIP_SETTLE_SECONDS = 10.0
 """After its start and after it met another node, one does not rely on knowing all (seconds)."""
 MAXIMUM_USERS = 32
 """So many nodes are asked at most to give a leader up."""
@@ -112,7 +112,7 @@
         others = sorted(self.owners.nodes - set(serving) - {self.owners.place.node})
         nodes = (*serving, *others)
         has_met_none = self.expects_others and not nodes
-        is_steady = self.now() - self._members_changed_at > UNSTEADY_SECONDS
+        is_steady = self.now() - self._members_changed_at > MEMBERSHIP_SETTLE_SECONDS
         are_all = is_steady and not has_met_none and len(nodes) <= MAXIMUM_USERS
         return nodes[:MAXIMUM_USERS], are_all
 
--- a/tests/test_gateway_context.py
+++ b/tests/test_gateway_context.py
@@ -12,14 +12,14 @@
 from bramblebeam.services.gateway import context as context_module
 from bramblebeam.services.gateway.context import (
     MAXIMUM_USERS,
-    UNSTEADY_SECONDS,
+    MEMBERSHIP_SETTLE_SECONDS,
     GatewayContext,
 )
 from bramblebeam.services.gateway.forwarding import Peers
 
 GROUP = GroupId("deliveries")
 ADDRESS = Address("127.0.0.1", 1)
-SOON, LATER = UNSTEADY_SECONDS / 2, UNSTEADY_SECONDS + 1.0
+SOON, LATER = MEMBERSHIP_SETTLE_SECONDS / 2, MEMBERSHIP_SETTLE_SECONDS + 1.0
 
 
 def view(nodes: int, lost: int = 0) -> MembersView:
