--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -36,7 +36,7 @@
 runs it gets the whole table in one exchange with the first member met."""
 MEMBERSHIP_SETTLE_SECONDS = 10.0
 """After its start and after it met another node, one does not rely on knowing all (seconds)."""
-MAXIMUM_USERS = 32
+MAX_LEADER_USERS = 32
 """So many nodes are asked at most to give a leader up."""
 
 
@@ -113,8 +113,8 @@
         nodes = (*serving, *others)
         has_met_none = self.expects_others and not nodes
         is_steady = self.now() - self._members_changed_at > MEMBERSHIP_SETTLE_SECONDS
-        are_all = is_steady and not has_met_none and len(nodes) <= MAXIMUM_USERS
-        return nodes[:MAXIMUM_USERS], are_all
+        are_all = is_steady and not has_met_none and len(nodes) <= MAX_LEADER_USERS
+        return nodes[:MAX_LEADER_USERS], are_all
 
     async def know_members(self, deadline: float) -> None:
         """Wait, right after the start, until this node knows which groups it serves."""
--- a/tests/test_gateway_context.py
+++ b/tests/test_gateway_context.py
@@ -11,7 +11,7 @@
 from bramblebeam.platform.database_connection import LineDatabaseConnector
 from bramblebeam.services.gateway import context as context_module
 from bramblebeam.services.gateway.context import (
-    MAXIMUM_USERS,
+    MAX_LEADER_USERS,
     MEMBERSHIP_SETTLE_SECONDS,
     GatewayContext,
 )
@@ -41,8 +41,10 @@
         pytest.param(view(9, lost=3), True, LATER, 8, True, id="lost ones are asked as well"),
         pytest.param(view(1), False, LATER, 0, True, id="one node alone"),
         pytest.param(view(1), True, LATER, 0, False, id="a node that has met none"),
-        pytest.param(view(MAXIMUM_USERS + 1), True, LATER, MAXIMUM_USERS, True, id="at the bound"),
-        pytest.param(view(71), True, LATER, MAXIMUM_USERS, False, id="more than are asked"),
+        pytest.param(
+            view(MAX_LEADER_USERS + 1), True, LATER, MAX_LEADER_USERS, True, id="at the bound"
+        ),
+        pytest.param(view(71), True, LATER, MAX_LEADER_USERS, False, id="more than are asked"),
     ],
 )
 async def test_the_word_of_all_nodes_counts_only_if_all_are_asked(
