--- a/src/bramblebeam/services/gateway/forwarded_transaction.py
+++ b/src/bramblebeam/services/gateway/forwarded_transaction.py
@@ -11,7 +11,7 @@
 from bramblebeam.core.gateway.statements import Action
 from bramblebeam.core.identity import NodeId
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
-from bramblebeam.services.gateway.forwarding import statement_of
+from bramblebeam.services.gateway.forwarding import to_forwarded_statement
 from bramblebeam.services.gateway.request import Request, StatementSession
 from bramblebeam.services.gateway.transaction import Transaction
 from bramblebeam.services.transport.messages import PeerFailure
@@ -137,7 +137,7 @@
         return None
 
     async def _ask_node(self, node: NodeId, request: Request, opens: bool) -> Reply | PeerFailure:
-        message = statement_of(request, self._context.now())._replace(
+        message = to_forwarded_statement(request, self._context.now())._replace(
             transaction=self._number, opens=opens, read_only=self._read_only
         )
         return await self._context.forwarder.ask(node, request, message)
--- a/src/bramblebeam/services/gateway/forwarding.py
+++ b/src/bramblebeam/services/gateway/forwarding.py
@@ -95,7 +95,9 @@
         """Return the answer, or None where no node has run it and there is time to run it here."""
         self._context.load.first_attempt(request)
         for node in self.candidates(request.route.group, request.tenant, at_leader):
-            answer = await self.ask(node, request, statement_of(request, self._context.now()))
+            answer = await self.ask(
+                node, request, to_forwarded_statement(request, self._context.now())
+            )
             if isinstance(answer, Reply):
                 return answer
             if answer.sent and request.writes:
@@ -137,7 +139,7 @@
         if not await may_attempt(self._context, request):
             return None
         request.account.charge()
-        message = statement_of(request, self._context.now())._replace(forwarded_on=True)
+        message = to_forwarded_statement(request, self._context.now())._replace(forwarded_on=True)
         answer = await self.ask(node, request, message)
         if isinstance(answer, Reply):
             return answer
@@ -193,7 +195,7 @@
     return Reply(refusal=Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST, failure.detail))
 
 
-def statement_of(request: Request, now: float) -> ForwardedStatement:
+def to_forwarded_statement(request: Request, now: float) -> ForwardedStatement:
     """Return the message that asks for a single statement."""
     return ForwardedStatement(
         request.route,
