--- a/src/bramblebeam/services/gateway/forwarding.py
+++ b/src/bramblebeam/services/gateway/forwarding.py
@@ -35,7 +35,7 @@
 
 ANSWER_MARGIN = 0.1
 """The node that runs a statement answers at its deadline; so long its answer may travel (s)."""
-SILENCE = 0.4
+PEER_SILENCE_TIMEOUT = 0.4
 """A node from which nothing came for so long, not even to a probe, is given up (seconds)."""
 AVOIDED_SECONDS = 1.0
 """A node that gave no answer is asked again after so long."""
@@ -155,7 +155,7 @@
         message = message._replace(number=next(self._numbers))
         request.passed_on = True
         try:
-            answer = await self.peers.ask(node, message, timeout, SILENCE)
+            answer = await self.peers.ask(node, message, timeout, PEER_SILENCE_TIMEOUT)
         except asyncio.CancelledError:
             self._withdraw(node, message)
             raise
