--- a/src/bramblebeam/services/gateway/metrics.py
+++ b/src/bramblebeam/services/gateway/metrics.py
@@ -126,7 +126,7 @@
         """Count one change of a group's leader as this node saw it."""
         self._leader_changes += 1
 
-    def order_broken(self, where: str) -> None:
+    def session_order_violated(self, where: str) -> None:
         """Count a floor, an answer or a commit behind what its session has observed (`where`)."""
         self._order_broken[where] += 1
 
