--- a/src/bramblebeam/services/gateway/metrics.py
+++ b/src/bramblebeam/services/gateway/metrics.py
@@ -118,7 +118,7 @@
         """Count a database that gets no reads for a while (`cause`)."""
         self._ejections[cause] += 1
 
-    def read_passed_on(self) -> None:
+    def read_forwarded(self) -> None:
         """Count one read that was sent to another region's database."""
         self._reads_passed_on += 1
 
