--- a/src/bramblebeam/services/gateway/leader_reads.py
+++ b/src/bramblebeam/services/gateway/leader_reads.py
@@ -14,7 +14,7 @@
 from bramblebeam.services.gateway.pool import DatabasePool
 from bramblebeam.services.gateway.pooled import ANSWER_SECONDS, PooledConnection
 from bramblebeam.services.gateway.ports import Command, ConnectionLostError
-from bramblebeam.services.gateway.read_attempts import acquire, may_send, note_lost
+from bramblebeam.services.gateway.read_attempts import acquire, may_send, record_connection_lost
 from bramblebeam.services.gateway.request import Request
 from bramblebeam.services.gateway.session_order import LACKS_OBSERVED, lacks_observed
 
@@ -120,7 +120,7 @@
         request.note_sent()
         read, _ = await lent.run(commands, time_left(context, request))
     except ConnectionLostError as error:
-        note_lost(context, request, lent.pool, str(error))
+        record_connection_lost(context, request, lent.pool, str(error))
         return None
     finally:
         lent.give_back()
--- a/src/bramblebeam/services/gateway/read_attempts.py
+++ b/src/bramblebeam/services/gateway/read_attempts.py
@@ -44,7 +44,9 @@
     return may
 
 
-def note_lost(context: GatewayContext, request: Request, pool: DatabasePool, detail: str) -> None:
+def record_connection_lost(
+    context: GatewayContext, request: Request, pool: DatabasePool, detail: str
+) -> None:
     """Note that a read's connection was lost: where its time is over, the database was silent."""
     instance = pool.entry.instance
     if context.now() < request.deadline:
--- a/src/bramblebeam/services/gateway/reads.py
+++ b/src/bramblebeam/services/gateway/reads.py
@@ -14,7 +14,12 @@
 from bramblebeam.services.gateway.pool import DatabasePool
 from bramblebeam.services.gateway.pooled import ANSWER_SECONDS
 from bramblebeam.services.gateway.ports import ConnectError, ConnectionLostError
-from bramblebeam.services.gateway.read_attempts import LOST, acquire, may_send, note_lost
+from bramblebeam.services.gateway.read_attempts import (
+    LOST,
+    acquire,
+    may_send,
+    record_connection_lost,
+)
 from bramblebeam.services.gateway.read_floor import current_floor, lacks_own
 from bramblebeam.services.gateway.request import Request
 from bramblebeam.services.gateway.slot_queue import NoSlotError, Permit
@@ -297,7 +302,7 @@
         request.note_sent()
         read = (await lent.run(commands, time_left(context, request)))[-1]
     except ConnectionLostError as error:
-        note_lost(context, request, pool, str(error))
+        record_connection_lost(context, request, pool, str(error))
         context.placement.failed(pool, LOST, asked_at)
         return None
     except asyncio.CancelledError:
