--- a/src/bramblebeam/services/gateway/read_attempts.py
+++ b/src/bramblebeam/services/gateway/read_attempts.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from bramblebeam.services.gateway.context import GatewayContext
 
-LOST = Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST)
+CONNECTION_LOST = Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST)
 
 
 async def acquire(
--- a/src/bramblebeam/services/gateway/reads.py
+++ b/src/bramblebeam/services/gateway/reads.py
@@ -15,7 +15,7 @@
 from bramblebeam.services.gateway.pooled import ANSWER_SECONDS
 from bramblebeam.services.gateway.ports import ConnectError, ConnectionLostError
 from bramblebeam.services.gateway.read_attempts import (
-    LOST,
+    CONNECTION_LOST,
     acquire,
     may_send,
     record_connection_lost,
@@ -303,12 +303,12 @@
         read = (await lent.run(commands, time_left(context, request)))[-1]
     except ConnectionLostError as error:
         record_connection_lost(context, request, pool, str(error))
-        context.placement.failed(pool, LOST, asked_at)
+        context.placement.failed(pool, CONNECTION_LOST, asked_at)
         return None
     except asyncio.CancelledError:
         if context.now() - asked_at > pool.patience:
             # Another database answered meanwhile, as this one was late.
-            context.placement.failed(pool, LOST, asked_at)
+            context.placement.failed(pool, CONNECTION_LOST, asked_at)
         raise
     finally:
         lent.give_back()
