--- a/src/bramblebeam/services/gateway/read_floor.py
+++ b/src/bramblebeam/services/gateway/read_floor.py
@@ -29,7 +29,7 @@
             return None
 
 
-def lacks_own(request: Request) -> bool:
+def is_floor_from_session(request: Request) -> bool:
     """Whether the last attempt's floor is what the session itself has committed or read.
 
     That is as new as what follows a statement of the same session at once: no replica has it yet,
--- a/src/bramblebeam/services/gateway/reads.py
+++ b/src/bramblebeam/services/gateway/reads.py
@@ -20,7 +20,7 @@
     may_send,
     record_connection_lost,
 )
-from bramblebeam.services.gateway.read_floor import current_floor, lacks_own
+from bramblebeam.services.gateway.read_floor import current_floor, is_floor_from_session
 from bramblebeam.services.gateway.request import Request
 from bramblebeam.services.gateway.slot_queue import NoSlotError, Permit
 
@@ -106,7 +106,7 @@
     connections that it has there.
     """
     is_behind = request.refusal is not None and request.refusal.reason is Reason.REPLICA_BEHIND
-    if context.overload.enabled and not lacks_own(request):
+    if context.overload.enabled and not is_floor_from_session(request):
         # The near replica is far behind its leader: another one need not be.
         return False
     return is_behind and context.meets_at_databases and context.is_far(pool.entry.zone)
@@ -139,7 +139,7 @@
     if reply is None or reply.refusal is None or reply.refusal.reason is not Reason.REPLICA_BEHIND:
         return reply
     request.attempt_failed(pool.entry.instance, reply.refusal)
-    if context.overload.enabled and not lacks_own(request):
+    if context.overload.enabled and not is_floor_from_session(request):
         context.placement.was_behind(pool.entry.instance)
     return await _read_at_leader(context, request)
 
@@ -335,7 +335,7 @@
         return read
     request.attempt_failed(instance, refusal)
     is_behind = refusal.reason is Reason.REPLICA_BEHIND
-    if is_behind and not (context.overload.enabled and lacks_own(request)):
+    if is_behind and not (context.overload.enabled and is_floor_from_session(request)):
         context.placement.was_behind(instance)
     elsewhere = refusal.verdict is Verdict.NOT_RUN and refusal.reason is not Reason.BAD_REQUEST
     return None if elsewhere else Reply(refusal=refusal, state=TransactionState.IDLE)
--- a/src/bramblebeam/services/gateway/transaction.py
+++ b/src/bramblebeam/services/gateway/transaction.py
@@ -20,7 +20,7 @@
 from bramblebeam.services.gateway.pool import DatabasePool
 from bramblebeam.services.gateway.pooled import CLOCK_STEP, PooledConnection
 from bramblebeam.services.gateway.ports import Command, ConnectError, ConnectionLostError
-from bramblebeam.services.gateway.read_floor import current_floor, lacks_own
+from bramblebeam.services.gateway.read_floor import current_floor, is_floor_from_session
 from bramblebeam.services.gateway.request import Request, StatementSession
 from bramblebeam.services.gateway.session_order import (
     LACKS_OBSERVED,
@@ -369,7 +369,7 @@
 
     def _lacks_own(self, request: Request) -> bool:
         """Whether a database is behind for this session alone, where load decides on that."""
-        return self._context.overload.enabled and lacks_own(request)
+        return self._context.overload.enabled and is_floor_from_session(request)
 
     async def _begin(
         self, request: Request, lent: PooledConnection, begin: Command
