--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -25,7 +25,7 @@
 
 ASSUMED_SERVICE = 0.02
 """Seconds at a database of which nothing is known yet."""
-WAY = {Distance.ZONE: 0.001, Distance.REGION: 0.005, Distance.ELSEWHERE: 0.06}
+NETWORK_COSTS = {Distance.ZONE: 0.001, Distance.REGION: 0.005, Distance.ELSEWHERE: 0.06}
 """The way to a database and back, and what bytes on it count for (seconds): some 40 ms between
 regions of a continent, and half as much again, as bytes between regions are dear."""
 LEAST_WEIGHT = 0.25
@@ -191,7 +191,7 @@
             entry.instance,
             wait=load.wait * weight,
             service=load.service * weight + ASSUMED_SERVICE * (1.0 - weight),
-            network_cost=WAY[self._surroundings.distance(entry.zone)],
+            network_cost=NETWORK_COSTS[self._surroundings.distance(entry.zone)],
             connect_time=pool.open_seconds if opens else 0.0,
             slots=entry.slots,
             sent=0 if told is None else told.sent,
