--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -23,7 +23,7 @@
 
 logger = logging.getLogger(__name__)
 
-ASSUMED_SERVICE = 0.02
+DEFAULT_SERVICE_TIME = 0.02
 """Seconds at a database of which nothing is known yet."""
 NETWORK_COSTS = {Distance.ZONE: 0.001, Distance.REGION: 0.005, Distance.ELSEWHERE: 0.06}
 """The way to a database and back, and what bytes on it count for (seconds): some 40 ms between
@@ -190,7 +190,7 @@
         return Candidate(
             entry.instance,
             wait=load.wait * weight,
-            service=load.service * weight + ASSUMED_SERVICE * (1.0 - weight),
+            service=load.service * weight + DEFAULT_SERVICE_TIME * (1.0 - weight),
             network_cost=NETWORK_COSTS[self._surroundings.distance(entry.zone)],
             connect_time=pool.open_seconds if opens else 0.0,
             slots=entry.slots,
@@ -203,7 +203,7 @@
     def _own_load(self, pool: DatabasePool, now: float) -> DatabaseLoad:
         """Return a database's load as far as this node sees it."""
         instance = pool.entry.instance
-        service = self._ejector.service_time(instance) or ASSUMED_SERVICE
+        service = self._ejector.service_time(instance) or DEFAULT_SERVICE_TIME
         is_in_service = self._ejector.state(instance, now) is EjectionState.IN_SERVICE
         usable = is_in_service and not pool.entry.leaving and not self._is_behind(pool, now)
         return DatabaseLoad(
