--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -80,7 +80,7 @@
 
     # What statements and other nodes report.
 
-    def take_told(self, loads: Iterable[DatabaseLoad]) -> None:
+    def observe_reported_loads(self, loads: Iterable[DatabaseLoad]) -> None:
         """Take what another node told of databases that it serves."""
         self._told.update(loads, loop_time())
 
--- a/tests/placement_world.py
+++ b/tests/placement_world.py
@@ -325,7 +325,7 @@
 
         def arrive() -> None:
             if way:
-                caller.targets.take_told(told)
+                caller.targets.observe_reported_loads(told)
                 caller.targets.answered(read.counted.pop(region))
             then()
 
