--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -84,7 +84,7 @@
         """Take what another node told of databases that it serves."""
         self._told.update(loads, loop_time())
 
-    def passed_on(self, instance: InstanceId) -> LoadReport | None:
+    def record_forwarded(self, instance: InstanceId) -> LoadReport | None:
         """Note that a read was sent to the node that runs a database's statements."""
         return self._told.record_sent(instance)
 
--- a/tests/placement_world.py
+++ b/tests/placement_world.py
@@ -251,7 +251,7 @@
         region = int(pool.entry.zone)
         way = 0.0 if region == read.region else WAY
         if way:
-            read.counted[region] = node.targets.passed_on(instance)
+            read.counted[region] = node.targets.record_forwarded(instance)
         began = self.now
         self.after(way, lambda: self._take(read, region, way))
         patience = PATIENCE + 2 * way
