--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -88,7 +88,7 @@
         """Note that a read was sent to the node that runs a database's statements."""
         return self._told.record_sent(instance)
 
-    def answered(self, counted: LoadReport | None) -> None:
+    def record_forwarded_done(self, counted: LoadReport | None) -> None:
         """Note that a read that was passed on has ended."""
         self._told.record_done(counted)
 
--- a/tests/placement_world.py
+++ b/tests/placement_world.py
@@ -326,7 +326,7 @@
         def arrive() -> None:
             if way:
                 caller.targets.observe_reported_loads(told)
-                caller.targets.answered(read.counted.pop(region))
+                caller.targets.record_forwarded_done(read.counted.pop(region))
             then()
 
         self.after(way, arrive)
