--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -92,7 +92,7 @@
         """Note that a read that was passed on has ended."""
         self._told.record_done(counted)
 
-    def was_behind(self, pool: DatabasePool) -> None:
+    def record_behind(self, pool: DatabasePool) -> None:
         """Note that a replica's log lacked what every reader needs."""
         is_far = self._is_far(pool)
         seconds = BEHIND_FAR_SECONDS if is_far else BEHIND_SECONDS
--- a/tests/test_overload_placement.py
+++ b/tests/test_overload_placement.py
@@ -161,7 +161,7 @@
     node = world.nodes[0]
     pools: list[Any] = list(node.pools.values())[:2]
     near, other = pools
-    node.targets.was_behind(near)
+    node.targets.record_behind(near)
     assert node.targets.choose(pools, NO_TENANT) is other
     assert node.targets.choose([near], NO_TENANT) is None
     assert node.targets.choose([near], NO_TENANT, asks_behind=True) is near
