--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -98,7 +98,7 @@
         seconds = BEHIND_FAR_SECONDS if is_far else BEHIND_SECONDS
         self._behind_until[pool.entry.instance] = loop_time() + seconds
 
-    def served(self, pool: DatabasePool, seconds: float) -> None:
+    def record_served(self, pool: DatabasePool, seconds: float) -> None:
         """Note a read that was served within `seconds`.
 
         What waits inside the database counts by its work: twice as many statements as slots take
--- a/tests/placement_world.py
+++ b/tests/placement_world.py
@@ -296,7 +296,7 @@
                 reason = Reason.QUEUE_FULL if is_shed else Reason.BACKEND_ERROR
                 self._failed(read, region, way, reason, began)
                 return
-            node.targets.served(pool, seconds)  # type: ignore[arg-type]
+            node.targets.record_served(pool, seconds)  # type: ignore[arg-type]
             self._answer(read, region, way)
 
         self.after(seconds, end)
