--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -150,7 +150,7 @@
         self._ejector.record_sent(chosen.instance, now)
         return next(pool for pool in usable if pool.entry.instance == chosen.instance)
 
-    def is_silent(self, pool: DatabasePool) -> bool:
+    def is_unresponsive(self, pool: DatabasePool) -> bool:
         """Whether a database gets no reads as it gave no answers."""
         now = loop_time()
         self._look_at(pool, (), now)
