--- a/src/bramblebeam/services/gateway/request.py
+++ b/src/bramblebeam/services/gateway/request.py
@@ -96,7 +96,7 @@
         """The latest position that the session committed or read in the route's group."""
         return self.session.observed.get(self.route.group, ZERO_POSITION)
 
-    def note_observed(self, reply: Reply) -> None:
+    def record_observed(self, reply: Reply) -> None:
         """Keep the position of a success: later reads of the session don't go behind it."""
         if reply.refusal is None:
             self.session.observed[self.route.group] = max(self.observed, reply.position)
--- a/tests/test_session_order.py
+++ b/tests/test_session_order.py
@@ -206,7 +206,7 @@
 )
 def test_what_a_session_observed_never_falls(reply: Reply, kept: Position) -> None:
     request = a_request(Position(1, 8))
-    request.note_observed(reply)
+    request.record_observed(reply)
     assert request.observed == kept
     assert request.session.observed == {GroupId(GROUP): kept}
 
