--- a/src/bramblebeam/services/gateway/request.py
+++ b/src/bramblebeam/services/gateway/request.py
@@ -118,7 +118,7 @@
             return self.arrived
         return self.arrived + self.route.timeout * HOLD_SHARE
 
-    def note_sent(self) -> None:
+    def record_sent(self) -> None:
         """Note that the operation goes to a database, perhaps once more."""
         self.account.charge()
         self.metrics.tenants.note(self.tenant, Part.SENT)
