--- a/src/bramblebeam/services/gateway/request.py
+++ b/src/bramblebeam/services/gateway/request.py
@@ -123,7 +123,7 @@
         self.account.charge()
         self.metrics.tenants.note(self.tenant, Part.SENT)
 
-    def note_refused(self, refusal: Refusal) -> None:
+    def record_refused(self, refusal: Refusal) -> None:
         """Note a database's answer to an attempt: one that has not run pays for the next one."""
         if refusal.verdict is Verdict.NOT_RUN:
             self.account.record_not_run()
