--- a/src/bramblebeam/services/gateway/request.py
+++ b/src/bramblebeam/services/gateway/request.py
@@ -146,7 +146,7 @@
             floor=str(floor) if floor is not None else None,
         )
 
-    def no_slot_at(self, instance: InstanceId, refusal: Refusal) -> None:
+    def record_no_slot(self, instance: InstanceId, refusal: Refusal) -> None:
         """Note that a database's queue did not take the statement: it can't begin in time there."""
         self.no_slot = refusal
         self.attempt_failed(instance, refusal)
