--- a/src/bramblebeam/services/gateway/request.py
+++ b/src/bramblebeam/services/gateway/request.py
@@ -128,7 +128,7 @@
         if refusal.verdict is Verdict.NOT_RUN:
             self.account.record_not_run()
 
-    def attempt_failed(self, instance: InstanceId, refusal: Refusal) -> None:
+    def record_failed_attempt(self, instance: InstanceId, refusal: Refusal) -> None:
         """Note that a database did not serve the statement, and why."""
         self.refusal = refusal
         self.attempts += 1
@@ -149,7 +149,7 @@
     def record_no_slot(self, instance: InstanceId, refusal: Refusal) -> None:
         """Note that a database's queue did not take the statement: it can't begin in time there."""
         self.no_slot = refusal
-        self.attempt_failed(instance, refusal)
+        self.record_failed_attempt(instance, refusal)
 
     def leave_slot(self, served: bool = False) -> None:
         """Give the permit back, if there is one. `served`: the database served the statement."""
