--- a/src/bramblebeam/services/gateway/request.py
+++ b/src/bramblebeam/services/gateway/request.py
@@ -151,7 +151,7 @@
         self.no_slot = refusal
         self.record_failed_attempt(instance, refusal)
 
-    def leave_slot(self, served: bool = False) -> None:
+    def release_permit(self, served: bool = False) -> None:
         """Give the permit back, if there is one. `served`: the database served the statement."""
         if self.permit is not None:
             self.permit.end(served)
