--- a/src/bramblebeam/services/gateway/request.py
+++ b/src/bramblebeam/services/gateway/request.py
@@ -102,7 +102,7 @@
             self.session.observed[self.route.group] = max(self.observed, reply.position)
 
     @property
-    def must_pause(self) -> bool:
+    def must_back_off(self) -> bool:
         """Whether the last attempt met a database that needs a moment."""
         return self.refusal is not None and self.refusal.reason in _NEEDS_A_MOMENT
 
