--- a/src/bramblebeam/services/gateway/request.py
+++ b/src/bramblebeam/services/gateway/request.py
@@ -39,7 +39,7 @@
     observed: dict[GroupId, Position]
     """By group: another configuration may send a session's route to another one."""
     forwarded: bool
-    returns_at: float | None
+    retry_at: float | None
     """When a refused caller was told to come back (steady clock, seconds)."""
     forwarded_on: bool
     """Whether another node that serves the group passed the statement on to this one."""
