--- a/src/bramblebeam/services/gateway/service.py
+++ b/src/bramblebeam/services/gateway/service.py
@@ -73,7 +73,7 @@
     def stop_accepting(self) -> None:
         """Close the listening socket; connections stay."""
 
-    def close_resting(self) -> None:
+    def close_idle(self) -> None:
         """Close the connections on which nothing is asked and no transaction is open."""
 
     def close(self) -> None:
