--- a/src/bramblebeam/services/gateway/read_floor.py
+++ b/src/bramblebeam/services/gateway/read_floor.py
@@ -6,7 +6,7 @@
 
 from bramblebeam.core.identity import Position
 from bramblebeam.services.gateway.request import Request
-from bramblebeam.services.gateway.session_order import watch_floor
+from bramblebeam.services.gateway.session_order import check_floor
 
 if TYPE_CHECKING:
     from bramblebeam.services.gateway.context import GatewayContext
@@ -23,7 +23,7 @@
         now = context.now()
         floor = leaders.watermarks.floor(request.observed, staleness, now)
         if floor is not None:
-            watch_floor(context, request, floor)
+            check_floor(context, request, floor)
             return floor
         if not await leaders.wait_proof(now - staleness, request.hold_until):
             return None
--- a/src/bramblebeam/services/gateway/session_order.py
+++ b/src/bramblebeam/services/gateway/session_order.py
@@ -32,7 +32,7 @@
 logger = logging.getLogger(__name__)
 
 
-def watch_floor(context: GatewayContext, request: Request, floor: Position) -> None:
+def check_floor(context: GatewayContext, request: Request, floor: Position) -> None:
     """Count and log a floor that would let a read run behind what its session has observed."""
     own = request.observed
     newest = context.leader(request.route.group).watermarks.newest
