--- a/src/bramblebeam/services/gateway/execution.py
+++ b/src/bramblebeam/services/gateway/execution.py
@@ -10,7 +10,7 @@
 from bramblebeam.services.gateway.leader_reads import read_latest
 from bramblebeam.services.gateway.reads import read_replica
 from bramblebeam.services.gateway.request import Request
-from bramblebeam.services.gateway.session_order import watch_answer, watch_commit
+from bramblebeam.services.gateway.session_order import check_answer, watch_commit
 from bramblebeam.services.gateway.writes import write
 
 if TYPE_CHECKING:
@@ -73,5 +73,5 @@
         reply = await read_latest(context, request)
     else:
         reply = await read_replica(context, request)
-    watch_answer(context, request, reply)
+    check_answer(context, request, reply)
     return reply
--- a/src/bramblebeam/services/gateway/session_order.py
+++ b/src/bramblebeam/services/gateway/session_order.py
@@ -72,7 +72,7 @@
     return is_behind and own.term >= context.leader(request.route.group).lease.term
 
 
-def watch_answer(context: GatewayContext, request: Request, reply: Reply) -> None:
+def check_answer(context: GatewayContext, request: Request, reply: Reply) -> None:
     """Count and log a success from a state behind what the session has observed."""
     own = request.observed
     tells_position = reply.refusal is None and reply.position != ZERO_POSITION
--- a/src/bramblebeam/services/gateway/transaction.py
+++ b/src/bramblebeam/services/gateway/transaction.py
@@ -24,8 +24,8 @@
 from bramblebeam.services.gateway.request import Request, StatementSession
 from bramblebeam.services.gateway.session_order import (
     LACKS_OBSERVED,
+    check_answer,
     lacks_observed,
-    watch_answer,
     watch_commit,
 )
 from bramblebeam.services.gateway.slot_queue import NoSlotError
@@ -362,7 +362,7 @@
     def _is_open_at(self, request: Request, instance: InstanceId, begin: Reply) -> bool:
         """Whether a BEGIN READ opened the transaction; note where the database was behind."""
         if begin.refusal is None:
-            watch_answer(self._context, request, begin)
+            check_answer(self._context, request, begin)
         elif begin.refusal.reason is Reason.REPLICA_BEHIND and not self._lacks_own(request):
             self._context.placement.was_behind(instance)
         return begin.refusal is None
