--- a/src/bramblebeam/services/gateway/execution.py
+++ b/src/bramblebeam/services/gateway/execution.py
@@ -10,7 +10,7 @@
 from bramblebeam.services.gateway.leader_reads import read_latest
 from bramblebeam.services.gateway.reads import read_replica
 from bramblebeam.services.gateway.request import Request
-from bramblebeam.services.gateway.session_order import check_answer, watch_commit
+from bramblebeam.services.gateway.session_order import check_answer, check_commit
 from bramblebeam.services.gateway.writes import write
 
 if TYPE_CHECKING:
@@ -67,7 +67,7 @@
 async def _run_on_connections(context: GatewayContext, request: Request) -> Reply:
     if request.writes:
         reply = await write(context, request)
-        watch_commit(context, request, reply)
+        check_commit(context, request, reply)
         return reply
     if context.needs_leader(request.route):
         reply = await read_latest(context, request)
--- a/src/bramblebeam/services/gateway/session_order.py
+++ b/src/bramblebeam/services/gateway/session_order.py
@@ -49,7 +49,7 @@
     )
 
 
-def watch_commit(context: GatewayContext, request: Request, reply: Reply) -> None:
+def check_commit(context: GatewayContext, request: Request, reply: Reply) -> None:
     """Count and log an acknowledged commit that is not told to lie beyond what came before it.
 
     Later reads of its session would not look for it.
--- a/src/bramblebeam/services/gateway/transaction.py
+++ b/src/bramblebeam/services/gateway/transaction.py
@@ -25,8 +25,8 @@
 from bramblebeam.services.gateway.session_order import (
     LACKS_OBSERVED,
     check_answer,
+    check_commit,
     lacks_observed,
-    watch_commit,
 )
 from bramblebeam.services.gateway.slot_queue import NoSlotError
 from bramblebeam.services.gateway.transaction_gates import NO_PLACE
@@ -170,7 +170,7 @@
             leaders.acknowledged(reply.position)
             leaders.proven(lent.instance, reply.position, asked_at)
         if self._wrote:
-            watch_commit(self._context, request, reply)
+            check_commit(self._context, request, reply)
         request.note_observed(reply)
         self._release(dirty=reply.state is not TransactionState.IDLE)
         return Reply(reply.rows, reply.signature, position=reply.position)
--- a/tests/test_session_order.py
+++ b/tests/test_session_order.py
@@ -37,7 +37,7 @@
 from bramblebeam.services.gateway.leaders import LeaderTracker
 from bramblebeam.services.gateway.metrics import GatewayMetrics
 from bramblebeam.services.gateway.request import Request
-from bramblebeam.services.gateway.session_order import check_answer, check_floor, watch_commit
+from bramblebeam.services.gateway.session_order import check_answer, check_commit, check_floor
 from platform_standins.clock import standing_clock
 from platform_standins.group import LineGroup
 from platform_standins.world import (
@@ -233,12 +233,12 @@
         pytest.param(check_floor, Position(1, 2), "floor", 0, id="floor at it"),
         pytest.param(check_answer, Position(1, 9), "answer", 1, id="answer"),
         pytest.param(check_answer, Position(1, 2), "answer", 0, id="answer at it"),
-        pytest.param(watch_commit, Position(1, 9), "commit", 1, id="commit"),
-        pytest.param(watch_commit, Position(1, 1), "commit", 0, id="commit beyond it"),
+        pytest.param(check_commit, Position(1, 9), "commit", 1, id="commit"),
+        pytest.param(check_commit, Position(1, 1), "commit", 0, id="commit beyond it"),
         # A leader of term 1 is proven: what term 0 committed may be gone.
         pytest.param(check_floor, Position(0, 9), "floor", 0, id="floor, former term"),
         pytest.param(check_answer, Position(0, 9), "answer", 0, id="answer, former term"),
-        pytest.param(watch_commit, Position(0, 9), "commit", 0, id="commit, former term"),
+        pytest.param(check_commit, Position(0, 9), "commit", 0, id="commit, former term"),
     ],
 )
 async def test_what_is_behind_its_session_is_counted(
