--- a/src/bramblebeam/services/gateway/leader_reads.py
+++ b/src/bramblebeam/services/gateway/leader_reads.py
@@ -16,7 +16,7 @@
 from bramblebeam.services.gateway.ports import Command, ConnectionLostError
 from bramblebeam.services.gateway.read_attempts import acquire, may_send, record_connection_lost
 from bramblebeam.services.gateway.request import Request
-from bramblebeam.services.gateway.session_order import LACKS_OBSERVED, lacks_observed
+from bramblebeam.services.gateway.session_order import LACKS_OBSERVED, lacks_observed_position
 
 if TYPE_CHECKING:
     from bramblebeam.services.gateway.context import GatewayContext
@@ -111,7 +111,7 @@
         if not leaders.proven(lent.instance, begin.position, asked_at):
             lent.connection.close()
             return None
-        if lacks_observed(context, request, begin):
+        if lacks_observed_position(context, request, begin):
             request.attempt_failed(lent.instance, LACKS_OBSERVED)
             leaders.contradicted(lent.instance, request.observed)
             lent.connection.close()
--- a/src/bramblebeam/services/gateway/session_order.py
+++ b/src/bramblebeam/services/gateway/session_order.py
@@ -62,7 +62,7 @@
     _report(context, request, "commit", COMMIT_WITHOUT_PROGRESS, committed=str(reply.position))
 
 
-def lacks_observed(context: GatewayContext, request: Request, leader: Reply) -> bool:
+def lacks_observed_position(context: GatewayContext, request: Request, leader: Reply) -> bool:
     """Whether a leader answered from a log that lacks what the session has observed.
 
     What an older term's leader committed may have been rolled back, and is not asked for.
--- a/src/bramblebeam/services/gateway/transaction.py
+++ b/src/bramblebeam/services/gateway/transaction.py
@@ -26,7 +26,7 @@
     LACKS_OBSERVED,
     check_answer,
     check_commit,
-    lacks_observed,
+    lacks_observed_position,
 )
 from bramblebeam.services.gateway.slot_queue import NoSlotError
 from bramblebeam.services.gateway.transaction_gates import NO_PLACE
@@ -302,7 +302,7 @@
         if not leaders.proven(instance, begin.position, asked_at):
             self._release(dirty=True)
             return None
-        if lacks_observed(self._context, request, begin):
+        if lacks_observed_position(self._context, request, begin):
             request.attempt_failed(instance, LACKS_OBSERVED)
             leaders.contradicted(instance, request.observed)
             self._release(dirty=True)
