--- a/src/bramblebeam/services/gateway/slot_queue.py
+++ b/src/bramblebeam/services/gateway/slot_queue.py
@@ -71,7 +71,7 @@
         return len(self._waiting)
 
     @property
-    def under_way(self) -> int:
+    def in_flight(self) -> int:
         """Statements that hold a permit."""
         return self._scheduler.in_flight
 
--- a/tests/test_slot_queue.py
+++ b/tests/test_slot_queue.py
@@ -50,12 +50,12 @@
     first = await slots.enter(work())
     second = await entering(slots, work())
     assert not second.done()
-    assert (slots.under_way, slots.waiting) == (1, 1)
+    assert (slots.in_flight, slots.waiting) == (1, 1)
     first.end(served=True)
     first.end(served=True)
     async with asyncio.timeout(FAR_TOO_LONG):
         (await second).end(served=False)
-    assert (slots.under_way, slots.waiting) == (0, 0)
+    assert (slots.in_flight, slots.waiting) == (0, 0)
 
 
 async def test_a_caller_that_leaves_while_it_waits_is_withdrawn() -> None:
@@ -67,7 +67,7 @@
     async with asyncio.timeout(FAR_TOO_LONG):
         (await waiting[1]).end(served=True)
         (await waiting[2]).end(served=True)
-    assert (slots.under_way, slots.waiting) == (0, 0)
+    assert (slots.in_flight, slots.waiting) == (0, 0)
 
 
 async def test_a_caller_that_leaves_when_it_was_let_in_gives_the_permit_back() -> None:
@@ -77,7 +77,7 @@
     first.end(served=True)
     second.cancel()
     await asyncio.gather(second, return_exceptions=True)
-    assert (slots.under_way, slots.waiting) == (0, 0)
+    assert (slots.in_flight, slots.waiting) == (0, 0)
 
 
 async def test_one_that_cannot_begin_in_time_is_refused_and_told_when_to_come_back() -> None:
@@ -131,7 +131,7 @@
     found = await asyncio.gather(left, stays, return_exceptions=True)
     assert [type(error) for error in found] == [asyncio.CancelledError, NoSlotError]
     permit.end(served=True)
-    assert (slots.under_way, slots.waiting) == (0, 0)
+    assert (slots.in_flight, slots.waiting) == (0, 0)
     (await slots.enter(work())).end(served=True)
 
 
@@ -278,4 +278,4 @@
         held.end(served=False)
         bounded.end(served=False)
         (await inside).end(served=False)
-    assert (slots.under_way, slots.waiting) == (0, 0)
+    assert (slots.in_flight, slots.waiting) == (0, 0)
