--- a/src/bramblebeam/services/gateway/slot_queue.py
+++ b/src/bramblebeam/services/gateway/slot_queue.py
@@ -134,7 +134,7 @@
         """The database had no room for a statement that held a permit."""
         self._limit.refused(loop_time())
 
-    def turn_away(self) -> None:
+    def refuse_waiting(self) -> None:
         """Refuse those that wait and can run elsewhere, as the database gives no answers.
 
         What belongs to an open transaction has nowhere else to go.
--- a/tests/test_slot_queue.py
+++ b/tests/test_slot_queue.py
@@ -127,7 +127,7 @@
     left = await entering(slots, work())
     stays = await entering(slots, work())
     left.cancel()
-    slots.turn_away()
+    slots.refuse_waiting()
     found = await asyncio.gather(left, stays, return_exceptions=True)
     assert [type(error) for error in found] == [asyncio.CancelledError, NoSlotError]
     permit.end(served=True)
@@ -270,7 +270,7 @@
     waiting = [await entering(slots, work()) for _ in range(3)]
     bounded = await slots.enter(work(inside=True))
     inside = await entering(slots, work(inside=True))
-    slots.turn_away()
+    slots.refuse_waiting()
     async with asyncio.timeout(FAR_TOO_LONG):
         refused = await asyncio.gather(*waiting, return_exceptions=True)
         assert [type(error) for error in refused] == [NoSlotError] * 3
