--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -18,7 +18,7 @@
 from bramblebeam.services.gateway.pooled import ANSWER_SECONDS, CLOCK_STEP, PooledConnection
 from bramblebeam.services.gateway.ports import ConnectError, DatabaseConnector
 from bramblebeam.services.gateway.resting import RestingConnections
-from bramblebeam.services.gateway.slot_queue import Permit, SlotQueue, unbounded
+from bramblebeam.services.gateway.slot_queue import Permit, SlotQueue, unlimited_permit
 from bramblebeam.services.gateway.waiters import Waiter, Waiters
 from bramblebeam.services.waiting import loop_time
 
@@ -128,7 +128,7 @@
 
     async def enter(self, work: Work) -> Permit:
         """Wait until a statement may be under way. Raises NoSlotError, ConnectError."""
-        return unbounded() if self.slots is None else await self.slots.enter(work)
+        return unlimited_permit() if self.slots is None else await self.slots.enter(work)
 
     async def acquire(
         self, tenant: TenantId, session: SessionState, timeout: float
--- a/src/bramblebeam/services/gateway/slot_queue.py
+++ b/src/bramblebeam/services/gateway/slot_queue.py
@@ -48,7 +48,7 @@
             queue.ended(self._number, self._began, served)
 
 
-def unbounded() -> Permit:
+def unlimited_permit() -> Permit:
     """Return a permit where connections alone bound the work."""
     return Permit(None, 0, 0.0)
 
--- a/tests/test_lent_connections.py
+++ b/tests/test_lent_connections.py
@@ -24,7 +24,7 @@
     ConnectionLostError,
     MemberStatus,
 )
-from bramblebeam.services.gateway.slot_queue import Permit, unbounded
+from bramblebeam.services.gateway.slot_queue import Permit, unlimited_permit
 from platform_standins import world as worlds
 from platform_standins.world import FAR_TOO_LONG, GROUP, World, running_world, until
 from test_gateway_pool import OpenConnection, make_pool
@@ -195,7 +195,7 @@
         return None if len(tried) == 2 else "answer"
 
     async def enter(work: object) -> Permit:
-        return unbounded()
+        return unlimited_permit()
 
     def a_pool(name: str) -> Any:
         entry = SimpleNamespace(instance=name)
