--- a/src/bramblebeam/services/gateway/transaction_gates.py
+++ b/src/bramblebeam/services/gateway/transaction_gates.py
@@ -35,7 +35,7 @@
 _MILLISECONDS = 1_000
 
 
-class Admitted:
+class GateAdmission:
     """The place of a transaction that may begin. It counts until its end.
 
     `gate` None: it is counted nowhere.
@@ -53,7 +53,7 @@
             gate.ended(self._tenant, self._began)
 
 
-NO_PLACE = Admitted(None, NO_TENANT, 0.0)
+NO_PLACE = GateAdmission(None, NO_TENANT, 0.0)
 """Of a transaction that nothing bounds."""
 
 
@@ -80,7 +80,7 @@
         """Whether no transaction is open or waits here."""
         return self._gate.open == 0 and not self._turns
 
-    async def enter(self, request: Request) -> Admitted | Refusal:
+    async def enter(self, request: Request) -> GateAdmission | Refusal:
         """Wait for the turn of a transaction; return why it may not begin."""
         number = next(self._numbers)
         time_left = time_to_hold(self._context, request)
@@ -99,7 +99,7 @@
         except asyncio.CancelledError:
             self._give_up(number, turn, request)
             raise
-        return Admitted(self, request.tenant, self._context.now())
+        return GateAdmission(self, request.tenant, self._context.now())
 
     def ended(self, tenant: TenantId, began: float) -> None:
         """A transaction has ended: the next ones may begin."""
@@ -154,7 +154,7 @@
         self._node = OpenTransactions()
         self._gates: dict[InstanceId, DatabaseGate] = {}
 
-    async def enter(self, request: Request, instance: InstanceId | None) -> Admitted | Refusal:
+    async def enter(self, request: Request, instance: InstanceId | None) -> GateAdmission | Refusal:
         """Wait for a transaction's turn at a database; return its place, or why it has none.
 
         `instance` None: where it will run is not known yet.
--- a/tests/test_overload_gateway.py
+++ b/tests/test_overload_gateway.py
@@ -28,7 +28,7 @@
 from bramblebeam.services.gateway import transaction_gates
 from bramblebeam.services.gateway.context import GatewayContext
 from bramblebeam.services.gateway.forwarding import Forwarder
-from bramblebeam.services.gateway.transaction_gates import Admitted, DatabaseGate
+from bramblebeam.services.gateway.transaction_gates import DatabaseGate, GateAdmission
 from bramblebeam.services.transport.messages import PeerFailure
 from overload_callers import record_retries
 from platform_standins import world as worlds
@@ -334,12 +334,12 @@
     return SimpleNamespace(tenant=tenant, hold_until=hold_until, identifier="id")
 
 
-async def open_all(found: DatabaseGate) -> list[tuple[Admitted, Any]]:
+async def open_all(found: DatabaseGate) -> list[tuple[GateAdmission, Any]]:
     """Open as many transactions as there are connections."""
     opened = []
     for _ in range(MOST):
         place = await found.enter(begins())
-        assert isinstance(place, Admitted)
+        assert isinstance(place, GateAdmission)
         opened.append((place, await found.pool.acquire(ACME, NO_STATE, FAR_TOO_LONG)))
     return opened
 
@@ -354,7 +354,7 @@
     lent.give_back()
     place.end()
     place.end()
-    assert isinstance(await waiting, Admitted)
+    assert isinstance(await waiting, GateAdmission)
 
 
 async def test_connections_that_statements_give_back_let_a_transaction_begin(
@@ -363,13 +363,13 @@
     monkeypatch.setattr(transaction_gates, "REVIEW_SECONDS", 0.0)
     found = gate()
     for _ in range(MOST - 1):
-        assert isinstance(await found.enter(begins()), Admitted)
+        assert isinstance(await found.enter(begins()), GateAdmission)
     held = [await found.pool.acquire(BOLT, NO_STATE, FAR_TOO_LONG) for _ in range(MOST)]
     waiting = asyncio.ensure_future(found.enter(begins()))
     await asyncio.sleep(0)
     assert not waiting.done()
     held.pop().give_back()
-    assert isinstance(await waiting, Admitted)
+    assert isinstance(await waiting, GateAdmission)
 
 
 async def test_one_whose_turn_comes_too_late_is_refused_as_not_run() -> None:
@@ -398,7 +398,7 @@
         if leaves_when == "before":
             await asyncio.wait({leaves})
         place.end()
-    assert isinstance(await stays, Admitted)
+    assert isinstance(await stays, GateAdmission)
     assert found._gate.open == MOST
 
 
