--- a/src/bramblebeam/services/gateway/transaction.py
+++ b/src/bramblebeam/services/gateway/transaction.py
@@ -29,7 +29,7 @@
     lacks_observed_position,
 )
 from bramblebeam.services.gateway.slot_queue import NoSlotError
-from bramblebeam.services.gateway.transaction_gates import NO_PLACE
+from bramblebeam.services.gateway.transaction_gates import UNGATED
 
 if TYPE_CHECKING:
     from bramblebeam.services.gateway.context import GatewayContext
@@ -48,7 +48,7 @@
         self.route = route
         self._at_leader = context.runs_at_leader(route, writes=not read_only)
         self._lent: PooledConnection | None = None
-        self._place = NO_PLACE
+        self._place = UNGATED
         self._wrote = False
         self._is_counted = False
         self._running = False
--- a/src/bramblebeam/services/gateway/transaction_gates.py
+++ b/src/bramblebeam/services/gateway/transaction_gates.py
@@ -53,7 +53,7 @@
             gate.ended(self._tenant, self._began)
 
 
-NO_PLACE = GateAdmission(None, NO_TENANT, 0.0)
+UNGATED = GateAdmission(None, NO_TENANT, 0.0)
 """Of a transaction that nothing bounds."""
 
 
@@ -161,7 +161,7 @@
         """
         pool = None if instance is None else self._context.placement.pools.get(instance)
         if pool is None or not self._context.load.enabled:
-            return NO_PLACE
+            return UNGATED
         return await self._gate(pool).enter(request)
 
     def _gate(self, pool: DatabasePool) -> DatabaseGate:
