--- a/src/bramblebeam/platform/caller_listener.py
+++ b/src/bramblebeam/platform/caller_listener.py
@@ -223,7 +223,7 @@
             self._server.close()
             self._server = None
 
-    def close_resting(self) -> None:
+    def close_idle(self) -> None:
         """Close the connections on which nothing is asked and no transaction is open."""
         for connection in list(self.connections):
             if connection.resting:
--- a/src/bramblebeam/services/failover/change.py
+++ b/src/bramblebeam/services/failover/change.py
@@ -238,7 +238,7 @@
         may lead on.
         """
         self._promise(leader, change.term)
-        nodes, nodes_are_all = self._context.users(self._group)
+        nodes, nodes_are_all = self._context.leader_users(self._group)
         cut_off = await self._cut_off.run(leader, change.term, nodes, NEVER, nodes_are_all)
         self._note_ended(leader, cut_off)
         if cut_off.is_done and not self._paused:
@@ -368,13 +368,13 @@
         if former is None:
             await asyncio.sleep(max(0.0, min(WAIT_SECONDS, leases_end - self._context.now())))
             return LEASES_RAN_OUT if leases_end != NEVER else CutOff(False)
-        nodes, nodes_are_all = self._context.users(self._group)
+        nodes, nodes_are_all = self._context.leader_users(self._group)
         return await self._cut_off.run(former, term, nodes, leases_end, nodes_are_all)
 
     def _promise(self, former: InstanceId | None, term: int) -> None:
         """Have this node promise, as those that are asked do, to use no former leader."""
         name = None if former is None else server_name(former)
-        self._context.give_up(self._group, name, term)
+        self._context.stop_using_leader(self._group, name, term)
 
     def _note_ended(self, former: InstanceId | None, cut_off: CutOff) -> None:
         self._former_leader = former
--- a/src/bramblebeam/services/failover/service.py
+++ b/src/bramblebeam/services/failover/service.py
@@ -94,7 +94,7 @@
 
     async def _step_down(self, request: StepDownRequest, envelope: Envelope) -> None:
         """Use the database no more, and take the lead from it if it can be reached."""
-        self.context.give_up(request.group, request.name, request.term)
+        self.context.stop_using_leader(request.group, request.name, request.term)
         instance = self.context.placement.instance_named(request.group, request.name)
         answer(envelope, await self._orders.step_down(instance, request.term))
 
--- a/src/bramblebeam/services/feed/service.py
+++ b/src/bramblebeam/services/feed/service.py
@@ -46,7 +46,7 @@
 REVIEW_INTERVAL = 0.25
 QUIET_SECONDS = 0.6
 """A node that expects others takes itself for a reader of the store only once it has met no new one
-for so long: as long as its first statements wait for members (`MEMBERS_PATIENCE`)."""
+for so long: as long as its first statements wait for members (`MEMBERS_TIMEOUT`)."""
 MOST_SETTLING_SECONDS = 2.5
 """It waits so long at most: the smallest bound within which a new table must be in force is 3 s."""
 LEAVING_SHARE = 0.75
--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -116,7 +116,7 @@
         are_all = is_steady and not has_met_none and len(nodes) <= MAX_LEADER_USERS
         return nodes[:MAX_LEADER_USERS], are_all
 
-    async def know_members(self, deadline: float) -> None:
+    async def wait_for_members(self, deadline: float) -> None:
         """Wait, right after the start, until this node knows which groups it serves."""
         if not self.expects_others or self._members_known.is_set():
             return
--- a/src/bramblebeam/services/gateway/execution.py
+++ b/src/bramblebeam/services/gateway/execution.py
@@ -22,7 +22,7 @@
 
     A node that does not serve the group does so itself where no node that does can be asked.
     """
-    await context.know_members(request.hold_until)
+    await context.wait_for_members(request.hold_until)
     reply: Reply | None = None
     at_leader = context.runs_at_leader(request.route, request.writes)
     refused = context.load.refuse_early(request, at_leader)
@@ -32,7 +32,7 @@
         reply = await context.forwarder.execute(request, at_leader)
     if reply is None:
         reply = await execute_here(context, request)
-    request.note_observed(reply)
+    request.record_observed(reply)
     return reply
 
 
@@ -52,7 +52,7 @@
 
 async def _execute_admitted(context: GatewayContext, request: Request) -> Reply:
     if context.runs_at_leader(request.route, request.writes):
-        passed_on = await context.forwarder.pass_to_leader(request)
+        passed_on = await context.forwarder.forward_to_leader(request)
         if passed_on is not None:
             return passed_on
     return await _execute_on_connections(context, request)
--- a/src/bramblebeam/services/gateway/forwarded_transaction.py
+++ b/src/bramblebeam/services/gateway/forwarded_transaction.py
@@ -62,7 +62,7 @@
             return self.fail(reply.refusal)
         self._wrote = self._wrote or request.writes
         if not self._wrote:
-            request.note_observed(reply)
+            request.record_observed(reply)
         return reply
 
     async def commit(self, request: Request) -> Reply:
@@ -75,7 +75,7 @@
         reply = await self._ask(request)
         if reply is None:
             return await self._here().commit(request)
-        request.note_observed(reply)
+        request.record_observed(reply)
         return reply._replace(state=TransactionState.IDLE)
 
     def fail(self, refusal: Refusal) -> Reply:
@@ -140,7 +140,7 @@
         message = to_forwarded_statement(request, self._context.now())._replace(
             transaction=self._number, opens=opens, read_only=self._read_only
         )
-        return await self._context.forwarder.ask(node, request, message)
+        return await self._context.forwarder.send(node, request, message)
 
     def _lost(self, request: Request, failure: PeerFailure) -> Reply:
         """Without its COMMIT a transaction is rolled back wherever it was open."""
--- a/src/bramblebeam/services/gateway/forwarding.py
+++ b/src/bramblebeam/services/gateway/forwarding.py
@@ -95,7 +95,7 @@
         """Return the answer, or None where no node has run it and there is time to run it here."""
         self._context.load.first_attempt(request)
         for node in self.candidates(request.route.group, request.tenant, at_leader):
-            answer = await self.ask(
+            answer = await self.send(
                 node, request, to_forwarded_statement(request, self._context.now())
             )
             if isinstance(answer, Reply):
@@ -108,7 +108,7 @@
                 return request.give_up(Reason.UNREACHABLE)
         return None
 
-    async def pass_to_leader(self, request: Request) -> Reply | None:
+    async def forward_to_leader(self, request: Request) -> Reply | None:
         """Have a statement run near the leader, by the node that serves its region.
 
         None: this node runs it.
@@ -117,7 +117,7 @@
             return None
         return await self._pass_on(request, self._context.leader_region(request.route.group))
 
-    async def pass_to_zone(self, request: Request, zone: ZoneId) -> Reply | None:
+    async def forward_to_zone(self, request: Request, zone: ZoneId) -> Reply | None:
         """Have a statement run near a database in `zone`, by the node that serves its region.
 
         None: this node runs it.
@@ -128,26 +128,26 @@
 
     def _may_pass_on(self, request: Request) -> bool:
         """Whether statements meet at databases; what was passed on once is not passed on again."""
-        return self._context.meets_at_databases and not request.session.forwarded_on
+        return self._context.runs_near_databases and not request.session.forwarded_on
 
     async def _pass_on(self, request: Request, region: str | None) -> Reply | None:
         if region is None:
             return None
-        node = self._context.server_in(region, request.route.group, request.tenant)
+        node = self._context.serving_node_in(region, request.route.group, request.tenant)
         if node is None or self.is_avoided(node):
             return None
         if not await may_attempt(self._context, request):
             return None
         request.account.charge()
         message = to_forwarded_statement(request, self._context.now())._replace(forwarded_on=True)
-        answer = await self.ask(node, request, message)
+        answer = await self.send(node, request, message)
         if isinstance(answer, Reply):
             return answer
         if answer.sent and request.writes:
             return _in_doubt(answer)
         return None
 
-    async def ask(
+    async def send(
         self, node: NodeId, request: Request, message: ForwardedStatement
     ) -> Reply | PeerFailure:
         """Ask one node. A failure with `sent` False: nothing was done."""
--- a/src/bramblebeam/services/gateway/hosting.py
+++ b/src/bramblebeam/services/gateway/hosting.py
@@ -46,7 +46,7 @@
     """What a forwarded statement tells of its session."""
 
     forwarded = True
-    returns_at: float | None = None
+    retry_at: float | None = None
     """Whoever took the statement from its caller keeps that."""
 
     def __init__(self, tenant: TenantId, forwarded_on: bool) -> None:
--- a/src/bramblebeam/services/gateway/leader_reads.py
+++ b/src/bramblebeam/services/gateway/leader_reads.py
@@ -31,7 +31,7 @@
     try:
         return await at_leader(context, request, read, Reason.NO_PRIMARY)
     finally:
-        request.leave_slot()
+        request.release_permit()
 
 
 async def _until_replaced(
@@ -104,7 +104,7 @@
         commands = [*request.preparation(lent.state), Command(BEGIN)]
         begin = (await lent.run_at_once(commands, time_left(context, request)))[-1]
         if begin.refusal is not None:
-            request.attempt_failed(lent.instance, begin.refusal)
+            request.record_failed_attempt(lent.instance, begin.refusal)
             if begin.refusal.reason is Reason.STALE_TERM:
                 leaders.denied(lent.instance, "it refused to begin a transaction")
             return None
@@ -112,19 +112,19 @@
             lent.connection.close()
             return None
         if lacks_observed_position(context, request, begin):
-            request.attempt_failed(lent.instance, LACKS_OBSERVED)
+            request.record_failed_attempt(lent.instance, LACKS_OBSERVED)
             leaders.contradicted(lent.instance, request.observed)
             lent.connection.close()
             return None
         commands = [request.command(), Command(ROLLBACK)]
-        request.note_sent()
+        request.record_sent()
         read, _ = await lent.run(commands, time_left(context, request))
     except ConnectionLostError as error:
         record_connection_lost(context, request, lent.pool, str(error))
         return None
     finally:
         lent.give_back()
-    request.leave_slot(served=read.refusal is None)
+    request.release_permit(served=read.refusal is None)
     lent.pool.answered(context.now() - asked_at, read.refusal)
     return _judge_leader_read(context, request, lent.instance, read)
 
@@ -136,8 +136,8 @@
     if refusal is None:
         request.metrics.read_served(Role.PRIMARY)
         return Reply(read.rows, read.signature, position=read.position)
-    request.note_refused(refusal)
-    request.attempt_failed(instance, refusal)
+    request.record_refused(refusal)
+    request.record_failed_attempt(instance, refusal)
     if refusal.reason is Reason.STALE_TERM:
         context.leader(request.route.group).denied(instance, "it lost the lead")
         return None
--- a/src/bramblebeam/services/gateway/lending.py
+++ b/src/bramblebeam/services/gateway/lending.py
@@ -32,7 +32,7 @@
     """Try at the leader, as long as this node may use it, until there is an answer.
 
     `reason` is for a refusal where no attempt gave another one. The permit of the attempt that gave
-    the answer is left with the request (`leave_slot`).
+    the answer is left with the request (`release_permit`).
     """
     leaders = context.leader(request.route.group)
     while True:
@@ -43,27 +43,27 @@
         if lent is not None and not leaders.may_use(instance):
             # The lease ran out while the connection was waited for.
             lent.give_back()
-            request.leave_slot()
+            request.release_permit()
             continue
         if lent is not None and not _leads_on(leaders, lent):
             lent.connection.close()
             lent.give_back()
-            request.leave_slot()
+            request.release_permit()
             continue
         if lent is not None and request.withdrawn:
             lent.give_back()
-            request.leave_slot()
+            request.release_permit()
             return request.give_up(reason)
         if lent is not None:
             reply = await attempt(lent)
             if reply is not None:
                 return reply
-        request.leave_slot()
+        request.release_permit()
         if request.no_slot is not None:
             return Reply(refusal=request.no_slot)
         if context.now() >= request.hold_until:
             return request.give_up(reason)
-        if request.must_pause:
+        if request.must_back_off:
             await asyncio.sleep(BUSY_PAUSE)
 
 
@@ -95,11 +95,11 @@
             request.tenant, request.session.state, time_to_hold(context, request)
         )
     except NoSlotError as error:
-        request.no_slot_at(instance, error.refusal)
+        request.record_no_slot(instance, error.refusal)
     except TimeoutError:
-        request.attempt_failed(instance, Refusal(Verdict.NOT_RUN, Reason.QUEUE_TIMEOUT))
+        request.record_failed_attempt(instance, Refusal(Verdict.NOT_RUN, Reason.QUEUE_TIMEOUT))
     except ConnectError as error:
-        request.attempt_failed(instance, Refusal(Verdict.NOT_RUN, error.reason, str(error)))
+        request.record_failed_attempt(instance, Refusal(Verdict.NOT_RUN, error.reason, str(error)))
         if error.reason is not Reason.TOO_MANY_CONNECTIONS:
             leaders.refused(instance, str(error))
     return None
--- a/src/bramblebeam/services/gateway/load_control.py
+++ b/src/bramblebeam/services/gateway/load_control.py
@@ -79,7 +79,7 @@
             record.record_idle_slot(now)
             return None
         work = request.work()
-        returns = is_scheduled_retry(request.session.returns_at, now)
+        returns = is_scheduled_retry(request.session.retry_at, now)
         ranks_below = self._lowest_priority - request.route.priority
         refused = refuse_early(work, known, ranks_below, now, returns)
         if refused is None:
@@ -153,10 +153,10 @@
         if not self.enabled or route is None:
             return
         if refusal is None or not is_for_want_of_room(refusal):
-            session.returns_at = None
+            session.retry_at = None
             return
         now = self._context.now()
-        session.returns_at = now + refusal.retry_after_ms / _MILLISECONDS
+        session.retry_at = now + refusal.retry_after_ms / _MILLISECONDS
         wanted_within = min(route.target, route.timeout)
         record = self._context.metrics.admission.of(route.group, self._context.needs_leader(route))
         record.record_unstarted(now - arrived, wanted_within)
@@ -202,7 +202,7 @@
             pool.slots.load().wait
             for pool in self._context.placement.members(group)
             if pool.slots is not None
-            and pool.slots.under_way
+            and pool.slots.in_flight
             and leader in (None, pool.entry.instance)
         ]
         return min(waits, default=0.0)
--- a/src/bramblebeam/services/gateway/placement.py
+++ b/src/bramblebeam/services/gateway/placement.py
@@ -216,7 +216,7 @@
         """Note that a database lacked a read's floor."""
         if self.targets is not None:
             if instance in self.pools:
-                self.targets.was_behind(self.pools[instance])
+                self.targets.record_behind(self.pools[instance])
             return
         self._behind_until[instance] = loop_time() + BEHIND_SECONDS
 
@@ -272,21 +272,21 @@
     def served(self, pool: DatabasePool, seconds: float) -> None:
         """Note a read that was served within `seconds`."""
         if self.targets is not None:
-            self.targets.served(pool, seconds)
+            self.targets.record_served(pool, seconds)
 
     def failed(self, pool: DatabasePool, refusal: Refusal, began: float) -> None:
         """Note an attempt in vain that was begun then (steady clock, seconds)."""
         if self.targets is not None:
-            self.targets.failed(pool, refusal, began)
+            self.targets.record_failed(pool, refusal, began)
 
     def is_silent(self, pool: DatabasePool) -> bool:
         """Whether a database gets no reads as it gave no answers, where load decides."""
-        return self.targets is not None and self.targets.is_silent(pool)
+        return self.targets is not None and self.targets.is_unresponsive(pool)
 
     def take_told(self, loads: tuple[DatabaseLoad, ...]) -> None:
         """Take what another node told of databases."""
         if self.targets is not None:
-            self.targets.take_told(loads)
+            self.targets.observe_reported_loads(loads)
 
     def _expected(self, pool: DatabasePool) -> float:
         """Return how long a read will probably take (seconds).
--- a/src/bramblebeam/services/gateway/queue_view.py
+++ b/src/bramblebeam/services/gateway/queue_view.py
@@ -51,7 +51,7 @@
         pool.entry.instance,
         pool.entry.role.name.lower(),
         pool.entry.slots,
-        pool.slots.under_way,
+        pool.slots.in_flight,
         pool.slots.waiting,
         round(load.wait * _MILLISECONDS),
         round(load.service * _MILLISECONDS),
--- a/src/bramblebeam/services/gateway/read_attempts.py
+++ b/src/bramblebeam/services/gateway/read_attempts.py
@@ -29,7 +29,7 @@
     except (TimeoutError, ConnectError) as error:
         reason = error.reason if isinstance(error, ConnectError) else Reason.QUEUE_TIMEOUT
         refusal = Refusal(Verdict.NOT_RUN, reason, str(error))
-        request.attempt_failed(pool.entry.instance, refusal)
+        request.record_failed_attempt(pool.entry.instance, refusal)
         return refusal
 
 
@@ -51,7 +51,7 @@
     instance = pool.entry.instance
     if context.now() < request.deadline:
         lost = Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST, detail)
-        request.attempt_failed(instance, lost)
+        request.record_failed_attempt(instance, lost)
         return
-    request.attempt_failed(instance, Refusal(Verdict.UNKNOWN, Reason.DEADLINE))
+    request.record_failed_attempt(instance, Refusal(Verdict.UNKNOWN, Reason.DEADLINE))
     pool.was_silent()
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -110,7 +110,7 @@
         began = now - seconds
         self._log(pool, self._ejector.record_served(pool.entry.instance, own_work, began, now))
 
-    def failed(self, pool: DatabasePool, refusal: Refusal, began: float) -> None:
+    def record_failed(self, pool: DatabasePool, refusal: Refusal, began: float) -> None:
         """Note an attempt in vain that was begun then (steady clock, seconds)."""
         is_full = refusal.reason is Reason.QUEUE_FULL
         is_idle = _under_way(pool) <= pool.entry.slots
@@ -273,7 +273,7 @@
         Those at a leader stay: what only it can run waits in the same queue.
         """
         if pool.slots is not None and pool.entry.role is Role.REPLICA:
-            pool.slots.turn_away()
+            pool.slots.refuse_waiting()
 
     def _is_behind(self, pool: DatabasePool, now: float) -> bool:
         return self._behind_until.get(pool.entry.instance, 0.0) > now
@@ -287,7 +287,7 @@
 
 def _under_way(pool: DatabasePool) -> int:
     """Return how many of this node's statements are at a database."""
-    return pool.load if pool.slots is None else pool.slots.under_way
+    return pool.load if pool.slots is None else pool.slots.in_flight
 
 
 def _wait(pool: DatabasePool, service: float) -> float:
--- a/src/bramblebeam/services/gateway/reads.py
+++ b/src/bramblebeam/services/gateway/reads.py
@@ -70,7 +70,7 @@
             if reply is not None and not _may_go_elsewhere(context, request, reply):
                 return reply
             if reply is not None and reply.refusal is not None:
-                request.no_slot_at(pool.entry.instance, reply.refusal)
+                request.record_no_slot(pool.entry.instance, reply.refusal)
                 excluded.add(pool.entry.instance)
         if context.now() >= request.hold_until:
             return request.give_up(Reason.QUEUE_TIMEOUT)
@@ -109,7 +109,7 @@
     if context.overload.enabled and not is_floor_from_session(request):
         # The near replica is far behind its leader: another one need not be.
         return False
-    return is_behind and context.meets_at_databases and context.is_far(pool.entry.zone)
+    return is_behind and context.runs_near_databases and context.is_far(pool.entry.zone)
 
 
 def _may_go_elsewhere(context: GatewayContext, request: Request, reply: Reply) -> bool:
@@ -126,7 +126,7 @@
     if request.session.forwarded_on and region not in (None, context.owners.place.region):
         # The node that passed the read on turns to the leader's region itself.
         return request.give_up(Reason.REPLICA_BEHIND)
-    reply = await context.forwarder.pass_to_leader(request)
+    reply = await context.forwarder.forward_to_leader(request)
     return await read_latest(context, request) if reply is None else reply
 
 
@@ -138,7 +138,7 @@
     reply = await _pass_to_zone(context, request, pool)
     if reply is None or reply.refusal is None or reply.refusal.reason is not Reason.REPLICA_BEHIND:
         return reply
-    request.attempt_failed(pool.entry.instance, reply.refusal)
+    request.record_failed_attempt(pool.entry.instance, reply.refusal)
     if context.overload.enabled and not is_floor_from_session(request):
         context.placement.was_behind(pool.entry.instance)
     return await _read_at_leader(context, request)
@@ -150,14 +150,14 @@
     """Have a read run near a database, and count it there until it has ended."""
     targets = context.placement.targets
     if targets is None:
-        return await context.forwarder.pass_to_zone(request, pool.entry.zone)
-    counted = targets.passed_on(pool.entry.instance)
+        return await context.forwarder.forward_to_zone(request, pool.entry.zone)
+    counted = targets.record_forwarded(pool.entry.instance)
     try:
-        reply = await context.forwarder.pass_to_zone(request, pool.entry.zone)
+        reply = await context.forwarder.forward_to_zone(request, pool.entry.zone)
     finally:
-        targets.answered(counted)
+        targets.record_forwarded_done(counted)
     if reply is not None:
-        request.metrics.read_passed_on()
+        request.metrics.read_forwarded()
     return reply
 
 
@@ -251,10 +251,10 @@
     try:
         return await pool.enter(request.work())
     except NoSlotError as error:
-        request.no_slot_at(pool.entry.instance, error.refusal)
+        request.record_no_slot(pool.entry.instance, error.refusal)
     except ConnectError as error:
         refusal = Refusal(Verdict.NOT_RUN, error.reason, str(error))
-        request.attempt_failed(pool.entry.instance, refusal)
+        request.record_failed_attempt(pool.entry.instance, refusal)
     return None
 
 
@@ -278,7 +278,7 @@
     try:
         reply = await _read_in_slot(context, request, pool)
     finally:
-        permit.end(served=reply is not None and reply.refusal is None)
+        permit.release(served=reply is not None and reply.refusal is None)
     return reply
 
 
@@ -299,7 +299,7 @@
             return None
         asked_at = context.now()
         commands = [*request.preparation(lent.state), request.command(floor)]
-        request.note_sent()
+        request.record_sent()
         read = (await lent.run(commands, time_left(context, request)))[-1]
     except ConnectionLostError as error:
         record_connection_lost(context, request, pool, str(error))
@@ -328,12 +328,12 @@
 ) -> Reply | None:
     refusal = read.refusal
     if refusal is not None:
-        request.note_refused(refusal)
+        request.record_refused(refusal)
     if refusal is None:
         is_leader = instance == context.leader(request.route.group).last_leader
         request.metrics.read_served(Role.PRIMARY if is_leader else Role.REPLICA)
         return read
-    request.attempt_failed(instance, refusal)
+    request.record_failed_attempt(instance, refusal)
     is_behind = refusal.reason is Reason.REPLICA_BEHIND
     if is_behind and not (context.overload.enabled and is_floor_from_session(request)):
         context.placement.was_behind(instance)
--- a/src/bramblebeam/services/gateway/request.py
+++ b/src/bramblebeam/services/gateway/request.py
@@ -154,7 +154,7 @@
     def release_permit(self, served: bool = False) -> None:
         """Give the permit back, if there is one. `served`: the database served the statement."""
         if self.permit is not None:
-            self.permit.end(served)
+            self.permit.release(served)
             self.permit = None
 
     def work(self, inside: bool = False) -> Work:
--- a/src/bramblebeam/services/gateway/service.py
+++ b/src/bramblebeam/services/gateway/service.py
@@ -171,7 +171,7 @@
             return
         self.listener.stop_accepting()
         while loop.time() - began < self._grace * TRANSACTION_SHARE:
-            self.listener.close_resting()
+            self.listener.close_idle()
             if not self.listener.has_connections and not self.host.busy:
                 return
             await asyncio.sleep(DRAIN_CHECK_INTERVAL)
--- a/src/bramblebeam/services/gateway/session.py
+++ b/src/bramblebeam/services/gateway/session.py
@@ -39,7 +39,7 @@
         self.tenant = NO_TENANT
         self.state = SessionState()
         self.observed: dict[GroupId, Position] = {}
-        self.returns_at: float | None = None
+        self.retry_at: float | None = None
         self._context = context
         self._database = database
         self._key = key
@@ -167,7 +167,7 @@
         route = self._route()
         if route is None:
             return _refused(Reason.UNKNOWN_DATABASE, TransactionState.IDLE)
-        await self._context.know_members(self._context.now() + route.timeout)
+        await self._context.wait_for_members(self._context.now() + route.timeout)
         at_leader = self._context.runs_at_leader(route, writes=not read_only)
         serves = self._context.runs_here(route.group, self.tenant, at_leader)
         kind = Transaction if serves else ForwardedTransaction
--- a/src/bramblebeam/services/gateway/session_order.py
+++ b/src/bramblebeam/services/gateway/session_order.py
@@ -95,7 +95,7 @@
     context: GatewayContext, request: Request, where: str, event: Event, **told: str | int
 ) -> None:
     """Count and log that the session's order was broken, with what the event tells besides."""
-    context.metrics.order_broken(where)
+    context.metrics.session_order_violated(where)
     log_event(
         logger,
         event,
--- a/src/bramblebeam/services/gateway/slot_queue.py
+++ b/src/bramblebeam/services/gateway/slot_queue.py
@@ -40,12 +40,12 @@
         self._number = number
         self._began = began
 
-    def end(self, served: bool) -> None:
+    def release(self, served: bool) -> None:
         """Give the permit back; further calls change nothing. `served`: the database served it."""
         queue = self._queue
         if queue is not None:
             self._queue = None
-            queue.ended(self._number, self._began, served)
+            queue.release(self._number, self._began, served)
 
 
 def unlimited_permit() -> Permit:
@@ -121,9 +121,9 @@
         if self._waiting.pop(number, None) is not None:
             self._scheduler.withdraw(number)
         elif not future.cancelled() and future.exception() is None:
-            self.ended(number, 0.0, served=False)
+            self.release(number, 0.0, served=False)
 
-    def ended(self, number: int, began: float, served: bool) -> None:
+    def release(self, number: int, began: float, served: bool) -> None:
         """One that had begun (`began`: steady clock, seconds) has ended."""
         now = loop_time()
         self._scheduler.finished(number, now - began if served else None, now)
--- a/src/bramblebeam/services/gateway/transaction.py
+++ b/src/bramblebeam/services/gateway/transaction.py
@@ -68,7 +68,7 @@
         try:
             return await self._run(request)
         finally:
-            request.leave_slot()
+            request.release_permit()
             refund_unused(self._context, request)
             self._running = False
             self._used_at = self._context.now()
@@ -89,7 +89,7 @@
             if reply.refusal is None:
                 self._wrote = self._wrote or request.writes
                 if not self._wrote:
-                    request.note_observed(reply)
+                    request.record_observed(reply)
                 return reply
             busy = reply.refusal.reason is Reason.QUEUE_FULL
             if not busy or reply.state is not TransactionState.OPEN:
@@ -104,10 +104,10 @@
             return await self._commit(request)
         finally:
             # The caller may have left meanwhile.
-            request.leave_slot()
+            request.release_permit()
             refund_unused(self._context, request)
             self._release(dirty=True)
-            self._place.end()
+            self._place.release()
 
     async def _commit(self, request: Request) -> Reply:
         if self._failure is not None:
@@ -171,7 +171,7 @@
             leaders.proven(lent.instance, reply.position, asked_at)
         if self._wrote:
             check_commit(self._context, request, reply)
-        request.note_observed(reply)
+        request.record_observed(reply)
         self._release(dirty=reply.state is not TransactionState.IDLE)
         return Reply(reply.rows, reply.signature, position=reply.position)
 
@@ -192,7 +192,7 @@
             try:
                 request.permit = await lent.pool.enter(request.work(inside=True))
             except NoSlotError as error:
-                request.no_slot_at(lent.instance, error.refusal)
+                request.record_no_slot(lent.instance, error.refusal)
                 return error.refusal
             except ConnectError as error:
                 return Refusal(Verdict.NOT_RUN, error.reason, str(error))
@@ -205,7 +205,7 @@
         commands = [*request.preparation(lent.state, pinned=True), request.command()]
         if not self._is_counted:
             self._is_counted = True
-            request.note_sent()
+            request.record_sent()
         asked_at = self._context.now()
         served = False
         try:
@@ -218,10 +218,10 @@
                 leaders = self._context.leader(self.route.group)
                 leaders.write_unanswered(lent.instance, asked_at)
             lost = self._lost(request, str(error))
-            request.attempt_failed(lent.instance, lost)
+            request.record_failed_attempt(lent.instance, lost)
             return Reply(refusal=lost, state=TransactionState.FAILED)
         finally:
-            request.leave_slot(served=served)
+            request.release_permit(served=served)
         lent.pool.answered(self._context.now() - asked_at, reply.refusal)
         if reply.refusal is not None and reply.refusal.reason is Reason.STALE_TERM:
             self._context.leader(self.route.group).denied(lent.instance, "it lost the lead")
@@ -251,14 +251,14 @@
                     return refused
                 if await self._start_at_replica(request, pool, excluded):
                     return None
-            request.leave_slot()
+            request.release_permit()
             if request.no_slot is not None and self._at_leader:
                 # The leader's slots are for what no replica can run.
                 reply = Reply(refusal=request.no_slot)
                 return self._context.load.tell_return(request, reply).refusal
             if self._context.now() >= request.hold_until:
                 return request.refusal or Refusal(Verdict.NOT_RUN, Reason.NO_PRIMARY)
-            if request.must_pause:
+            if request.must_back_off:
                 await asyncio.sleep(BUSY_PAUSE)
 
         refused = await self._take_place(request, self._expected_leader())
@@ -273,7 +273,7 @@
 
     async def _take_place(self, request: Request, instance: InstanceId | None) -> Refusal | None:
         """Wait for the transaction's turn at a database; return why it may not begin there."""
-        self._place.end()
+        self._place.release()
         place = await self._context.transactions.enter(request, instance)
         if isinstance(place, Refusal):
             return place
@@ -303,7 +303,7 @@
             self._release(dirty=True)
             return None
         if lacks_observed_position(self._context, request, begin):
-            request.attempt_failed(instance, LACKS_OBSERVED)
+            request.record_failed_attempt(instance, LACKS_OBSERVED)
             leaders.contradicted(instance, request.observed)
             self._release(dirty=True)
             return None
@@ -334,11 +334,11 @@
                 request.tenant, self._session.state, time_to_hold(self._context, request)
             )
         except NoSlotError as error:
-            request.no_slot_at(instance, error.refusal)
+            request.record_no_slot(instance, error.refusal)
             return False
         except (TimeoutError, ConnectError) as error:
             unreachable = Refusal(Verdict.NOT_RUN, Reason.UNREACHABLE, str(error))
-            request.attempt_failed(instance, unreachable)
+            request.record_failed_attempt(instance, unreachable)
             if isinstance(error, ConnectError):
                 refusal = Refusal(Verdict.NOT_RUN, error.reason)
                 self._context.placement.failed(pool, refusal, self._context.now())
@@ -383,7 +383,7 @@
             reply = (await lent.run_at_once(commands, remaining))[-1]
         except ConnectionLostError as error:
             lost = Refusal(Verdict.NOT_RUN, Reason.CONNECTION_LOST, str(error))
-            request.attempt_failed(lent.instance, lost)
+            request.record_failed_attempt(lent.instance, lost)
             self._context.placement.failed(lent.pool, lost, asked_at)
             lent.give_back()
             return None
@@ -395,7 +395,7 @@
         if reply.refusal is None:
             self._lent = lent
             return reply
-        request.attempt_failed(lent.instance, reply.refusal)
+        request.record_failed_attempt(lent.instance, reply.refusal)
         if reply.state is not TransactionState.IDLE:
             lent.connection.close()
         lent.give_back()
@@ -407,7 +407,7 @@
         """End the work at the database; the caller still has to end its transaction."""
         self._failure = refusal
         self._release(dirty=True)
-        self._place.end()
+        self._place.release()
         return Reply(refusal=refusal, state=TransactionState.FAILED)
 
     def abandon(self, detail: str) -> None:
@@ -415,7 +415,7 @@
         if self._failure is None:
             self._failure = Refusal(Verdict.NOT_RUN, Reason.TRANSACTION_LOST, detail)
         self._release(dirty=True)
-        self._place.end()
+        self._place.release()
 
     def end_if_idle(self, now: float) -> None:
         """Roll back a transaction whose caller has not used it for longer than allowed."""
--- a/src/bramblebeam/services/gateway/transaction_gates.py
+++ b/src/bramblebeam/services/gateway/transaction_gates.py
@@ -46,7 +46,7 @@
         self._tenant = tenant
         self._began = began
 
-    def end(self) -> None:
+    def release(self) -> None:
         """Give the place to another one; a second time changes nothing."""
         gate, self._gate = self._gate, None
         if gate is not None:
--- a/src/bramblebeam/services/gateway/writes.py
+++ b/src/bramblebeam/services/gateway/writes.py
@@ -24,7 +24,7 @@
     try:
         return await at_leader(context, request, send, Reason.QUEUE_TIMEOUT)
     finally:
-        request.leave_slot()
+        request.release_permit()
 
 
 async def _send(context: GatewayContext, request: Request, lent: PooledConnection) -> Reply | None:
@@ -33,29 +33,29 @@
     asked_at = context.now()
     commands = [*request.preparation(lent.state), request.command()]
     remaining = time_left(context, request)
-    request.note_sent()
+    request.record_sent()
     try:
         replies = await lent.run(commands, remaining, must_wait=True)
     except ConnectionLostError as error:
         if context.now() - asked_at >= remaining - CLOCK_STEP and not lent.pool.is_silent(lent):
             leaders.write_unanswered(lent.instance, asked_at)
         doubt = Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST, str(error))
-        request.attempt_failed(lent.instance, doubt)
+        request.record_failed_attempt(lent.instance, doubt)
         return Reply(refusal=doubt)
     finally:
         lent.give_back()
     reply = replies[-1]
-    request.leave_slot(served=reply.refusal is None)
+    request.release_permit(served=reply.refusal is None)
     lent.pool.answered(context.now() - asked_at, reply.refusal)
     leaders.write_answered()
     if reply.refusal is None:
         leaders.acknowledged(reply.position)
         leaders.proven(lent.instance, reply.position, asked_at)
         return reply
-    request.note_refused(reply.refusal)
+    request.record_refused(reply.refusal)
     if reply.refusal.verdict is not Verdict.NOT_RUN:
         return reply
-    request.attempt_failed(lent.instance, reply.refusal)
+    request.record_failed_attempt(lent.instance, reply.refusal)
     if reply.refusal.reason is Reason.STALE_TERM:
         leaders.denied(lent.instance, "it refused a write")
         return None
--- a/tests/placement_world.py
+++ b/tests/placement_world.py
@@ -86,10 +86,10 @@
         self._database = database
 
     @property
-    def under_way(self) -> int:
+    def in_flight(self) -> int:
         return 0 if self._database is None else self._database.busy
 
-    def turn_away(self) -> None:
+    def refuse_waiting(self) -> None:
         """What waits is sent elsewhere by its own patience."""
 
     def load(self) -> DatabaseLoad:
@@ -307,7 +307,7 @@
         node = self.nodes[region]
         pool = node.pools[InstanceId(f"db-{region}")]
         refusal = Refusal(Verdict.NOT_RUN, reason)
-        node.targets.failed(pool, refusal, self.now if began is None else began)  # type: ignore[arg-type]
+        node.targets.record_failed(pool, refusal, self.now if began is None else began)  # type: ignore[arg-type]
         self._return(read, region, way, lambda: self._send(read))
 
     def _answer(self, read: Read, region: int, way: float) -> None:
--- a/tests/test_gateway_context.py
+++ b/tests/test_gateway_context.py
@@ -79,7 +79,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The time counts from its start, not from its first statement: that waited for as long."""
-    monkeypatch.setattr(context_module, "MEMBERS_PATIENCE", 0.0)
+    monkeypatch.setattr(context_module, "MEMBERS_TIMEOUT", 0.0)
     place = NodeLocation(NodeId("n0"), ZoneId("a"), "home")
     context = GatewayContext(
         place, LineDatabaseConnector(), NoPeers(), lambda found: None, asyncio.ensure_future
@@ -88,5 +88,5 @@
     context.update_members(view(1))
     context.resume()
     far_too_long = context.now() + 60.0
-    await context.know_members(far_too_long)
+    await context.wait_for_members(far_too_long)
     assert context.now() < far_too_long
--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -25,7 +25,7 @@
 @pytest.fixture(autouse=True)
 def patient(monkeypatch: pytest.MonkeyPatch) -> None:
     """On a busy machine a node may be silent for long; here only a closed stream is a loss."""
-    monkeypatch.setattr(forwarding, "SILENCE", FAR_TOO_LONG)
+    monkeypatch.setattr(forwarding, "PEER_SILENCE_TIMEOUT", FAR_TOO_LONG)
 
 
 def serves(node: PlatformNode) -> bool:
@@ -83,7 +83,7 @@
         context.nearest = lambda group: [  # type: ignore[method-assign,assignment,return-value]
             node.gateway.context.owners.place.node for node in others if serves(node)
         ]
-        context.take_members(context.owners._members)
+        context.update_members(context.owners._members)
         assert (await client.run("WRITE parcel 2")).code == ""
         await until(lambda: connections_of(world.nodes[place]) == 0)
 
@@ -104,13 +104,13 @@
         context._patience.cancel()
         context.expects_others = True
         context._members_known.clear()
-        context.take_members(alone)
+        context.update_members(alone)
         client = await world.client("session", outside)
         running = asyncio.ensure_future(client.run("READ parcel"))
         for _ in range(5):
             await asyncio.sleep(0.02)
         assert connections_of(world.nodes[outside]) == 0
-        context.take_members(view)
+        context.update_members(view)
         assert (await running).code == ""
         assert connections_of(world.nodes[outside]) == 0
 
--- a/tests/test_gateway_leaders.py
+++ b/tests/test_gateway_leaders.py
@@ -32,7 +32,7 @@
     """One node that serves every group alone."""
 
     decides_on_load = False
-    meets_at_databases = False
+    runs_near_databases = False
     seen_share = 1.0
     decides_on_load = False
 
--- a/tests/test_limits_over_nodes.py
+++ b/tests/test_limits_over_nodes.py
@@ -60,7 +60,7 @@
             fleet.look()
             for context in stand_ins:
                 if step % CHANGE_STEPS == 0 and changes == "members":
-                    context.take_members(fleet.view)
+                    context.update_members(fleet.view)
                 if step % CHANGE_STEPS == 0 and changes == "configuration":
                     context.configure(table(3 + step, LIMIT, HOT))
                 if count_here(context, HOT).admitted:
@@ -91,7 +91,7 @@
                 continue
             for node, context in fleet.contexts.items():
                 if fleet.sides[node] == side:
-                    context.take_members(MembersView(fleet.view.members, seen))
+                    context.update_members(MembersView(fleet.view.members, seen))
         for _ in range(300):
             clock[0] += STEP_SECONDS
             fleet.look()
--- a/tests/test_meeting_at_databases.py
+++ b/tests/test_meeting_at_databases.py
@@ -160,5 +160,5 @@
     session = HostedSession(NO_TENANT, forwarded_on=False)
     now = context.now()
     request = Request(session, route, "id", statement.statement, None, now, context.metrics)
-    assert await context.forwarder.ask(runner, request, statement) is failure
+    assert await context.forwarder.send(runner, request, statement) is failure
     assert context.forwarder.is_avoided(runner) is is_avoided
--- a/tests/test_overload_gateway.py
+++ b/tests/test_overload_gateway.py
@@ -187,7 +187,7 @@
     request: Any = SimpleNamespace(route=ROUTE, identifier="id", arrived=0.0, passed_on=False)
     statement = Statement(Action.READ, "", "x")
     message = ForwardedStatement(ROUTE, "id", statement, None, {}, time_left=1.0)
-    asking = asyncio.ensure_future(forwarder.ask(SENDER, request, message))
+    asking = asyncio.ensure_future(forwarder.send(SENDER, request, message))
     await until(lambda: bool(peers.asked))
     if answer is None:
         asking.cancel()
@@ -207,7 +207,7 @@
     statement = Statement(Action.READ, "", "x")
     message = ForwardedStatement(ROUTE, "id", statement, None, {}, time_left=1.0)
     for _ in range(20):
-        await forwarder.ask(SENDER, request, message)
+        await forwarder.send(SENDER, request, message)
     numbers = {asked.number for asked in peers.asked}
     assert len(numbers) == 20
     assert 0 not in numbers
@@ -352,8 +352,8 @@
     assert not waiting.done()
     place, lent = opened.pop()
     lent.give_back()
-    place.end()
-    place.end()
+    place.release()
+    place.release()
     assert isinstance(await waiting, GateAdmission)
 
 
@@ -391,13 +391,13 @@
     place, lent = opened.pop()
     lent.give_back()
     if leaves_when == "as its turn comes":
-        place.end()
+        place.release()
         leaves.cancel()
     else:
         leaves.cancel()
         if leaves_when == "before":
             await asyncio.wait({leaves})
-        place.end()
+        place.release()
     assert isinstance(await stays, GateAdmission)
     assert found._gate.open == MOST
 
--- a/tests/test_overload_read_path.py
+++ b/tests/test_overload_read_path.py
@@ -38,7 +38,7 @@
 @pytest.fixture(autouse=True)
 def patient(monkeypatch: pytest.MonkeyPatch) -> None:
     """On a busy machine a node may be silent for long; here only a closed stream is a loss."""
-    monkeypatch.setattr(forwarding, "SILENCE", FAR_TOO_LONG)
+    monkeypatch.setattr(forwarding, "PEER_SILENCE_TIMEOUT", FAR_TOO_LONG)
 
 
 def settings_near(name: str, platform_port: int) -> dict[str, Any]:
@@ -116,7 +116,7 @@
         member.fault.silent = True
         assert await read(world, 10) == [""] * 10
         pool = world.nodes[NODE].gateway.context.placement.pools[InstanceId(NEAR)]
-        assert targets(world).is_silent(pool)
+        assert targets(world).is_unresponsive(pool)
         assert world.nodes[NODE].gateway.context.metrics._ejections["silent"] >= 1
         member.fault.silent = False
 
@@ -137,7 +137,7 @@
         pool = far.placement.pools[InstanceId(OTHER)]
         far_targets._ejector.record_unresponsive(InstanceId(OTHER), now, now + 0.001)
         await asyncio.sleep(0.01)
-        assert far_targets.is_silent(pool)
+        assert far_targets.is_unresponsive(pool)
         near = targets(world)
         near._ejector.record_unresponsive(InstanceId(NEAR), now, now + 0.001)
         assert await read(world, 5) == [""] * 5
--- a/tests/test_slot_queue.py
+++ b/tests/test_slot_queue.py
@@ -51,10 +51,10 @@
     second = await entering(slots, work())
     assert not second.done()
     assert (slots.in_flight, slots.waiting) == (1, 1)
-    first.end(served=True)
-    first.end(served=True)
+    first.release(served=True)
+    first.release(served=True)
     async with asyncio.timeout(FAR_TOO_LONG):
-        (await second).end(served=False)
+        (await second).release(served=False)
     assert (slots.in_flight, slots.waiting) == (0, 0)
 
 
@@ -63,10 +63,10 @@
     first = await slots.enter(work())
     waiting = [await entering(slots, work()) for _ in range(3)]
     waiting[0].cancel()
-    first.end(served=True)
+    first.release(served=True)
     async with asyncio.timeout(FAR_TOO_LONG):
-        (await waiting[1]).end(served=True)
-        (await waiting[2]).end(served=True)
+        (await waiting[1]).release(served=True)
+        (await waiting[2]).release(served=True)
     assert (slots.in_flight, slots.waiting) == (0, 0)
 
 
@@ -74,7 +74,7 @@
     slots = queue()
     first = await slots.enter(work())
     second = await entering(slots, work())
-    first.end(served=True)
+    first.release(served=True)
     second.cancel()
     await asyncio.gather(second, return_exceptions=True)
     assert (slots.in_flight, slots.waiting) == (0, 0)
@@ -90,7 +90,7 @@
     assert refused.value.refusal.reason is Reason.QUEUE_FULL
     assert refused.value.refusal.retry_after_ms > 0
     assert slots.waiting == 0
-    held.end(served=True)
+    held.release(served=True)
 
 
 async def test_a_full_limit_does_not_keep_open_transactions_from_going_on() -> None:
@@ -99,8 +99,8 @@
     held = await slots.enter(work())
     async with asyncio.timeout(FAR_TOO_LONG):
         inside = await slots.enter(work(inside=True))
-    inside.end(served=True)
-    held.end(served=True)
+    inside.release(served=True)
+    held.release(served=True)
 
 
 async def test_those_who_wait_are_told_that_the_database_left() -> None:
@@ -130,9 +130,9 @@
     slots.refuse_waiting()
     found = await asyncio.gather(left, stays, return_exceptions=True)
     assert [type(error) for error in found] == [asyncio.CancelledError, NoSlotError]
-    permit.end(served=True)
+    permit.release(served=True)
     assert (slots.in_flight, slots.waiting) == (0, 0)
-    (await slots.enter(work())).end(served=True)
+    (await slots.enter(work())).release(served=True)
 
 
 # The whole path.
@@ -157,7 +157,7 @@
 
 
 def all_back(world: World) -> bool:
-    return all(slots.under_way == slots.waiting == 0 for slots in queues(world))
+    return all(slots.in_flight == slots.waiting == 0 for slots in queues(world))
 
 
 @pytest.mark.parametrize(
@@ -275,7 +275,7 @@
         refused = await asyncio.gather(*waiting, return_exceptions=True)
         assert [type(error) for error in refused] == [NoSlotError] * 3
         assert not isinstance(inside.exception() if inside.done() else None, NoSlotError)
-        held.end(served=False)
-        bounded.end(served=False)
-        (await inside).end(served=False)
+        held.release(served=False)
+        bounded.release(served=False)
+        (await inside).release(served=False)
     assert (slots.in_flight, slots.waiting) == (0, 0)
