--- a/src/bramblebeam/services/gateway/__init__.py
+++ b/src/bramblebeam/services/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Callers' sessions on shared database connections."""
+"""The gateway service: callers' sessions on shared database connections."""
--- a/src/bramblebeam/services/gateway/admission.py
+++ b/src/bramblebeam/services/gateway/admission.py
@@ -1,7 +1,7 @@
-"""Whether an operation may begin by its tenant's limit, which holds over all nodes together.
+"""Admission of operations by their tenant's rate limit, which is enforced over all nodes.
 
-The node that runs the operation asks the one that counts the tenant. Each attempt that a database
-may run is paid for by a count; what is left in the end is given back to where it was taken.
+The node that runs an operation queries the node that counts the tenant. Each attempt that a
+database may run is covered by a count; unused counts are refunded to the node that granted them.
 """
 
 from __future__ import annotations
@@ -26,40 +26,40 @@
 logger = logging.getLogger(__name__)
 
 RETURN_SPREAD_SECONDS = 1.0
-"""What is refused may come back once there is room, spread over so long: the callers of one tenant
-are refused together, and would all return together."""
+"""Random spread of the advised retry time: the callers of one tenant are refused together, and
+would otherwise retry together."""
 ANSWER_SECONDS = 0.25
-"""The question crosses two regions at most, 40 ms there and back; what takes longer (seconds) waits
-for a node that is lost or cut off."""
+"""Timeout of an admission request. The round trip crosses two regions at most, 40 ms in all; an
+answer that takes longer than this is waiting for a lost or disconnected node."""
 AVOIDED_SECONDS = 0.5
-"""A node that gave no answer is not asked for so long, as each operation would wait for it."""
-COUNTING_PATIENCE = 0.25
-"""A planned move of the counting to another node is mostly over sooner; after a loss it takes
-longer, and callers are better told to come back (seconds)."""
+"""How long a node that gave no answer is skipped, as each operation would wait for it."""
+COUNTING_TIMEOUT = 0.25
+"""How long to wait for a node that counts the tenant (seconds). A planned handover of the counting
+is mostly shorter; after a loss it takes longer, and the caller should retry later."""
 COUNTING_PAUSE = 0.1
-"""Before nodes are asked again of which none counts the tenant (seconds)."""
-NOBODY_COUNTS = "no node counts its tenant at the moment"
+"""Delay before the nodes are queried again when none of them counts the tenant (seconds)."""
+NO_COUNTING_NODE = "no reachable node counts the tenant"
 SURE_SHARE = 0.5
-"""No other node can count by more than one that holds so much of a limit."""
+"""If a node holds at least this share of a limit, no other node can count by more."""
 _MILLISECONDS = 1_000
 
 
 class _Answer(NamedTuple):
-    """What a node says that counts the tenant."""
+    """The answer of a node that counts the tenant."""
 
     node: NodeId
     admission: Admission
 
 
 async def admit(context: GatewayContext, request: Request) -> Refusal | None:
-    """Count the operation that a statement begins; return why it may not begin."""
+    """Count the operation that a statement begins; return the refusal if it may not begin."""
     tenant = request.tenant
     if not context.may_have_limit(tenant):
         return None
-    patience_ends = min(context.now() + COUNTING_PATIENCE, request.hold_until)
+    give_up_at = min(context.now() + COUNTING_TIMEOUT, request.hold_until)
     while True:
-        answer = await _ask(context, tenant)
-        if answer is not None or context.now() >= patience_ends:
+        answer = await _query_nodes(context, tenant)
+        if answer is not None or context.now() >= give_up_at:
             break
         await asyncio.sleep(COUNTING_PAUSE)
     if answer is not None and answer.admission.admitted:
@@ -71,26 +71,26 @@
 
 def _refusal(answer: _Answer | None) -> Refusal:
     if answer is None:
-        come_back = random.uniform(0.0, RETURN_SPREAD_SECONDS)
-        retry_after_ms = round((COUNTING_PATIENCE + come_back) * _MILLISECONDS)
-        return Refusal(Verdict.NOT_RUN, Reason.UNREACHABLE, NOBODY_COUNTS, retry_after_ms)
+        retry_in = random.uniform(0.0, RETURN_SPREAD_SECONDS)
+        retry_after_ms = round((COUNTING_TIMEOUT + retry_in) * _MILLISECONDS)
+        return Refusal(Verdict.NOT_RUN, Reason.UNREACHABLE, NO_COUNTING_NODE, retry_after_ms)
     wait = answer.admission.wait
     if wait is None:
         return Refusal(Verdict.NOT_RUN, Reason.OVER_LIMIT, "the tenant's limit is zero")
-    come_back = wait + random.uniform(0.0, RETURN_SPREAD_SECONDS)
-    retry_after_ms = max(1, round(come_back * _MILLISECONDS))
+    retry_in = wait + random.uniform(0.0, RETURN_SPREAD_SECONDS)
+    retry_after_ms = max(1, round(retry_in * _MILLISECONDS))
     return Refusal(Verdict.NOT_RUN, Reason.OVER_LIMIT, "", retry_after_ms)
 
 
 async def may_attempt(context: GatewayContext, request: Request) -> bool:
-    """Return whether an attempt at a database is paid for, taking a further count if need be.
+    """Return whether an attempt at a database is covered by a count, taking one if needed.
 
-    Where there is none, the statement is not tried again.
+    If none is granted, the statement is not retried.
     """
     tenant = request.tenant
     if request.account.has_unused or not context.may_have_limit(tenant):
         return True
-    answer = await _ask(context, tenant)
+    answer = await _query_nodes(context, tenant)
     if answer is not None and answer.admission.admitted:
         request.account.add(Count(tenant, answer.node, answer.admission.receipt))
         return True
@@ -100,7 +100,7 @@
 
 
 def refund_unused(context: GatewayContext, request: Request) -> None:
-    """Give back the counts of an operation by which nothing can have run."""
+    """Refund the counts of an operation under which nothing can have run."""
     for count in request.account.take_unused():
         returned = AdmissionReturned(count.tenant, count.receipt)
         if count.node == context.owners.place.node:
@@ -111,21 +111,21 @@
 
 def count_here(context: GatewayContext, tenant: TenantId) -> Admission:
     """Count one operation at this node, if it counts the tenant."""
-    return context.limits.count(_question(context, tenant))
+    return context.limits.count(_admission_request(context, tenant))
 
 
-def _question(context: GatewayContext, tenant: TenantId) -> AdmissionRequest:
+def _admission_request(context: GatewayContext, tenant: TenantId) -> AdmissionRequest:
     return AdmissionRequest(tenant, context.limit_of(tenant), context.table.version)
 
 
-async def _ask(context: GatewayContext, tenant: TenantId) -> _Answer | None:
-    """Ask the nodes that may count a tenant until one admits the operation, or surely counts it.
+async def _query_nodes(context: GatewayContext, tenant: TenantId) -> _Answer | None:
+    """Query the nodes that may count a tenant until the operation is admitted or surely refused.
 
-    None: no node that answers counts it.
+    Returns None if no node that answers counts the tenant.
     """
     best: _Answer | None = None
     for node in context.homes(tenant):
-        admission = await _ask_node(context, tenant, node)
+        admission = await _query_node(context, tenant, node)
         if admission is None:
             continue
         if admission.admitted or admission.wait is None or admission.share >= SURE_SHARE:
@@ -135,14 +135,14 @@
     return best
 
 
-async def _ask_node(context: GatewayContext, tenant: TenantId, node: NodeId) -> Admission | None:
-    """Return what one node says; None: it gave no answer, now or a moment ago."""
+async def _query_node(context: GatewayContext, tenant: TenantId, node: NodeId) -> Admission | None:
+    """Return the answer of one node; None if it gave none, now or a moment ago."""
     if node == context.owners.place.node:
         return count_here(context, tenant)
     if context.forwarder.is_avoided(node):
         return None
     answer = await context.forwarder.peers.ask_admission(
-        node, _question(context, tenant), ANSWER_SECONDS
+        node, _admission_request(context, tenant), ANSWER_SECONDS
     )
     if isinstance(answer, Admission):
         return answer
--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -1,4 +1,4 @@
-"""What all sessions of a node share."""
+"""State shared by all sessions of a node."""
 
 from __future__ import annotations
 
@@ -25,23 +25,21 @@
 from bramblebeam.services.gateway.transaction_gates import TransactionGates
 from bramblebeam.services.waiting import loop_time
 
-SMALLEST_STALENESS = 0.5
-"""Reads with a smaller bound go to the leader (seconds)."""
-
-
+MIN_REPLICA_STALENESS = 0.5
+"""Reads with a smaller staleness bound go to the leader (seconds)."""
 MEMBERS_TIMEOUT = 0.6
-"""So long after its start a node serves by whichever members it has met, or alone (seconds)."""
+"""After this time from its start a node serves with the members it knows, or alone (seconds)."""
 MEMBERS_QUIET_PERIOD = 0.15
-"""A node that has met no new member for so long knows enough to serve (seconds): in a fleet that
-runs it gets the whole table in one exchange with the first member met."""
+"""A node that has met no new member for this long knows enough to serve (seconds): in a running
+fleet it receives the whole membership table in one exchange with the first member."""
 MEMBERSHIP_SETTLE_SECONDS = 10.0
-"""After its start and after it met another node, one does not rely on knowing all (seconds)."""
+"""For this long after its start or a membership change, a node may not know all nodes."""
 MAX_LEADER_USERS = 32
-"""So many nodes are asked at most to give a leader up."""
+"""Maximum number of nodes that are requested to stop using a leader."""
 
 
 class GatewayContext:
-    """Routes in force, pools and leaders."""
+    """The routes in force, the connection pools and the leader trackers of a node."""
 
     def __init__(
         self,
@@ -66,14 +64,14 @@
         self.expects_others = False
         self._members_changed_at = float("-inf")
         self._members_known = asyncio.Event()
-        self._members_quiet: asyncio.TimerHandle | None = None
-        self._patience: asyncio.TimerHandle | None = None
+        self._members_quiet_timer: asyncio.TimerHandle | None = None
+        self._members_timer: asyncio.TimerHandle | None = None
         self._leaders: dict[GroupId, LeaderTracker] = {}
         self._publish = publish
         self.spawn = spawn
 
     def configure(self, table: RouteTable) -> None:
-        """Put a route table into force."""
+        """Apply a route table."""
         self.table = table
         caps = [settings.maximum_connections for settings in table.groups.values()]
         fewest = min(caps, default=DEFAULT_CONNECTIONS)
@@ -84,7 +82,7 @@
         self._review_leaders()
 
     def update_members(self, members: MembersView) -> None:
-        """Follow the members: which groups this node serves may change."""
+        """Apply a membership view; the groups that this node serves may change."""
         if self.owners.nodes != set(members.members):
             self._members_changed_at = self.now()
             if len(members.members) > 1 and not self._members_known.is_set():
@@ -95,26 +93,26 @@
         self._review_leaders()
 
     def _await_quiet(self) -> None:
-        """Take the members for known once there was no new one for a while."""
-        if self._members_quiet is not None:
-            self._members_quiet.cancel()
+        """Treat the members as known once no new one has appeared for a while."""
+        if self._members_quiet_timer is not None:
+            self._members_quiet_timer.cancel()
         loop = asyncio.get_running_loop()
-        self._members_quiet = loop.call_later(MEMBERS_QUIET_PERIOD, self._members_known.set)
+        self._members_quiet_timer = loop.call_later(MEMBERS_QUIET_PERIOD, self._members_known.set)
 
     def leader_users(self, group: GroupId) -> tuple[tuple[NodeId, ...], bool]:
-        """Return the other nodes that may use a group's leader, and whether no further one can.
+        """Return the other nodes that may use a group's leader, and whether the list is complete.
 
-        Those that serve the group come first. Any other one may use it too: it may see other
-        members, and take itself for one that serves. Those that are lost are in the list as well,
-        and give no answer; one that this node has not met yet can't be.
+        Nodes that serve the group come first. Any other node may use the leader too, because it may
+        see other members and consider itself one that serves the group. Lost nodes are listed as
+        well, and do not answer; a node that this one has not met yet can't be listed.
         """
         serving = self.nearest(group)
         others = sorted(self.owners.nodes - set(serving) - {self.owners.place.node})
         nodes = (*serving, *others)
         has_met_none = self.expects_others and not nodes
         is_steady = self.now() - self._members_changed_at > MEMBERSHIP_SETTLE_SECONDS
-        are_all = is_steady and not has_met_none and len(nodes) <= MAX_LEADER_USERS
-        return nodes[:MAX_LEADER_USERS], are_all
+        is_complete = is_steady and not has_met_none and len(nodes) <= MAX_LEADER_USERS
+        return nodes[:MAX_LEADER_USERS], is_complete
 
     async def wait_for_members(self, deadline: float) -> None:
         """Wait, right after the start, until this node knows which groups it serves."""
@@ -129,7 +127,7 @@
             tracker.serves = self.serves(group)
 
     def update(self, directory: DatabaseDirectory) -> None:
-        """Follow the directory."""
+        """Apply a change of the database directory."""
         self.owners.update_databases(directory)
         self.limits.follow_serving()
         self.placement.update(directory)
@@ -138,7 +136,7 @@
             tracker.directory_changed()
 
     def leader(self, group: GroupId) -> LeaderTracker:
-        """Return the tracker of a group's leader."""
+        """Return the tracker of a group's leader, starting it if needed."""
         tracker = self._leaders.get(group)
         if tracker is None:
             tracker = LeaderTracker(group, self.placement, self._publish, self.spawn)
@@ -148,38 +146,38 @@
         return tracker
 
     def known_leader(self, group: GroupId) -> LeaderTracker | None:
-        """Return the tracker of a group's leader if this node follows it already.
+        """Return the tracker of a group's leader if it is already running.
 
-        To begin with that takes connections to each member, of which nodes that do not serve the
-        group must not hold any.
+        Starting one opens connections to every member of the group, which a node that does not
+        serve the group must not hold.
         """
         return self._leaders.get(group)
 
     def stop_using_leader(self, group: GroupId, name: ServerName | None, term: int) -> None:
-        """Use a database as its group's leader no more, nor another one of a term below `term`.
+        """Stop using a database as its group's leader, and any other one of a term below `term`.
 
-        `name` None: nobody knows the former leader.
+        `name` is None if the former leader is unknown.
         """
         tracker = self._leaders.get(group)
         if tracker is not None:
             tracker.give_up(name, term)
 
     def resume(self) -> None:
-        """Reach databases and follow leaders again, after the service that runs this started."""
+        """Reopen pools and restart leader trackers, once the owning service has started."""
         self._members_changed_at = self.now()
         self.limits.start()
         loop = asyncio.get_running_loop()
-        self._patience = loop.call_later(MEMBERS_TIMEOUT, self._members_known.set)
+        self._members_timer = loop.call_later(MEMBERS_TIMEOUT, self._members_known.set)
         self.placement.reopen()
         for tracker in self._leaders.values():
             self.spawn(tracker.run())
 
     def serves(self, group: GroupId) -> bool:
-        """Whether this node keeps connections to the group's databases."""
+        """Return whether this node keeps connections to the group's databases."""
         return self.owners.serves(group, self._size(group))
 
     def is_first_owner(self, group: GroupId) -> bool:
-        """Whether this node is one of the first that prepare what all of them need once."""
+        """Return whether this node is a first owner, which prepares what all owners need once."""
         return self.owners.is_first(group, self._size(group))
 
     def owner_count(self, group: GroupId) -> int:
@@ -193,7 +191,7 @@
     def slots_a_node(self, group: GroupId, slots: int) -> float:
         """Return this node's even share of the slots of one of the group's databases."""
         if self.overload.enabled:
-            # The statements for the region's database meet at one of its nodes.
+            # One node of the region runs all statements for the region's database.
             return float(slots)
         return self.owners.slots_per_node(group, self._size(group), slots)
 
@@ -202,26 +200,26 @@
         return self.owners.nearest(group, self._size(group))
 
     def homes(self, tenant: TenantId) -> tuple[NodeId, ...]:
-        """Return the nodes that serve a tenant's statements, its own in front.
+        """Return the nodes that serve a tenant's statements, its home node first.
 
-        None do where there are no tenants: then a group's nodes serve everybody's.
+        Empty without tenants: then a group's nodes serve every caller.
         """
         if self.table.tenants is None:
             return ()
         return self.owners.homes(self._size_for_tenants, tenant)
 
     def serving_tenants(self) -> frozenset[NodeId]:
-        """Return the nodes that serve tenants, wherever they are counted among these."""
+        """Return all nodes that serve tenants; each tenant is counted by some of them."""
         return frozenset(self.owners.homes(self._size_for_tenants, NO_TENANT))
 
     def runners(self, group: GroupId, tenant: TenantId, at_leader: bool) -> tuple[NodeId, ...]:
-        """Return the nodes that run a tenant's statements, the one to turn to first in front.
+        """Return the nodes that run a tenant's statements, the preferred one first.
 
-        This node is among them where it serves the group; beside those that serve it there are
-        none. What only the leader may run goes to its region (`at_leader`): a connection is lent
-        for the way to the database and back, and where connections are scarce 2 ms or 40 ms for
-        each question decide how many operations the same connections carry. Other reads go to a
-        region with a replica: what the leader's connections and slots carry, nobody else can.
+        Only nodes that serve the group are listed, this one included if it does. Statements that
+        only the leader may run (`at_leader`) go to its region: a connection is in use for the round
+        trip to the database, and where connections are scarce 2 ms or 40 ms per query decide how
+        many operations they carry. Other reads go to a region with a replica, because nothing can
+        replace the leader's connections and slots.
         """
         if not self.runs_near_databases:
             return () if self.serves(group) else self.nearest(group)
@@ -234,7 +232,7 @@
         return self.owners.homes_in(self._size_for_tenants, tenant, regions)
 
     def runs_here(self, group: GroupId, tenant: TenantId, at_leader: bool) -> bool:
-        """Whether this node is the one that runs a tenant's statements for a group."""
+        """Return whether this node runs a tenant's statements for a group."""
         runners = self.runners(group, tenant, at_leader)
         return not runners or runners[0] == self.owners.place.node
 
@@ -247,7 +245,7 @@
         return frozenset(region for region in regions if region is not None)
 
     def leader_region(self, group: GroupId) -> str | None:
-        """Return where a group's leader is, as far as this node knows."""
+        """Return the region of a group's leader, or None if this node does not know it."""
         tracker = self._leaders.get(group)
         if tracker is not None and tracker.leader in self.placement.pools:
             return self.owners.region_of(self.placement.pools[tracker.leader].entry.zone)
@@ -261,9 +259,9 @@
 
     @property
     def runs_near_databases(self) -> bool:
-        """Whether the statements for a database meet at one node near it.
+        """Whether all statements for a database run through one node near it.
 
-        So their tenants' connections are there, and one queue decides who is next.
+        Their tenants' connections are held at that node, and one queue orders the statements.
         """
         return self.table.tenants is not None or self.overload.enabled
 
@@ -278,7 +276,7 @@
         return nodes[0] if nodes and self.owners.node_region(nodes[0]) == region else None
 
     def runs_database(self, group: GroupId, zone: ZoneId) -> bool:
-        """Whether this node is the one that runs the statements for a database in `zone`."""
+        """Return whether this node runs the statements for a database in `zone`."""
         region = self.owners.region_of(zone)
         if region is None:
             return self.serves(group)
@@ -286,12 +284,12 @@
         return not nodes or nodes[0] == self.owners.place.node
 
     def is_far(self, zone: ZoneId) -> bool:
-        """Whether a zone is in another region than this node."""
+        """Return whether a zone is in another region than this node."""
         return self.distance(zone) is Distance.ELSEWHERE
 
     @property
     def seen_share(self) -> float:
-        """Return how many of the nodes that are known are seen to run, 0 to 1."""
+        """The share of the known nodes that are alive, 0 to 1."""
         return self.owners.live_share
 
     def near_servers(self, zone: ZoneId) -> int:
@@ -300,12 +298,12 @@
         return 0 if region is None else self.owners.serving_in(self._size_for_tenants, region)
 
     def limit_of(self, tenant: TenantId) -> RateLimit | None:
-        """Return a tenant's limit; None: it has none, as far as this node knows."""
+        """Return a tenant's limit; None if it has none, as far as this node knows."""
         tenants = self.table.tenants
         return None if tenants is None else tenants.limit(tenant)
 
     def may_have_limit(self, tenant: TenantId) -> bool:
-        """Whether a tenant's operations are counted, or this node does not know whether."""
+        """Return whether a tenant's operations are counted, or may be as far as this node knows."""
         tenants = self.table.tenants
         return tenants is not None and tenants.may_have_limit(tenant)
 
@@ -317,14 +315,14 @@
         return GroupSize(connections, self.placement.slots(group))
 
     def runs_at_leader(self, route: Route, writes: bool) -> bool:
-        """Whether only the leader may run what a route's caller asks for (`writes`: it may)."""
+        """Return whether only the leader may run a route's statement (`writes`: it may write)."""
         return writes or self.needs_leader(route)
 
     def needs_leader(self, route: Route) -> bool:
-        """Whether only the proven leader may serve the route's reads."""
-        return route.consistency is Consistency.LATEST or route.staleness < SMALLEST_STALENESS
+        """Return whether only the proven leader may serve the route's reads."""
+        return route.consistency is Consistency.LATEST or route.staleness < MIN_REPLICA_STALENESS
 
     @staticmethod
     def now() -> float:
-        """Return the steady clock (seconds)."""
+        """Return the monotonic clock (seconds)."""
         return loop_time()
--- a/src/bramblebeam/services/gateway/execution.py
+++ b/src/bramblebeam/services/gateway/execution.py
@@ -1,4 +1,4 @@
-"""Where a statement runs: at this node, or at one that serves its group."""
+"""Execution of single statements, at this node or at one that serves the group."""
 
 from __future__ import annotations
 
@@ -18,9 +18,10 @@
 
 
 async def execute(context: GatewayContext, request: Request) -> Reply:
-    """Run a single statement to its final answer.
+    """Run a single statement and return its final reply.
 
-    A node that does not serve the group does so itself where no node that does can be asked.
+    A node that does not serve the group runs the statement itself if it can reach no node that
+    does.
     """
     await context.wait_for_members(request.hold_until)
     reply: Reply | None = None
@@ -37,7 +38,7 @@
 
 
 async def execute_here(context: GatewayContext, request: Request) -> Reply:
-    """Run a single statement on this node's own connections, if its tenant may begin one."""
+    """Run a single statement on this node's own connections, if its tenant's limit allows."""
     if request.session.forwarded_on:
         request.account.add(Count(request.tenant, node=None))
     else:
@@ -52,9 +53,9 @@
 
 async def _execute_admitted(context: GatewayContext, request: Request) -> Reply:
     if context.runs_at_leader(request.route, request.writes):
-        passed_on = await context.forwarder.forward_to_leader(request)
-        if passed_on is not None:
-            return passed_on
+        forwarded = await context.forwarder.forward_to_leader(request)
+        if forwarded is not None:
+            return forwarded
     return await _execute_on_connections(context, request)
 
 
--- a/src/bramblebeam/services/gateway/forwarded_transaction.py
+++ b/src/bramblebeam/services/gateway/forwarded_transaction.py
@@ -1,4 +1,4 @@
-"""A caller's transaction that another node runs, as that node serves the group."""
+"""A caller's transaction that runs at another node, which serves the group."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class ForwardedTransaction:
-    """A transaction that another node runs, or this one where no other can be asked.
+    """A transaction that another node runs, or this one if no other node can be reached.
 
-    Which node it is is settled by the first statement. What was sent to a node before its COMMIT
-    is kept by nobody once the node is lost, or the transaction is abandoned.
+    The first statement determines the node. Statements sent before the COMMIT have no effect once
+    that node is lost or the transaction is abandoned.
     """
 
     def __init__(
@@ -52,12 +52,12 @@
         return TransactionState.OPEN if self._failure is None else TransactionState.FAILED
 
     async def run(self, request: Request) -> Reply:
-        """Run a read or a write inside the transaction."""
+        """Run a read or a write in the transaction."""
         if self._local is not None:
             return await self._local.run(request)
-        reply = await self._ask(request)
+        reply = await self._forward(request)
         if reply is None:
-            return await self._here().run(request)
+            return await self._run_here().run(request)
         if reply.refusal is not None:
             return self.fail(reply.refusal)
         self._wrote = self._wrote or request.writes
@@ -72,18 +72,18 @@
         if self._failure is not None:
             detail = self._failure.detail
             return Reply(refusal=Refusal(Verdict.NOT_RUN, Reason.TRANSACTION_LOST, detail))
-        reply = await self._ask(request)
+        reply = await self._forward(request)
         if reply is None:
-            return await self._here().commit(request)
+            return await self._run_here().commit(request)
         request.record_observed(reply)
         return reply._replace(state=TransactionState.IDLE)
 
     def fail(self, refusal: Refusal) -> Reply:
-        """End the work at the node; the caller still has to end its transaction."""
+        """Roll back at the other node; the caller still has to end its transaction."""
         if self._local is not None:
             return self._local.fail(refusal)
         self._failure = refusal
-        self._tell_abandoned()
+        self._send_abandoned()
         return Reply(refusal=refusal, state=TransactionState.FAILED)
 
     def abandon(self, detail: str) -> None:
@@ -92,33 +92,33 @@
             self._local.abandon(detail)
         elif self._failure is None:
             self._failure = Refusal(Verdict.NOT_RUN, Reason.TRANSACTION_LOST, detail)
-            self._tell_abandoned()
+            self._send_abandoned()
 
     def end_if_idle(self, now: float) -> None:
-        """Roll back a transaction whose caller has not used it for longer than allowed."""
+        """Roll back the transaction if its caller has been idle for longer than allowed."""
         if self._local is not None:
             self._local.end_if_idle(now)
             return
-        rests = not self._running and self._failure is None and self._node is not None
-        if rests and now - self._used_at > self._context.table.transaction_idle:
-            self.fail(Refusal(Verdict.NOT_RUN, Reason.TRANSACTION_LOST, "it rested for too long"))
+        is_idle = not self._running and self._failure is None and self._node is not None
+        if is_idle and now - self._used_at > self._context.table.transaction_idle:
+            self.fail(Refusal(Verdict.NOT_RUN, Reason.TRANSACTION_LOST, "it was idle for too long"))
 
-    def _here(self) -> Transaction:
-        """Run the transaction at this node: no other one has run any of it."""
+    def _run_here(self) -> Transaction:
+        """Create the transaction at this node; no other node has run any part of it."""
         self._local = Transaction(self._context, self._session, self.route, self._read_only)
         return self._local
 
-    def _tell_abandoned(self) -> None:
+    def _send_abandoned(self) -> None:
         if self._node is not None:
             message = TransactionAbandoned(self._number)
             self._context.forwarder.peers.tell(self._node, message)
 
-    async def _ask(self, request: Request) -> Reply | None:
-        """Return the answer; None: the transaction has not begun anywhere."""
+    async def _forward(self, request: Request) -> Reply | None:
+        """Return the reply; None if the transaction has not begun at any node."""
         self._running = True
         try:
             if self._node is not None:
-                answer = await self._ask_node(self._node, request, opens=False)
+                answer = await self._forward_to(self._node, request, opens=False)
                 return answer if isinstance(answer, Reply) else self._lost(request, answer)
             return await self._open(request)
         finally:
@@ -129,22 +129,22 @@
         at_leader = self._context.runs_at_leader(self.route, writes=not self._read_only)
         group, tenant = self.route.group, request.tenant
         for node in self._context.forwarder.candidates(group, tenant, at_leader):
-            answer = await self._ask_node(node, request, opens=True)
+            answer = await self._forward_to(node, request, opens=True)
             if isinstance(answer, PeerFailure) and not answer.sent:
                 continue
             self._node = node
             return answer if isinstance(answer, Reply) else self._lost(request, answer)
         return None
 
-    async def _ask_node(self, node: NodeId, request: Request, opens: bool) -> Reply | PeerFailure:
+    async def _forward_to(self, node: NodeId, request: Request, opens: bool) -> Reply | PeerFailure:
         message = to_forwarded_statement(request, self._context.now())._replace(
             transaction=self._number, opens=opens, read_only=self._read_only
         )
         return await self._context.forwarder.send(node, request, message)
 
     def _lost(self, request: Request, failure: PeerFailure) -> Reply:
-        """Without its COMMIT a transaction is rolled back wherever it was open."""
-        self._tell_abandoned()
+        """Return the reply after a failure; without its COMMIT the transaction is rolled back."""
+        self._send_abandoned()
         is_commit = request.statement.action is Action.COMMIT
         if is_commit and failure.sent and self._wrote:
             return Reply(refusal=Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST, failure.detail))
--- a/src/bramblebeam/services/gateway/forwarding.py
+++ b/src/bramblebeam/services/gateway/forwarding.py
@@ -1,4 +1,4 @@
-"""Statements of this node's callers that other nodes run, as those serve the group."""
+"""Forwarding of callers' statements to the nodes that serve their group."""
 
 from __future__ import annotations
 
@@ -34,17 +34,18 @@
 logger = logging.getLogger(__name__)
 
 ANSWER_MARGIN = 0.1
-"""The node that runs a statement answers at its deadline; so long its answer may travel (s)."""
+"""A node replies by the statement's deadline; its reply may take this much longer (seconds)."""
 PEER_SILENCE_TIMEOUT = 0.4
-"""A node from which nothing came for so long, not even to a probe, is given up (seconds)."""
+"""A node that sent nothing for this long, not even a reply to a probe, is given up (seconds)."""
 AVOIDED_SECONDS = 1.0
-"""A node that gave no answer is asked again after so long."""
+"""How long a node that gave no answer is skipped."""
 _NUMBER_BITS = 48
-"""Of the first number of a statement: a node that starts again repeats none of its former life."""
+"""Size of the random first statement number: a restarted node must not repeat numbers of its
+previous incarnation."""
 
 
 class Peers(GrantMessages, Protocol):
-    """Carries messages to other nodes."""
+    """Sends messages to other nodes."""
 
     async def ask(
         self, node: NodeId, message: ForwardedStatement, timeout: float, silence: float
@@ -59,11 +60,11 @@
     def tell(
         self, node: NodeId, message: TransactionAbandoned | StatementWithdrawn | AdmissionReturned
     ) -> None:
-        """Send without an answer and without a promise."""
+        """Send a message without a reply or a delivery guarantee."""
 
 
 class Forwarder:
-    """Asks the nodes that run a statement, in the order in which they are to be turned to."""
+    """Sends statements to the nodes that run them, in order of preference."""
 
     def __init__(self, context: GatewayContext, peers: Peers) -> None:
         self.peers = peers
@@ -72,9 +73,9 @@
         self._numbers = itertools.count(secrets.randbits(_NUMBER_BITS) + 1)
 
     def candidates(self, group: GroupId, tenant: TenantId, at_leader: bool) -> Iterator[NodeId]:
-        """Yield the nodes to ask; those that gave no answer a moment ago are left out.
+        """Yield the nodes to try, without those that gave no answer a moment ago.
 
-        Where this node is the next in turn it asks nobody.
+        Stops at this node, which runs the statement itself when its turn comes.
         """
         own = self._context.owners.place.node
         for node in self._context.runners(group, tenant, at_leader):
@@ -84,15 +85,15 @@
                 yield node
 
     def is_avoided(self, node: NodeId) -> bool:
-        """Whether a node gave no answer a moment ago."""
+        """Return whether a node gave no answer a moment ago."""
         return self._avoided_until.get(node, 0.0) > self._context.now()
 
     def avoid(self, node: NodeId, seconds: float) -> None:
-        """Ask a node that gave no answer again after so long only."""
+        """Skip a node that gave no answer for `seconds`."""
         self._avoided_until[node] = self._context.now() + seconds
 
     async def execute(self, request: Request, at_leader: bool) -> Reply | None:
-        """Return the answer, or None where no node has run it and there is time to run it here."""
+        """Return the reply, or None if no node has run it and there is time to run it here."""
         self._context.load.first_attempt(request)
         for node in self.candidates(request.route.group, request.tenant, at_leader):
             answer = await self.send(
@@ -109,28 +110,28 @@
         return None
 
     async def forward_to_leader(self, request: Request) -> Reply | None:
-        """Have a statement run near the leader, by the node that serves its region.
+        """Run a statement near the leader, through the node that serves its region.
 
-        None: this node runs it.
+        Returns None if this node has to run it.
         """
-        if not self._may_pass_on(request):
+        if not self._may_forward_on(request):
             return None
-        return await self._pass_on(request, self._context.leader_region(request.route.group))
+        return await self._forward_on(request, self._context.leader_region(request.route.group))
 
     async def forward_to_zone(self, request: Request, zone: ZoneId) -> Reply | None:
-        """Have a statement run near a database in `zone`, by the node that serves its region.
+        """Run a statement near a database in `zone`, through the node that serves its region.
 
-        None: this node runs it.
+        Returns None if this node has to run it.
         """
-        if not self._may_pass_on(request):
+        if not self._may_forward_on(request):
             return None
-        return await self._pass_on(request, self._context.owners.region_of(zone))
+        return await self._forward_on(request, self._context.owners.region_of(zone))
 
-    def _may_pass_on(self, request: Request) -> bool:
-        """Whether statements meet at databases; what was passed on once is not passed on again."""
+    def _may_forward_on(self, request: Request) -> bool:
+        """Return whether statements run near databases and this one was not forwarded on before."""
         return self._context.runs_near_databases and not request.session.forwarded_on
 
-    async def _pass_on(self, request: Request, region: str | None) -> Reply | None:
+    async def _forward_on(self, request: Request, region: str | None) -> Reply | None:
         if region is None:
             return None
         node = self._context.serving_node_in(region, request.route.group, request.tenant)
@@ -150,7 +151,7 @@
     async def send(
         self, node: NodeId, request: Request, message: ForwardedStatement
     ) -> Reply | PeerFailure:
-        """Ask one node. A failure with `sent` False: nothing was done."""
+        """Send a statement to one node. A failure with `sent` False means that nothing was done."""
         timeout = message.time_left + ANSWER_MARGIN
         message = message._replace(number=next(self._numbers))
         request.passed_on = True
@@ -170,8 +171,8 @@
         if message.forwarded_on and not failure.sent:
             request.account.record_not_run()
         if not (failure.is_late and self._context.overload.enabled):
-            # One that is late, but is heard of, has a long queue: those who pass it by would
-            # overfill the database that it queues for.
+            # A node that is late but responsive has a long queue. Bypassing it would overload the
+            # database that it queues for.
             self.avoid(node, AVOIDED_SECONDS)
         log_event(
             logger,
@@ -186,7 +187,7 @@
         return failure
 
     def _withdraw(self, node: NodeId, message: ForwardedStatement) -> None:
-        """Tell a node that nobody waits for its answer."""
+        """Notify a node that no caller waits for its reply."""
         if self._context.load.enabled:
             self.peers.tell(node, StatementWithdrawn(message.number))
 
@@ -196,7 +197,7 @@
 
 
 def to_forwarded_statement(request: Request, now: float) -> ForwardedStatement:
-    """Return the message that asks for a single statement."""
+    """Return the message that requests a single statement."""
     return ForwardedStatement(
         request.route,
         request.identifier,
--- a/src/bramblebeam/services/gateway/metrics.py
+++ b/src/bramblebeam/services/gateway/metrics.py
@@ -1,7 +1,7 @@
-"""Counters and latency histograms of the gateway, as text for a metrics address.
+"""Counters and latency histograms of the gateway, exported as text for a metrics endpoint.
 
-They are counted in plain numbers and put into the format of Prometheus when somebody asks: its
-library takes as long to import as a tenth of all else that a node needs to start.
+Values are kept as plain numbers and converted to the Prometheus format on request: importing its
+library takes a tenth of the time of everything else that a node needs to start.
 """
 
 from __future__ import annotations
@@ -26,15 +26,13 @@
     )
 
 _BUCKETS = (0.005, 0.01, 0.02, 0.04, 0.08, 0.15, 0.3, 0.6, 1.0, 2.0, 4.0)
-"""Upper bounds (seconds); what takes longer is in one more bucket."""
-
-
-ORDERS_WATCHED = ("floor", "answer", "commit")
-"""Each is told from the start: an alert on an increase needs the zero before it."""
+"""Upper bounds of the latency buckets (seconds); a last bucket holds longer times."""
+SESSION_ORDER_CHECKS = ("floor", "answer", "commit")
+"""All are exported from the start: an alert on an increase needs the zero before it."""
 
 
 class _Answered(NamedTuple):
-    """The labels of answered statements."""
+    """The labels of the counter of answered statements."""
 
     consistency: str
     action: str
@@ -42,14 +40,14 @@
 
 
 class _Kind(NamedTuple):
-    """The labels of latencies."""
+    """The labels of the latency histogram."""
 
     consistency: str
     action: str
 
 
 class _Latencies:
-    """How long the statements of one kind took."""
+    """The latency histogram of the statements of one kind."""
 
     def __init__(self) -> None:
         self.counts = [0] * (len(_BUCKETS) + 1)
@@ -61,7 +59,7 @@
 
 
 class ListState(NamedTuple):
-    """What a node knows of one list of the store. `age`: since the store confirmed it (seconds)."""
+    """A node's copy of one list of the store. `age`: since the store confirmed it (seconds)."""
 
     name: str
     revision: Revision
@@ -69,16 +67,16 @@
 
 
 class StoreState(NamedTuple):
-    """What a node follows in the store, and the version of its routes that is in force."""
+    """The followed lists of the store, and the version of the routes in force."""
 
     lists: tuple[ListState, ...] = ()
     routes_version: int = 0
 
 
 class GatewayMetrics:
-    """What one node counts. The label sets are bounded: enumerations only.
+    """The metrics of one node. Label values are enumerations only, so that they are bounded.
 
-    `store_state` tells what the node follows in the store, each time that somebody asks.
+    `store_state` returns the state of the followed lists; it is called for each export.
     """
 
     def __init__(self) -> None:
@@ -90,8 +88,8 @@
         self._primary_reads = 0
         self._leader_changes = 0
         self._ejections: Counter[str] = Counter()
-        self._reads_passed_on = 0
-        self._order_broken = Counter(dict.fromkeys(ORDERS_WATCHED, 0))
+        self._reads_forwarded = 0
+        self._session_order_violations = Counter(dict.fromkeys(SESSION_ORDER_CHECKS, 0))
         self.admission = AdmissionRecords()
         self.tenants = TenantRecords()
         self._refused_early = Counter({cause.value: 0 for cause in RefusalCause})
@@ -104,46 +102,46 @@
         self._latencies.setdefault(_Kind(consistency, action), _Latencies()).observe(seconds)
 
     def attempt_failed(self, reason: str) -> None:
-        """Count one attempt in vain."""
+        """Count one failed attempt."""
         self._failed_attempts[reason] += 1
 
     def read_served(self, role: Role) -> None:
-        """Count one read outside transactions that a database answered, by the database's role."""
+        """Count one read outside transactions, by the role of the database that served it."""
         if role is Role.REPLICA:
             self._replica_reads += 1
         else:
             self._primary_reads += 1
 
     def database_ejected(self, cause: str) -> None:
-        """Count a database that gets no reads for a while (`cause`)."""
+        """Count one ejection of a database from reads (`cause`)."""
         self._ejections[cause] += 1
 
     def read_forwarded(self) -> None:
-        """Count one read that was sent to another region's database."""
-        self._reads_passed_on += 1
+        """Count one read that was forwarded to another region's database."""
+        self._reads_forwarded += 1
 
     def leader_changed(self) -> None:
-        """Count one change of a group's leader as this node saw it."""
+        """Count one change of a group's leader, as seen by this node."""
         self._leader_changes += 1
 
     def session_order_violated(self, where: str) -> None:
         """Count a floor, an answer or a commit behind what its session has observed (`where`)."""
-        self._order_broken[where] += 1
+        self._session_order_violations[where] += 1
 
     def refused_early(self, cause: RefusalCause) -> None:
-        """Count a statement that was refused as it arrived."""
+        """Count a statement that was refused on arrival."""
         self._refused_early[cause.value] += 1
 
     def withdrawn(self, begun: bool) -> None:
-        """Count a forwarded statement that nobody waited for (`begun`: a database had it)."""
+        """Count a forwarded statement that was withdrawn (`begun`: a database had received it)."""
         self._withdrawn["begun" if begun else "waiting"] += 1
 
     def second_attempt_denied(self) -> None:
-        """Count a statement that was not tried again."""
+        """Count a statement that was not retried."""
         self._second_attempts_denied += 1
 
     def text(self) -> bytes:
-        """Return every figure in the text format of Prometheus."""
+        """Return all metrics in the text format of Prometheus."""
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry()
@@ -151,7 +149,7 @@
         return generate_latest(registry)
 
     def collect(self) -> Iterator[Metric]:
-        """Yield every figure, as Prometheus asks a collector for them."""
+        """Yield all metrics (the collector interface of Prometheus)."""
         yield self._request_family()
         yield self._latency_family()
         yield self._counter(
@@ -168,15 +166,15 @@
         )
         yield self._counter(
             "bramblebeam_database_ejections",
-            "Times that a database got no reads for a while, as those sent there fared badly.",
+            "Times that a database was ejected from reads because of slow or failed attempts.",
             ("cause",),
             {(cause,): count for cause, count in self._ejections.items()},
         )
         yield self._counter(
             "bramblebeam_reads_passed_on",
-            "Reads that were sent to a database of another region.",
+            "Reads that were forwarded to a database of another region.",
             (),
-            {(): self._reads_passed_on},
+            {(): self._reads_forwarded},
         )
         yield self._counter(
             "bramblebeam_leader_changes",
@@ -188,11 +186,11 @@
             "bramblebeam_session_order_broken",
             "Floors, answers and commits behind what their session has observed.",
             ("where",),
-            {(where,): count for where, count in self._order_broken.items()},
+            {(where,): count for where, count in self._session_order_violations.items()},
         )
         yield self._counter(
             "bramblebeam_operations",
-            "Operations of tenants that were counted here, or sent to databases from here.",
+            "Operations of tenants that were counted at this node, or sent to databases by it.",
             ("part",),
             {(part.value,): count for part, count in self.tenants.totals.items()},
         )
@@ -200,7 +198,7 @@
         yield from self._store_families()
 
     def _store_families(self) -> Iterator[GaugeMetricFamily]:
-        """Yield how new what is in force is: nodes that differ follow the store badly."""
+        """Yield revisions and ages of the lists; nodes that differ follow the store badly."""
         from prometheus_client.core import GaugeMetricFamily
 
         state, labels = self.store_state(), ("list",)
@@ -223,35 +221,35 @@
         yield version
 
     def _load_families(self) -> Iterator[CounterMetricFamily]:
-        """Yield what was decided under load."""
+        """Yield the counters of decisions under load."""
         figures = self.admission.counts()
         yield self._counter(
             "bramblebeam_refused_early",
-            "Statements refused as they arrived.",
+            "Statements refused on arrival.",
             ("cause",),
             {(cause,): count for cause, count in self._refused_early.items()},
         )
         yield self._counter(
             "bramblebeam_refused_wrongly",
-            "Of those, such as a database would have had room for in time.",
+            "Statements refused on arrival that a database would have had room for in time.",
             (),
             {(): figures.wrong_refusals},
         )
         yield self._counter(
             "bramblebeam_held_in_vain",
-            "Statements refused after a quarter and more of the time in which they were wanted.",
+            "Statements refused after waiting for at least a quarter of their target time.",
             (),
             {(): figures.wasted_waits},
         )
         yield self._counter(
             "bramblebeam_withdrawn",
-            "Forwarded statements that nobody waited for any more.",
+            "Forwarded statements withdrawn because no caller waited for them any more.",
             ("state",),
             {(state,): count for state, count in self._withdrawn.items()},
         )
         yield self._counter(
             "bramblebeam_second_attempts_denied",
-            "Statements that were not tried again under load.",
+            "Statements that were not retried because of load.",
             (),
             {(): self._second_attempts_denied},
         )
--- a/src/bramblebeam/services/gateway/peers.py
+++ b/src/bramblebeam/services/gateway/peers.py
@@ -1,4 +1,4 @@
-"""Other nodes, reached by the transport service."""
+"""Messages to other nodes, sent by the transport service."""
 
 from bramblebeam.core.gateway.messages import (
     ForwardedReply,
@@ -29,7 +29,7 @@
 
 
 class TransportPeers:
-    """Carries messages to other nodes by the transport service of this node."""
+    """Sends messages to other nodes through this node's transport service."""
 
     def __init__(self, kernel: Kernel) -> None:
         self._kernel = kernel
@@ -65,13 +65,12 @@
     def tell(
         self, node: NodeId, message: TransactionAbandoned | StatementWithdrawn | AdmissionReturned
     ) -> None:
-        """Send without an answer and without a promise."""
+        """Send a message without a reply or a delivery guarantee."""
         try:
             self._kernel.post(TRANSPORT, PeerPost(node, message))
         except MailboxFullError:
-            # The other node ends the transaction by itself once it has rested for too long, a
-            # statement that is not withdrawn ends by its deadline, and an operation that is not
-            # given back is one less admitted.
+            # The other node ends an idle transaction by itself, a statement that is not withdrawn
+            # ends by its deadline, and an operation that is not refunded is one less admitted.
             return
 
     def send(self, to: Address, message: GrantRequest | Grant | GrantReturned) -> None:
@@ -79,7 +78,7 @@
         try:
             self._kernel.post(TRANSPORT, PeerDatagram(to, message))
         except MailboxFullError:
-            # As if it was lost on the way: what is granted is asked for again, and runs out.
+            # Same as a lost datagram: a grant is requested again, and expires.
             return
 
 
--- a/src/bramblebeam/services/gateway/queue_view.py
+++ b/src/bramblebeam/services/gateway/queue_view.py
@@ -1,4 +1,4 @@
-"""What an operator sees of the queues before databases, as one node has them."""
+"""The queues before databases at one node, as shown to an operator."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 class QueueRow(NamedTuple):
     """The queue of one database at one node.
 
-    `slots`: statements that the database runs at a time. `under_way`: those that this node has
-    there. `waiting`: those that wait here. `wait_ms`, `service_ms`: until one that comes now would
-    begin, and how long it would take then (milliseconds). `connections`: in use by statements and
-    transactions, those that rest included.
+    `slots`: statements that the database runs at a time. `under_way`: this node's statements in
+    flight there. `waiting`: statements queued at this node. `wait_ms`, `service_ms`: how long a
+    statement that arrives now would wait, and then run (milliseconds). `connections`: in use by
+    statements and transactions, idle transactions included.
     """
 
     group: str
@@ -32,7 +32,7 @@
 
 
 def queue_rows(pools: Iterable[DatabasePool]) -> list[QueueRow]:
-    """Return a row for each database whose statements are queued here, the longest wait first."""
+    """Return a row for each database with a queue at this node, the longest wait first."""
     rows = [row for pool in pools if (row := _row_of(pool)) is not None]
     return sorted(rows, key=lambda row: (-row.wait_ms, row.group, row.instance))
 
--- a/src/bramblebeam/services/gateway/read_attempts.py
+++ b/src/bramblebeam/services/gateway/read_attempts.py
@@ -1,4 +1,4 @@
-"""What every attempt of a read shares: its connection, its count, and its loss."""
+"""Steps shared by all attempts of a read: acquiring, counting and losing its connection."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 async def acquire(
     context: GatewayContext, request: Request, pool: DatabasePool
 ) -> PooledConnection | Refusal:
-    """Return a connection, or why there is none, which the request has noted."""
+    """Return a connection; if there is none, record and return the refusal."""
     try:
         return await pool.acquire(
             request.tenant, request.session.state, time_to_hold(context, request)
@@ -33,21 +33,21 @@
         return refusal
 
 
-async def may_send(context: GatewayContext, request: Request, lent: PooledConnection) -> bool:
-    """Whether the read may be sent on a connection, which is given back where it may not."""
-    may = False
+async def may_send(context: GatewayContext, request: Request, pooled: PooledConnection) -> bool:
+    """Return whether the read may be sent on a connection; the connection is released if not."""
+    allowed = False
     try:
-        may = await may_attempt(context, request)
+        allowed = await may_attempt(context, request)
     finally:
-        if not may:
-            lent.give_back()
-    return may
+        if not allowed:
+            pooled.give_back()
+    return allowed
 
 
 def record_connection_lost(
     context: GatewayContext, request: Request, pool: DatabasePool, detail: str
 ) -> None:
-    """Note that a read's connection was lost: where its time is over, the database was silent."""
+    """Record a lost connection; after the read's deadline the database counts as unresponsive."""
     instance = pool.entry.instance
     if context.now() < request.deadline:
         lost = Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST, detail)
--- a/src/bramblebeam/services/gateway/read_floor.py
+++ b/src/bramblebeam/services/gateway/read_floor.py
@@ -1,4 +1,4 @@
-"""The position that a read must see, and whose it is."""
+"""The floor of a read: the minimum log position that it must reflect."""
 
 from __future__ import annotations
 
@@ -12,11 +12,14 @@
     from bramblebeam.services.gateway.context import GatewayContext
 
 STALENESS_MARGIN = 0.25
-"""A watermark must be younger than the route's bound by so much (seconds)."""
+"""A watermark must be younger than the route's staleness bound by this margin (seconds)."""
 
 
 async def current_floor(context: GatewayContext, request: Request) -> Position | None:
-    """Return the floor for a read sent now, renewing the watermark where it is too old."""
+    """Return the floor for a read sent now, waiting for a newer watermark if it is too old.
+
+    Returns None if no such watermark came in time.
+    """
     leaders = context.leader(request.route.group)
     staleness = request.route.staleness - STALENESS_MARGIN
     while True:
@@ -30,9 +33,9 @@
 
 
 def is_floor_from_session(request: Request) -> bool:
-    """Whether the last attempt's floor is what the session itself has committed or read.
+    """Return whether the last attempt's floor is what the session itself has committed or read.
 
-    That is as new as what follows a statement of the same session at once: no replica has it yet,
-    and those that lack it are not behind for other sessions.
+    A statement that follows another one of its session at once has such a floor. No replica has
+    reached it yet, and a replica that lacks it is not behind for other sessions.
     """
     return request.floor is not None and request.floor <= request.observed
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -1,4 +1,4 @@
-"""Which database a read goes to, where load decides that: told loads, completion and ejection."""
+"""Choice of a read's database under load: by reported loads, expected completion and ejection."""
 
 from __future__ import annotations
 
@@ -24,97 +24,97 @@
 logger = logging.getLogger(__name__)
 
 DEFAULT_SERVICE_TIME = 0.02
-"""Seconds at a database of which nothing is known yet."""
+"""Service time assumed for a database that was not measured yet (seconds)."""
 NETWORK_COSTS = {Distance.ZONE: 0.001, Distance.REGION: 0.005, Distance.ELSEWHERE: 0.06}
-"""The way to a database and back, and what bytes on it count for (seconds): some 40 ms between
-regions of a continent, and half as much again, as bytes between regions are dear."""
-LEAST_WEIGHT = 0.25
-"""Below this a database that was told not to take work is asked again, as it may by then: the
-read that finds out is refused at once."""
+"""Round trip to a database and a penalty for the traffic (seconds): some 40 ms between regions of a
+continent, and half as much again, because traffic between regions is expensive."""
+MIN_REPORT_WEIGHT = 0.25
+"""Below this weight, a report that a database takes no work is ignored: the database may take work
+again by then, and the read that finds out is refused at once."""
 BEHIND_SECONDS = 0.1
-"""A replica whose log lacked what every reader needs is not asked for so long."""
+"""How long a replica is skipped whose log lacked a position that every reader needs."""
 BEHIND_FAR_SECONDS = 0.5
-"""The same for one of another region: to ask it in vain costs the way there and back."""
+"""The same for a replica of another region, where a failed attempt costs the round trip."""
 
-_TELLS_OF_DATABASE = (
+_UNHEALTHY_REASONS = (
     Reason.CONNECTION_LOST,
     Reason.DEADLINE,
     Reason.TRANSACTION_LOST,
     Reason.BACKEND_ERROR,
     Reason.UNREACHABLE,
 )
-"""What an attempt fails for at a database that is not well. One that is full, behind or replaced
-is well."""
+"""Reasons of failed attempts that show that a database is unhealthy. A database that is full,
+behind or replaced is healthy."""
 
 
-class Surroundings(Protocol):
-    """What a node knows of where databases are, and who runs their statements."""
+class Topology(Protocol):
+    """Where databases are, and which node runs their statements."""
 
     def distance(self, zone: ZoneId) -> Distance:
         """Return how far a zone is from this node."""
 
     def runs_database(self, group: GroupId, zone: ZoneId) -> bool:
-        """Whether this node runs the statements for a database: its own figures count then."""
+        """Return whether this node runs a database's statements: its own figures are valid then."""
 
 
 class ReadTargets:
-    """Keeps how databases stand and what was told of them, and chooses among them."""
+    """Tracks the state and the reported load of databases, and chooses among them."""
 
-    def __init__(self, surroundings: Surroundings, metrics: GatewayMetrics) -> None:
-        self._surroundings = surroundings
+    def __init__(self, topology: Topology, metrics: GatewayMetrics) -> None:
+        self._topology = topology
         self._metrics = metrics
-        self._told = ReportedLoads()
+        self._reported = ReportedLoads()
         self._ejector = Ejector()
         self._choosers: dict[GroupId, ReadChooser] = {}
         self._behind_until: dict[InstanceId, float] = {}
-        self._silences: dict[InstanceId, float] = {}
+        self._unresponsive_since: dict[InstanceId, float] = {}
 
     def keep_only(self, pools: Iterable[DatabasePool]) -> None:
-        """Forget databases that are gone."""
+        """Remove the state of databases that are gone."""
         known = {pool.entry.instance for pool in pools}
-        self._told.keep_only(known)
+        self._reported.keep_only(known)
         self._ejector.keep_only(tuple(known))
-        for kept in (self._behind_until, self._silences):
+        for kept in (self._behind_until, self._unresponsive_since):
             for instance in kept.keys() - known:
                 del kept[instance]
 
-    # What statements and other nodes report.
+    # Observations of statements, and reports of other nodes.
 
     def observe_reported_loads(self, loads: Iterable[DatabaseLoad]) -> None:
-        """Take what another node told of databases that it serves."""
-        self._told.update(loads, loop_time())
+        """Store the loads that another node reported of databases that it serves."""
+        self._reported.update(loads, loop_time())
 
     def record_forwarded(self, instance: InstanceId) -> LoadReport | None:
-        """Note that a read was sent to the node that runs a database's statements."""
-        return self._told.record_sent(instance)
+        """Record that a read was forwarded to the node that runs a database's statements."""
+        return self._reported.record_sent(instance)
 
     def record_forwarded_done(self, counted: LoadReport | None) -> None:
-        """Note that a read that was passed on has ended."""
-        self._told.record_done(counted)
+        """Record that a forwarded read has ended."""
+        self._reported.record_done(counted)
 
     def record_behind(self, pool: DatabasePool) -> None:
-        """Note that a replica's log lacked what every reader needs."""
+        """Record that a replica's log lacked a position that every reader needs."""
         is_far = self._is_far(pool)
         seconds = BEHIND_FAR_SECONDS if is_far else BEHIND_SECONDS
         self._behind_until[pool.entry.instance] = loop_time() + seconds
 
     def record_served(self, pool: DatabasePool, seconds: float) -> None:
-        """Note a read that was served within `seconds`.
+        """Record a read that took `seconds`.
 
-        What waits inside the database counts by its work: twice as many statements as slots take
-        twice as long, which does not make the database slow.
+        The time is divided by the load of the database's slots: twice as many statements as slots
+        take twice as long, which does not make the database slow.
         """
         now = loop_time()
         slots = max(1, pool.entry.slots)
-        own_work = seconds / max(1.0, _under_way(pool) / slots)
+        own_work = seconds / max(1.0, _in_flight(pool) / slots)
         began = now - seconds
         self._log(pool, self._ejector.record_served(pool.entry.instance, own_work, began, now))
 
     def record_failed(self, pool: DatabasePool, refusal: Refusal, began: float) -> None:
-        """Note an attempt in vain that was begun then (steady clock, seconds)."""
+        """Record a failed attempt that began at `began` (monotonic clock, seconds)."""
         is_full = refusal.reason is Reason.QUEUE_FULL
-        is_idle = _under_way(pool) <= pool.entry.slots
-        if refusal.reason in _TELLS_OF_DATABASE or (is_full and is_idle):
+        is_idle = _in_flight(pool) <= pool.entry.slots
+        if refusal.reason in _UNHEALTHY_REASONS or (is_full and is_idle):
             change = self._ejector.record_failed(pool.entry.instance, began, loop_time())
             self._log(pool, change)
 
@@ -127,15 +127,15 @@
         stays: bool = False,
         asks_behind: bool = False,
     ) -> DatabasePool | None:
-        """Return the pool of the database that will probably answer a read first, or None.
+        """Return the pool of the database that is expected to answer a read first, or None.
 
-        `stays`: it is the first of several statements that follow each other on one connection, so
-        that each pays for the way: it leaves the region only where no database of it can serve.
-        `asks_behind`: also one that was behind a moment ago.
+        `stays`: the read is the first of several consecutive statements on one connection, each of
+        which pays for the round trip; it leaves the region only if no database there can serve.
+        `asks_behind`: include databases that were behind a moment ago.
         """
         now = loop_time()
         for pool in pools:
-            self._look_at(pool, pools, now)
+            self._check(pool, pools, now)
         current = [pool for pool in pools if asks_behind or not self._is_behind(pool, now)]
         usable = self._usable(current, now)
         if stays:
@@ -151,57 +151,57 @@
         return next(pool for pool in usable if pool.entry.instance == chosen.instance)
 
     def is_unresponsive(self, pool: DatabasePool) -> bool:
-        """Whether a database gets no reads as it gave no answers."""
+        """Return whether a database gets no reads because it gave no answers."""
         now = loop_time()
-        self._look_at(pool, (), now)
+        self._check(pool, (), now)
         return self._ejector.is_unresponsive(pool.entry.instance, now)
 
     def loads(self, pools: Iterable[DatabasePool]) -> tuple[DatabaseLoad, ...]:
-        """Return what other nodes are told of the databases whose statements this node runs.
+        """Return the loads to report to other nodes, of databases whose statements this node runs.
 
-        Nothing is told of one that is in service and whose speed is not known yet.
+        A database that is in service is left out until its service time is known.
         """
         now = loop_time()
         loads = [self._own_load(pool, now) for pool in pools if self._is_own(pool)]
-        return tuple(load for load in loads if self._is_worth_telling(load))
+        return tuple(load for load in loads if self._is_reportable(load))
 
-    def _is_worth_telling(self, load: DatabaseLoad) -> bool:
+    def _is_reportable(self, load: DatabaseLoad) -> bool:
         return not load.usable or self._ejector.service_time(load.instance) is not None
 
     def _usable(self, pools: list[DatabasePool], now: float) -> list[DatabasePool]:
         """Return the pools of databases that are not ejected, here or where they are served."""
-        taken = [pool for pool in pools if self._takes_work(pool, now)] or pools
-        admitted = self._ejector.usable([pool.entry.instance for pool in taken], now)
-        return [pool for pool in taken if pool.entry.instance in admitted]
+        accepting = [pool for pool in pools if self._takes_work(pool, now)] or pools
+        admitted = self._ejector.usable([pool.entry.instance for pool in accepting], now)
+        return [pool for pool in accepting if pool.entry.instance in admitted]
 
     def _takes_work(self, pool: DatabasePool, now: float) -> bool:
-        """Whether the node that runs a database's statements said that it takes work."""
-        told = self._told.find(pool.entry.instance, now)
-        is_old = told is None or told.weight < LEAST_WEIGHT
-        return is_old or self._is_own(pool) or told is None or told.load.usable
+        """Return whether the node that runs a database's statements reported that it takes work."""
+        report = self._reported.find(pool.entry.instance, now)
+        is_outdated = report is None or report.weight < MIN_REPORT_WEIGHT
+        return is_outdated or self._is_own(pool) or report is None or report.load.usable
 
     def _candidate(self, pool: DatabasePool, tenant: TenantId, now: float) -> Candidate:
         entry = pool.entry
         is_far = self._is_far(pool)
-        told = None if self._is_own(pool) else self._told.find(entry.instance, now)
-        load = self._own_load(pool, now) if told is None else told.load
-        weight = 1.0 if told is None else told.weight
+        report = None if self._is_own(pool) else self._reported.find(entry.instance, now)
+        load = self._own_load(pool, now) if report is None else report.load
+        weight = 1.0 if report is None else report.weight
         opens = not is_far and not pool.has_resting(tenant)
         return Candidate(
             entry.instance,
             wait=load.wait * weight,
             service=load.service * weight + DEFAULT_SERVICE_TIME * (1.0 - weight),
-            network_cost=NETWORK_COSTS[self._surroundings.distance(entry.zone)],
+            network_cost=NETWORK_COSTS[self._topology.distance(entry.zone)],
             connect_time=pool.open_seconds if opens else 0.0,
             slots=entry.slots,
-            sent=0 if told is None else told.sent,
+            sent=0 if report is None else report.sent,
             error_share=load.error_share * weight,
             is_far=is_far,
             is_leader=entry.role is Role.PRIMARY,
         )
 
     def _own_load(self, pool: DatabasePool, now: float) -> DatabaseLoad:
-        """Return a database's load as far as this node sees it."""
+        """Return a database's load as seen by this node."""
         instance = pool.entry.instance
         service = self._ejector.service_time(instance) or DEFAULT_SERVICE_TIME
         is_in_service = self._ejector.state(instance, now) is EjectionState.IN_SERVICE
@@ -216,34 +216,34 @@
 
     # Ejection.
 
-    def _look_at(self, pool: DatabasePool, group: Collection[DatabasePool], now: float) -> None:
-        """Eject a database that was silent since the last look, or is far slower than its like."""
+    def _check(self, pool: DatabasePool, group: Collection[DatabasePool], now: float) -> None:
+        """Eject a database that was unresponsive since the last check, or is much slower."""
         instance = pool.entry.instance
         silent_since = pool.silent_since
-        if silent_since is not None and silent_since > self._silences.get(instance, 0.0):
-            self._silences[instance] = silent_since
+        if silent_since is not None and silent_since > self._unresponsive_since.get(instance, 0.0):
+            self._unresponsive_since[instance] = silent_since
             if silent_since - pool.heard_at >= PATIENCE:
-                asked_at = silent_since - PATIENCE
-                self._log(pool, self._ejector.record_unresponsive(instance, asked_at, now))
+                queried_at = silent_since - PATIENCE
+                self._log(pool, self._ejector.record_unresponsive(instance, queried_at, now))
         if pool.entry.role is Role.REPLICA and self._is_own(pool):
-            likes = self._services_of_likes(pool, group, now)
-            self._log(pool, self._ejector.compare(instance, likes, now))
+            replica_times = self._other_replica_times(pool, group, now)
+            self._log(pool, self._ejector.compare(instance, replica_times, now))
 
-    def _services_of_likes(
+    def _other_replica_times(
         self, pool: DatabasePool, group: Collection[DatabasePool], now: float
     ) -> list[float]:
-        """Return the usual times of the group's other replicas, which get reads as this one does.
+        """Return the typical service times of the group's other replicas, which get the same reads.
 
-        A leader runs other statements beside them, and tells nothing of a replica's speed.
+        A leader runs other statements besides, so that its times say nothing about a replica.
         """
         found = []
         for other in group:
             if other is pool or other.entry.role is not Role.REPLICA:
                 continue
-            told = self._told.find(other.entry.instance, now)
+            report = self._reported.find(other.entry.instance, now)
             own = self._ejector.service_time(other.entry.instance) if self._is_own(other) else None
-            if told is not None and told.load.usable:
-                found.append(told.load.service)
+            if report is not None and report.load.usable:
+                found.append(report.load.service)
             elif own is not None:
                 found.append(own)
         return found
@@ -262,15 +262,15 @@
             seconds=round(change.seconds, 3),
         )
         if change.cause is Cause.SILENT and not is_back:
-            self._turn_away(pool)
+            self._refuse_waiting_reads(pool)
         if not is_back:
             self._metrics.database_ejected(change.cause.value)
 
     @staticmethod
-    def _turn_away(pool: DatabasePool) -> None:
-        """Let the reads that wait for a replica's slots go elsewhere.
+    def _refuse_waiting_reads(pool: DatabasePool) -> None:
+        """Refuse the reads that wait for a replica's slots, so that they go elsewhere.
 
-        Those at a leader stay: what only it can run waits in the same queue.
+        Reads that wait at a leader stay: statements that only it can run wait in the same queue.
         """
         if pool.slots is not None and pool.entry.role is Role.REPLICA:
             pool.slots.refuse_waiting()
@@ -279,19 +279,19 @@
         return self._behind_until.get(pool.entry.instance, 0.0) > now
 
     def _is_own(self, pool: DatabasePool) -> bool:
-        return self._surroundings.runs_database(pool.entry.group, pool.entry.zone)
+        return self._topology.runs_database(pool.entry.group, pool.entry.zone)
 
     def _is_far(self, pool: DatabasePool) -> bool:
-        return self._surroundings.distance(pool.entry.zone) is Distance.ELSEWHERE
+        return self._topology.distance(pool.entry.zone) is Distance.ELSEWHERE
 
 
-def _under_way(pool: DatabasePool) -> int:
-    """Return how many of this node's statements are at a database."""
+def _in_flight(pool: DatabasePool) -> int:
+    """Return how many of this node's statements are in flight at a database."""
     return pool.load if pool.slots is None else pool.slots.in_flight
 
 
 def _wait(pool: DatabasePool, service: float) -> float:
-    """Return until when a statement that comes now would begin (seconds from now)."""
+    """Return how long a statement that arrives now would wait (seconds)."""
     if pool.slots is not None:
         return pool.slots.load().wait
     slots = max(1, pool.entry.slots)
--- a/src/bramblebeam/services/gateway/reads.py
+++ b/src/bramblebeam/services/gateway/reads.py
@@ -27,11 +27,11 @@
 if TYPE_CHECKING:
     from bramblebeam.services.gateway.context import GatewayContext
 
-MOST_ATTEMPTS = 3
-"""A read whose answer is late goes to a second database too, and then to the first one again, on
-another connection: those to both may be silent."""
+MAX_ATTEMPTS = 3
+"""A read whose answer is late goes to a second database too, and then to the first one again on
+another connection: the connections of both earlier attempts may be unresponsive."""
 
-_NOT_SERVED_THERE = (
+_SERVABLE_ELSEWHERE = (
     Reason.QUEUE_FULL,
     Reason.QUEUE_TIMEOUT,
     Reason.UNREACHABLE,
@@ -39,15 +39,15 @@
     Reason.LEAVING,
     Reason.STOPPING,
 )
-"""Why a read is refused at one database that another one may serve."""
+"""Reasons of a refusal at one database after which another one may serve the read."""
 
 Attempt = asyncio.Task[Reply | None]
 
 
 async def read_replica(context: GatewayContext, request: Request) -> Reply:
-    """Read where the log has reached the floor; at the leader where none has."""
-    far = _out_of_region(context, request)
-    excluded = set(far)
+    """Read from a database whose log has reached the floor, or from the leader if there is none."""
+    far_databases = _out_of_region(context, request)
+    excluded = set(far_databases)
     while True:
         floor = await current_floor(context, request)
         if floor is None:
@@ -62,11 +62,11 @@
             if pool is None:
                 return Reply(refusal=request.no_slot)
         if pool is None:
-            excluded = set(far)
+            excluded = set(far_databases)
             await asyncio.sleep(BUSY_PAUSE)
         else:
             request.floor = floor
-            reply = await _read_near(context, request, pool, excluded)
+            reply = await _read_through_node(context, request, pool, excluded)
             if reply is not None and not _may_go_elsewhere(context, request, reply):
                 return reply
             if reply is not None and reply.refusal is not None:
@@ -76,66 +76,66 @@
             return request.give_up(Reason.QUEUE_TIMEOUT)
 
 
-async def _read_near(
+async def _read_through_node(
     context: GatewayContext, request: Request, pool: DatabasePool, excluded: set[InstanceId]
 ) -> Reply | None:
-    """Have a database read by the node that runs its statements, which may be this one.
+    """Read from a database through the node that runs its statements, which may be this one.
 
-    None: no answer, and another database should be asked.
+    Returns None if there was no answer and another database should be tried.
     """
     if request.session.forwarded_on and context.placement.is_silent(pool):
-        # The node that passed the read on can turn to another database.
+        # The node that forwarded the read can try another database.
         return request.give_up(Reason.UNREACHABLE)
-    reply = await _pass_to(context, request, pool)
+    reply = await _forward(context, request, pool)
     if reply is not None:
         return reply
-    return await _read_patiently(context, request, pool, excluded)
+    return await _read_with_retries(context, request, pool, excluded)
 
 
 def _out_of_region(context: GatewayContext, request: Request) -> set[InstanceId]:
-    """Return the databases of other regions where the read was passed on for one of this region."""
+    """Return the databases of other regions if the read was forwarded to one of this region."""
     if not request.session.forwarded_on:
         return set()
     return context.placement.far_members(request.route.group)
 
 
 def _is_better_at_leader(context: GatewayContext, request: Request, pool: DatabasePool) -> bool:
-    """Whether a read that the near replica lacks goes to the leader, not to a far replica.
+    """Return whether a read goes to the leader, not to a far replica, as the near one is behind.
 
-    That one is as far behind, and its node would pass the read on to the leader over the two
+    A far replica is as far behind, and its node would forward the read to the leader over the two
     connections that it has there.
     """
     is_behind = request.refusal is not None and request.refusal.reason is Reason.REPLICA_BEHIND
     if context.overload.enabled and not is_floor_from_session(request):
-        # The near replica is far behind its leader: another one need not be.
+        # The near replica is far behind its leader; another one need not be.
         return False
     return is_behind and context.runs_near_databases and context.is_far(pool.entry.zone)
 
 
 def _may_go_elsewhere(context: GatewayContext, request: Request, reply: Reply) -> bool:
-    """Whether another database is asked, as the node of the one that was chosen refused a read."""
+    """Return whether another database is tried, as the chosen one's node refused the read."""
     if not context.overload.enabled or request.session.forwarded_on:
         return False
     refusal = reply.refusal
-    return refusal is not None and refusal.reason in _NOT_SERVED_THERE
+    return refusal is not None and refusal.reason in _SERVABLE_ELSEWHERE
 
 
 async def _read_at_leader(context: GatewayContext, request: Request) -> Reply:
-    """Read at the leader, by a node near it where connections are scarce."""
+    """Read from the leader, through a node near it where connections are scarce."""
     region = context.leader_region(request.route.group)
     if request.session.forwarded_on and region not in (None, context.owners.place.region):
-        # The node that passed the read on turns to the leader's region itself.
+        # The node that forwarded the read contacts the leader's region itself.
         return request.give_up(Reason.REPLICA_BEHIND)
     reply = await context.forwarder.forward_to_leader(request)
     return await read_latest(context, request) if reply is None else reply
 
 
-async def _pass_to(context: GatewayContext, request: Request, pool: DatabasePool) -> Reply | None:
-    """Have a database of another region read by a node there; where it is behind, the leader.
+async def _forward(context: GatewayContext, request: Request, pool: DatabasePool) -> Reply | None:
+    """Read from another region's database through a node there; if it is behind, from the leader.
 
-    None: it is asked from here.
+    Returns None if this node has to send the read itself.
     """
-    reply = await _pass_to_zone(context, request, pool)
+    reply = await _forward_to_zone(context, request, pool)
     if reply is None or reply.refusal is None or reply.refusal.reason is not Reason.REPLICA_BEHIND:
         return reply
     request.record_failed_attempt(pool.entry.instance, reply.refusal)
@@ -144,10 +144,10 @@
     return await _read_at_leader(context, request)
 
 
-async def _pass_to_zone(
+async def _forward_to_zone(
     context: GatewayContext, request: Request, pool: DatabasePool
 ) -> Reply | None:
-    """Have a read run near a database, and count it there until it has ended."""
+    """Run a read near a database, and count it as in flight there until it has ended."""
     targets = context.placement.targets
     if targets is None:
         return await context.forwarder.forward_to_zone(request, pool.entry.zone)
@@ -165,18 +165,18 @@
     return request.refusal is None or request.refusal.reason is Reason.REPLICA_BEHIND
 
 
-async def _read_patiently(
+async def _read_with_retries(
     context: GatewayContext,
     request: Request,
     first: DatabasePool,
     excluded: set[InstanceId],
 ) -> Reply | None:
-    """Read from one database, and from others too while no answer comes."""
+    """Read from one database, and from others too while no answer arrives."""
     attempts: set[Attempt] = set()
     pool: DatabasePool | None = first
     excluded.add(first.entry.instance)
-    # Nothing is late that has not begun.
-    permit = await _enter(request, first)
+    # The time before a second attempt starts only when the first one has a permit.
+    permit = await _acquire_permit(request, first)
     if permit is None:
         return None
     try:
@@ -186,7 +186,7 @@
             excluded.add(pool.entry.instance)
             done, _ = await asyncio.wait(
                 attempts,
-                timeout=_patience(context, pool, attempts),
+                timeout=_attempt_timeout(context, pool, attempts),
                 return_when=asyncio.FIRST_COMPLETED,
             )
             for attempt in done:
@@ -195,33 +195,33 @@
                     return reply
             if len(done) == len(attempts):
                 return None
-            pool = _next(context, request, first, excluded, len(attempts))
+            pool = _next_target(context, request, first, excluded, len(attempts))
         return await _first_answer(attempts)
     finally:
         for attempt in attempts:
             attempt.cancel()
 
 
-def _patience(context: GatewayContext, pool: DatabasePool, attempts: set[Attempt]) -> float:
-    """Return for how long the last attempt is waited for before there is another one (seconds).
+def _attempt_timeout(context: GatewayContext, pool: DatabasePool, attempts: set[Attempt]) -> float:
+    """Return how long to wait for the last attempt before another one is made (seconds).
 
-    Where connections belong to tenants, a new one may have to be waited for, and a second attempt
-    takes one from another tenant: what is merely late is left where it is.
+    Where connections belong to tenants, a new attempt may have to wait for a new connection and
+    takes one from another tenant, so that an attempt that is merely late is left to finish.
     """
     if len(attempts) == 1 and context.table.tenants is None:
         return pool.patience
     return max(ANSWER_SECONDS, pool.patience)
 
 
-def _next(
+def _next_target(
     context: GatewayContext,
     request: Request,
     first: DatabasePool,
     excluded: set[InstanceId],
     attempts: int,
 ) -> DatabasePool | None:
-    """Return where a read without an answer goes next, or None where it has to wait."""
-    if attempts >= context.load.most_attempts(request, MOST_ATTEMPTS):
+    """Return where a read without an answer is sent next, or None if it has to wait."""
+    if attempts >= context.load.most_attempts(request, MAX_ATTEMPTS):
         return None
     if request.withdrawn or not context.load.may_try_again(request):
         return None
@@ -246,8 +246,8 @@
     return None
 
 
-async def _enter(request: Request, pool: DatabasePool) -> Permit | None:
-    """Return a permit for a slot of a database, or None where another one should be asked."""
+async def _acquire_permit(request: Request, pool: DatabasePool) -> Permit | None:
+    """Return a permit for a slot of a database, or None if another one should be tried."""
     try:
         return await pool.enter(request.work())
     except NoSlotError as error:
@@ -261,17 +261,17 @@
 async def _read_once(
     context: GatewayContext, request: Request, pool: DatabasePool, permit: Permit | None
 ) -> Reply | None:
-    """Return the answer, or None where another database should be asked.
+    """Return the answer, or None if another database should be tried.
 
-    `permit` None: a second attempt, which waits for one of its own. Where load decides, the node
+    `permit` None: a second attempt, which acquires its own permit. Where load decides, the node
     that runs the database's statements makes it.
     """
     if permit is None and context.overload.enabled:
-        reply = await _pass_to_zone(context, request, pool)
+        reply = await _forward_to_zone(context, request, pool)
         if reply is not None:
             return None if _may_go_elsewhere(context, request, reply) else reply
     if permit is None:
-        permit = await _enter(request, pool)
+        permit = await _acquire_permit(request, pool)
     if permit is None:
         return None
     reply = None
@@ -285,45 +285,45 @@
 async def _read_in_slot(
     context: GatewayContext, request: Request, pool: DatabasePool
 ) -> Reply | None:
-    lent = await acquire(context, request, pool)
-    if isinstance(lent, Refusal):
-        context.placement.failed(pool, lent, context.now())
+    pooled = await acquire(context, request, pool)
+    if isinstance(pooled, Refusal):
+        context.placement.failed(pool, pooled, context.now())
         return None
-    if not await may_send(context, request, lent):
+    if not await may_send(context, request, pooled):
         return None
-    asked_at = context.now()
+    queried_at = context.now()
     try:
-        # The wait for the connection may have been long: the floor is that of this moment.
+        # Acquiring the connection may have taken long, so the floor is computed again.
         floor = await current_floor(context, request)
         if floor is None:
             return None
-        asked_at = context.now()
-        commands = [*request.preparation(lent.state), request.command(floor)]
+        queried_at = context.now()
+        commands = [*request.preparation(pooled.state), request.command(floor)]
         request.record_sent()
-        read = (await lent.run(commands, time_left(context, request)))[-1]
+        read = (await pooled.run(commands, time_left(context, request)))[-1]
     except ConnectionLostError as error:
         record_connection_lost(context, request, pool, str(error))
-        context.placement.failed(pool, CONNECTION_LOST, asked_at)
+        context.placement.failed(pool, CONNECTION_LOST, queried_at)
         return None
     except asyncio.CancelledError:
-        if context.now() - asked_at > pool.patience:
-            # Another database answered meanwhile, as this one was late.
-            context.placement.failed(pool, CONNECTION_LOST, asked_at)
+        if context.now() - queried_at > pool.patience:
+            # This database was late, and another one answered in the meantime.
+            context.placement.failed(pool, CONNECTION_LOST, queried_at)
         raise
     finally:
-        lent.give_back()
-    seconds = context.now() - asked_at
+        pooled.give_back()
+    seconds = context.now() - queried_at
     pool.answered(seconds, read.refusal)
     leaders = context.leader(request.route.group)
-    leaders.heard(pool.entry.instance, read.position, asked_at, lent.opened_at)
+    leaders.heard(pool.entry.instance, read.position, queried_at, pooled.opened_at)
     if read.refusal is None:
         context.placement.served(pool, seconds)
     else:
-        context.placement.failed(pool, read.refusal, asked_at)
-    return _judge_read(context, request, pool.entry.instance, read)
+        context.placement.failed(pool, read.refusal, queried_at)
+    return _handle_reply(context, request, pool.entry.instance, read)
 
 
-def _judge_read(
+def _handle_reply(
     context: GatewayContext, request: Request, instance: InstanceId, read: Reply
 ) -> Reply | None:
     refusal = read.refusal
@@ -337,5 +337,5 @@
     is_behind = refusal.reason is Reason.REPLICA_BEHIND
     if is_behind and not (context.overload.enabled and is_floor_from_session(request)):
         context.placement.was_behind(instance)
-    elsewhere = refusal.verdict is Verdict.NOT_RUN and refusal.reason is not Reason.BAD_REQUEST
-    return None if elsewhere else Reply(refusal=refusal, state=TransactionState.IDLE)
+    try_elsewhere = refusal.verdict is Verdict.NOT_RUN and refusal.reason is not Reason.BAD_REQUEST
+    return None if try_elsewhere else Reply(refusal=refusal, state=TransactionState.IDLE)
--- a/src/bramblebeam/services/gateway/request.py
+++ b/src/bramblebeam/services/gateway/request.py
@@ -1,4 +1,4 @@
-"""One statement under way, and what bounds it."""
+"""A statement in flight, and the bounds that apply to it."""
 
 from __future__ import annotations
 
@@ -24,35 +24,35 @@
 
 logger = logging.getLogger(__name__)
 
-_NEEDS_A_MOMENT = (Reason.QUEUE_FULL, Reason.REPLICA_BEHIND, Reason.TOO_MANY_CONNECTIONS)
+_BACK_OFF_REASONS = (Reason.QUEUE_FULL, Reason.REPLICA_BEHIND, Reason.TOO_MANY_CONNECTIONS)
 
 HOLD_SHARE = 0.8
-"""The part of a statement's time for which it may wait before it is refused as not run."""
+"""The share of a statement's timeout that it may wait before it is refused as not run."""
 
 
 class StatementSession(Protocol):
-    """What a statement needs to know of its session, and what it adds to that."""
+    """What a statement needs to know of its session, and what it updates there."""
 
     tenant: TenantId
-    """Whose work its statements are; another configuration may change that between operations."""
+    """The tenant of its statements; a configuration change may replace it between operations."""
     state: SessionState
     observed: dict[GroupId, Position]
-    """By group: another configuration may send a session's route to another one."""
+    """By group: a configuration change may move the session's route to another group."""
     forwarded: bool
     retry_at: float | None
-    """When a refused caller was told to come back (steady clock, seconds)."""
+    """When a refused caller was advised to retry (monotonic clock, seconds)."""
     forwarded_on: bool
-    """Whether another node that serves the group passed the statement on to this one."""
+    """Whether another node that serves the group forwarded the statement on to this one."""
 
 
 @dataclass(slots=True)
 class Request:
-    """A READ, WRITE or EXECUTE of a session. `arrived`: steady clock, seconds.
+    """A READ, WRITE or EXECUTE of a session. `arrived`: monotonic clock, seconds.
 
     `floor`: of the last attempt. `refusal`: why the last attempt did not serve it. `no_slot`: why
     it may not wait at a database. `permit`: of the attempt at the leader or in a transaction.
-    `at_database`: it was sent to one. `passed_on`: it was sent to another node. `withdrawn`: nobody
-    waits for it. `account`: the counts of its tenant's operations that it has taken.
+    `at_database`: it was sent to a database. `passed_on`: it was sent to another node. `withdrawn`:
+    no caller waits for it. `account`: the counts of its tenant's operations that it has taken.
     `may_not_repeat`: its tenant's limit allows no further attempt.
     """
 
@@ -76,19 +76,19 @@
 
     @property
     def surely_not_run(self) -> bool:
-        """Whether it has left this node for nowhere."""
+        """Whether it was sent neither to a database nor to another node."""
         return not self.at_database and not self.passed_on
 
     @property
     def writes(self) -> bool:
-        """Whether the statement may change something."""
+        """Whether the statement may write."""
         if self.prepared is not None:
             return self.prepared.writes
         return self.statement.action is Action.WRITE
 
     @property
     def tenant(self) -> TenantId:
-        """Whose work the statement is."""
+        """The tenant of the statement."""
         return self.session.tenant
 
     @property
@@ -97,18 +97,18 @@
         return self.session.observed.get(self.route.group, ZERO_POSITION)
 
     def record_observed(self, reply: Reply) -> None:
-        """Keep the position of a success: later reads of the session don't go behind it."""
+        """Record the position of a successful reply; later reads of the session must reflect it."""
         if reply.refusal is None:
             self.session.observed[self.route.group] = max(self.observed, reply.position)
 
     @property
     def must_back_off(self) -> bool:
-        """Whether the last attempt met a database that needs a moment."""
-        return self.refusal is not None and self.refusal.reason in _NEEDS_A_MOMENT
+        """Whether the last attempt failed for a reason that calls for a pause before the next."""
+        return self.refusal is not None and self.refusal.reason in _BACK_OFF_REASONS
 
     @property
     def deadline(self) -> float:
-        """When the statement's time is over."""
+        """When the statement times out."""
         return self.arrived + self.route.timeout
 
     @property
@@ -119,17 +119,17 @@
         return self.arrived + self.route.timeout * HOLD_SHARE
 
     def record_sent(self) -> None:
-        """Note that the operation goes to a database, perhaps once more."""
+        """Record that the operation is sent to a database, perhaps again."""
         self.account.charge()
         self.metrics.tenants.note(self.tenant, Part.SENT)
 
     def record_refused(self, refusal: Refusal) -> None:
-        """Note a database's answer to an attempt: one that has not run pays for the next one."""
+        """Record a database's refusal; if the attempt has not run, its count covers the next."""
         if refusal.verdict is Verdict.NOT_RUN:
             self.account.record_not_run()
 
     def record_failed_attempt(self, instance: InstanceId, refusal: Refusal) -> None:
-        """Note that a database did not serve the statement, and why."""
+        """Record and log that a database did not serve the statement, and why."""
         self.refusal = refusal
         self.attempts += 1
         self.metrics.attempt_failed(refusal.reason.name.lower())
@@ -147,18 +147,18 @@
         )
 
     def record_no_slot(self, instance: InstanceId, refusal: Refusal) -> None:
-        """Note that a database's queue did not take the statement: it can't begin in time there."""
+        """Record that a database's queue refused the statement: it can't begin there in time."""
         self.no_slot = refusal
         self.record_failed_attempt(instance, refusal)
 
     def release_permit(self, served: bool = False) -> None:
-        """Give the permit back, if there is one. `served`: the database served the statement."""
+        """Release the permit, if there is one. `served`: the database served the statement."""
         if self.permit is not None:
             self.permit.release(served)
             self.permit = None
 
-    def work(self, inside: bool = False) -> Work:
-        """Return the statement as the decisions under load see it (`inside`: a transaction)."""
+    def work(self, in_transaction: bool = False) -> Work:
+        """Return the statement as the scheduler sees it (`in_transaction`: it is part of one)."""
         action = self.statement.action
         if self.prepared is not None:
             action = Action.WRITE if self.prepared.writes else Action.READ
@@ -169,11 +169,11 @@
             self.arrived,
             self.arrived + self.route.target,
             self.deadline,
-            inside,
+            in_transaction,
         )
 
     def command(self, floor: Position | None = None) -> Command:
-        """Return the statement as a database gets it."""
+        """Return the statement as it is sent to a database."""
         statement = self.statement
         if self.prepared is not None:
             statement = Statement(Action.EXECUTE, shape_name(self.prepared), statement.body)
@@ -182,11 +182,11 @@
         return Command(statement, self.identifier, floor, self.tenant)
 
     def preparation(self, state: ConnectionState, pinned: bool = False) -> list[Command]:
-        """Return what must run on a connection first."""
+        """Return the commands that must run on a connection first."""
         needed = state.preparation(self.session.state, self.prepared, pinned)
         return [Command(statement, tenant=self.tenant) for statement in needed]
 
     def give_up(self, reason: Reason, state: TransactionState = TransactionState.IDLE) -> Reply:
-        """Return the final answer of a statement that has not run, for its last known reason."""
+        """Return the final reply of a statement that has not run, with the last known reason."""
         refusal = self.refusal or Refusal(Verdict.NOT_RUN, reason)
         return Reply(refusal=refusal, state=state)
--- a/src/bramblebeam/services/gateway/service.py
+++ b/src/bramblebeam/services/gateway/service.py
@@ -1,4 +1,4 @@
-"""The gateway service: sessions of callers, on pools of database connections."""
+"""The gateway service: callers' sessions on pools of database connections."""
 
 from __future__ import annotations
 
@@ -44,9 +44,9 @@
 
 HOUSEKEEPING_INTERVAL = 0.5
 LAST_ARRIVALS_SHARE = 0.3
-"""The part of the time to stop for which new callers are still taken: they may be on their way."""
+"""Share of the grace period with new callers still accepted: they may be on their way."""
 TRANSACTION_SHARE = 0.75
-"""The part of the time to stop that open transactions have."""
+"""The share of the grace period that open transactions have to end."""
 DRAIN_CHECK_INTERVAL = 0.05
 FORWARDED_TYPES = (
     ForwardedStatement,
@@ -61,20 +61,20 @@
 
 
 class Listener(Protocol):
-    """Accepts callers and turns their protocol into calls of sessions."""
+    """Accepts callers and translates their protocol into calls of sessions."""
 
     async def start(self) -> Address:
         """Listen; return the bound address. Raises OSError."""
 
     @property
     def has_connections(self) -> bool:
-        """Whether a caller is connected, also one that has not named its database yet."""
+        """Whether a caller is connected, including one that has not named its database yet."""
 
     def stop_accepting(self) -> None:
-        """Close the listening socket; connections stay."""
+        """Close the listening socket; open connections stay."""
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is asked and no transaction is open."""
+        """Close the connections without a running statement or an open transaction."""
 
     def close(self) -> None:
         """Close every connection."""
@@ -106,7 +106,7 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether idle sessions are to be ended."""
+        """Whether idle sessions should be closed."""
         return self._stopping
 
     @property
@@ -115,7 +115,7 @@
         return bool(self.context.table.version) and self._has_databases and not self._stopping
 
     async def start(self) -> None:
-        """Follow the views and listen. Raises OSError."""
+        """Subscribe to updates and start listening. Raises OSError."""
         self.kernel.subscribe(RoutesChanged, self.name)
         self.kernel.subscribe(DirectoryChanged, self.name)
         self.kernel.subscribe(LeaderProven, self.name)
@@ -126,11 +126,11 @@
             address = await self.listener.start()
             log_event(logger, EDGE_LISTENING, host=address.host, port=address.port)
         self.spawn(self.context.limits.run())
-        self.spawn(self._keep_house())
+        self.spawn(self._run_housekeeping())
         self.spawn(self._report_readiness())
 
     async def handle(self, envelope: Envelope) -> None:
-        """Take a new view, or a message of another node."""
+        """Handle an update, or a message of another node."""
         match envelope.message:
             case RoutesChanged(table):
                 self.context.configure(table)
@@ -159,7 +159,7 @@
                 self.context.update(directory)
 
     async def drain(self) -> None:
-        """End sessions as they come to rest; give open transactions time to end."""
+        """Close sessions as they become idle; give open transactions time to end."""
         loop = asyncio.get_running_loop()
         log_event(logger, EDGE_DRAINING, connections=len(self._sessions), in_flight=0)
         self._stopping = True
@@ -182,10 +182,10 @@
             self.listener.close()
         self.context.placement.close()
 
-    # What the listener calls.
+    # Called by the listener.
 
     def open_session(self, database: str, key: KeyDigest) -> GatewaySession | Refusal:
-        """Return a session of a key's holder on a database, or why there is none."""
+        """Return a session on a database for the holder of a key, or the refusal."""
         access = self.context.table.access(database, key)
         if isinstance(access, Refusal):
             if access.reason is Reason.UNKNOWN_KEY:
@@ -196,7 +196,7 @@
         return session
 
     def close_session(self, session: GatewaySession) -> None:
-        """Forget a session whose caller is gone."""
+        """Remove a session whose caller has disconnected."""
         self._sessions.discard(session)
 
     async def _serve(
@@ -212,7 +212,7 @@
                 log_event(logger, READINESS_CHANGED, ready=known)
             await asyncio.sleep(HOUSEKEEPING_INTERVAL)
 
-    async def _keep_house(self) -> None:
+    async def _run_housekeeping(self) -> None:
         while True:
             await asyncio.sleep(HOUSEKEEPING_INTERVAL)
             now = self.context.now()
--- a/src/bramblebeam/services/gateway/session.py
+++ b/src/bramblebeam/services/gateway/session.py
@@ -1,4 +1,4 @@
-"""One caller's session: its statements in order, its values, its transaction."""
+"""One caller's session: its statements in order, its variables and its transaction."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class GatewaySession:
-    """The product's side of one caller connection. One statement at a time."""
+    """The session of one caller connection. Runs one statement at a time."""
 
     forwarded = False
     forwarded_on = False
@@ -51,7 +51,7 @@
         return self._transaction is None
 
     async def execute(self, identifier: str, statement: Statement) -> Reply:
-        """Run one statement to its final answer."""
+        """Run one statement and return its final reply."""
         arrived = self._context.now()
         reply = await self._execute(identifier, statement)
         self._record(identifier, statement, reply, self._context.now() - arrived)
@@ -59,7 +59,7 @@
         return reply
 
     def _record(self, identifier: str, statement: Statement, reply: Reply, seconds: float) -> None:
-        """Count the answer; log one without success. A success is only counted."""
+        """Count the reply, and log it if it is a refusal."""
         refusal = reply.refusal
         outcome = "done" if refusal is None else refusal.verdict.name.lower()
         route = self._route()
@@ -100,25 +100,27 @@
         if action in (Action.COMMIT, Action.ROLLBACK):
             return _done(TransactionState.IDLE)
         if action in (Action.READ, Action.WRITE, Action.EXECUTE):
-            return await self._alone(identifier, statement)
+            return await self._run_single(identifier, statement)
         return self._local(statement, TransactionState.IDLE)
 
     def _authenticate(self) -> Refusal | None:
-        """Return why the caller may not work, by the configuration in force now.
+        """Return the refusal if the configuration in force does not admit the caller.
 
-        A key may be taken away, or go to another tenant, while the session is open. What is open
-        for the former tenant ends with it.
+        A key may be revoked or move to another tenant while the session is open. An open
+        transaction of the former tenant ends then.
         """
         tenant = self._context.table.tenant_of(self._database, self._key)
         if tenant is None:
             return Refusal(Verdict.NOT_RUN, Reason.UNKNOWN_KEY)
         if self._transaction is not None and tenant != self.tenant:
-            return Refusal(Verdict.NOT_RUN, Reason.TRANSACTION_LOST, "its key changed hands")
+            return Refusal(
+                Verdict.NOT_RUN, Reason.TRANSACTION_LOST, "its key belongs to another tenant now"
+            )
         self.tenant = tenant
         return None
 
     def _refuse(self, refusal: Refusal) -> Reply:
-        """Answer what may not run, and roll back what is open."""
+        """Reply with a refusal, and roll back an open transaction."""
         if self._transaction is None:
             return Reply(refusal=refusal)
         transaction = self._transaction
@@ -127,19 +129,19 @@
         return transaction.fail(refusal)
 
     def abandon(self) -> None:
-        """The caller is gone: roll back what is open."""
+        """Roll back an open transaction, because the caller has disconnected."""
         if self._transaction is not None:
-            self._transaction.abandon("the caller left")
+            self._transaction.abandon("the caller disconnected")
             self._transaction = None
 
     def end_idle(self, now: float) -> None:
-        """Roll back a transaction that has rested for longer than allowed."""
+        """Roll back a transaction that was idle for longer than allowed."""
         if self._transaction is not None:
             self._transaction.end_if_idle(now)
 
     # Statements outside a transaction.
 
-    async def _alone(self, identifier: str, statement: Statement) -> Reply:
+    async def _run_single(self, identifier: str, statement: Statement) -> Reply:
         route = self._route()
         if route is None:
             return _refused(Reason.UNKNOWN_DATABASE, TransactionState.IDLE)
@@ -199,7 +201,7 @@
             return await transaction.run(request)
         return self._local(statement, TransactionState.OPEN)
 
-    # Statements that the session answers itself.
+    # Statements that the session handles itself.
 
     def _local(self, statement: Statement, state: TransactionState) -> Reply:
         name = statement.name
--- a/src/bramblebeam/services/gateway/session_order.py
+++ b/src/bramblebeam/services/gateway/session_order.py
@@ -1,8 +1,8 @@
-"""Watches that no session is served behind what it has observed, and tells where one would be.
+"""Checks that no session is served behind what it has observed, and reports each violation.
 
 Within a term a log only grows. A floor or an answer below what the session observed in the term of
-the proven leader, or in a later one, is therefore a fault of this program. What an earlier term's
-leader told may have been rolled back since, so that it proves nothing.
+the proven leader, or in a later one, is therefore a fault of this program. A position of an earlier
+term may have been rolled back since, so that it proves nothing.
 """
 
 from __future__ import annotations
@@ -50,9 +50,9 @@
 
 
 def check_commit(context: GatewayContext, request: Request, reply: Reply) -> None:
-    """Count and log an acknowledged commit that is not told to lie beyond what came before it.
+    """Count and log an acknowledged commit whose reported position is not beyond the session's.
 
-    Later reads of its session would not look for it.
+    Later reads of the session would not require the commit.
     """
     own = request.observed
     if reply.refusal is not None or reply.position > own:
@@ -63,9 +63,9 @@
 
 
 def lacks_observed_position(context: GatewayContext, request: Request, leader: Reply) -> bool:
-    """Whether a leader answered from a log that lacks what the session has observed.
+    """Return whether a leader answered from a log that lacks what the session has observed.
 
-    What an older term's leader committed may have been rolled back, and is not asked for.
+    A commit of an older term may have been rolled back, and is not required.
     """
     own = request.observed
     is_behind = ZERO_POSITION < leader.position < own
@@ -75,8 +75,8 @@
 def check_answer(context: GatewayContext, request: Request, reply: Reply) -> None:
     """Count and log a success from a state behind what the session has observed."""
     own = request.observed
-    tells_position = reply.refusal is None and reply.position != ZERO_POSITION
-    if not tells_position or reply.position >= own:
+    has_position = reply.refusal is None and reply.position != ZERO_POSITION
+    if not has_position or reply.position >= own:
         return
     leader_term = context.leader(request.route.group).last_term
     if own.term < leader_term:
@@ -92,9 +92,9 @@
 
 
 def _report(
-    context: GatewayContext, request: Request, where: str, event: Event, **told: str | int
+    context: GatewayContext, request: Request, where: str, event: Event, **fields: str | int
 ) -> None:
-    """Count and log that the session's order was broken, with what the event tells besides."""
+    """Count and log a violation of the session's order, with the event's additional fields."""
     context.metrics.session_order_violated(where)
     log_event(
         logger,
@@ -103,5 +103,5 @@
         group=request.route.group,
         observed=str(request.observed),
         forwarded=request.session.forwarded,
-        **told,
+        **fields,
     )
--- a/src/bramblebeam/services/gateway/slot_queue.py
+++ b/src/bramblebeam/services/gateway/slot_queue.py
@@ -1,4 +1,4 @@
-"""The queue for one database's slots: a statement takes a permit before it takes a connection."""
+"""The queue for one database's slots: a statement acquires a permit before a connection."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class NoSlotError(Exception):
-    """A statement can't begin at a database in time. `refusal`: what its caller is told."""
+    """A statement can't begin at a database in time. `refusal`: the reply to its caller."""
 
     def __init__(self, refused: Refused) -> None:
         super().__init__("it could not begin in time")
@@ -31,7 +31,7 @@
 
 
 class Permit:
-    """Lets one statement be under way at a database until it is ended."""
+    """Allows one statement to be in flight at a database, until it is released."""
 
     __slots__ = ("_began", "_number", "_queue")
 
@@ -41,7 +41,7 @@
         self._began = began
 
     def release(self, served: bool) -> None:
-        """Give the permit back; further calls change nothing. `served`: the database served it."""
+        """Release the permit; further calls have no effect. `served`: by the database."""
         queue = self._queue
         if queue is not None:
             self._queue = None
@@ -49,12 +49,12 @@
 
 
 def unlimited_permit() -> Permit:
-    """Return a permit where connections alone bound the work."""
+    """Return a permit where only the connections limit the work."""
     return Permit(None, 0, 0.0)
 
 
 class SlotQueue:
-    """Lets statements for one database begin in the scheduler's order."""
+    """Admits the statements for one database in the scheduler's order."""
 
     def __init__(self, instance: InstanceId, settings: OverloadSettings, slots: int) -> None:
         self._allowance = settings.slot_allowance
@@ -62,27 +62,27 @@
         self._scheduler = SlotScheduler(instance, self._limit, ServiceTimes(), settings)
         self._numbers = itertools.count(1)
         self._waiting: dict[int, asyncio.Future[None]] = {}
-        self._may_leave: set[int] = set()
+        self._movable: set[int] = set()
         self._timer: asyncio.TimerHandle | None = None
 
     @property
     def waiting(self) -> int:
-        """Statements that wait for a permit."""
+        """Number of statements that wait for a permit."""
         return len(self._waiting)
 
     @property
     def in_flight(self) -> int:
-        """Statements that hold a permit."""
+        """Number of statements that hold a permit."""
         return self._scheduler.in_flight
 
     def allow(self, slots: int, allowance: int) -> None:
-        """Take other bounds, as the members or what the database tells of itself changed."""
+        """Apply new limits, after the members or the database's registration changed."""
         self._limit.allow(slots, allowance)
         if self._waiting:
-            self._begin_waiting(loop_time())
+            self._admit_waiting(loop_time())
 
     def load(self) -> DatabaseLoad:
-        """Return what others are told of the database."""
+        """Return the load of the database, to be reported to other nodes."""
         return self._scheduler.load(loop_time())
 
     async def enter(self, work: Work) -> Permit:
@@ -95,61 +95,61 @@
         begun = self._scheduler.next(now)
         if begun != number:
             if not work.in_transaction:
-                self._may_leave.add(number)
+                self._movable.add(number)
             try:
                 await self._wait(number, begun, now)
             finally:
-                self._may_leave.discard(number)
+                self._movable.discard(number)
             now = loop_time()
         return Permit(self, number, now)
 
     async def _wait(self, number: int, begun: int | None, now: float) -> None:
-        """Wait for one's turn. `begun`: another one, whose turn it was."""
+        """Wait for the statement's turn. `begun`: another statement, whose turn it is now."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiting[number] = future
         if begun is not None:
-            self._let_begin(begun, now)
-        self._begin_waiting(now)
+            self._admit(begun, now)
+        self._admit_waiting(now)
         try:
             await future
         except asyncio.CancelledError:
-            self._give_up(number, future)
+            self._cancel(number, future)
             raise
 
-    def _give_up(self, number: int, future: asyncio.Future[None]) -> None:
-        """Forget a statement whose caller has left, also when it has just begun."""
+    def _cancel(self, number: int, future: asyncio.Future[None]) -> None:
+        """Remove a statement whose caller has disconnected, even if it has just been admitted."""
         if self._waiting.pop(number, None) is not None:
             self._scheduler.withdraw(number)
         elif not future.cancelled() and future.exception() is None:
             self.release(number, 0.0, served=False)
 
     def release(self, number: int, began: float, served: bool) -> None:
-        """One that had begun (`began`: steady clock, seconds) has ended."""
+        """Release the permit of a statement that began at `began` (monotonic clock, seconds)."""
         now = loop_time()
         self._scheduler.finished(number, now - began if served else None, now)
         if self._waiting:
-            self._begin_waiting(now)
+            self._admit_waiting(now)
 
     def refused(self) -> None:
-        """The database had no room for a statement that held a permit."""
+        """Record that the database had no room for a statement that held a permit."""
         self._limit.refused(loop_time())
 
     def refuse_waiting(self) -> None:
-        """Refuse those that wait and can run elsewhere, as the database gives no answers.
+        """Refuse waiting statements that can run elsewhere, as the database gives no answers.
 
-        What belongs to an open transaction has nowhere else to go.
+        A statement of an open transaction can run nowhere else.
         """
-        for number in sorted(self._may_leave):
+        for number in sorted(self._movable):
             future = self._waiting.pop(number, None)
             if future is None:
                 continue
-            # One whose caller has left a moment ago is withdrawn as well: it gives up nothing more.
+            # Also if its caller has just disconnected: `_cancel` then finds nothing to withdraw.
             self._scheduler.withdraw(number)
             if not future.done():
                 future.set_exception(NoSlotError(Refused(0.0)))
 
     def close(self) -> None:
-        """Tell all who wait that the database has left."""
+        """Fail all waiting statements, because the database has left."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -159,29 +159,31 @@
                 future.set_exception(ConnectError(Reason.LEAVING, "the database has left"))
         self._waiting.clear()
 
-    def _begin_waiting(self, now: float) -> None:
-        """Let those begin for whom there is room."""
+    def _admit_waiting(self, now: float) -> None:
+        """Admit waiting statements while there is room."""
         while (number := self._scheduler.next(now)) is not None:
-            self._let_begin(number, now)
+            self._admit(number, now)
         if self._waiting:
-            self._watch_due()
+            self._schedule_expiry()
 
-    def _let_begin(self, number: int, now: float) -> None:
+    def _admit(self, number: int, now: float) -> None:
         future = self._waiting.pop(number)
         if future.done():
-            # Its caller has left, and has not been told yet.
+            # Its caller has disconnected, and its task has not been resumed yet.
             self._scheduler.finished(number, None, now)
         else:
             future.set_result(None)
 
-    def _watch_due(self) -> None:
-        """Have those refused in time that can't begin any more."""
-        due = self._scheduler.next_wakeup
-        if due is None or (self._timer is not None and self._timer.when() <= due + CLOCK_STEP):
+    def _schedule_expiry(self) -> None:
+        """Schedule the refusal of statements that can't begin in time any more."""
+        wakeup = self._scheduler.next_wakeup
+        if wakeup is None or (
+            self._timer is not None and self._timer.when() <= wakeup + CLOCK_STEP
+        ):
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = asyncio.get_running_loop().call_at(due + CLOCK_STEP, self._refuse_expired)
+        self._timer = asyncio.get_running_loop().call_at(wakeup + CLOCK_STEP, self._refuse_expired)
 
     def _refuse_expired(self) -> None:
         self._timer = None
@@ -190,4 +192,4 @@
             future = self._waiting.pop(number, None)
             if future is not None and not future.done():
                 future.set_exception(NoSlotError(refused))
-        self._begin_waiting(now)
+        self._admit_waiting(now)
--- a/src/bramblebeam/services/gateway/transaction.py
+++ b/src/bramblebeam/services/gateway/transaction.py
@@ -38,7 +38,7 @@
 
 
 class Transaction:
-    """An open transaction. Its database is chosen when its first statement arrives."""
+    """An open transaction. Its database is chosen when the first statement arrives."""
 
     def __init__(
         self, context: GatewayContext, session: StatementSession, route: Route, read_only: bool
@@ -47,8 +47,8 @@
         self._session = session
         self.route = route
         self._at_leader = context.runs_at_leader(route, writes=not read_only)
-        self._lent: PooledConnection | None = None
-        self._place = UNGATED
+        self._pooled: PooledConnection | None = None
+        self._admission = UNGATED
         self._wrote = False
         self._is_counted = False
         self._running = False
@@ -63,7 +63,7 @@
     # Statements.
 
     async def run(self, request: Request) -> Reply:
-        """Run a read or a write inside the transaction."""
+        """Run a read or a write in the transaction."""
         self._running = True
         try:
             return await self._run(request)
@@ -74,15 +74,15 @@
             self._used_at = self._context.now()
 
     async def _run(self, request: Request) -> Reply:
-        if self._lent is None:
+        if self._pooled is None:
             refused = await self._start(request)
             if refused is not None:
                 return self.fail(refused)
             if self._failure is not None:
-                # It was abandoned while it began.
+                # The transaction was abandoned while it was being opened.
                 return self.fail(self._failure)
         while True:
-            refused = await self._enter(request)
+            refused = await self._acquire_permit(request)
             if refused is not None:
                 return self.fail(refused)
             reply = await self._send(request)
@@ -103,72 +103,73 @@
         try:
             return await self._commit(request)
         finally:
-            # The caller may have left meanwhile.
+            # The caller may have disconnected in the meantime.
             request.release_permit()
             refund_unused(self._context, request)
             self._release(dirty=True)
-            self._place.release()
+            self._admission.release()
 
     async def _commit(self, request: Request) -> Reply:
         if self._failure is not None:
             self._release(dirty=True)
             refusal = Refusal(Verdict.NOT_RUN, Reason.TRANSACTION_LOST, self._failure.detail)
             return Reply(refusal=refusal)
-        if self._lent is None:
+        if self._pooled is None:
             refused = await self._start(request)
             if refused is not None:
                 return Reply(refusal=refused)
         while True:
-            refused = await self._why_not_commit(request)
+            refused = await self._prepare_commit(request)
             if refused is not None:
                 return self._not_committed(refused)
-            asked_at = self._context.now()
+            queried_at = self._context.now()
             reply = await self._send(request)
             if reply.refusal is None:
-                return self._committed(request, reply, asked_at)
+                return self._committed(request, reply, queried_at)
             busy = reply.refusal.reason is Reason.QUEUE_FULL
             retry = busy and reply.state is TransactionState.OPEN
             if not retry or self._context.now() >= request.hold_until:
                 return self._not_committed(reply.refusal)
             await asyncio.sleep(BUSY_PAUSE)
 
-    async def _why_not_commit(self, request: Request) -> Refusal | None:
-        """Wait for a permit; return why the COMMIT may not be sent now."""
-        refused = await self._enter(request)
+    async def _prepare_commit(self, request: Request) -> Refusal | None:
+        """Wait for a permit; return the refusal if the COMMIT may not be sent now."""
+        refused = await self._acquire_permit(request)
         if refused is not None:
             return refused
-        if self._is_cut_off():
+        if self._is_connection_lost():
             return Refusal(Verdict.NOT_RUN, Reason.TRANSACTION_LOST, "its connection is lost")
         if not await self._may_commit(request):
-            detail = "its database leads no more, or is not known to"
+            detail = "its database is no longer known to be the leader"
             return Refusal(Verdict.NOT_RUN, Reason.TRANSACTION_LOST, detail)
         return None
 
-    def _is_cut_off(self) -> bool:
-        """Whether a COMMIT would be sent in vain.
+    def _is_connection_lost(self) -> bool:
+        """Return whether sending a COMMIT would fail because the connection is lost.
 
-        None was sent, and the connection is closed now: the database rolls back what is open on it.
+        No COMMIT was sent, and the connection is closed now: the database rolls back the open
+        transaction.
         """
-        lent = self._lent
-        assert lent is not None
-        return lent.connection.closed or lent.pool.is_silent(lent)
+        pooled = self._pooled
+        assert pooled is not None
+        return pooled.connection.closed or pooled.pool.is_silent(pooled)
 
     async def _may_commit(self, request: Request) -> bool:
-        """Whether the COMMIT may be sent now; one that commits a write needs a leader."""
+        """Return whether the COMMIT may be sent now; one that commits a write needs a leader."""
         if not self._wrote:
             return True
-        assert self._lent is not None
+        assert self._pooled is not None
         leaders = self._context.leader(self.route.group)
-        return await leaders.wait_to_use(self._lent.instance, request.hold_until)
+        return await leaders.wait_to_use(self._pooled.instance, request.hold_until)
 
-    def _committed(self, request: Request, reply: Reply, asked_at: float) -> Reply:
-        lent = self._lent
-        assert lent is not None
+    def _committed(self, request: Request, reply: Reply, queried_at: float) -> Reply:
+        pooled = self._pooled
+        assert pooled is not None
         if self._wrote:
             leaders = self._context.leader(self.route.group)
             leaders.write_answered()
             leaders.acknowledged(reply.position)
-            leaders.proven(lent.instance, reply.position, asked_at)
+            leaders.proven(pooled.instance, reply.position, queried_at)
         if self._wrote:
             check_commit(self._context, request, reply)
         request.record_observed(reply)
@@ -182,54 +183,56 @@
             refusal = Refusal(Verdict.NOT_RUN, Reason.TRANSACTION_LOST, detail)
         return Reply(refusal=refusal)
 
-    async def _enter(self, request: Request) -> Refusal | None:
-        """Wait for a permit, unless the first statement has its own; return why there is none.
+    async def _acquire_permit(self, request: Request) -> Refusal | None:
+        """Wait for a permit unless the request has one; return the refusal if there is none.
 
-        Nothing is sent that the transaction has lost its connection for meanwhile.
+        Nothing is sent if the transaction has lost its connection in the meantime.
         """
-        lent = self._lent
-        if request.permit is None and lent is not None:
+        pooled = self._pooled
+        if request.permit is None and pooled is not None:
             try:
-                request.permit = await lent.pool.enter(request.work(inside=True))
+                request.permit = await pooled.pool.enter(request.work(in_transaction=True))
             except NoSlotError as error:
-                request.record_no_slot(lent.instance, error.refusal)
+                request.record_no_slot(pooled.instance, error.refusal)
                 return error.refusal
             except ConnectError as error:
                 return Refusal(Verdict.NOT_RUN, error.reason, str(error))
-        return self._failure if self._lent is None else None
+        return self._failure if self._pooled is None else None
 
     async def _send(self, request: Request) -> Reply:
-        lent = self._lent
-        assert lent is not None
+        pooled = self._pooled
+        assert pooled is not None
         remaining = time_left(self._context, request)
-        commands = [*request.preparation(lent.state, pinned=True), request.command()]
+        commands = [*request.preparation(pooled.state, pinned=True), request.command()]
         if not self._is_counted:
             self._is_counted = True
             request.record_sent()
-        asked_at = self._context.now()
+        queried_at = self._context.now()
         served = False
         try:
             is_commit = request.statement.action is Action.COMMIT
-            reply = (await lent.run(commands, remaining, must_wait=is_commit))[-1]
+            reply = (await pooled.run(commands, remaining, must_wait=is_commit))[-1]
             served = reply.refusal is None
         except ConnectionLostError as error:
-            is_late = self._context.now() - asked_at >= remaining - CLOCK_STEP
-            if self._wrote and is_late and not lent.pool.is_silent(lent):
+            is_late = self._context.now() - queried_at >= remaining - CLOCK_STEP
+            if self._wrote and is_late and not pooled.pool.is_silent(pooled):
                 leaders = self._context.leader(self.route.group)
-                leaders.write_unanswered(lent.instance, asked_at)
+                leaders.write_unanswered(pooled.instance, queried_at)
             lost = self._lost(request, str(error))
-            request.record_failed_attempt(lent.instance, lost)
+            request.record_failed_attempt(pooled.instance, lost)
             return Reply(refusal=lost, state=TransactionState.FAILED)
         finally:
             request.release_permit(served=served)
-        lent.pool.answered(self._context.now() - asked_at, reply.refusal)
+        pooled.pool.answered(self._context.now() - queried_at, reply.refusal)
         if reply.refusal is not None and reply.refusal.reason is Reason.STALE_TERM:
-            self._context.leader(self.route.group).denied(lent.instance, "it lost the lead")
+            self._context.leader(self.route.group).denied(
+                pooled.instance, "it is no longer the leader"
+            )
         return reply
 
     @staticmethod
     def _lost(request: Request, detail: str) -> Refusal:
-        """Without its COMMIT a transaction is rolled back when its connection ends."""
+        """Return the refusal after a lost connection; without its COMMIT all is rolled back."""
         if request.statement.action is Action.COMMIT:
             return Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST, detail)
         return Refusal(Verdict.NOT_RUN, Reason.TRANSACTION_LOST, detail)
@@ -237,7 +240,7 @@
     # Start.
 
     async def _start(self, request: Request) -> Refusal | None:
-        """Open the transaction at a database, if its tenant may; return why there is none."""
+        """Open the transaction at a database if its tenant may; return the refusal if not."""
         refused = await admit(self._context, request)
         return refused or await self._start_admitted(request)
 
@@ -246,14 +249,14 @@
         while not self._at_leader:
             pool = await self._choose_replica(request, excluded)
             if pool is not None:
-                refused = await self._take_place(request, pool.entry.instance)
+                refused = await self._await_gate(request, pool.entry.instance)
                 if refused is not None:
                     return refused
                 if await self._start_at_replica(request, pool, excluded):
                     return None
             request.release_permit()
             if request.no_slot is not None and self._at_leader:
-                # The leader's slots are for what no replica can run.
+                # The leader's slots are reserved for statements that no replica can run.
                 reply = Reply(refusal=request.no_slot)
                 return self._context.load.tell_return(request, reply).refusal
             if self._context.now() >= request.hold_until:
@@ -261,36 +264,36 @@
             if request.must_back_off:
                 await asyncio.sleep(BUSY_PAUSE)
 
-        refused = await self._take_place(request, self._expected_leader())
+        refused = await self._await_gate(request, self._expected_leader())
         if refused is not None:
             return refused
 
-        async def begin(lent: PooledConnection) -> Reply | None:
-            return await self._begin_at_leader(request, lent)
+        async def begin(pooled: PooledConnection) -> Reply | None:
+            return await self._begin_at_leader(request, pooled)
 
         reply = await at_leader(self._context, request, begin, Reason.NO_PRIMARY)
         return self._context.load.tell_return(request, reply).refusal
 
-    async def _take_place(self, request: Request, instance: InstanceId | None) -> Refusal | None:
-        """Wait for the transaction's turn at a database; return why it may not begin there."""
-        self._place.release()
-        place = await self._context.transactions.enter(request, instance)
-        if isinstance(place, Refusal):
-            return place
-        self._place = place
+    async def _await_gate(self, request: Request, instance: InstanceId | None) -> Refusal | None:
+        """Wait for the transaction's turn at a database; return the refusal if it may not begin."""
+        self._admission.release()
+        admission = await self._context.transactions.enter(request, instance)
+        if isinstance(admission, Refusal):
+            return admission
+        self._admission = admission
         return None
 
     def _expected_leader(self) -> InstanceId | None:
-        """Return the database that will probably run the transaction, if it is known."""
+        """Return the database that will probably run the transaction, or None if it is unknown."""
         leaders = self._context.leader(self.route.group)
         return leaders.leader or leaders.last_leader
 
-    async def _begin_at_leader(self, request: Request, lent: PooledConnection) -> Reply | None:
+    async def _begin_at_leader(self, request: Request, pooled: PooledConnection) -> Reply | None:
         leaders = self._context.leader(self.route.group)
-        instance = lent.instance
-        asked_at = self._context.now()
-        was_fresh = lent.is_fresh
-        begin = await self._begin(request, lent, Command(BEGIN))
+        instance = pooled.instance
+        queried_at = self._context.now()
+        was_fresh = pooled.is_fresh
+        begin = await self._begin(request, pooled, Command(BEGIN))
         if begin is None:
             if was_fresh:
                 leaders.refused(instance, "the connection was lost")
@@ -299,7 +302,7 @@
             if begin.refusal.reason is Reason.STALE_TERM:
                 leaders.denied(instance, "it refused to begin a transaction")
             return None
-        if not leaders.proven(instance, begin.position, asked_at):
+        if not leaders.proven(instance, begin.position, queried_at):
             self._release(dirty=True)
             return None
         if lacks_observed_position(self._context, request, begin):
@@ -312,7 +315,7 @@
     async def _choose_replica(
         self, request: Request, excluded: set[InstanceId]
     ) -> DatabasePool | None:
-        """Return where to begin next; None: there is no floor yet, or it goes to the leader."""
+        """Return the replica to try next; None: no floor yet, or it goes to the leader."""
         if await current_floor(self._context, request) is None:
             return None
         pool = self._context.placement.choose(
@@ -330,7 +333,7 @@
         instance = pool.entry.instance
         try:
             request.permit = await pool.enter(request.work())
-            lent = await pool.acquire(
+            pooled = await pool.acquire(
                 request.tenant, self._session.state, time_to_hold(self._context, request)
             )
         except NoSlotError as error:
@@ -346,104 +349,104 @@
         try:
             floor = await current_floor(self._context, request)
         except BaseException:
-            lent.give_back()
+            pooled.give_back()
             raise
         if floor is None:
-            lent.give_back()
+            pooled.give_back()
             return False
-        was_fresh = lent.is_fresh
+        was_fresh = pooled.is_fresh
         request.floor = floor
-        begin = await self._begin(request, lent, Command(BEGIN_READ, floor=floor))
+        begin = await self._begin(request, pooled, Command(BEGIN_READ, floor=floor))
         if begin is None and not was_fresh:
-            # The next connection to it has been heard of since, or is new.
+            # The next connection to it is new, or has received data since.
             excluded.discard(instance)
         return begin is not None and self._is_open_at(request, instance, begin)
 
     def _is_open_at(self, request: Request, instance: InstanceId, begin: Reply) -> bool:
-        """Whether a BEGIN READ opened the transaction; note where the database was behind."""
+        """Return whether a BEGIN READ opened the transaction; record a database that was behind."""
         if begin.refusal is None:
             check_answer(self._context, request, begin)
-        elif begin.refusal.reason is Reason.REPLICA_BEHIND and not self._lacks_own(request):
+        elif begin.refusal.reason is Reason.REPLICA_BEHIND and not self._has_session_floor(request):
             self._context.placement.was_behind(instance)
         return begin.refusal is None
 
-    def _lacks_own(self, request: Request) -> bool:
-        """Whether a database is behind for this session alone, where load decides on that."""
+    def _has_session_floor(self, request: Request) -> bool:
+        """Return whether, where load decides, a database is behind for this session only."""
         return self._context.overload.enabled and is_floor_from_session(request)
 
     async def _begin(
-        self, request: Request, lent: PooledConnection, begin: Command
+        self, request: Request, pooled: PooledConnection, begin: Command
     ) -> Reply | None:
-        """Send a BEGIN; keep the connection where it was taken."""
-        needed = lent.state.preparation(self._session.state, None, pinned=False)
+        """Send a BEGIN, and keep the connection if it succeeds."""
+        needed = pooled.state.preparation(self._session.state, None, pinned=False)
         commands = [*(Command(statement) for statement in needed), begin]
         remaining = time_to_hold(self._context, request)
-        asked_at = self._context.now()
+        queried_at = self._context.now()
         try:
-            reply = (await lent.run_at_once(commands, remaining))[-1]
+            reply = (await pooled.run_at_once(commands, remaining))[-1]
         except ConnectionLostError as error:
             lost = Refusal(Verdict.NOT_RUN, Reason.CONNECTION_LOST, str(error))
-            request.record_failed_attempt(lent.instance, lost)
-            self._context.placement.failed(lent.pool, lost, asked_at)
-            lent.give_back()
+            request.record_failed_attempt(pooled.instance, lost)
+            self._context.placement.failed(pooled.pool, lost, queried_at)
+            pooled.give_back()
             return None
         except BaseException:
-            lent.give_back()
+            pooled.give_back()
             raise
         leaders = self._context.leader(self.route.group)
-        leaders.heard(lent.instance, reply.position, asked_at, lent.opened_at)
+        leaders.heard(pooled.instance, reply.position, queried_at, pooled.opened_at)
         if reply.refusal is None:
-            self._lent = lent
+            self._pooled = pooled
             return reply
-        request.record_failed_attempt(lent.instance, reply.refusal)
+        request.record_failed_attempt(pooled.instance, reply.refusal)
         if reply.state is not TransactionState.IDLE:
-            lent.connection.close()
-        lent.give_back()
+            pooled.connection.close()
+        pooled.give_back()
         return reply
 
     # Ends.
 
     def fail(self, refusal: Refusal) -> Reply:
-        """End the work at the database; the caller still has to end its transaction."""
+        """Roll back at the database; the caller still has to end its transaction."""
         self._failure = refusal
         self._release(dirty=True)
-        self._place.release()
+        self._admission.release()
         return Reply(refusal=refusal, state=TransactionState.FAILED)
 
     def abandon(self, detail: str) -> None:
-        """Roll back; a statement that runs is cut off with its connection."""
+        """Roll back; a running statement is cut off by closing its connection."""
         if self._failure is None:
             self._failure = Refusal(Verdict.NOT_RUN, Reason.TRANSACTION_LOST, detail)
         self._release(dirty=True)
-        self._place.release()
+        self._admission.release()
 
     def end_if_idle(self, now: float) -> None:
-        """Roll back a transaction whose caller has not used it for longer than allowed."""
-        if self._running or self._failure is not None or self._lent is None:
+        """Roll back the transaction if its caller has been idle for longer than allowed."""
+        if self._running or self._failure is not None or self._pooled is None:
             return
         if now - self._used_at > self._context.table.transaction_idle:
-            self.fail(Refusal(Verdict.NOT_RUN, Reason.TRANSACTION_LOST, "it rested for too long"))
+            self.fail(Refusal(Verdict.NOT_RUN, Reason.TRANSACTION_LOST, "it was idle for too long"))
 
     def _release(self, dirty: bool) -> None:
-        lent = self._lent
-        self._lent = None
-        if lent is None:
+        pooled = self._pooled
+        self._pooled = None
+        if pooled is None:
             return
-        if not dirty or lent.connection.closed:
-            lent.give_back()
+        if not dirty or pooled.connection.closed:
+            pooled.give_back()
         elif self._running:
-            lent.connection.close()
-            lent.give_back()
+            pooled.connection.close()
+            pooled.give_back()
         else:
-            self._context.spawn(self._roll_back(lent))
+            self._context.spawn(self._roll_back(pooled))
 
-    async def _roll_back(self, lent: PooledConnection) -> None:
+    async def _roll_back(self, pooled: PooledConnection) -> None:
         try:
-            (reply,) = await lent.run([Command(ROLLBACK)], ROLLBACK_TIMEOUT)
+            (reply,) = await pooled.run([Command(ROLLBACK)], ROLLBACK_TIMEOUT)
             if reply.state is not TransactionState.IDLE:
-                lent.connection.close()
+                pooled.connection.close()
         except ConnectionLostError:
-            # The database rolls back what was open on a connection that ends.
-            lent.connection.close()
+            # The database rolls back an open transaction when its connection ends.
+            pooled.connection.close()
         finally:
-            lent.give_back()
+            pooled.give_back()
--- a/src/bramblebeam/services/gateway/transaction_gates.py
+++ b/src/bramblebeam/services/gateway/transaction_gates.py
@@ -1,4 +1,4 @@
-"""New transactions wait for their turn where connections to a database are scarce."""
+"""Gates that admit new transactions where connections to a database are scarce."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
 logger = logging.getLogger(__name__)
 
 REVIEW_SECONDS = 0.05
-"""While a transaction waits, connections are counted so often: what statements outside transactions
-give back lets it begin too, and nobody is told of that."""
+"""How often the connections are counted while a transaction waits. A connection that statements
+outside transactions release lets it begin too, and causes no notification."""
 _MILLISECONDS = 1_000
 
 
 class GateAdmission:
-    """The place of a transaction that may begin. It counts until its end.
+    """The admission of a transaction by a gate, which counts until the transaction ends.
 
-    `gate` None: it is counted nowhere.
+    `gate` None: it is not counted.
     """
 
     def __init__(self, gate: DatabaseGate | None, tenant: TenantId, began: float) -> None:
@@ -47,18 +47,18 @@
         self._began = began
 
     def release(self) -> None:
-        """Give the place to another one; a second time changes nothing."""
+        """Release the admission to another transaction; further calls have no effect."""
         gate, self._gate = self._gate, None
         if gate is not None:
             gate.ended(self._tenant, self._began)
 
 
 UNGATED = GateAdmission(None, NO_TENANT, 0.0)
-"""Of a transaction that nothing bounds."""
+"""The admission of a transaction that no gate limits."""
 
 
 class DatabaseGate:
-    """Before one database: who waits for the turn of a transaction, and the connections there."""
+    """The gate of one database: waiting transactions, and the connections to the database."""
 
     def __init__(self, context: GatewayContext, pool: DatabasePool, node: OpenTransactions) -> None:
         self.pool = pool
@@ -70,63 +70,63 @@
 
     @property
     def connections(self) -> Connections:
-        """Return how many connections are used or waited for, and how many there may be."""
+        """The number of connections that are used or waited for, and their limit."""
         queue = self.pool.slots
         in_use = self.pool.load - (0 if queue is None else queue.waiting)
         return Connections(in_use, self.pool.budget.limit(self._context.now()))
 
     @property
     def is_unused(self) -> bool:
-        """Whether no transaction is open or waits here."""
+        """Whether no transaction is open or waiting at this gate."""
         return self._gate.open == 0 and not self._turns
 
     async def enter(self, request: Request) -> GateAdmission | Refusal:
-        """Wait for the turn of a transaction; return why it may not begin."""
+        """Wait for a transaction's turn; return the refusal if it may not begin."""
         number = next(self._numbers)
         time_left = time_to_hold(self._context, request)
-        asker = WaitingTransaction(number, request.tenant)
-        refused = self._gate.enqueue(asker, self.connections, time_left)
+        candidate = WaitingTransaction(number, request.tenant)
+        refused = self._gate.enqueue(candidate, self.connections, time_left)
         if refused is not None:
             return self._refuse(request, refused)
         turn = self._turns[number] = asyncio.get_running_loop().create_future()
-        self._review()
+        self._admit_waiting()
         try:
             async with asyncio.timeout(time_left):
                 await turn
         except TimeoutError:
-            self._give_up(number, turn, request)
+            self._withdraw(number, turn, request)
             return self._refuse(request, Refused(0.0))
         except asyncio.CancelledError:
-            self._give_up(number, turn, request)
+            self._withdraw(number, turn, request)
             raise
         return GateAdmission(self, request.tenant, self._context.now())
 
     def ended(self, tenant: TenantId, began: float) -> None:
-        """A transaction has ended: the next ones may begin."""
+        """Record the end of a transaction, and admit the next ones."""
         self._gate.ended(tenant, self._context.now() - began)
-        self._review()
+        self._admit_waiting()
 
-    def _give_up(self, number: int, turn: asyncio.Future[None], request: Request) -> None:
-        """Withdraw one that waits; a turn that came at the same moment goes to another one."""
+    def _withdraw(self, number: int, turn: asyncio.Future[None], request: Request) -> None:
+        """Withdraw a waiting transaction; a turn that has just come goes to another one."""
         if self._turns.pop(number, None) is not None:
             self._gate.withdraw(number)
         elif turn.done():
             self._gate.ended(request.tenant, None)
-            self._review()
+            self._admit_waiting()
 
-    def _review(self) -> None:
-        """Let those begin whose turn it is."""
+    def _admit_waiting(self) -> None:
+        """Admit the transactions whose turn it is."""
         while (number := self._gate.next(self.connections)) is not None:
             turn = self._turns.pop(number)
             if not turn.done():
                 turn.set_result(None)
         if self._gate.has_waiting and self._timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(REVIEW_SECONDS, self._review_again)
+            self._timer = loop.call_later(REVIEW_SECONDS, self._on_review_timer)
 
-    def _review_again(self) -> None:
+    def _on_review_timer(self) -> None:
         self._timer = None
-        self._review()
+        self._admit_waiting()
 
     def _refuse(self, request: Request, refused: Refused) -> Refusal:
         connections = self.connections
@@ -142,12 +142,12 @@
             most=connections.most,
             retry_after_ms=retry_after_ms,
         )
-        detail = "transactions hold the connections"
+        detail = "open transactions hold the connections"
         return Refusal(Verdict.NOT_RUN, Reason.QUEUE_FULL, detail, retry_after_ms)
 
 
 class TransactionGates:
-    """The gates of one node, before each database."""
+    """The gates of one node, one for each database."""
 
     def __init__(self, context: GatewayContext) -> None:
         self._context = context
@@ -155,9 +155,9 @@
         self._gates: dict[InstanceId, DatabaseGate] = {}
 
     async def enter(self, request: Request, instance: InstanceId | None) -> GateAdmission | Refusal:
-        """Wait for a transaction's turn at a database; return its place, or why it has none.
+        """Wait for a transaction's turn at a database; return its admission or the refusal.
 
-        `instance` None: where it will run is not known yet.
+        `instance` None: the database that will run it is not known yet.
         """
         pool = None if instance is None else self._context.placement.pools.get(instance)
         if pool is None or not self._context.load.enabled:
@@ -165,15 +165,15 @@
         return await self._gate(pool).enter(request)
 
     def _gate(self, pool: DatabasePool) -> DatabaseGate:
-        self._forget_unused()
+        self._remove_unused()
         instance = pool.entry.instance
         gate = self._gates.get(instance)
         if gate is None:
             gate = self._gates[instance] = DatabaseGate(self._context, pool, self._node)
         return gate
 
-    def _forget_unused(self) -> None:
-        """Forget gates before databases that are gone, or whose connections are others now."""
+    def _remove_unused(self) -> None:
+        """Remove unused gates of databases that are gone or whose pool was replaced."""
         pools = self._context.placement.pools
         for instance, gate in list(self._gates.items()):
             if gate.is_unused and pools.get(instance) is not gate.pool:
--- a/src/bramblebeam/services/gateway/writes.py
+++ b/src/bramblebeam/services/gateway/writes.py
@@ -1,4 +1,4 @@
-"""Single writes: sent to the leader once, and again only where they surely have not run."""
+"""Single writes: sent to the leader once, and again only if they certainly have not run."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 async def write(context: GatewayContext, request: Request) -> Reply:
     """Run a single write at the leader."""
 
-    async def send(lent: PooledConnection) -> Reply | None:
-        return await _send(context, request, lent)
+    async def send(pooled: PooledConnection) -> Reply | None:
+        return await _send(context, request, pooled)
 
     try:
         return await at_leader(context, request, send, Reason.QUEUE_TIMEOUT)
@@ -27,36 +27,40 @@
         request.release_permit()
 
 
-async def _send(context: GatewayContext, request: Request, lent: PooledConnection) -> Reply | None:
-    """Return the final answer, or None where the write has not run and may be sent again."""
+async def _send(
+    context: GatewayContext, request: Request, pooled: PooledConnection
+) -> Reply | None:
+    """Return the final reply, or None if the write has not run and may be sent again."""
     leaders = context.leader(request.route.group)
-    asked_at = context.now()
-    commands = [*request.preparation(lent.state), request.command()]
+    queried_at = context.now()
+    commands = [*request.preparation(pooled.state), request.command()]
     remaining = time_left(context, request)
     request.record_sent()
     try:
-        replies = await lent.run(commands, remaining, must_wait=True)
+        replies = await pooled.run(commands, remaining, must_wait=True)
     except ConnectionLostError as error:
-        if context.now() - asked_at >= remaining - CLOCK_STEP and not lent.pool.is_silent(lent):
-            leaders.write_unanswered(lent.instance, asked_at)
-        doubt = Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST, str(error))
-        request.record_failed_attempt(lent.instance, doubt)
-        return Reply(refusal=doubt)
+        if context.now() - queried_at >= remaining - CLOCK_STEP and not pooled.pool.is_silent(
+            pooled
+        ):
+            leaders.write_unanswered(pooled.instance, queried_at)
+        uncertain = Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST, str(error))
+        request.record_failed_attempt(pooled.instance, uncertain)
+        return Reply(refusal=uncertain)
     finally:
-        lent.give_back()
+        pooled.give_back()
     reply = replies[-1]
     request.release_permit(served=reply.refusal is None)
-    lent.pool.answered(context.now() - asked_at, reply.refusal)
+    pooled.pool.answered(context.now() - queried_at, reply.refusal)
     leaders.write_answered()
     if reply.refusal is None:
         leaders.acknowledged(reply.position)
-        leaders.proven(lent.instance, reply.position, asked_at)
+        leaders.proven(pooled.instance, reply.position, queried_at)
         return reply
     request.record_refused(reply.refusal)
     if reply.refusal.verdict is not Verdict.NOT_RUN:
         return reply
-    request.record_failed_attempt(lent.instance, reply.refusal)
+    request.record_failed_attempt(pooled.instance, reply.refusal)
     if reply.refusal.reason is Reason.STALE_TERM:
-        leaders.denied(lent.instance, "it refused a write")
+        leaders.denied(pooled.instance, "it refused a write")
         return None
     return None if reply.refusal.reason is Reason.QUEUE_FULL else reply
--- a/tests/test_gateway_context.py
+++ b/tests/test_gateway_context.py
@@ -1,4 +1,4 @@
-"""What a node knows of the others that may use a group's leader."""
+"""What a node knows about the other nodes that may use a group's leader."""
 
 import asyncio
 
@@ -23,7 +23,7 @@
 
 
 def view(nodes: int, lost: int = 0) -> MembersView:
-    """So many nodes of one zone, of which the last `lost` are dead."""
+    """Return a view of nodes in one zone, the last `lost` of which are dead."""
     members = {}
     for number in range(nodes):
         spec = NodeSpec(NodeId(f"n{number}"), ZoneId("a"), "home", ADDRESS, ADDRESS, ADDRESS)
@@ -34,29 +34,32 @@
 
 
 @pytest.mark.parametrize(
-    ("members", "expects_others", "asked_after", "asked", "are_all"),
+    ("members", "expects_others", "queried_after", "queried", "is_complete"),
     [
         pytest.param(view(9), True, LATER, 8, True, id="few nodes"),
         pytest.param(view(9), True, SOON, 8, False, id="few nodes, just met"),
-        pytest.param(view(9, lost=3), True, LATER, 8, True, id="lost ones are asked as well"),
+        pytest.param(view(9, lost=3), True, LATER, 8, True, id="lost ones are queried as well"),
         pytest.param(view(1), False, LATER, 0, True, id="one node alone"),
         pytest.param(view(1), True, LATER, 0, False, id="a node that has met none"),
         pytest.param(
             view(MAX_LEADER_USERS + 1), True, LATER, MAX_LEADER_USERS, True, id="at the bound"
         ),
-        pytest.param(view(71), True, LATER, MAX_LEADER_USERS, False, id="more than are asked"),
+        pytest.param(view(71), True, LATER, MAX_LEADER_USERS, False, id="more than are queried"),
     ],
 )
-async def test_the_word_of_all_nodes_counts_only_if_all_are_asked(
+async def test_the_list_of_leader_users_is_complete_only_if_all_nodes_are_known_and_queried(
     members: MembersView,
     expects_others: bool,
-    asked_after: float,
-    asked: int,
-    are_all: bool,
+    queried_after: float,
+    queried: int,
+    is_complete: bool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Found on a grown day of 71 nodes: a change of primary did not wait for leases, as 32 nodes
-    had given the former leader up, and another one wrote to it (ONE 3)."""
+    """With more nodes than are queried, the list must be reported as incomplete.
+
+    Otherwise a change of primary does not wait for leases once 32 of 71 nodes have given the former
+    leader up, and another node writes to it (ONE 3).
+    """
     clock = asyncio.get_running_loop().time()
     monkeypatch.setattr(GatewayContext, "now", staticmethod(lambda: clock))
     place = NodeLocation(NodeId("n0"), ZoneId("a"), "home")
@@ -66,19 +69,19 @@
     context.expects_others = expects_others
     context.configure(RouteTable(1, {}, {GROUP: GroupSettings(GROUP, 53)}))
     context.update_members(members)
-    clock += asked_after
-    nodes, nodes_are_all = context.leader_users(GROUP)
-    assert (len(nodes), nodes_are_all) == (asked, are_all)
+    clock += queried_after
+    nodes, are_all_nodes = context.leader_users(GROUP)
+    assert (len(nodes), are_all_nodes) == (queried, is_complete)
 
 
 class NoPeers(Peers):
-    """Nobody is asked here."""
+    """Sends nothing."""
 
 
-async def test_a_node_serves_by_itself_once_it_has_been_up_for_a_while(
+async def test_a_node_serves_alone_after_the_members_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The time counts from its start, not from its first statement: that waited for as long."""
+    """The timeout counts from the node's start, not from its first statement."""
     monkeypatch.setattr(context_module, "MEMBERS_TIMEOUT", 0.0)
     place = NodeLocation(NodeId("n0"), ZoneId("a"), "home")
     context = GatewayContext(
--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -1,4 +1,4 @@
-"""Statements that a node forwards to the ones that serve their group, over the line wire."""
+"""Statements that a node forwards to the nodes that serve their group, over the line wire."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -19,12 +19,12 @@
 
 NODES = 4
 CONNECTIONS = 10
-"""So few that two nodes serve the group."""
+"""Few enough that two nodes serve the group."""
 
 
 @pytest.fixture(autouse=True)
 def patient(monkeypatch: pytest.MonkeyPatch) -> None:
-    """On a busy machine a node may be silent for long; here only a closed stream is a loss."""
+    """On a busy machine a node may not respond for long; only a closed stream is a loss here."""
     monkeypatch.setattr(forwarding, "PEER_SILENCE_TIMEOUT", FAR_TOO_LONG)
 
 
@@ -42,12 +42,12 @@
 
 @asynccontextmanager
 async def forwarding_world() -> AsyncIterator[tuple[World, int]]:
-    """Four nodes that know each other, and the place of one that does not serve the group."""
+    """Start four nodes that know each other; yield also the index of one not serving the group."""
     async with joined_world(NODES, CONNECTIONS) as world:
-        # A node that knows three of four sees other owners than the rest do.
+        # A node that knows only three of the four computes other owners than the rest.
         await until(lambda: all(knows_all_nodes(node) for node in world.nodes))
         await until(lambda: sum(serves(node) for node in world.nodes) == 2)
-        # One that knows no database yet declines, and is left out for a while.
+        # A node that knows no database yet declines, and is skipped for a while.
         await until(lambda: all(knows_databases(node) for node in world.nodes))
         outside = next(place for place, node in enumerate(world.nodes) if not serves(node))
         yield world, outside
@@ -69,9 +69,12 @@
         assert connections_of(world.nodes[outside]) == 0
 
 
-async def test_a_node_that_serves_a_group_no_more_lets_its_connections_go() -> None:
-    """Found on a grown day: after a start of all nodes each kept one connection that it had opened
-    before it knew the others, and the nodes that served the group got none."""
+async def test_a_node_that_stops_serving_a_group_closes_its_connections() -> None:
+    """A node closes its connections when it stops serving a group.
+
+    After a start of all nodes each kept one connection that it had opened before it knew the
+    others, and the nodes that served the group got none.
+    """
     async with forwarding_world() as (world, _):
         place = next(place for place, node in enumerate(world.nodes) if serves(node))
         client = await world.client("session", place)
@@ -88,8 +91,8 @@
         await until(lambda: connections_of(world.nodes[place]) == 0)
 
 
-async def test_a_node_that_expects_others_waits_a_moment_for_them_before_it_dials() -> None:
-    """Found on a grown day: right after a start of all nodes each dialled every database."""
+async def test_a_node_that_expects_others_waits_for_them_before_it_connects() -> None:
+    """Right after a start of all nodes, each one connected to every database."""
     async with forwarding_world() as (world, outside):
         context = world.nodes[outside].gateway.context
         view = context.owners._members
@@ -98,10 +101,10 @@
             {context.owners.place.zone: (context.owners.place.node,)},
         )
         await until(context._members_known.is_set)
-        # Timers that were set while the node met the others are due before this one.
+        # Timers that were set while the node met the others fire before this one.
         await asyncio.sleep(2 * MEMBERS_QUIET_PERIOD)
-        assert context._patience is not None
-        context._patience.cancel()
+        assert context._members_timer is not None
+        context._members_timer.cancel()
         context.expects_others = True
         context._members_known.clear()
         context.update_members(alone)
@@ -135,7 +138,7 @@
             assert (await client.run("READ parcel")).rows == [str(number)]
 
 
-async def test_values_and_prepared_names_travel_with_each_statement() -> None:
+async def test_session_values_and_prepared_names_are_sent_with_each_statement() -> None:
     async with forwarding_world() as (world, outside):
         first, second = [await world.client("session", outside) for _ in range(2)]
         await first.run("SET zone a")
@@ -166,7 +169,7 @@
         assert (await client.run("READ parcel")).rows == ["1"]
 
 
-async def test_a_caller_that_leaves_rolls_back_at_the_other_node() -> None:
+async def test_a_disconnected_callers_transaction_is_rolled_back_at_the_other_node() -> None:
     async with forwarding_world() as (world, outside):
         client = await world.client("session", outside)
         await client.run("BEGIN")
@@ -196,7 +199,7 @@
         ),
     ],
 )
-async def test_a_lost_answer_of_the_database_is_told_as_without_forwarding(
+async def test_a_lost_answer_of_the_database_is_reported_as_without_forwarding(
     fault: dict[str, Any], statements: list[str], expected: tuple[str, str]
 ) -> None:
     async with forwarding_world() as (world, outside):
--- a/tests/test_gateway_metrics.py
+++ b/tests/test_gateway_metrics.py
@@ -1,4 +1,4 @@
-"""The gateway's figures in the text format of Prometheus."""
+"""The gateway's metrics in the text format of Prometheus."""
 
 import subprocess
 import sys
@@ -39,8 +39,8 @@
         "bramblebeam_leader_changes_total 1.0",
     ],
 )
-def test_the_figures_are_told(text: str, line: str) -> None:
-    found = {_sorted_labels(told) for told in text.splitlines()}
+def test_the_metrics_are_exported(text: str, line: str) -> None:
+    found = {_sorted_labels(exported) for exported in text.splitlines()}
     assert line in found
 
 
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("module", NOT_NEEDED)
-def test_a_node_on_the_platform_starts_without_what_it_does_not_need(module: str) -> None:
-    """All machines may lose power at once: each import is paid for with seconds of service."""
+def test_a_node_on_the_platform_does_not_import_what_it_does_not_need(module: str) -> None:
+    """Each import delays service after a loss of power at all machines."""
     code = f"import sys, bramblebeam.platform.main; sys.exit({module!r} in sys.modules)"
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
--- a/tests/test_lent_connections.py
+++ b/tests/test_lent_connections.py
@@ -216,7 +216,7 @@
         route=route, tenant=NO_TENANT, work=lambda: None, withdrawn=False
     )
     async with asyncio.timeout(FAR_TOO_LONG):
-        answer: Any = await reads._read_patiently(context, request, a_pool("a"), set())
+        answer: Any = await reads._read_with_retries(context, request, a_pool("a"), set())
     assert answer == "answer"
     assert tried == ["a", "b", "a"]
 
--- a/tests/test_meeting_at_databases.py
+++ b/tests/test_meeting_at_databases.py
@@ -1,8 +1,8 @@
-"""Where statements meet, and how many connections each node may hold, where load is decided on.
+"""Which nodes run statements, and how many connections each may hold, where load is decided on.
 
-The load that this answers: demand that is uneven by zone before databases with few slots, regions
-20 ms apart. Six nodes with connections of their own to each database can't order what waits there,
-and a statement from another region holds its connection for 40 ms and more beside its work.
+The load: demand that is uneven by zone, on databases with few slots and regions 20 ms apart. Six
+nodes with connections of their own to each database can't order the statements that wait there, and
+a statement from another region holds its connection for 40 ms and more beside its work.
 """
 
 import asyncio
@@ -60,14 +60,14 @@
 
 
 @pytest.mark.parametrize("leader", MEMBERS)
-async def test_what_only_the_leader_runs_meets_at_one_node_of_its_region(leader: str) -> None:
+async def test_statements_for_the_leader_run_at_one_node_of_its_region(leader: str) -> None:
     found = contexts(leader)
     runners = {context.runners(GROUP, NO_TENANT, True)[0] for context in found.values()}
     assert len(runners) == 1
     assert region(runners.pop()) == int(MEMBERS[leader][5:]) // 2
 
 
-async def test_reads_meet_at_one_node_of_their_callers_region() -> None:
+async def test_reads_run_at_one_node_of_their_callers_region() -> None:
     runners: dict[int, set[NodeId]] = {}
     for node, context in contexts("db-0").items():
         runners.setdefault(region(node), set()).add(context.runners(GROUP, NO_TENANT, False)[0])
@@ -75,7 +75,7 @@
     assert all(region(found.pop()) == number for number, found in runners.items())
 
 
-async def test_a_tenants_reads_meet_there_as_well() -> None:
+async def test_a_tenants_reads_run_there_as_well() -> None:
     for node, context in contexts("db-0", tenants=True).items():
         runners = {context.runners(GROUP, tenant, False)[0] for tenant in TENANTS[:9]}
         assert [region(runner) for runner in runners] == [region(node)]
@@ -118,9 +118,9 @@
     [
         pytest.param(["base", "pool"], True, id="pooled"),
         pytest.param(["base"], False, id="not pooled"),
-        pytest.param(None, False, id="not told"),
-        pytest.param("pool", False, id="no list"),
-        pytest.param([7, {}, "pool"], True, id="with what is no text"),
+        pytest.param(None, False, id="not given"),
+        pytest.param("pool", False, id="not a list"),
+        pytest.param([7, {}, "pool"], True, id="with entries that are not text"),
     ],
 )
 def test_the_settings_switch_the_decisions_under_load_on(policies: object, enabled: bool) -> None:
@@ -132,17 +132,20 @@
 @pytest.mark.parametrize(
     ("failure", "is_avoided"),
     [
-        pytest.param(PeerFailure(True, TIMED_OUT), False, id="late, but heard of"),
-        pytest.param(PeerFailure(True, "the peer is silent"), True, id="silent"),
+        pytest.param(PeerFailure(True, TIMED_OUT), False, id="late, but responsive"),
+        pytest.param(PeerFailure(True, "the peer is silent"), True, id="unresponsive"),
         pytest.param(PeerFailure(False, TIMED_OUT), True, id="never reached"),
-        pytest.param(PeerFailure(False, "declined"), True, id="it serves the group no more"),
+        pytest.param(PeerFailure(False, "declined"), True, id="no longer serves the group"),
     ],
 )
-async def test_a_node_with_a_long_queue_is_not_passed_by(
+async def test_a_node_with_a_long_queue_is_not_bypassed(
     failure: PeerFailure, is_avoided: bool
 ) -> None:
-    """Found on a day with a full leader: hundreds of statements that were late at its node went
-    past its queue to the database for a second each, by nodes that stood in."""
+    """A node that is late but responsive must not be bypassed.
+
+    With a full leader, hundreds of statements that were late at its node went past its queue to the
+    database for a second each, through nodes that stood in for it.
+    """
     found = contexts("db-0")
     node, context = next(iter(found.items()))
     runner = context.runners(GROUP, NO_TENANT, True)[0]
--- a/tests/test_overload_gateway.py
+++ b/tests/test_overload_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway's use of admission, returns, second attempts, withdrawal and transactions' turns."""
+"""The gateway's admission control, retries, second attempts, withdrawal and transaction gates."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -44,7 +44,7 @@
 
 @asynccontextmanager
 async def deciding_world(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[World]:
-    """One node that decides on load."""
+    """Start one node that decides on load."""
     settings = worlds.node_settings
 
     def with_policy(name: str, port: int) -> dict[str, Any]:
@@ -56,7 +56,7 @@
 
 
 async def served_once(world: World, database: str = "latest") -> Any:
-    """Return a client whose write was served: the leader is known."""
+    """Return a client whose write was served, so that the leader is known."""
     client = await world.client(database)
     while (await client.run("WRITE x 1")).code:
         pass
@@ -67,8 +67,8 @@
     return world.nodes[0].gateway.context
 
 
-async def take_all(world: World) -> list[Any]:
-    """Lend all connections to the leader."""
+async def acquire_all(world: World) -> list[Any]:
+    """Acquire all connections to the leader."""
     pool = next(found for found in context_of(world).placement.pools.values() if is_leader(found))
     free = pool.budget.limit(context_of(world).now()) - pool.load
     return [await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG) for _ in range(free)]
@@ -87,7 +87,7 @@
     )
 
 
-# Statements that nobody waits for.
+# Withdrawn statements.
 
 
 @pytest.mark.parametrize("action", [Action.WRITE, Action.READ])
@@ -97,18 +97,18 @@
     async with deciding_world(monkeypatch) as world:
         await served_once(world)
         host = world.nodes[0].gateway.host
-        held = await take_all(world)
-        asked = asyncio.ensure_future(host.serve(SENDER, forwarded(world, "left", action)))
+        held = await acquire_all(world)
+        serving = asyncio.ensure_future(host.serve(SENDER, forwarded(world, "left", action)))
         await until(lambda: context_of(world).placement.pools[MEMBER].load > len(held))  # type: ignore[index]
         host.withdraw(STRANGER, NUMBER)
         host.withdraw(SENDER, NUMBER + 1)
-        assert not asked.done(), "only its sender withdraws it"
+        assert not serving.done(), "only its sender withdraws it"
         host.withdraw(SENDER, NUMBER)
-        refusal = (await asked).reply.refusal
+        refusal = (await serving).reply.refusal
         assert refusal is not None
         assert refusal.verdict is Verdict.NOT_RUN
-        for lent in held:
-            lent.give_back()
+        for pooled in held:
+            pooled.give_back()
         await served_once(world)
         assert world.group.members[MEMBER].runs["left"] == 0
         assert not host.busy
@@ -118,16 +118,16 @@
 async def test_a_withdrawn_write_that_runs_ends_and_ran_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its connection stays: one that is cut while it works has to be opened anew."""
+    """Its connection stays open: a replacement would have to be opened otherwise."""
     async with deciding_world(monkeypatch) as world:
         await served_once(world)
         host = world.nodes[0].gateway.host
         world.proxies[MEMBER].delay = 0.1
-        asked = asyncio.ensure_future(host.serve(SENDER, forwarded(world, "runs")))
+        serving = asyncio.ensure_future(host.serve(SENDER, forwarded(world, "runs")))
         await until(lambda: any(found.is_begun for found in host._statements.values()))
         host.withdraw(SENDER, NUMBER)
         world.proxies[MEMBER].delay = 0.0
-        assert (await asked).reply.refusal is None
+        assert (await serving).reply.refusal is None
         assert world.group.members[MEMBER].runs["runs"] == 1
 
 
@@ -138,31 +138,31 @@
         await served_once(world)
         host = world.nodes[0].gateway.host
         world.group.members[MEMBER].fault.busy = 1_000_000
-        asked = asyncio.ensure_future(host.serve(SENDER, forwarded(world, "busy")))
+        serving = asyncio.ensure_future(host.serve(SENDER, forwarded(world, "busy")))
         await until(lambda: any(found.is_begun for found in host._statements.values()))
         host.withdraw(SENDER, NUMBER)
-        refusal = (await asked).reply.refusal
+        refusal = (await serving).reply.refusal
         assert refusal is not None
         assert refusal.verdict is Verdict.NOT_RUN
         assert world.group.members[MEMBER].runs["busy"] == 0
 
 
 class RecordingPeers:
-    """Answers as told, and keeps what it is told to send."""
+    """Returns a fixed answer, and records what it sends."""
 
     def __init__(self, answer: Any) -> None:
         self.answer = answer
-        self.asked: list[ForwardedStatement] = []
-        self.told: list[Any] = []
+        self.requests: list[ForwardedStatement] = []
+        self.sent: list[Any] = []
 
     async def ask(self, node: NodeId, message: ForwardedStatement, *bounds: float) -> Any:
-        self.asked.append(message)
+        self.requests.append(message)
         if self.answer is None:
             await asyncio.Event().wait()
         return self.answer
 
     def tell(self, node: NodeId, message: Any) -> None:
-        self.told.append(message)
+        self.sent.append(message)
 
 
 @pytest.mark.parametrize("enabled", [True, False])
@@ -176,7 +176,7 @@
         pytest.param(ForwardedReply(Reply(), declined=True), False, id="declined"),
     ],
 )
-async def test_the_node_that_holds_a_statement_is_told_that_nobody_waits(
+async def test_a_statement_is_withdrawn_at_its_node_when_no_caller_waits(
     answer: Any, withdrawn: bool, enabled: bool
 ) -> None:
     peers = RecordingPeers(answer)
@@ -188,12 +188,12 @@
     statement = Statement(Action.READ, "", "x")
     message = ForwardedStatement(ROUTE, "id", statement, None, {}, time_left=1.0)
     asking = asyncio.ensure_future(forwarder.send(SENDER, request, message))
-    await until(lambda: bool(peers.asked))
+    await until(lambda: bool(peers.requests))
     if answer is None:
         asking.cancel()
     await asyncio.wait({asking})
-    expected = [StatementWithdrawn(peers.asked[0].number)] if withdrawn and enabled else []
-    assert peers.told == expected
+    expected = [StatementWithdrawn(peers.requests[0].number)] if withdrawn and enabled else []
+    assert peers.sent == expected
     assert request.passed_on
 
 
@@ -208,16 +208,16 @@
     message = ForwardedStatement(ROUTE, "id", statement, None, {}, time_left=1.0)
     for _ in range(20):
         await forwarder.send(SENDER, request, message)
-    numbers = {asked.number for asked in peers.asked}
+    numbers = {message.number for message in peers.requests}
     assert len(numbers) == 20
     assert 0 not in numbers
 
 
-# Admission and returns.
+# Admission and retries.
 
 
-class ToldWait:
-    """Tells the same wait each time."""
+class FixedWait:
+    """Reports the same wait each time."""
 
     def __init__(self, wait: float, now: Callable[[], float]) -> None:
         self._wait = wait
@@ -242,7 +242,7 @@
     async with deciding_world(monkeypatch) as world:
         client = await served_once(world)
         context = context_of(world)
-        context.load.known = ToldWait(wait, context.now)
+        context.load.known = FixedWait(wait, context.now)
         answer = await client.run(text)
         assert answer.code == code
         assert ("retry after" in answer.text) == bool(code)
@@ -253,25 +253,25 @@
         assert refused in figures
 
 
-async def test_refusals_tell_moments_in_their_order(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_refusals_advise_retry_times_in_their_order(monkeypatch: pytest.MonkeyPatch) -> None:
     async with deciding_world(monkeypatch) as world:
         client = await served_once(world)
         context = context_of(world)
-        context.load.known = ToldWait(3.0, context.now)
+        context.load.known = FixedWait(3.0, context.now)
         moments = record_retries(monkeypatch)
         for _ in range(5):
             text = (await client.run("READ x")).text
             assert f"retry after {round(moments[-1].after * 1000)} ms" in text
-        told = [found.retry_at for found in moments]
-        assert told == sorted(told)
-        assert len(set(told)) == 5
+        retry_times = [found.retry_at for found in moments]
+        assert retry_times == sorted(retry_times)
+        assert len(set(retry_times)) == 5
 
 
-async def test_nothing_is_refused_early_where_load_is_not_decided_on() -> None:
+async def test_nothing_is_refused_early_without_admission_control() -> None:
     async with proxied_world() as world:
         client = await served_once(world)
         context = context_of(world)
-        context.load.known = ToldWait(30.0, context.now)
+        context.load.known = FixedWait(30.0, context.now)
         assert (await client.run("READ x")).code == ""
 
 
@@ -290,7 +290,7 @@
         context = context_of(world)
         clock = context.now()
         monkeypatch.setattr(GatewayContext, "now", staticmethod(lambda: clock))
-        context.load.known = ToldWait(wait, context.now)
+        context.load.known = FixedWait(wait, context.now)
         request: Any = SimpleNamespace(route=ROUTE, identifier="id", writes=False)
         answers = [context.load.may_try_again(request) for _ in range(50)]
         assert sum(answers) == granted
@@ -299,27 +299,27 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "kept"),
+    ("given", "kept"),
     [(2, 2), (None, 0), (0, 0), (-3, 0), ("many", 0), (1.5, 0), (True, 0)],
 )
-def test_a_routes_bound_of_attempts_is_read_or_left_out(told: object, kept: int) -> None:
-    content = configuration(1, {"latest": {"route_type": "primary", "max_attempts": told}}, 36)
+def test_a_routes_bound_of_attempts_is_parsed_or_ignored(given: object, kept: int) -> None:
+    content = configuration(1, {"latest": {"route_type": "primary", "max_attempts": given}}, 36)
     assert parse_table(content).routes["latest"].most_attempts == kept
 
 
-@pytest.mark.parametrize(("told", "most"), [(0, 3), (1, 1), (2, 2), (9, 3)])
+@pytest.mark.parametrize(("given", "most"), [(0, 3), (1, 1), (2, 2), (9, 3)])
 async def test_a_route_may_bound_a_reads_attempts_further(
-    told: int, most: int, monkeypatch: pytest.MonkeyPatch
+    given: int, most: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with deciding_world(monkeypatch) as world:
-        request: Any = SimpleNamespace(route=ROUTE._replace(most_attempts=told))
+        request: Any = SimpleNamespace(route=ROUTE._replace(most_attempts=given))
         assert context_of(world).load.most_attempts(request, 3) == most
 
 
-# Transactions' turns.
+# Transaction gates.
 
 
-MOST = 4
+MAX_CONNECTIONS = 4
 """Connections: the fourth transaction makes them scarce, and three may be open then."""
 
 
@@ -327,7 +327,7 @@
     load = SimpleNamespace(come_back=lambda request, room_in: 1)
     metrics = SimpleNamespace(refused_early=lambda cause: None)
     context: Any = SimpleNamespace(now=now, load=load, metrics=metrics)
-    return DatabaseGate(context, make_pool(MOST), OpenTransactions())
+    return DatabaseGate(context, make_pool(MAX_CONNECTIONS), OpenTransactions())
 
 
 def begins(tenant: TenantId = ACME, hold_until: float = FAR_TOO_LONG) -> Any:
@@ -337,7 +337,7 @@
 async def open_all(found: DatabaseGate) -> list[tuple[GateAdmission, Any]]:
     """Open as many transactions as there are connections."""
     opened = []
-    for _ in range(MOST):
+    for _ in range(MAX_CONNECTIONS):
         place = await found.enter(begins())
         assert isinstance(place, GateAdmission)
         opened.append((place, await found.pool.acquire(ACME, NO_STATE, FAR_TOO_LONG)))
@@ -350,21 +350,21 @@
     waiting = asyncio.ensure_future(found.enter(begins()))
     await asyncio.sleep(0)
     assert not waiting.done()
-    place, lent = opened.pop()
-    lent.give_back()
+    place, pooled = opened.pop()
+    pooled.give_back()
     place.release()
     place.release()
     assert isinstance(await waiting, GateAdmission)
 
 
-async def test_connections_that_statements_give_back_let_a_transaction_begin(
+async def test_connections_released_by_statements_let_a_transaction_begin(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(transaction_gates, "REVIEW_SECONDS", 0.0)
     found = gate()
-    for _ in range(MOST - 1):
+    for _ in range(MAX_CONNECTIONS - 1):
         assert isinstance(await found.enter(begins()), GateAdmission)
-    held = [await found.pool.acquire(BOLT, NO_STATE, FAR_TOO_LONG) for _ in range(MOST)]
+    held = [await found.pool.acquire(BOLT, NO_STATE, FAR_TOO_LONG) for _ in range(MAX_CONNECTIONS)]
     waiting = asyncio.ensure_future(found.enter(begins()))
     await asyncio.sleep(0)
     assert not waiting.done()
@@ -372,7 +372,7 @@
     assert isinstance(await waiting, GateAdmission)
 
 
-async def test_one_whose_turn_comes_too_late_is_refused_as_not_run() -> None:
+async def test_a_transaction_whose_turn_comes_too_late_is_refused_as_not_run() -> None:
     found = gate()
     await open_all(found)
     refused = await found.enter(begins(hold_until=0.0))
@@ -382,14 +382,14 @@
 
 
 @pytest.mark.parametrize("leaves_when", ["before", "just before", "as its turn comes"])
-async def test_a_caller_that_leaves_holds_nobody_up(leaves_when: str) -> None:
+async def test_a_caller_that_disconnects_does_not_block_others(leaves_when: str) -> None:
     found = gate()
     opened = await open_all(found)
     leaves = asyncio.ensure_future(found.enter(begins()))
     stays = asyncio.ensure_future(found.enter(begins()))
     await asyncio.sleep(0)
-    place, lent = opened.pop()
-    lent.give_back()
+    place, pooled = opened.pop()
+    pooled.give_back()
     if leaves_when == "as its turn comes":
         place.release()
         leaves.cancel()
@@ -399,10 +399,10 @@
             await asyncio.wait({leaves})
         place.release()
     assert isinstance(await stays, GateAdmission)
-    assert found._gate.open == MOST
+    assert found._gate.open == MAX_CONNECTIONS
 
 
-async def test_a_transaction_gives_its_place_back_however_it_ends(
+async def test_a_transaction_releases_its_admission_however_it_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with deciding_world(monkeypatch) as world:
@@ -420,7 +420,7 @@
             await until(lambda: node.count == 0)
 
 
-async def test_statements_inside_a_transaction_do_not_wait_for_a_turn(
+async def test_statements_of_an_open_transaction_do_not_wait_at_the_gate(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with deciding_world(monkeypatch) as world:
@@ -428,9 +428,9 @@
         await client.run("BEGIN")
         assert (await client.run("WRITE x 4")).code == ""
         context = context_of(world)
-        context.load.known = ToldWait(30.0, context.now)
-        held = await take_all(world)
+        context.load.known = FixedWait(30.0, context.now)
+        held = await acquire_all(world)
         assert (await client.run("WRITE x 5")).code == ""
         assert (await client.run("COMMIT")).code == ""
-        for lent in held:
-            lent.give_back()
+        for pooled in held:
+            pooled.give_back()
--- a/tests/test_overload_read_path.py
+++ b/tests/test_overload_read_path.py
@@ -1,7 +1,7 @@
-"""Reads past a database that is ejected, behind or silent: three nodes, each near a database.
+"""Reads past a database that is ejected, behind or unresponsive: three nodes, each near a database.
 
-The trouble that this answers: a replica that hangs or fails takes its region's reads with it, and a
-replica that is far behind sends all of them to the leader, which is needed for writes.
+Guards against two failures: a replica that hangs or fails takes the reads of its region with it,
+and a replica that is far behind sends all of them to the leader, which is needed for writes.
 """
 
 from __future__ import annotations
@@ -31,18 +31,18 @@
 
 CONNECTIONS = 49
 LEADER, NEAR, OTHER = MEMBERS
-"""The callers' node is near the second one."""
+"""The callers' node is near the second database."""
 NODE = MEMBERS.index(NEAR)
 
 
 @pytest.fixture(autouse=True)
 def patient(monkeypatch: pytest.MonkeyPatch) -> None:
-    """On a busy machine a node may be silent for long; here only a closed stream is a loss."""
+    """On a busy machine a node may not respond for long; only a closed stream is a loss here."""
     monkeypatch.setattr(forwarding, "PEER_SILENCE_TIMEOUT", FAR_TOO_LONG)
 
 
 def settings_near(name: str, platform_port: int) -> dict[str, Any]:
-    """Each node is in a region of its own, in the zone of one of the databases."""
+    """Return settings that put each node into a region of its own, in the zone of one database."""
     member = MEMBERS[int(name.rpartition("-")[2])]
     place = {"zone": f"zone-{member}", "region": f"region-{member}", "policies": ["pool"]}
     return {**node_settings(name, platform_port), **place}
@@ -50,7 +50,7 @@
 
 @asynccontextmanager
 async def three_regions(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[World]:
-    """Nodes that know each other and their databases, after a read at each region."""
+    """Start nodes that know each other and their databases, and read once in each region."""
     monkeypatch.setattr(world_module, "node_settings", settings_near)
     async with joined_world(len(MEMBERS), CONNECTIONS) as world:
         await until(lambda: all(knows_all(node) for node in world.nodes))
@@ -72,14 +72,14 @@
     return found
 
 
-def standing(world: World, name: str) -> EjectionState:
-    """Return how a database stands at the callers' node."""
+def ejection_state(world: World, name: str) -> EjectionState:
+    """Return the ejection state of a database at the callers' node."""
     now = asyncio.get_running_loop().time()
     return targets(world)._ejector.state(InstanceId(name), now)
 
 
 async def read(world: World, times: int = 1) -> list[str]:
-    """Return the codes of reads at the callers' node, one after the other."""
+    """Run reads at the callers' node one after the other; return their codes."""
     reader = await world.client("bounded", NODE)
     return [(await reader.run("READ parcel")).code for _ in range(times)]
 
@@ -89,10 +89,10 @@
 ) -> None:
     async with three_regions(monkeypatch) as world:
         assert await read(world, 20) == [""] * 20
-        assert not world.nodes[NODE].gateway.context.metrics._reads_passed_on
+        assert not world.nodes[NODE].gateway.context.metrics._reads_forwarded
 
 
-async def test_answers_of_other_nodes_tell_the_loads_of_their_databases(
+async def test_replies_of_other_nodes_report_the_loads_of_their_databases(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with three_regions(monkeypatch) as world:
@@ -103,12 +103,14 @@
         for _ in range(10):
             assert (await leaders_reader.run("READ parcel")).code == ""
         assert (await writer.run("WRITE parcel last")).code == ""
-        told = targets(world)._told.find(InstanceId(LEADER), asyncio.get_running_loop().time())
-        assert told is not None
-        assert told.load.usable
+        report = targets(world)._reported.find(
+            InstanceId(LEADER), asyncio.get_running_loop().time()
+        )
+        assert report is not None
+        assert report.load.usable
 
 
-async def test_a_silent_database_is_passed_over_and_comes_back(
+async def test_an_unresponsive_database_is_ejected_and_returns_to_service(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with three_regions(monkeypatch) as world:
@@ -121,14 +123,14 @@
         member.fault.silent = False
 
         async with asyncio.timeout(FAR_TOO_LONG):
-            while standing(world, NEAR) is not EjectionState.IN_SERVICE:
+            while ejection_state(world, NEAR) is not EjectionState.IN_SERVICE:
                 assert await read(world) == [""]
 
 
-async def test_a_read_that_was_passed_on_to_a_silent_database_is_refused_at_once(
+async def test_a_read_forwarded_to_an_unresponsive_database_is_refused_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its sender turns to another database, which it can't do while it waits for an answer."""
+    """The sender can try another database, but not while it waits for an answer."""
     async with three_regions(monkeypatch) as world:
         now = asyncio.get_running_loop().time()
         far = world.nodes[MEMBERS.index(OTHER)].gateway.context
@@ -143,7 +145,7 @@
         assert await read(world, 5) == [""] * 5
 
 
-async def test_replicas_that_are_far_behind_leave_reads_to_those_that_are_not(
+async def test_reads_avoid_replicas_that_are_far_behind(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with three_regions(monkeypatch) as world:
