--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -1,4 +1,4 @@
-"""Callers on the users' platform: a node between the line wire, the databases and the store."""
+"""Callers on the users' platform: a node with the line wire, the databases and the store."""
 
 import asyncio
 import contextlib
@@ -73,9 +73,12 @@
         assert b'bramblebeam_reads_total{role="%s"} 5.0' % role in text
 
 
-async def test_a_read_within_its_bound_is_not_sent_to_be_refused() -> None:
-    """Found on quiet days: one read in ten asked a replica for commits that its bound allows it to
-    lack, was refused, and was sent again."""
+async def test_a_read_within_its_bound_is_not_refused_as_behind() -> None:
+    """A read's floor may not be newer than its staleness bound requires.
+
+    One read in ten asked a replica for commits that its bound allows it to lack, was refused and
+    was sent again.
+    """
     async with running_world() as world:
         reader = await world.client("bounded")
         await own_write(world, "parcel", "old")
@@ -92,10 +95,10 @@
 
 
 @pytest.mark.parametrize("begin", [[], ["BEGIN READ"]], ids=["alone", "in a transaction"])
-async def test_a_read_that_is_given_up_while_it_waits_for_its_floor_holds_no_connection(
+async def test_a_read_that_is_cancelled_while_it_waits_for_its_floor_holds_no_connection(
     begin: list[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Read in the code: the connection was taken by then, and nobody gave it back."""
+    """The connection was acquired by then, and was never released."""
     async with running_world() as world:
         client = await world.client("session")
         assert (await client.run("READ parcel")).code == ""
@@ -124,7 +127,7 @@
 
 
 async def test_a_session_never_reads_backwards() -> None:
-    """Read in the code: a read went to a replica that lacked what the session had read before."""
+    """A read must not go to a replica that lacks what the session has read before."""
     async with running_world() as world:
         reader = await world.client("bounded")
         await own_write(world, "parcel", "old")
@@ -160,7 +163,7 @@
         assert sum(runs) == 1
 
 
-async def test_a_busy_database_is_asked_again_and_the_write_runs_once() -> None:
+async def test_a_write_is_retried_at_a_busy_database_and_runs_once() -> None:
     async with running_world() as world:
         client = await world.client("session")
         world.group.primary.fault.busy = 3
@@ -168,7 +171,7 @@
         assert world.group.primary.runs[client.last_identifier] == 1
 
 
-async def test_a_refusal_says_when_to_come_back() -> None:
+async def test_a_refusal_says_when_to_retry() -> None:
     async with running_world() as world:
         world.configure(2, session={"route_type": "self_managed", "timeout_ms": 100})
         client = await world.client("session")
@@ -197,7 +200,7 @@
 
 @pytest.mark.parametrize("end", ["COMMIT", "ROLLBACK"])
 async def test_a_connection_keeps_nothing_of_a_transaction_that_ended(end: str) -> None:
-    """Found in CI beside load: a read at the leader, on the connection of the transaction."""
+    """A read at the leader follows on the connection of the transaction."""
     async with running_world() as world:
         client = await world.client("latest")
         await client.run("WRITE parcel 1")
@@ -233,7 +236,7 @@
         assert (answer.code, answer.state) == ("INDOUBT", "I")
 
 
-async def test_a_lost_commit_of_nothing_written_is_no_doubt() -> None:
+async def test_a_lost_commit_without_a_write_is_not_in_doubt() -> None:
     async with running_world() as world:
         client = await world.client("latest")
         await client.run("BEGIN")
@@ -242,7 +245,7 @@
         assert (await client.run("COMMIT")).code == "ABORTED"
 
 
-async def test_a_caller_that_leaves_rolls_back() -> None:
+async def test_a_disconnected_callers_transaction_is_rolled_back() -> None:
     async with running_world() as world:
         client = await world.client("session")
         await client.run("BEGIN")
@@ -377,7 +380,7 @@
         assert (await client.run("READ parcel")).rows == ["2"]
 
 
-async def test_a_lost_answer_of_the_lease_is_settled_by_reading_back() -> None:
+async def test_a_lost_answer_of_the_lease_is_resolved_by_reading_back() -> None:
     async with running_world() as world:
         client = await world.client("session")
         await client.run("WRITE parcel 1")
@@ -414,7 +417,7 @@
 
 
 async def test_an_order_without_an_answer_is_repeated_for_the_same_member() -> None:
-    """Found by the model: the first order may be carried out yet, and then no other may lead."""
+    """The first order may still be carried out, so that no other member may be promoted."""
     async with running_world() as world:
         client = await world.client("session")
         await client.run("WRITE parcel 1")
@@ -432,8 +435,8 @@
         assert tokens == sorted(set(tokens))
 
 
-async def test_a_change_of_primary_without_the_store_is_told_when_the_store_is_back() -> None:
-    """Found by a hunt (STALE 486): another node took the lease over and knew of no change."""
+async def test_a_change_of_primary_without_the_store_is_recorded_when_the_store_is_back() -> None:
+    """Another node that takes the lease over must learn of the change (STALE 486)."""
     async with running_world() as world:
         client = await lease_holder_client(world)
         world.platform.fault.status = 503
@@ -480,7 +483,7 @@
 
 
 async def test_a_caller_that_comes_while_the_node_stops_has_its_first_statement_answered() -> None:
-    """Found in two incidents: new sessions were closed behind READY, before they could ask."""
+    """New sessions were closed after READY, before they could send a statement (two incidents)."""
     async with running_world() as world:
         await own_write(world, "parcel", "1")
         draining = asyncio.ensure_future(world.nodes[0].kernel.drain())
@@ -496,9 +499,9 @@
 async def test_a_node_waits_for_a_caller_that_has_connected_and_said_nothing_yet(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Found in a hunt: such a caller's first request was under way when the node ended."""
+    """Such a caller's first request was in flight when the node ended."""
     monkeypatch.setattr(caller_listener, "_FIRST_QUESTION_SECONDS", FAR_TOO_LONG)
-    # The node listens for long enough that this process may stand still before it connects.
+    # The node accepts callers long enough for this process to be suspended before it connects.
     monkeypatch.setattr(gateway_service, "LAST_ARRIVALS_SHARE", 3.0 / FAR_TOO_LONG)
     async with running_world() as world:
         await own_write(world, "parcel", "1")
@@ -521,7 +524,7 @@
 
 
 @pytest.mark.parametrize("line", ["QUERY 1 READ a", "HELLO", "", "START nowhere x"])
-async def test_what_is_not_expected_ends_the_connection(line: str) -> None:
+async def test_an_unexpected_line_ends_the_connection(line: str) -> None:
     async with running_world() as world:
         (await world.client()).close()
         client = await LineClient.connect(world.nodes[0].callers.port)
@@ -531,7 +534,7 @@
 
 
 @pytest.mark.parametrize("data", [b"\xff\xfe\r\n", b"x" * (1 << 21)])
-async def test_bytes_that_are_no_line_end_the_connection(data: bytes) -> None:
+async def test_bytes_that_are_not_a_line_end_the_connection(data: bytes) -> None:
     async with running_world() as world:
         (await world.client()).close()
         client = await LineClient.connect(world.nodes[0].callers.port)
@@ -541,7 +544,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "READ", "PREPARE s1 shape", "DROP all", "SET"])
-async def test_a_text_that_is_no_statement_is_refused_and_the_session_goes_on(text: str) -> None:
+async def test_a_text_that_is_no_statement_is_refused_and_the_session_continues(text: str) -> None:
     async with running_world() as world:
         client = await world.client()
         assert (await client.run(text)).code == "MALFORMED"
@@ -565,8 +568,10 @@
 
 
 async def test_a_synchronous_group_promotes_no_log_that_lacks_an_acknowledged_commit() -> None:
-    """Found by the soak on processes with seed 3016: one replica received nothing, the one that had
-    the commits left, and the leader crashed. The first one was promoted without them."""
+    """One replica receives nothing, the one that has the commits leaves, and the leader crashes.
+
+    The first replica was promoted without the commits (soak on processes, seed 3016).
+    """
     async with running_world() as world:
         members = world.group.members
         client = await world.client("session")
--- a/tests/test_queue_view.py
+++ b/tests/test_queue_view.py
@@ -1,4 +1,4 @@
-"""What an operator sees of the queues before databases."""
+"""The queues before databases, as shown to an operator."""
 
 import json
 from typing import Any
@@ -33,7 +33,7 @@
         assert queue_rows(pools(world).values()) == []
 
 
-async def test_the_command_asks_nodes_and_names_those_that_do_not_answer() -> None:
+async def test_the_command_queries_nodes_and_lists_those_that_do_not_answer() -> None:
     row = {"group": "g", "instance": "db", "waiting": 7, "wait_ms": 40}
 
     def body_of(path: str) -> bytes:
--- a/tests/test_session_order.py
+++ b/tests/test_session_order.py
@@ -1,19 +1,11 @@
-"""A session reads its own commits, whatever the clock shows.
-
-The incident: a session's commit was acknowledged, and the session's next read, tens of milliseconds
-later, ran on a replica that lacked just this commit. It came in one run of many, and not again when
-that run was repeated. There was no change of primary and no other fault.
-
-How it came about: a node asked the leader for a proof, which showed the position before the commit.
-The commit was made right then, and its answer reached the node within the same millisecond. The
-loop's clock moves in whole milliseconds, so that both carried the same time. Which of the two was
-the later one was told by comparing these times, and at a tie the smaller position was taken for the
-floor of the session's reads. The next proof, 0.3 s later at most, ended it; a replica that had the
-commit by then hid it.
-
-What proved it: with a line for each floor below what its session had observed, 2 of 24 recorded
-runs showed one, each at an exact tie, one commit too low, and gone at the next proof. The tests
-here hold the clock still over the proof, the commit and the read.
+"""A session reads its own commits, also if a proof and a commit carry the same time.
+
+Guards against a read that ran on a replica without the session's last commit. A node asked the
+leader for a proof, which showed the position before the commit; the commit's answer reached the
+node within the same millisecond, and the event loop's clock moves in whole milliseconds. At the tie
+the smaller position became the floor of the session's reads, until the next proof 0.3 s later at
+most. It showed in 2 of 24 recorded runs, each at an exact tie and one commit too low. The tests
+hold the clock still over the proof, the commit and the read.
 """
 
 import math
@@ -56,14 +48,14 @@
 OTHER = "orders"
 NODES = 3
 FEW_CONNECTIONS = 10
-"""So few that two nodes serve the group, and the third one forwards."""
+"""Few enough that two nodes serve the group, and the third one forwards."""
 LEASE_LEFT = 0.3
-"""The lease must outlast the standing clock by so much, as nothing renews it then (seconds)."""
+"""The lease, which nothing renews then, must outlast the stopped clock by this (seconds)."""
 
 
 @pytest.fixture(autouse=True)
 def no_pauses(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No timer fires while the clock stands still."""
+    """No timer fires while the clock is stopped."""
     monkeypatch.setattr(transaction, "BUSY_PAUSE", 0.0)
 
 
@@ -98,7 +90,7 @@
 
 
 def trackers(world: World) -> list[LeaderTracker]:
-    """The trackers of the nodes that follow the group's leader."""
+    """Return the trackers of the nodes that follow the group's leader."""
     contexts = [node.gateway.context for node in world.nodes]
     return [context.leader(GroupId(GROUP)) for context in contexts if GROUP in context._leaders]
 
@@ -147,18 +139,18 @@
             assert await run_all(session, read) == ["new"]
 
 
-def forwarded(key: str, position: Position, **told: float) -> ForwardedStatement:
+def forwarded(key: str, position: Position, **fields: float) -> ForwardedStatement:
     route = Route("r", "session", GroupId(GROUP), Consistency.SESSION, 4.0, 1.0, staleness=60.0)
     read = Statement(Action.READ, body=key)
-    values: dict[str, float] = {"time_left": 4.0, **told}
+    values: dict[str, float] = {"time_left": 4.0, **fields}
     return ForwardedStatement(
         route, "forwarded-1", read, None, {}, observed_position=position, **values
     )
 
 
 @pytest.mark.parametrize("age", [0.0, 0.001, 0.1, 4.0], ids=["exact", "step", "pause", "freeze"])
-async def test_a_forwarded_session_reads_its_commit_whatever_age_is_told(age: float) -> None:
-    """A node rounds an age, and tells it too large where it stood still meanwhile."""
+async def test_a_forwarded_session_reads_its_commit_whatever_age_is_reported(age: float) -> None:
+    """A node rounds the age, and reports too large an age after it was suspended."""
     async with running_world() as world:
         other = await world.client("latest")
         await run_all(other, ["WRITE parcel old", "READ parcel"])
@@ -171,7 +163,7 @@
 
 
 @pytest.mark.parametrize(
-    ("position", "told"),
+    ("position", "fields"),
     [
         pytest.param(Position(1, 1), {"time_left": math.nan}, id="time that is no number"),
         pytest.param(Position(1, 1), {"time_left": math.inf}, id="time without end"),
@@ -182,11 +174,11 @@
     ],
 )
 async def test_a_forwarded_statement_with_unsound_numbers_is_declined(
-    position: Position, told: dict[str, float], caplog: pytest.LogCaptureFixture
+    position: Position, fields: dict[str, float], caplog: pytest.LogCaptureFixture
 ) -> None:
     async with running_world() as world:
         host = StatementHost(world.nodes[0].gateway.context)
-        assert (await host.serve(PEER, forwarded("parcel", position, **told))).declined
+        assert (await host.serve(PEER, forwarded("parcel", position, **fields))).declined
         assert sum("is no such thing" in line for line in caplog.messages) == 1
 
 
@@ -204,7 +196,7 @@
         ),
     ],
 )
-def test_what_a_session_observed_never_falls(reply: Reply, kept: Position) -> None:
+def test_the_observed_position_never_decreases(reply: Reply, kept: Position) -> None:
     request = a_request(Position(1, 8))
     request.record_observed(reply)
     assert request.observed == kept
@@ -213,7 +205,7 @@
 
 @dataclass
 class ObservingSession:
-    """What a statement knows of its session."""
+    """The session of a statement, as far as the checks read it."""
 
     observed: dict[GroupId, Position]
     state: SessionState = field(default_factory=SessionState)
@@ -221,9 +213,9 @@
 
 
 def a_request(observed: Position) -> Request:
-    told = forwarded("parcel", observed)
+    message = forwarded("parcel", observed)
     session = ObservingSession({GroupId(GROUP): observed})
-    return Request(session, told.route, "id", told.statement, None, 0.0, GatewayMetrics())
+    return Request(session, message.route, "id", message.statement, None, 0.0, GatewayMetrics())
 
 
 @pytest.mark.parametrize(
@@ -235,13 +227,13 @@
         pytest.param(check_answer, Position(1, 2), "answer", 0, id="answer at it"),
         pytest.param(check_commit, Position(1, 9), "commit", 1, id="commit"),
         pytest.param(check_commit, Position(1, 1), "commit", 0, id="commit beyond it"),
-        # A leader of term 1 is proven: what term 0 committed may be gone.
+        # A leader of term 1 is proven: commits of term 0 may have been rolled back.
         pytest.param(check_floor, Position(0, 9), "floor", 0, id="floor, former term"),
         pytest.param(check_answer, Position(0, 9), "answer", 0, id="answer, former term"),
         pytest.param(check_commit, Position(0, 9), "commit", 0, id="commit, former term"),
     ],
 )
-async def test_what_is_behind_its_session_is_counted(
+async def test_violations_of_session_order_are_counted(
     watch: Callable[..., None], observed: Position, name: str, count: int
 ) -> None:
     async with running_world() as world:
@@ -258,7 +250,7 @@
 
 
 def counted(metrics: GatewayMetrics) -> dict[str, int]:
-    """Return what the figures tell; one that is not told yet would hide its first increase."""
+    """Return the exported counters; one that is not exported would hide its first increase."""
     lines = metrics.text().decode().splitlines()
     found = [
         re.match(r'bramblebeam_session_order_broken_total{where="(\w+)"} (\d+)', it) for it in lines
@@ -280,7 +272,7 @@
 async def test_no_answer_is_given_that_is_behind_its_session(
     observed: Position, begin: list[str]
 ) -> None:
-    """No database has what the session observed: its leader is one of another term."""
+    """No database has what the session observed, because the leader is of another term."""
     async with running_world() as world:
         world.configure(2, session={**ROUTES["session"], "timeout_ms": 400})
         context = world.nodes[0].gateway.context
@@ -295,7 +287,7 @@
 
 
 async def test_a_session_whose_route_goes_to_another_group_is_served_by_its_replicas() -> None:
-    """What was observed of one group's log is no position of another one's."""
+    """A position observed in one group's log has no meaning in another group's log."""
     async with running_world() as world:
         other = LineGroup(OTHER)
         await other.start(["or-a", "or-b", "or-c"])
@@ -319,7 +311,7 @@
 
 
 async def test_no_alarm_while_a_promotion_is_not_known_yet() -> None:
-    """A replica that was ahead is rolled back under an open transaction: no fault of the node."""
+    """The rollback of a replica that was ahead, under an open transaction, is no violation."""
     async with running_world() as world:
         session = await world.client("session")
         await run_all(session, ["WRITE parcel old", "READ parcel"])
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -1,7 +1,7 @@
-"""Open connections that go silent for good while new ones work: each kind that a node keeps.
+"""Open connections that stop delivering for good while new ones work, for each kind of connection.
 
-What is asserted is the order of things: what is served while the silenced connection still would
-be waited for, on which connection, and with which verdict. Nothing is measured by the clock.
+The tests assert the order of events: what is served while the unresponsive connection would still
+be waited for, on which connection, and with which verdict. No times are measured.
 """
 
 from __future__ import annotations
@@ -57,11 +57,11 @@
     "bounded": {"route_type": "bounded", "max_staleness_ms": 600_000, "timeout_ms": 600_000},
     "session": {"route_type": "self_managed", "max_staleness_ms": 60_000, "timeout_ms": 600_000},
 }
-"""Statements whose own time is over long after every test: no answer owes anything to it."""
+"""Statement timeouts beyond every test, so that no answer is due to a statement's timeout."""
 SHORTEST_CONTACT = 4.0
-"""The shortest `contact_ms` that was seen (seconds): so long after the connections of a node went
-silent, changes of the configuration have no time to reach it."""
-IN_VAIN = 15.0
+"""The shortest `contact_ms` observed (seconds). For this long after a node's connections stopped
+delivering, it is not expected to have received configuration changes."""
+MISSING_AFTER = 15.0
 """Seconds after which an answer counts as missing; nothing is measured by it."""
 
 
@@ -70,7 +70,7 @@
 
 @asynccontextmanager
 async def peers_through_proxy() -> AsyncIterator[tuple[Peer, Peer, TcpProxy]]:
-    """Two nodes; the first one reaches the second one through a proxy."""
+    """Start two nodes; the first one reaches the second one through a proxy."""
     async with started("a", "b") as (a, b), proxied(b.address.port) as proxy:
         b.address = Address("127.0.0.1", proxy.port)
         introduce(a, b)
@@ -79,7 +79,7 @@
 
 
 async def test_a_silent_stream_to_a_peer_is_replaced() -> None:
-    """One request is lost by the silence, not each that follows."""
+    """The silence costs one request, not each following one."""
     async with peers_through_proxy() as (a, _b, proxy):
         (struck,) = proxy.silence()
         lost = await a.ask("b", timeout=FAR_TOO_LONG, silence=0.2)
@@ -101,7 +101,7 @@
 
 
 async def test_the_other_node_answers_on_the_new_stream() -> None:
-    """The stream that the first node replaced is the one that the second one used."""
+    """The second node used the stream that the first one replaced."""
     async with peers_through_proxy() as (a, b, proxy):
         assert isinstance(await b.ask("a"), PositionReply)
         proxy.silence()
@@ -110,8 +110,8 @@
         assert isinstance(await b.ask("a", timeout=FAR_TOO_LONG, silence=0.2), PositionReply)
 
 
-async def test_streams_that_were_not_heard_since_are_replaced_too() -> None:
-    """They fell silent together: a second request loses no time on another one."""
+async def test_streams_without_data_since_then_are_replaced_too() -> None:
+    """They stopped delivering together: a second request loses no time on another one."""
     async with (
         started("a", "b", "c") as (a, b, c),
         proxied(b.address.port) as to_b,
@@ -126,12 +126,12 @@
         to_c.silence()
         lost = await a.ask("b", timeout=FAR_TOO_LONG, silence=0.2)
         assert lost == PeerFailure(sent=True, detail="the peer is silent")
-        assert isinstance(await a.ask("c", timeout=IN_VAIN, silence=0.2), PositionReply)
+        assert isinstance(await a.ask("c", timeout=MISSING_AFTER, silence=0.2), PositionReply)
 
 
 @pytest.mark.parametrize("repeatable", [True, False], ids=["may be repeated", "may run once only"])
-async def test_what_may_be_repeated_fails_with_the_stream(repeatable: bool) -> None:
-    """A write gains nothing by being in doubt earlier; anything else is asked elsewhere."""
+async def test_a_repeatable_request_fails_with_the_stream(repeatable: bool) -> None:
+    """A write gains nothing by being in doubt earlier; any other request is sent elsewhere."""
     async with peers_through_proxy() as (a, b, proxy):
         proxy.silence()
         first = asyncio.ensure_future(a.ask("b", timeout=FAR_TOO_LONG, silence=0.2))
@@ -144,12 +144,12 @@
         second.cancel()
 
 
-# Databases: what a node has in use.
+# Databases: connections in use.
 
 
 @asynccontextmanager
 async def long_world() -> AsyncIterator[World]:
-    """A node whose statements wait for longer than any test runs."""
+    """Start a node whose statements time out later than any test."""
     async with proxied_world() as world:
         world.configure(2, **LONG_ROUTES)
         node = world.nodes[0]
@@ -166,17 +166,17 @@
 
 
 async def served(client: LineClient, text: str) -> Answer:
-    """Return the answer, which has to come long before the statement's time is over."""
-    async with asyncio.timeout(IN_VAIN):
+    """Return the answer, which must come long before the statement's timeout."""
+    async with asyncio.timeout(MISSING_AFTER):
         return await client.run(text)
 
 
 async def warm(world: World, count: int) -> None:
-    """Leave so many idle connections in the pool of each database."""
+    """Leave `count` idle connections in the pool of each database."""
     for pool in pools(world).values():
         pool.kept_idle = count
-        lent = [await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG) for _ in range(count)]
-        for connection in lent:
+        pooled = [await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG) for _ in range(count)]
+        for connection in pooled:
             connection.give_back()
 
 
@@ -191,7 +191,7 @@
 async def test_a_read_is_served_although_every_idle_connection_is_silent(
     route: str, text: str
 ) -> None:
-    """Five pooled connections a database went silent at once: the read costs one time-out."""
+    """Five pooled connections per database stop delivering at once; the read costs one timeout."""
     async with long_world() as world:
         client = await world.client(route)
         assert (await served(client, text)).code == ""
@@ -213,8 +213,8 @@
         assert (await served(client, "COMMIT")).code == ""
 
 
-async def test_a_write_under_way_is_in_doubt_and_the_next_one_takes_a_new_connection() -> None:
-    """The first one may have run, so that it is never sent again."""
+async def test_a_write_in_flight_is_in_doubt_and_the_next_one_takes_a_new_connection() -> None:
+    """The first write may have run, so that it is never sent again."""
     async with proxied_world() as world:
         world.configure(2, latest={"route_type": "primary", "timeout_ms": 1_500})
         await until(lambda: world.nodes[0].gateway.context.table.version == 2)
@@ -230,7 +230,7 @@
 
 
 async def test_one_silent_write_costs_no_other_write() -> None:
-    """The other idle connections fell silent with it: they have not been heard of since."""
+    """The other idle connections stopped delivering as well: nothing was received on them since."""
     async with long_world() as world:
         first, second = await world.client("latest"), await world.client("latest")
         assert (await served(first, "WRITE x 1")).code == ""
@@ -252,10 +252,10 @@
         pytest.param("COMMIT", "ABORTED", id="commit"),
     ],
 )
-async def test_a_resting_transaction_on_a_silent_connection_ends_as_not_run(
+async def test_an_idle_transaction_on_a_silent_connection_ends_as_not_run(
     statement: str, code: str
 ) -> None:
-    """Its COMMIT was never sent, so nothing of it is kept: the caller may run it again at once."""
+    """Its COMMIT was never sent, so that none of it is kept and the caller may retry at once."""
     async with long_world() as world:
         client = await world.client("latest")
         await served(client, "BEGIN")
@@ -263,7 +263,7 @@
         await warm(world, 3)
         pool = pools(world)[MEMBER]
         world.silence()
-        await until(lambda: any(pool.is_silent(lent) for lent in pool._lent))
+        await until(lambda: any(pool.is_silent(pooled) for pooled in pool._lent))
         lost = await served(client, statement)
         assert lost.code == code
         if statement != "COMMIT":
@@ -274,8 +274,8 @@
         assert world.group.primary.read("x") == "3"
 
 
-async def test_a_statement_under_way_in_a_transaction_is_given_up_with_its_connection() -> None:
-    """The database answers on other connections meanwhile, and that shows the silence."""
+async def test_a_statement_in_flight_in_a_transaction_fails_with_its_connection() -> None:
+    """The database answers on other connections, which shows that this one is dead."""
     async with long_world() as world:
         client = await world.client("latest")
         await served(client, "BEGIN")
@@ -286,7 +286,7 @@
         assert (await served(client, "WRITE x 3")).code == ""
 
 
-async def test_a_commit_under_way_is_in_doubt() -> None:
+async def test_a_commit_in_flight_is_in_doubt() -> None:
     async with proxied_world() as world:
         world.configure(2, latest={"route_type": "primary", "timeout_ms": 1_500})
         await until(lambda: world.nodes[0].gateway.context.table.version == 2)
@@ -299,8 +299,10 @@
         assert (await served(client, "WRITE x 3")).code == ""
 
 
-async def test_silent_connections_are_no_lost_leader(caplog: pytest.LogCaptureFixture) -> None:
-    """A probe in vain is repeated on a new connection before the leader counts as lost."""
+async def test_silent_connections_do_not_count_as_a_lost_leader(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
+    """A failed probe is repeated on a new connection before the leader counts as lost."""
     async with long_world() as world:
         client = await world.client("latest")
         assert (await served(client, "WRITE x 1")).code == ""
@@ -320,17 +322,17 @@
     ("answered", "stalled"),
     [pytest.param(True, False, id="others answered"), pytest.param(False, True, id="none")],
 )
-async def test_writes_on_silent_connections_are_no_stalled_leader(
+async def test_writes_on_silent_connections_do_not_count_as_a_stalled_leader(
     answered: bool, stalled: bool
 ) -> None:
-    """Two writes fell silent together; the ones after them were acknowledged."""
+    """Two writes got no answer together; the writes after them were acknowledged."""
     async with long_world() as world:
         client = await world.client("latest")
         assert (await served(client, "WRITE x 1")).code == ""
         leaders = tracker(world)
-        asked_at = leaders.watermarks.newest.queried_at + 1_000.0 * (not answered)
+        queried_at = leaders.watermarks.newest.queried_at + 1_000.0 * (not answered)
         for _ in range(STALLED_WRITES):
-            leaders.write_unanswered(MEMBER, asked_at)
+            leaders.write_unanswered(MEMBER, queried_at)
         assert (leaders.stalled_since is not None) is stalled
 
 
@@ -349,7 +351,9 @@
 # The platform's store.
 
 
-async def test_a_call_on_a_silent_kept_connection_fails_and_the_next_one_takes_a_new() -> None:
+async def test_a_call_on_a_silent_pooled_connection_fails_and_the_next_one_opens_a_new_one() -> (
+    None
+):
     async def answer(method: str, path: str) -> HttpAnswer:
         return HttpAnswer(200, path.encode())
 
@@ -377,14 +381,14 @@
         await until(lambda: context.table.version == 2)
 
 
-def test_a_silent_watch_is_found_before_the_nodes_count_as_in_touch_again() -> None:
-    """The whole of what it takes, with the pause before the next question and that question."""
+def test_a_silent_watch_is_detected_within_the_shortest_contact_time() -> None:
+    """The bound includes the pause before the next request, and that request."""
     pause = FIRST_RETRY * 2 * 1.3
     answer = 0.1
     assert STORE_WAIT + WATCH_MARGIN_SECONDS + pause + answer < SHORTEST_CONTACT
 
 
-async def test_leases_and_promotions_take_no_kept_connection() -> None:
+async def test_leases_and_promotions_use_no_pooled_connection() -> None:
     async with proxied_world() as world:
         client = await world.client("latest")
         assert (await served(client, "WRITE x 1")).code == ""
@@ -400,7 +404,7 @@
 # Callers.
 
 
-async def test_a_silent_callers_transaction_ends_with_the_idle_bound() -> None:
+async def test_a_silent_callers_transaction_ends_by_the_idle_timeout() -> None:
     async with long_world() as world:
         port = world.nodes[0].callers.port
         async with proxied(port) as proxy:
@@ -414,19 +418,19 @@
 
 
 @pytest.mark.parametrize("kind", ["caller", "database", "store", "peer"])
-async def test_the_system_watches_the_far_end_of_every_stream(kind: str) -> None:
-    """Keep-alive probes, and a bound for bytes that nobody acknowledges."""
+async def test_the_operating_system_probes_the_peer_of_every_stream(kind: str) -> None:
+    """Keep-alive probes, and a bound for unacknowledged bytes."""
     if kind == "peer":
         async with peers_through_proxy() as (a, b, _proxy):
             for peer in (a, b):
                 for stream in peer.transport._all:
-                    assert_watched(stream._transport)
+                    assert_keepalive(stream._transport)
         return
     async with proxied_world() as world:
         client = await world.client("latest")
         assert (await served(client, "WRITE x 1")).code == ""
         for transport in transports(world, kind):
-            assert_watched(transport)
+            assert_keepalive(transport)
         client.close()
 
 
@@ -449,7 +453,7 @@
     return found
 
 
-def assert_watched(transport: asyncio.BaseTransport | None) -> None:
+def assert_keepalive(transport: asyncio.BaseTransport | None) -> None:
     assert transport is not None
     connected = transport.get_extra_info("socket")
     assert connected.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE) == 1
@@ -460,22 +464,22 @@
 # This process.
 
 
-def test_a_process_that_stood_still_takes_no_answer_for_missing() -> None:
-    """Its timers are due before the answers are read that came meanwhile (uvloop's order)."""
+def test_a_suspended_process_does_not_miss_answers() -> None:
+    """Its timers fire before the answers that arrived meanwhile are read (uvloop's order)."""
 
     async def scenario() -> tuple[int, int]:
         group = LineGroup(GROUP)
         await group.start([MEMBER])
         pool = pool_of(group)
-        lent = [await pool.acquire(NO_TENANT, NO_STATE, IN_VAIN) for _ in range(3)]
-        lent.pop().give_back()
-        lent.pop().give_back()
+        pooled = [await pool.acquire(NO_TENANT, NO_STATE, MISSING_AFTER) for _ in range(3)]
+        pooled.pop().give_back()
+        pooled.pop().give_back()
         heard_at = max(idle.heard_at for idle in pool._resting)
         await until(lambda: asyncio.get_running_loop().time() > heard_at)
         questions = [Command(BEGIN), Command(ROLLBACK)]
-        asked = asyncio.ensure_future(lent[0].run(questions, IN_VAIN))
+        asked = asyncio.ensure_future(pooled[0].run(questions, MISSING_AFTER))
         await asyncio.sleep(0)
-        stand_still()
+        block_process()
         answers = len(await asked)
         idle = len(pool._resting)
         pool.close()
@@ -492,5 +496,5 @@
     return DatabasePool(entry, LineDatabaseConnector(), ConnectionBudget(5, 5))
 
 
-def stand_still() -> None:
+def block_process() -> None:
     time.sleep(3 * PATIENCE)
--- a/tests/test_slot_queue.py
+++ b/tests/test_slot_queue.py
@@ -1,4 +1,4 @@
-"""A statement takes a permit before it takes a connection, and gives it back however it ends."""
+"""A statement acquires a permit before a connection, and releases it however it ends."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -23,7 +23,7 @@
 from test_silent_connections import pools, served
 
 LONG = 1_000.0
-"""A statement's time that is over after any test (seconds)."""
+"""A timeout that no test reaches (seconds)."""
 
 
 def queue(slots: int = 1) -> SlotQueue:
@@ -33,10 +33,10 @@
     return found
 
 
-def work(time: float = LONG, inside: bool = False, priority: int = 0) -> Work:
+def work(time: float = LONG, in_transaction: bool = False, priority: int = 0) -> Work:
     now = asyncio.get_running_loop().time()
     kind = WorkKind("route", Action.READ)
-    return Work(kind, NO_TENANT, priority, now, now + time, now + time, inside)
+    return Work(kind, NO_TENANT, priority, now, now + time, now + time, in_transaction)
 
 
 async def entering(slots: SlotQueue, wanted: Work) -> asyncio.Task[Permit]:
@@ -45,7 +45,7 @@
     return task
 
 
-async def test_one_waits_until_another_has_ended() -> None:
+async def test_a_statement_waits_until_another_has_ended() -> None:
     slots = queue()
     first = await slots.enter(work())
     second = await entering(slots, work())
@@ -58,7 +58,7 @@
     assert (slots.in_flight, slots.waiting) == (0, 0)
 
 
-async def test_a_caller_that_leaves_while_it_waits_is_withdrawn() -> None:
+async def test_a_statement_whose_caller_disconnects_while_it_waits_is_withdrawn() -> None:
     slots = queue()
     first = await slots.enter(work())
     waiting = [await entering(slots, work()) for _ in range(3)]
@@ -70,7 +70,7 @@
     assert (slots.in_flight, slots.waiting) == (0, 0)
 
 
-async def test_a_caller_that_leaves_when_it_was_let_in_gives_the_permit_back() -> None:
+async def test_a_statement_whose_caller_disconnects_on_admission_releases_its_permit() -> None:
     slots = queue()
     first = await slots.enter(work())
     second = await entering(slots, work())
@@ -80,7 +80,7 @@
     assert (slots.in_flight, slots.waiting) == (0, 0)
 
 
-async def test_one_that_cannot_begin_in_time_is_refused_and_told_when_to_come_back() -> None:
+async def test_a_statement_that_cannot_begin_in_time_is_refused_with_a_retry_time() -> None:
     slots = queue()
     held = await slots.enter(work())
     with pytest.raises(NoSlotError) as refused:
@@ -93,17 +93,17 @@
     held.release(served=True)
 
 
-async def test_a_full_limit_does_not_keep_open_transactions_from_going_on() -> None:
-    """Whoever holds the permits may wait for the connections that these hold."""
+async def test_a_full_limit_does_not_block_open_transactions() -> None:
+    """The holders of the permits may be waiting for the connections of open transactions."""
     slots = queue()
     held = await slots.enter(work())
     async with asyncio.timeout(FAR_TOO_LONG):
-        inside = await slots.enter(work(inside=True))
-    inside.release(served=True)
+        of_transaction = await slots.enter(work(in_transaction=True))
+    of_transaction.release(served=True)
     held.release(served=True)
 
 
-async def test_those_who_wait_are_told_that_the_database_left() -> None:
+async def test_waiting_statements_fail_when_the_database_leaves() -> None:
     slots = queue()
     await slots.enter(work())
     waiting = await entering(slots, work())
@@ -112,7 +112,7 @@
         await waiting
 
 
-async def test_a_higher_limit_lets_those_begin_who_wait() -> None:
+async def test_a_higher_limit_admits_waiting_statements() -> None:
     slots = queue()
     await slots.enter(work())
     waiting = await entering(slots, work())
@@ -121,7 +121,7 @@
         await waiting
 
 
-async def test_one_whose_caller_left_as_others_are_turned_away_keeps_no_slot() -> None:
+async def test_a_statement_whose_caller_left_as_others_are_refused_keeps_no_slot() -> None:
     slots = queue()
     permit = await slots.enter(work())
     left = await entering(slots, work())
@@ -140,7 +140,7 @@
 
 @asynccontextmanager
 async def ordered_world(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[World]:
-    """One node that orders the statements for its databases."""
+    """Start one node that queues the statements for its databases."""
     plain = worlds.node_settings
 
     def settings(name: str, port: int) -> dict[str, Any]:
@@ -156,7 +156,7 @@
     return [slots for slots in found if slots is not None]
 
 
-def all_back(world: World) -> bool:
+def all_released(world: World) -> bool:
     return all(slots.in_flight == slots.waiting == 0 for slots in queues(world))
 
 
@@ -172,7 +172,7 @@
         pytest.param("bounded", ["BEGIN READ", "READ x", "COMMIT"], id="at a replica"),
     ],
 )
-async def test_each_statement_gives_its_permit_back(
+async def test_each_statement_releases_its_permit(
     route: str, texts: list[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with ordered_world(monkeypatch) as world:
@@ -180,20 +180,20 @@
         assert len(queues(world)) == 3
         for text in texts:
             assert (await served(client, text)).code == ""
-            assert all_back(world), text
+            assert all_released(world), text
 
 
-async def test_a_transaction_that_rests_holds_no_permit_and_its_caller_may_leave(
+async def test_an_idle_transaction_holds_no_permit_and_its_caller_may_disconnect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with ordered_world(monkeypatch) as world:
         client = await world.client("latest")
         assert (await served(client, "BEGIN")).code == ""
         assert (await served(client, "WRITE x 1")).code == ""
-        assert all_back(world)
+        assert all_released(world)
         client.send("QUERY id-left WRITE x 2")
         client.close()
-        await until(lambda: all_back(world) and not any(p.load for p in pools(world).values()))
+        await until(lambda: all_released(world) and not any(p.load for p in pools(world).values()))
 
 
 async def test_a_statement_is_refused_at_once_where_it_cannot_begin_in_time(
@@ -219,7 +219,7 @@
 async def test_a_read_whose_answer_is_lost_is_sent_again_within_its_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Without the second try its caller would have nothing until the time is over."""
+    """Without the second attempt its caller would wait until the timeout."""
     async with ordered_world(monkeypatch) as world:
         client = await world.client("latest")
         assert (await served(client, "WRITE x 1")).code == ""
@@ -228,11 +228,11 @@
         answer = await client.run("READ x")
         assert (answer.code, answer.rows) == ("", ["1"])
         assert leader.runs[client.last_identifier] == 2
-        await until(lambda: all_back(world) and not any(p.load for p in pools(world).values()))
+        await until(lambda: all_released(world) and not any(p.load for p in pools(world).values()))
 
 
 def refuse_all(found: Any) -> None:
-    """Have no database take a statement that is not part of a transaction."""
+    """Make every database refuse statements that are not part of a transaction."""
 
     async def refuse(work: Work) -> Permit:
         from bramblebeam.core.overload.ports import Refused
@@ -243,7 +243,7 @@
         pool.slots.enter = refuse
 
 
-async def test_a_permit_is_given_back_where_no_connection_could_be_had(
+async def test_a_permit_is_released_where_no_connection_could_be_acquired(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with ordered_world(monkeypatch) as world:
@@ -259,17 +259,17 @@
             client.send("QUERY id-left READ x")
             await asyncio.sleep(0.1)
             client.close()
-            await until(lambda: all_back(world))
-        lent = await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG)
-        lent.give_back()
+            await until(lambda: all_released(world))
+        pooled = await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG)
+        pooled.give_back()
 
 
-async def test_those_who_can_run_elsewhere_are_turned_away_from_a_silent_database() -> None:
+async def test_statements_that_can_run_elsewhere_are_refused_at_an_unresponsive_database() -> None:
     slots = queue()
     held = await slots.enter(work())
     waiting = [await entering(slots, work()) for _ in range(3)]
-    bounded = await slots.enter(work(inside=True))
-    inside = await entering(slots, work(inside=True))
+    bounded = await slots.enter(work(in_transaction=True))
+    inside = await entering(slots, work(in_transaction=True))
     slots.refuse_waiting()
     async with asyncio.timeout(FAR_TOO_LONG):
         refused = await asyncio.gather(*waiting, return_exceptions=True)
--- a/tests/test_tenant_serving.py
+++ b/tests/test_tenant_serving.py
@@ -1,9 +1,9 @@
 """Which nodes run a tenant's statements, and how many connections each may hold.
 
-The load that this answers: 72 tenants before databases of 3 slots and 32 connections, regions 20 ms
-apart, and transactions that rest. A connection that is lent across regions is in use for 40 ms and
-more for each question; next to its database it is for 3 ms. Played with the leaders' connections at
-nodes of all regions, a third of the operations timed out while they waited for one.
+The load: 72 tenants on databases of 3 slots and 32 connections, regions 20 ms apart, and
+transactions with idle times. A connection used across regions is busy for 40 ms and more per query,
+next to its database for 3 ms. With the leaders' connections at nodes of all regions, a third of the
+operations timed out waiting for one.
 """
 
 import asyncio
@@ -126,7 +126,7 @@
     assert all(context.runs_here(GROUP, TENANTS[0], True) for context in serving)
 
 
-async def test_all_nodes_together_hold_no_more_than_a_database_takes() -> None:
+async def test_all_nodes_together_stay_below_the_connection_limit() -> None:
     found = contexts(directory("db-0"))
     for name in MEMBERS:
         serving = [context for context in found.values() if context.serves(GROUP)]
@@ -142,8 +142,8 @@
     assert {context.placement.pools[InstanceId("db-0")].kept_idle for context in others} == {0}
 
 
-async def test_parts_of_a_split_hold_no_more_together() -> None:
-    """Each part has serving nodes of its own, and knows how many of all nodes it sees."""
+async def test_partitioned_nodes_together_stay_below_the_connection_limit() -> None:
+    """Each part has serving nodes of its own, and knows which share of all nodes it sees."""
     whole = view_of(NODES, two_zones)
     held = 0
     for part in (0, 1):
@@ -178,7 +178,7 @@
         assert len(world.group.primary.log) == len(served)
 
 
-async def test_a_statement_that_was_passed_on_is_not_counted_twice() -> None:
+async def test_a_statement_that_was_forwarded_on_is_not_counted_twice() -> None:
     async with joined_world(1, CONNECTIONS) as world:
         put_configuration(world, 2, [tenant_entry(ACME, SECRET, rate=0.0, burst=0.0)])
         context = world.nodes[0].gateway.context
@@ -217,11 +217,14 @@
         pytest.param(Reason.REPLICA_BEHIND, "zone-4", False, False, id="no tenants"),
     ],
 )
-async def test_a_read_that_the_near_replica_lacks_goes_to_the_leader(
+async def test_a_read_for_which_the_near_replica_is_behind_goes_to_the_leader(
     reason: Reason, zone: str, tenants: bool, expected: bool
 ) -> None:
-    """Replicas are 150 ms behind: a far one lacks what the near one does. On a quiet day 80 reads a
-    second went on to it, and from there over two connections to the leader."""
+    """Replicas are 150 ms behind, so that a far one lacks what the near one does.
+
+    Reads that went on to it used the two connections from there to the leader, 80 reads a second on
+    a quiet day.
+    """
     node = NODES[ZoneId("zone-0")][0]
     context = context_of(node, view_of(NODES, two_zones), directory("db-2"), tenants)
     request: Any = SimpleNamespace(refusal=Refusal(Verdict.NOT_RUN, reason))
@@ -229,7 +232,7 @@
     assert reads._is_better_at_leader(context, request, pool) is expected
 
 
-async def test_a_passed_on_read_that_lacks_its_floor_is_given_back() -> None:
+async def test_a_forwarded_read_without_its_floor_is_refused_to_the_sender() -> None:
     node = NODES[ZoneId("zone-0")][0]
     context = context_of(node, view_of(NODES, two_zones), directory("db-2"))
     session = SimpleNamespace(forwarded_on=True)
