--- a/src/bramblebeam/services/gateway/admission.py
+++ b/src/bramblebeam/services/gateway/admission.py
@@ -106,7 +106,7 @@
         if count.node == context.owners.place.node:
             context.limits.give_back(returned)
         elif count.node is not None:
-            context.forwarder.peers.tell(count.node, returned)
+            context.forwarder.peers.post(count.node, returned)
 
 
 def count_here(context: GatewayContext, tenant: TenantId) -> Admission:
@@ -141,7 +141,7 @@
         return count_here(context, tenant)
     if context.forwarder.is_avoided(node):
         return None
-    answer = await context.forwarder.peers.ask_admission(
+    answer = await context.forwarder.peers.request_admission(
         node, _admission_request(context, tenant), ANSWER_SECONDS
     )
     if isinstance(answer, Admission):
--- a/src/bramblebeam/services/gateway/forwarded_transaction.py
+++ b/src/bramblebeam/services/gateway/forwarded_transaction.py
@@ -111,7 +111,7 @@
     def _send_abandoned(self) -> None:
         if self._node is not None:
             message = TransactionAbandoned(self._number)
-            self._context.forwarder.peers.tell(self._node, message)
+            self._context.forwarder.peers.post(self._node, message)
 
     async def _forward(self, request: Request) -> Reply | None:
         """Return the reply; None if the transaction has not begun at any node."""
--- a/src/bramblebeam/services/gateway/forwarding.py
+++ b/src/bramblebeam/services/gateway/forwarding.py
@@ -47,17 +47,17 @@
 class Peers(GrantMessages, Protocol):
     """Sends messages to other nodes."""
 
-    async def ask(
+    async def request(
         self, node: NodeId, message: ForwardedStatement, timeout: float, silence: float
     ) -> ForwardedReply | PeerFailure:
         """Return the node's answer, or what is known of its failure."""
 
-    async def ask_admission(
+    async def request_admission(
         self, node: NodeId, message: AdmissionRequest, timeout: float
     ) -> Admission | PeerFailure:
         """Return the answer of the node that counts a tenant, or what is known of its failure."""
 
-    def tell(
+    def post(
         self, node: NodeId, message: TransactionAbandoned | StatementWithdrawn | AdmissionReturned
     ) -> None:
         """Send a message without a reply or a delivery guarantee."""
@@ -156,7 +156,7 @@
         message = message._replace(number=next(self._numbers))
         request.passed_on = True
         try:
-            answer = await self.peers.ask(node, message, timeout, PEER_SILENCE_TIMEOUT)
+            answer = await self.peers.request(node, message, timeout, PEER_SILENCE_TIMEOUT)
         except asyncio.CancelledError:
             self._withdraw(node, message)
             raise
@@ -189,7 +189,7 @@
     def _withdraw(self, node: NodeId, message: ForwardedStatement) -> None:
         """Notify a node that no caller waits for its reply."""
         if self._context.load.enabled:
-            self.peers.tell(node, StatementWithdrawn(message.number))
+            self.peers.post(node, StatementWithdrawn(message.number))
 
 
 def _in_doubt(failure: PeerFailure) -> Reply:
--- a/src/bramblebeam/services/gateway/peers.py
+++ b/src/bramblebeam/services/gateway/peers.py
@@ -34,7 +34,7 @@
     def __init__(self, kernel: Kernel) -> None:
         self._kernel = kernel
 
-    async def ask(
+    async def request(
         self, node: NodeId, message: ForwardedStatement, timeout: float, silence: float
     ) -> ForwardedReply | PeerFailure:
         """Return the node's answer, or what is known of its failure."""
@@ -52,7 +52,7 @@
         except ServiceFailedError as error:
             return PeerFailure(True, str(error))
 
-    async def ask_admission(
+    async def request_admission(
         self, node: NodeId, message: AdmissionRequest, timeout: float
     ) -> Admission | PeerFailure:
         """Return the answer of the node that counts a tenant, or what is known of its failure."""
@@ -62,7 +62,7 @@
             return answer
         return _unexpected(answer)
 
-    def tell(
+    def post(
         self, node: NodeId, message: TransactionAbandoned | StatementWithdrawn | AdmissionReturned
     ) -> None:
         """Send a message without a reply or a delivery guarantee."""
--- a/tests/counting_fleet.py
+++ b/tests/counting_fleet.py
@@ -64,14 +64,14 @@
         else:
             limits.returned_by(self._node, message)
 
-    async def ask_admission(
+    async def request_admission(
         self, node: NodeId, message: AdmissionRequest, timeout: float
     ) -> Admission | PeerFailure:
         if not self._fleet.reaches(self._node, node):
             return PeerFailure(True, TIMED_OUT)
         return self._fleet.contexts[node].limits.count(message)
 
-    def tell(self, node: NodeId, message: object) -> None:
+    def post(self, node: NodeId, message: object) -> None:
         if isinstance(message, AdmissionReturned) and self._fleet.reaches(self._node, node):
             self._fleet.contexts[node].limits.give_back(message)
 
--- a/tests/test_meeting_at_databases.py
+++ b/tests/test_meeting_at_databases.py
@@ -152,7 +152,7 @@
     assert runner != node
 
     class Late(NoPeers):
-        async def ask(
+        async def request(
             self, node: NodeId, message: ForwardedStatement, timeout: float, silence: float
         ) -> ForwardedReply | PeerFailure:
             return failure
--- a/tests/test_overload_gateway.py
+++ b/tests/test_overload_gateway.py
@@ -155,13 +155,13 @@
         self.requests: list[ForwardedStatement] = []
         self.sent: list[Any] = []
 
-    async def ask(self, node: NodeId, message: ForwardedStatement, *bounds: float) -> Any:
+    async def request(self, node: NodeId, message: ForwardedStatement, *bounds: float) -> Any:
         self.requests.append(message)
         if self.answer is None:
             await asyncio.Event().wait()
         return self.answer
 
-    def tell(self, node: NodeId, message: Any) -> None:
+    def post(self, node: NodeId, message: Any) -> None:
         self.sent.append(message)
 
 
