--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        place: NodeLocation,
+        location: NodeLocation,
         connector: DatabaseConnector,
         peers: Peers,
         publish: Callable[[LeaderNews], None],
@@ -53,7 +53,7 @@
         self.overload = overload
         self.table = RouteTable()
         self.metrics = GatewayMetrics()
-        self.owners = OwnerTable(place, serves_near_databases=overload.enabled)
+        self.owners = OwnerTable(location, serves_near_databases=overload.enabled)
         targets = ReadTargets(self, self.metrics) if overload.enabled else None
         self.placement = Placement(connector, self, overload, targets)
         self.forwarder = Forwarder(self, peers)
--- a/src/bramblebeam/services/gateway/reads.py
+++ b/src/bramblebeam/services/gateway/reads.py
@@ -263,7 +263,7 @@
 ) -> Reply | None:
     """Return the answer, or None if another database should be tried.
 
-    `permit` None: a second attempt, which acquires its own permit. Where load decides, the node
+    `permit` None: a second attempt, which acquires its own permit. With overload control, the node
     that runs the database's statements makes it.
     """
     if permit is None and context.overload.enabled:
--- a/src/bramblebeam/services/gateway/service.py
+++ b/src/bramblebeam/services/gateway/service.py
@@ -88,14 +88,16 @@
     def __init__(
         self,
         kernel: Kernel,
-        place: NodeLocation,
+        location: NodeLocation,
         connector: DatabaseConnector,
         grace: float,
         overload: OverloadSettings = SWITCHED_OFF,
     ) -> None:
         super().__init__(kernel)
         peers = TransportPeers(kernel)
-        self.context = GatewayContext(place, connector, peers, kernel.publish, self.spawn, overload)
+        self.context = GatewayContext(
+            location, connector, peers, kernel.publish, self.spawn, overload
+        )
         self.host = StatementHost(self.context)
         self.listener: Listener | None = None
         self._grace = grace
--- a/src/bramblebeam/services/gateway/transaction.py
+++ b/src/bramblebeam/services/gateway/transaction.py
@@ -371,7 +371,7 @@
         return begin.refusal is None
 
     def _has_session_floor(self, request: Request) -> bool:
-        """Return whether, where load decides, a database is behind for this session only."""
+        """Return whether, under overload control, a database is behind for this session only."""
         return self._context.overload.enabled and is_floor_from_session(request)
 
     async def _begin(
--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -49,7 +49,7 @@
         await until(lambda: sum(serves(node) for node in world.nodes) == 2)
         # A node that knows no database yet declines, and is skipped for a while.
         await until(lambda: all(knows_databases(node) for node in world.nodes))
-        outside = next(place for place, node in enumerate(world.nodes) if not serves(node))
+        outside = next(index for index, node in enumerate(world.nodes) if not serves(node))
         yield world, outside
 
 
@@ -76,19 +76,19 @@
     others, and the nodes that served the group got none.
     """
     async with forwarding_world() as (world, _):
-        place = next(place for place, node in enumerate(world.nodes) if serves(node))
-        client = await world.client("session", place)
+        index = next(index for index, node in enumerate(world.nodes) if serves(node))
+        client = await world.client("session", index)
         assert (await client.run("WRITE parcel 1")).code == ""
-        context = world.nodes[place].gateway.context
-        assert connections_of(world.nodes[place]) > 0
-        others = [node for node in world.nodes if node is not world.nodes[place]]
+        context = world.nodes[index].gateway.context
+        assert connections_of(world.nodes[index]) > 0
+        others = [node for node in world.nodes if node is not world.nodes[index]]
         context.serves = lambda group: False  # type: ignore[method-assign]
         context.nearest = lambda group: [  # type: ignore[method-assign,assignment,return-value]
             node.gateway.context.owners.place.node for node in others if serves(node)
         ]
         context.update_members(context.owners._members)
         assert (await client.run("WRITE parcel 2")).code == ""
-        await until(lambda: connections_of(world.nodes[place]) == 0)
+        await until(lambda: connections_of(world.nodes[index]) == 0)
 
 
 async def test_a_node_that_expects_others_waits_for_them_before_it_connects() -> None:
--- a/tests/test_meeting_at_databases.py
+++ b/tests/test_meeting_at_databases.py
@@ -1,4 +1,4 @@
-"""Which nodes run statements, and how many connections each may hold, where load is decided on.
+"""Which nodes run statements, and how many connections each may hold, under overload control.
 
 The load: demand that is uneven by zone, on databases with few slots and regions 20 ms apart. Six
 nodes with connections of their own to each database can't order the statements that wait there, and
--- a/tests/test_overload_gateway.py
+++ b/tests/test_overload_gateway.py
@@ -43,8 +43,8 @@
 
 
 @asynccontextmanager
-async def deciding_world(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[World]:
-    """Start one node that decides on load."""
+async def overload_world(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[World]:
+    """Start one node with overload control."""
     settings = worlds.node_settings
 
     def with_policy(name: str, port: int) -> dict[str, Any]:
@@ -94,7 +94,7 @@
 async def test_a_withdrawn_statement_that_waits_is_not_begun(
     action: Action, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with deciding_world(monkeypatch) as world:
+    async with overload_world(monkeypatch) as world:
         await served_once(world)
         host = world.nodes[0].gateway.host
         held = await acquire_all(world)
@@ -118,8 +118,8 @@
 async def test_a_withdrawn_write_that_runs_ends_and_ran_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its connection stays open: a replacement would have to be opened otherwise."""
-    async with deciding_world(monkeypatch) as world:
+    """Its connection stays open: one closed during a statement would have to be replaced."""
+    async with overload_world(monkeypatch) as world:
         await served_once(world)
         host = world.nodes[0].gateway.host
         world.proxies[MEMBER].delay = 0.1
@@ -134,7 +134,7 @@
 async def test_a_withdrawn_write_that_was_refused_is_not_tried_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with deciding_world(monkeypatch) as world:
+    async with overload_world(monkeypatch) as world:
         await served_once(world)
         host = world.nodes[0].gateway.host
         world.group.members[MEMBER].fault.busy = 1_000_000
@@ -239,7 +239,7 @@
 async def test_a_statement_that_can_not_begin_in_time_is_refused_at_once(
     text: str, wait: float, code: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with deciding_world(monkeypatch) as world:
+    async with overload_world(monkeypatch) as world:
         client = await served_once(world)
         context = context_of(world)
         context.load.known = FixedWait(wait, context.now)
@@ -254,7 +254,7 @@
 
 
 async def test_refusals_advise_retry_times_in_their_order(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with deciding_world(monkeypatch) as world:
+    async with overload_world(monkeypatch) as world:
         client = await served_once(world)
         context = context_of(world)
         context.load.known = FixedWait(3.0, context.now)
@@ -286,7 +286,7 @@
 async def test_second_attempts_are_bounded(
     wait: float, granted: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with deciding_world(monkeypatch) as world:
+    async with overload_world(monkeypatch) as world:
         context = context_of(world)
         clock = context.now()
         monkeypatch.setattr(GatewayContext, "now", staticmethod(lambda: clock))
@@ -311,7 +311,7 @@
 async def test_a_route_may_bound_a_reads_attempts_further(
     given: int, most: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with deciding_world(monkeypatch) as world:
+    async with overload_world(monkeypatch) as world:
         request: Any = SimpleNamespace(route=ROUTE._replace(most_attempts=given))
         assert context_of(world).load.most_attempts(request, 3) == most
 
@@ -338,9 +338,9 @@
     """Open as many transactions as there are connections."""
     opened = []
     for _ in range(MAX_CONNECTIONS):
-        place = await found.enter(begins())
-        assert isinstance(place, GateAdmission)
-        opened.append((place, await found.pool.acquire(ACME, NO_STATE, FAR_TOO_LONG)))
+        admission = await found.enter(begins())
+        assert isinstance(admission, GateAdmission)
+        opened.append((admission, await found.pool.acquire(ACME, NO_STATE, FAR_TOO_LONG)))
     return opened
 
 
@@ -350,10 +350,10 @@
     waiting = asyncio.ensure_future(found.enter(begins()))
     await asyncio.sleep(0)
     assert not waiting.done()
-    place, pooled = opened.pop()
+    admission, pooled = opened.pop()
     pooled.give_back()
-    place.release()
-    place.release()
+    admission.release()
+    admission.release()
     assert isinstance(await waiting, GateAdmission)
 
 
@@ -388,16 +388,16 @@
     leaves = asyncio.ensure_future(found.enter(begins()))
     stays = asyncio.ensure_future(found.enter(begins()))
     await asyncio.sleep(0)
-    place, pooled = opened.pop()
+    admission, pooled = opened.pop()
     pooled.give_back()
     if leaves_when == "as its turn comes":
-        place.release()
+        admission.release()
         leaves.cancel()
     else:
         leaves.cancel()
         if leaves_when == "before":
             await asyncio.wait({leaves})
-        place.release()
+        admission.release()
     assert isinstance(await stays, GateAdmission)
     assert found._gate.open == MAX_CONNECTIONS
 
@@ -405,7 +405,7 @@
 async def test_a_transaction_releases_its_admission_however_it_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with deciding_world(monkeypatch) as world:
+    async with overload_world(monkeypatch) as world:
         await served_once(world)
         node = context_of(world).transactions._node
         for end in ("COMMIT", "ROLLBACK", "leaves"):
@@ -423,7 +423,7 @@
 async def test_statements_of_an_open_transaction_do_not_wait_at_the_gate(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with deciding_world(monkeypatch) as world:
+    async with overload_world(monkeypatch) as world:
         client = await served_once(world)
         await client.run("BEGIN")
         assert (await client.run("WRITE x 4")).code == ""
--- a/tests/test_overload_read_path.py
+++ b/tests/test_overload_read_path.py
@@ -44,8 +44,8 @@
 def settings_near(name: str, platform_port: int) -> dict[str, Any]:
     """Return settings that put each node into a region of its own, in the zone of one database."""
     member = MEMBERS[int(name.rpartition("-")[2])]
-    place = {"zone": f"zone-{member}", "region": f"region-{member}", "policies": ["pool"]}
-    return {**node_settings(name, platform_port), **place}
+    location = {"zone": f"zone-{member}", "region": f"region-{member}", "policies": ["pool"]}
+    return {**node_settings(name, platform_port), **location}
 
 
 @asynccontextmanager
@@ -54,8 +54,8 @@
     monkeypatch.setattr(world_module, "node_settings", settings_near)
     async with joined_world(len(MEMBERS), CONNECTIONS) as world:
         await until(lambda: all(knows_all(node) for node in world.nodes))
-        for place in range(len(MEMBERS)):
-            reader = await world.client("bounded", place)
+        for index in range(len(MEMBERS)):
+            reader = await world.client("bounded", index)
             assert (await reader.run("READ parcel")).code == ""
         yield world
 
--- a/tests/test_session_order.py
+++ b/tests/test_session_order.py
@@ -74,7 +74,7 @@
         await until(lambda: all(len(known(node)) == NODES for node in world.nodes))
         await until(lambda: sum(serves(node) for node in world.nodes) == 2)
         await until(lambda: all(has_databases(node) for node in world.nodes))
-        yield world, next(place for place, node in enumerate(world.nodes) if not serves(node))
+        yield world, next(index for index, node in enumerate(world.nodes) if not serves(node))
 
 
 def known(node: PlatformNode) -> frozenset[str]:
@@ -95,10 +95,10 @@
     return [context.leader(GroupId(GROUP)) for context in contexts if GROUP in context._leaders]
 
 
-async def callers_whose_replicas_stop(world: World, place: int) -> tuple[LineClient, LineClient]:
+async def callers_whose_replicas_stop(world: World, index: int) -> tuple[LineClient, LineClient]:
     """Return a session that has written, and a caller of latest reads; replicas receive no more."""
-    session = await world.client("session", place)
-    other = await world.client("latest", place)
+    session = await world.client("session", index)
+    other = await world.client("latest", index)
     await run_all(session, ["WRITE parcel old", "READ parcel"])
     await run_all(other, ["READ parcel"])
     for name in ("db-b", "db-c"):
@@ -129,9 +129,9 @@
 async def test_a_session_reads_its_commit_though_a_proof_carries_the_same_time(
     world_of: WorldOf, write: list[str], read: list[str]
 ) -> None:
-    async with world_of() as (world, place):
-        session, other = await callers_whose_replicas_stop(world, place)
-        now = world.nodes[place].gateway.context.now
+    async with world_of() as (world, index):
+        session, other = await callers_whose_replicas_stop(world, index)
+        now = world.nodes[index].gateway.context.now
         await until(lambda: all(it.lease.may_send(now() + LEASE_LEFT) for it in trackers(world)))
         with standing_clock():
             assert await run_all(other, ["READ parcel"]) == ["old"]
@@ -259,8 +259,8 @@
 
 
 async def test_a_session_reads_what_it_committed_in_a_transaction_of_another_node() -> None:
-    async with a_forwarding_node() as (world, place):
-        session, _ = await callers_whose_replicas_stop(world, place)
+    async with a_forwarding_node() as (world, index):
+        session, _ = await callers_whose_replicas_stop(world, index)
         await run_all(session, ["BEGIN", "WRITE parcel new", "COMMIT"])
         assert await run_all(session, ["READ parcel"]) == ["new"]
         await run_all(session, ["BEGIN", "WRITE parcel newer", "COMMIT"])
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -57,7 +57,7 @@
     "bounded": {"route_type": "bounded", "max_staleness_ms": 600_000, "timeout_ms": 600_000},
     "session": {"route_type": "self_managed", "max_staleness_ms": 60_000, "timeout_ms": 600_000},
 }
-"""Statement timeouts beyond every test, so that no answer is due to a statement's timeout."""
+"""Statement timeouts beyond every test, so that no answer results from a timeout."""
 SHORTEST_CONTACT = 4.0
 """The shortest `contact_ms` observed (seconds). For this long after a node's connections stopped
 delivering, it is not expected to have received configuration changes."""
@@ -175,8 +175,8 @@
     """Leave `count` idle connections in the pool of each database."""
     for pool in pools(world).values():
         pool.kept_idle = count
-        pooled = [await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG) for _ in range(count)]
-        for connection in pooled:
+        connections = [await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG) for _ in range(count)]
+        for connection in connections:
             connection.give_back()
 
 
@@ -351,9 +351,7 @@
 # The platform's store.
 
 
-async def test_a_call_on_a_silent_pooled_connection_fails_and_the_next_one_opens_a_new_one() -> (
-    None
-):
+async def test_a_call_on_a_silent_kept_connection_fails_and_the_next_opens_a_new_one() -> None:
     async def answer(method: str, path: str) -> HttpAnswer:
         return HttpAnswer(200, path.encode())
 
@@ -476,8 +474,8 @@
         pooled.pop().give_back()
         heard_at = max(idle.heard_at for idle in pool._resting)
         await until(lambda: asyncio.get_running_loop().time() > heard_at)
-        questions = [Command(BEGIN), Command(ROLLBACK)]
-        asked = asyncio.ensure_future(pooled[0].run(questions, MISSING_AFTER))
+        commands = [Command(BEGIN), Command(ROLLBACK)]
+        asked = asyncio.ensure_future(pooled[0].run(commands, MISSING_AFTER))
         await asyncio.sleep(0)
         block_process()
         answers = len(await asked)
--- a/tests/test_slot_queue.py
+++ b/tests/test_slot_queue.py
@@ -269,13 +269,15 @@
     held = await slots.enter(work())
     waiting = [await entering(slots, work()) for _ in range(3)]
     bounded = await slots.enter(work(in_transaction=True))
-    inside = await entering(slots, work(in_transaction=True))
+    of_transaction = await entering(slots, work(in_transaction=True))
     slots.refuse_waiting()
     async with asyncio.timeout(FAR_TOO_LONG):
         refused = await asyncio.gather(*waiting, return_exceptions=True)
         assert [type(error) for error in refused] == [NoSlotError] * 3
-        assert not isinstance(inside.exception() if inside.done() else None, NoSlotError)
+        assert not isinstance(
+            of_transaction.exception() if of_transaction.done() else None, NoSlotError
+        )
         held.release(served=False)
         bounded.release(served=False)
-        (await inside).release(served=False)
+        (await of_transaction).release(served=False)
     assert (slots.in_flight, slots.waiting) == (0, 0)
