--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -209,17 +209,17 @@
         return self.owners.homes(self._size_for_tenants, tenant)
 
     def serving_tenants(self) -> frozenset[NodeId]:
-        """Return all nodes that serve tenants; each tenant is counted by some of them."""
+        """Return all nodes that serve tenants, whichever of them counts a given tenant."""
         return frozenset(self.owners.homes(self._size_for_tenants, NO_TENANT))
 
     def runners(self, group: GroupId, tenant: TenantId, at_leader: bool) -> tuple[NodeId, ...]:
         """Return the nodes that run a tenant's statements, the preferred one first.
 
-        Only nodes that serve the group are listed, this one included if it does. Statements that
-        only the leader may run (`at_leader`) go to its region: a connection is in use for the round
-        trip to the database, and where connections are scarce 2 ms or 40 ms per query decide how
-        many operations they carry. Other reads go to a region with a replica, because nothing can
-        replace the leader's connections and slots.
+        Lists only nodes that serve the group; unless statements run near databases, it is empty if
+        this node serves the group. Statements that only the leader may run (`at_leader`) go to its
+        region: a connection is in use for the round trip to the database, and where connections are
+        scarce 2 ms or 40 ms per query decide how many operations they carry. Other reads go to a
+        region with a replica, because nothing can replace the leader's connections and slots.
         """
         if not self.runs_near_databases:
             return () if self.serves(group) else self.nearest(group)
--- a/src/bramblebeam/services/gateway/metrics.py
+++ b/src/bramblebeam/services/gateway/metrics.py
@@ -166,7 +166,7 @@
         )
         yield self._counter(
             "bramblebeam_database_ejections",
-            "Times that a database was ejected from reads because of slow or failed attempts.",
+            "Times that a database was ejected from reads for slow, failed or missing answers.",
             ("cause",),
             {(cause,): count for cause, count in self._ejections.items()},
         )
@@ -237,7 +237,7 @@
         )
         yield self._counter(
             "bramblebeam_held_in_vain",
-            "Statements refused after waiting for at least a quarter of their target time.",
+            "Statements refused after over a quarter of the time to their soft deadline.",
             (),
             {(): figures.wasted_waits},
         )
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -217,7 +217,7 @@
     # Ejection.
 
     def _check(self, pool: DatabasePool, group: Collection[DatabasePool], now: float) -> None:
-        """Eject a database that was unresponsive since the last check, or is much slower."""
+        """Eject an unresponsive database, or a replica that is far slower than the others."""
         instance = pool.entry.instance
         silent_since = pool.silent_since
         if silent_since is not None and silent_since > self._unresponsive_since.get(instance, 0.0):
