--- a/src/bramblebeam/services/gateway/execution.py
+++ b/src/bramblebeam/services/gateway/execution.py
@@ -1,4 +1,4 @@
-"""Where a statement runs: at this node, or at one that serves its group."""
+"""Execution of single statements, at this node or at one that serves the group."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from bramblebeam.core.gateway.replies import Reply
 from bramblebeam.core.quota.account import Count
-from bramblebeam.services.gateway.admission import admit, settle
+from bramblebeam.services.gateway.admission import admit, refund_unused
 from bramblebeam.services.gateway.leader_reads import read_latest
 from bramblebeam.services.gateway.reads import read_replica
 from bramblebeam.services.gateway.request import Request
-from bramblebeam.services.gateway.session_order import watch_answer, watch_commit
+from bramblebeam.services.gateway.session_order import check_answer, check_commit
 from bramblebeam.services.gateway.writes import write
 
 if TYPE_CHECKING:
@@ -18,11 +18,12 @@
 
 
 async def execute(context: GatewayContext, request: Request) -> Reply:
-    """Run a single statement to its final answer.
+    """Run a single statement and return its final reply.
 
-    A node that does not serve the group does so itself where no node that does can be asked.
+    A node that does not serve the group runs the statement itself if it can reach no node that
+    does.
     """
-    await context.know_members(request.hold_until)
+    await context.wait_for_members(request.hold_until)
     reply: Reply | None = None
     at_leader = context.runs_at_leader(request.route, request.writes)
     refused = context.load.refuse_early(request, at_leader)
@@ -32,12 +33,12 @@
         reply = await context.forwarder.execute(request, at_leader)
     if reply is None:
         reply = await execute_here(context, request)
-    request.note_observed(reply)
+    request.record_observed(reply)
     return reply
 
 
 async def execute_here(context: GatewayContext, request: Request) -> Reply:
-    """Run a single statement on this node's own connections, if its tenant may begin one."""
+    """Run a single statement on this node's own connections, if its tenant's limit allows."""
     if request.session.forwarded_on:
         request.account.add(Count(request.tenant, node=None))
     else:
@@ -47,14 +48,14 @@
     try:
         return await _execute_admitted(context, request)
     finally:
-        settle(context, request)
+        refund_unused(context, request)
 
 
 async def _execute_admitted(context: GatewayContext, request: Request) -> Reply:
     if context.runs_at_leader(request.route, request.writes):
-        passed_on = await context.forwarder.pass_to_leader(request)
-        if passed_on is not None:
-            return passed_on
+        forwarded = await context.forwarder.forward_to_leader(request)
+        if forwarded is not None:
+            return forwarded
     return await _execute_on_connections(context, request)
 
 
@@ -67,11 +68,11 @@
 async def _run_on_connections(context: GatewayContext, request: Request) -> Reply:
     if request.writes:
         reply = await write(context, request)
-        watch_commit(context, request, reply)
+        check_commit(context, request, reply)
         return reply
     if context.needs_leader(request.route):
         reply = await read_latest(context, request)
     else:
         reply = await read_replica(context, request)
-    watch_answer(context, request, reply)
+    check_answer(context, request, reply)
     return reply
--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -1,26 +1,24 @@
 """The connections of this node to one database."""
 
 from __future__ import annotations
-
 import asyncio
 import logging
-from collections import Counter
-
-from bramblebeam.core.gateway.budget import ConnectionBudget
-from bramblebeam.core.gateway.directory import DatabaseEntry
-from bramblebeam.core.gateway.state import NO_STATE, SessionState
-from bramblebeam.core.gateway.usage import TenantUsage
-from bramblebeam.core.overload.work import Work
-from bramblebeam.core.tenants import TenantId
-from bramblebeam.core.verdict import Reason, Refusal
-from bramblebeam.events import log_event
-from bramblebeam.events.catalogue import DATABASE_CONNECTIONS_UNRESPONSIVE
-from bramblebeam.services.gateway.pooled import ANSWER_SECONDS, CLOCK_STEP, PooledConnection
-from bramblebeam.services.gateway.ports import ConnectError, DatabaseConnector
-from bramblebeam.services.gateway.resting import RestingConnections
-from bramblebeam.services.gateway.slot_queue import Permit, SlotQueue, unbounded
-from bramblebeam.services.gateway.waiters import Waiter, Waiters
-from bramblebeam.services.waiting import loop_time
+from bramblebeam.core.gateway.budget import (ConnectionBudget)
+from bramblebeam.core.gateway.directory import (DatabaseEntry)
+from bramblebeam.core.gateway.state import (NO_STATE, SessionState)
+from bramblebeam.core.gateway.usage import (TenantUsage)
+from bramblebeam.core.overload.work import (Work)
+from bramblebeam.core.tenants import (TenantId)
+from bramblebeam.core.verdict import (Reason, Refusal)
+from bramblebeam.events import (log_event)
+from bramblebeam.events.catalogue import (DATABASE_CONNECTIONS_UNRESPONSIVE)
+from bramblebeam.services.gateway.pooled import (ANSWER_SECONDS, CLOCK_STEP, PooledConnection)
+from bramblebeam.services.gateway.ports import (ConnectError, DatabaseConnector)
+from bramblebeam.services.gateway.resting import (RestingConnections)
+from bramblebeam.services.gateway.slot_queue import (Permit, SlotQueue, unlimited_permit)
+from bramblebeam.services.gateway.waiters import (Waiter, Waiters)
+from bramblebeam.services.waiting import (loop_time)
+from collections import (Counter)
 
 logger = logging.getLogger(__name__)
 
@@ -128,7 +126,7 @@
 
     async def enter(self, work: Work) -> Permit:
         """Wait until a statement may be under way. Raises NoSlotError, ConnectError."""
-        return unbounded() if self.slots is None else await self.slots.enter(work)
+        return unlimited_permit() if self.slots is None else await self.slots.enter(work)
 
     async def acquire(
         self, tenant: TenantId, session: SessionState, timeout: float
--- a/src/bramblebeam/services/gateway/read_attempts.py
+++ b/src/bramblebeam/services/gateway/read_attempts.py
@@ -1,4 +1,4 @@
-"""What every attempt of a read shares: its connection, its count, and its loss."""
+"""Steps shared by all attempts of a read: acquiring, counting and losing its connection."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 if TYPE_CHECKING:
     from bramblebeam.services.gateway.context import GatewayContext
 
-LOST = Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST)
+CONNECTION_LOST = Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST)
 
 
 async def acquire(
     context: GatewayContext, request: Request, pool: DatabasePool
 ) -> PooledConnection | Refusal:
-    """Return a connection, or why there is none, which the request has noted."""
+    """Return a connection; if there is none, record and return the refusal."""
     try:
         return await pool.acquire(
             request.tenant, request.session.state, time_to_hold(context, request)
@@ -29,27 +29,29 @@
     except (TimeoutError, ConnectError) as error:
         reason = error.reason if isinstance(error, ConnectError) else Reason.QUEUE_TIMEOUT
         refusal = Refusal(Verdict.NOT_RUN, reason, str(error))
-        request.attempt_failed(pool.entry.instance, refusal)
+        request.record_failed_attempt(pool.entry.instance, refusal)
         return refusal
 
 
-async def may_send(context: GatewayContext, request: Request, lent: PooledConnection) -> bool:
-    """Whether the read may be sent on a connection, which is given back where it may not."""
-    may = False
+async def may_send(context: GatewayContext, request: Request, pooled: PooledConnection) -> bool:
+    """Return whether the read may be sent on a connection; the connection is released if not."""
+    allowed = False
     try:
-        may = await may_attempt(context, request)
+        allowed = await may_attempt(context, request)
     finally:
-        if not may:
-            lent.give_back()
-    return may
+        if not allowed:
+            pooled.give_back()
+    return allowed
 
 
-def note_lost(context: GatewayContext, request: Request, pool: DatabasePool, detail: str) -> None:
-    """Note that a read's connection was lost: where its time is over, the database was silent."""
+def record_connection_lost(
+    context: GatewayContext, request: Request, pool: DatabasePool, detail: str
+) -> None:
+    """Record a lost connection; after the read's deadline the database counts as unresponsive."""
     instance = pool.entry.instance
     if context.now() < request.deadline:
         lost = Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST, detail)
-        request.attempt_failed(instance, lost)
+        request.record_failed_attempt(instance, lost)
         return
-    request.attempt_failed(instance, Refusal(Verdict.UNKNOWN, Reason.DEADLINE))
+    request.record_failed_attempt(instance, Refusal(Verdict.UNKNOWN, Reason.DEADLINE))
     pool.was_silent()
--- a/tests/placement_world.py
+++ b/tests/placement_world.py
@@ -86,10 +86,10 @@
         self._database = database
 
     @property
-    def under_way(self) -> int:
+    def in_flight(self) -> int:
         return 0 if self._database is None else self._database.busy
 
-    def turn_away(self) -> None:
+    def refuse_waiting(self) -> None:
         """What waits is sent elsewhere by its own patience."""
 
     def load(self) -> DatabaseLoad:
@@ -251,7 +251,7 @@
         region = int(pool.entry.zone)
         way = 0.0 if region == read.region else WAY
         if way:
-            read.counted[region] = node.targets.passed_on(instance)
+            read.counted[region] = node.targets.record_forwarded(instance)
         began = self.now
         self.after(way, lambda: self._take(read, region, way))
         patience = PATIENCE + 2 * way
@@ -296,7 +296,7 @@
                 reason = Reason.QUEUE_FULL if is_shed else Reason.BACKEND_ERROR
                 self._failed(read, region, way, reason, began)
                 return
-            node.targets.served(pool, seconds)  # type: ignore[arg-type]
+            node.targets.record_served(pool, seconds)  # type: ignore[arg-type]
             self._answer(read, region, way)
 
         self.after(seconds, end)
@@ -307,7 +307,7 @@
         node = self.nodes[region]
         pool = node.pools[InstanceId(f"db-{region}")]
         refusal = Refusal(Verdict.NOT_RUN, reason)
-        node.targets.failed(pool, refusal, self.now if began is None else began)  # type: ignore[arg-type]
+        node.targets.record_failed(pool, refusal, self.now if began is None else began)  # type: ignore[arg-type]
         self._return(read, region, way, lambda: self._send(read))
 
     def _answer(self, read: Read, region: int, way: float) -> None:
@@ -325,8 +325,8 @@
 
         def arrive() -> None:
             if way:
-                caller.targets.take_told(told)
-                caller.targets.answered(read.counted.pop(region))
+                caller.targets.observe_reported_loads(told)
+                caller.targets.record_forwarded_done(read.counted.pop(region))
             then()
 
         self.after(way, arrive)
--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -1,31 +1,29 @@
-"""Statements that a node forwards to the ones that serve their group, over the line wire."""
+"""Statements that a node forwards to the nodes that serve their group, over the line wire."""
 
 import asyncio
-from collections.abc import AsyncIterator
-from contextlib import asynccontextmanager
-from typing import Any
-
 import pytest
-
-from bramblebeam.core.identity import GroupId
-from bramblebeam.core.membership.view import MembersView
-from bramblebeam.kernel.mailbox import Envelope
-from bramblebeam.platform.node import PlatformNode
-from bramblebeam.services.failover.service import FailoverService
-from bramblebeam.services.gateway import forwarding
-from bramblebeam.services.gateway.context import MEMBERS_QUIET
-from bramblebeam.services.gateway.leader_news import LeaderSuspected
-from platform_standins.world import FAR_TOO_LONG, GROUP, World, joined_world, until
+from bramblebeam.core.identity import (GroupId)
+from bramblebeam.core.membership.view import (MembersView)
+from bramblebeam.kernel.mailbox import (Envelope)
+from bramblebeam.platform.node import (PlatformNode)
+from bramblebeam.services.failover.service import (FailoverService)
+from bramblebeam.services.gateway import (forwarding)
+from bramblebeam.services.gateway.context import (MEMBERS_QUIET_PERIOD)
+from bramblebeam.services.gateway.leader_news import (LeaderSuspected)
+from collections.abc import (AsyncIterator)
+from contextlib import (asynccontextmanager)
+from platform_standins.world import (FAR_TOO_LONG, GROUP, World, joined_world, until)
+from typing import (Any)
 
 NODES = 4
 CONNECTIONS = 10
-"""So few that two nodes serve the group."""
+"""Few enough that two nodes serve the group."""
 
 
 @pytest.fixture(autouse=True)
 def patient(monkeypatch: pytest.MonkeyPatch) -> None:
-    """On a busy machine a node may be silent for long; here only a closed stream is a loss."""
-    monkeypatch.setattr(forwarding, "SILENCE", FAR_TOO_LONG)
+    """On a busy machine a node may not respond for long; only a closed stream is a loss here."""
+    monkeypatch.setattr(forwarding, "PEER_SILENCE_TIMEOUT", FAR_TOO_LONG)
 
 
 def serves(node: PlatformNode) -> bool:
@@ -42,14 +40,14 @@
 
 @asynccontextmanager
 async def forwarding_world() -> AsyncIterator[tuple[World, int]]:
-    """Four nodes that know each other, and the place of one that does not serve the group."""
+    """Start four nodes that know each other; yield also the index of one not serving the group."""
     async with joined_world(NODES, CONNECTIONS) as world:
-        # A node that knows three of four sees other owners than the rest do.
+        # A node that knows only three of the four computes other owners than the rest.
         await until(lambda: all(knows_all_nodes(node) for node in world.nodes))
         await until(lambda: sum(serves(node) for node in world.nodes) == 2)
-        # One that knows no database yet declines, and is left out for a while.
+        # A node that knows no database yet declines, and is skipped for a while.
         await until(lambda: all(knows_databases(node) for node in world.nodes))
-        outside = next(place for place, node in enumerate(world.nodes) if not serves(node))
+        outside = next(index for index, node in enumerate(world.nodes) if not serves(node))
         yield world, outside
 
 
@@ -69,27 +67,30 @@
         assert connections_of(world.nodes[outside]) == 0
 
 
-async def test_a_node_that_serves_a_group_no_more_lets_its_connections_go() -> None:
-    """Found on a grown day: after a start of all nodes each kept one connection that it had opened
-    before it knew the others, and the nodes that served the group got none."""
+async def test_a_node_that_stops_serving_a_group_closes_its_connections() -> None:
+    """A node closes its connections when it stops serving a group.
+
+    After a start of all nodes each kept one connection that it had opened before it knew the
+    others, and the nodes that served the group got none.
+    """
     async with forwarding_world() as (world, _):
-        place = next(place for place, node in enumerate(world.nodes) if serves(node))
-        client = await world.client("session", place)
+        index = next(index for index, node in enumerate(world.nodes) if serves(node))
+        client = await world.client("session", index)
         assert (await client.run("WRITE parcel 1")).code == ""
-        context = world.nodes[place].gateway.context
-        assert connections_of(world.nodes[place]) > 0
-        others = [node for node in world.nodes if node is not world.nodes[place]]
+        context = world.nodes[index].gateway.context
+        assert connections_of(world.nodes[index]) > 0
+        others = [node for node in world.nodes if node is not world.nodes[index]]
         context.serves = lambda group: False  # type: ignore[method-assign]
         context.nearest = lambda group: [  # type: ignore[method-assign,assignment,return-value]
             node.gateway.context.owners.location.node for node in others if serves(node)
         ]
-        context.take_members(context.owners._members)
+        context.update_members(context.owners._members)
         assert (await client.run("WRITE parcel 2")).code == ""
-        await until(lambda: connections_of(world.nodes[place]) == 0)
+        await until(lambda: connections_of(world.nodes[index]) == 0)
 
 
-async def test_a_node_that_expects_others_waits_a_moment_for_them_before_it_dials() -> None:
-    """Found on a grown day: right after a start of all nodes each dialled every database."""
+async def test_a_node_that_expects_others_waits_for_them_before_it_connects() -> None:
+    """Right after a start of all nodes, each one connected to every database."""
     async with forwarding_world() as (world, outside):
         context = world.nodes[outside].gateway.context
         view = context.owners._members
@@ -98,19 +99,19 @@
             {context.owners.location.zone: (context.owners.location.node,)},
         )
         await until(context._members_known.is_set)
-        # Timers that were set while the node met the others are due before this one.
-        await asyncio.sleep(2 * MEMBERS_QUIET)
-        assert context._patience is not None
-        context._patience.cancel()
+        # Timers that were set while the node met the others fire before this one.
+        await asyncio.sleep(2 * MEMBERS_QUIET_PERIOD)
+        assert context._members_timer is not None
+        context._members_timer.cancel()
         context.expects_others = True
         context._members_known.clear()
-        context.take_members(alone)
+        context.update_members(alone)
         client = await world.client("session", outside)
         running = asyncio.ensure_future(client.run("READ parcel"))
         for _ in range(5):
             await asyncio.sleep(0.02)
         assert connections_of(world.nodes[outside]) == 0
-        context.take_members(view)
+        context.update_members(view)
         assert (await running).code == ""
         assert connections_of(world.nodes[outside]) == 0
 
@@ -135,7 +136,7 @@
             assert (await client.run("READ parcel")).rows == [str(number)]
 
 
-async def test_values_and_prepared_names_travel_with_each_statement() -> None:
+async def test_session_values_and_prepared_names_are_sent_with_each_statement() -> None:
     async with forwarding_world() as (world, outside):
         first, second = [await world.client("session", outside) for _ in range(2)]
         await first.run("SET zone a")
@@ -166,7 +167,7 @@
         assert (await client.run("READ parcel")).rows == ["1"]
 
 
-async def test_a_caller_that_leaves_rolls_back_at_the_other_node() -> None:
+async def test_a_disconnected_callers_transaction_is_rolled_back_at_the_other_node() -> None:
     async with forwarding_world() as (world, outside):
         client = await world.client("session", outside)
         await client.run("BEGIN")
@@ -196,7 +197,7 @@
         ),
     ],
 )
-async def test_a_lost_answer_of_the_database_is_told_as_without_forwarding(
+async def test_a_lost_answer_of_the_database_is_reported_as_without_forwarding(
     fault: dict[str, Any], statements: list[str], expected: tuple[str, str]
 ) -> None:
     async with forwarding_world() as (world, outside):
--- a/tests/test_queue_view.py
+++ b/tests/test_queue_view.py
@@ -1,17 +1,15 @@
-"""What an operator sees of the queues before databases."""
+"""The queues before databases, as shown to an operator."""
 
 import json
-from typing import Any
-
 import pytest
-
-from bramblebeam.cli.queues import table_lines
-from bramblebeam.platform.node import QUEUES_PATH, _figures
-from bramblebeam.services.gateway.queue_view import queue_rows
-from node_answers import ABSENT, run_at_nodes
-from platform_standins.world import running_world
-from test_silent_connections import pools, served
-from test_slot_queue import ordered_world
+from bramblebeam.cli.queues import (table_lines)
+from bramblebeam.platform.node import (QUEUES_PATH, _figures)
+from bramblebeam.services.gateway.queue_view import (queue_rows)
+from node_answers import (ABSENT, run_at_nodes)
+from platform_standins.world import (running_world)
+from test_silent_connections import (pools, served)
+from test_slot_queue import (ordered_world)
+from typing import (Any)
 
 
 async def test_a_node_shows_a_row_for_each_database_whose_statements_it_queues(
@@ -33,7 +31,7 @@
         assert queue_rows(pools(world).values()) == []
 
 
-async def test_the_command_asks_nodes_and_names_those_that_do_not_answer() -> None:
+async def test_the_command_queries_nodes_and_lists_those_that_do_not_answer() -> None:
     row = {"group": "g", "instance": "db", "waiting": 7, "wait_ms": 40}
 
     def body_of(path: str) -> bytes:
