--- a/src/bramblebeam/services/failover/change.py
+++ b/src/bramblebeam/services/failover/change.py
@@ -25,7 +25,7 @@
 )
 from bramblebeam.core.role import Role
 from bramblebeam.services.failover.cut_off import (
-    LEASES_RAN_OUT,
+    LEASES_EXPIRED,
     NEVER,
     CutOff,
     LeaderCutOff,
@@ -367,7 +367,7 @@
         """Cut a former leader off, which nobody may know, until no lease on it is left."""
         if former is None:
             await asyncio.sleep(max(0.0, min(WAIT_SECONDS, leases_end - self._context.now())))
-            return LEASES_RAN_OUT if leases_end != NEVER else CutOff(False)
+            return LEASES_EXPIRED if leases_end != NEVER else CutOff(False)
         nodes, nodes_are_all = self._context.users(self._group)
         return await self._cut_off.run(former, term, nodes, leases_end, nodes_are_all)
 
--- a/src/bramblebeam/services/failover/cut_off.py
+++ b/src/bramblebeam/services/failover/cut_off.py
@@ -50,7 +50,7 @@
     relies_on_pauses: bool = False
 
 
-LEASES_RAN_OUT = CutOff(True, relies_on_pauses=True)
+LEASES_EXPIRED = CutOff(True, relies_on_pauses=True)
 
 
 class LeaderCutOff:
@@ -109,7 +109,7 @@
             waiting, timeout=timeout, return_when=asyncio.FIRST_COMPLETED
         )
         if not done:
-            return LEASES_RAN_OUT, "leases ran out"
+            return LEASES_EXPIRED, "leases ran out"
         for task in done:
             reply = NO_ANSWER if task.cancelled() else task.result()
             if reply.outcome is StepDownOutcome.DONE:
@@ -122,4 +122,4 @@
     if leases_end == NEVER:
         return CutOff(False), "unreachable, and leases on it may be renewed"
     await asyncio.sleep(max(0.0, leases_end - loop_time()))
-    return LEASES_RAN_OUT, "leases ran out"
+    return LEASES_EXPIRED, "leases ran out"
--- a/tests/test_failover_cut_off.py
+++ b/tests/test_failover_cut_off.py
@@ -10,7 +10,7 @@
     StepDownRequest,
 )
 from bramblebeam.core.identity import GroupId, InstanceId, NodeId, Position, server_name
-from bramblebeam.services.failover.cut_off import LEASES_RAN_OUT, NEVER, CutOff, LeaderCutOff
+from bramblebeam.services.failover.cut_off import LEASES_EXPIRED, NEVER, CutOff, LeaderCutOff
 
 GROUP = GroupId("deliveries")
 FORMER = InstanceId("db-a")
@@ -96,4 +96,4 @@
 
 async def test_leases_that_have_run_out_end_the_wait_whoever_is_silent() -> None:
     past = asyncio.get_running_loop().time() - 1
-    assert await cut_off(UNREACHABLE, [NO_ANSWER], past, False) == LEASES_RAN_OUT
+    assert await cut_off(UNREACHABLE, [NO_ANSWER], past, False) == LEASES_EXPIRED
