--- a/src/bramblebeam/services/failover/cut_off.py
+++ b/src/bramblebeam/services/failover/cut_off.py
@@ -27,7 +27,7 @@
 logger = logging.getLogger(__name__)
 
 PEER_TIMEOUT = 1.2
-PEER_SILENCE = 0.4
+PEER_SILENCE_TIMEOUT = 0.4
 NEVER = float("inf")
 
 
--- a/src/bramblebeam/services/failover/peers.py
+++ b/src/bramblebeam/services/failover/peers.py
@@ -4,7 +4,7 @@
 from bramblebeam.core.identity import NodeId
 from bramblebeam.kernel import Kernel, MailboxFullError
 from bramblebeam.kernel.mailbox import ServiceFailedError
-from bramblebeam.services.failover.cut_off import PEER_SILENCE, PEER_TIMEOUT
+from bramblebeam.services.failover.cut_off import PEER_SILENCE_TIMEOUT, PEER_TIMEOUT
 from bramblebeam.services.transport.messages import PeerRequest
 
 TRANSPORT = "transport"
@@ -18,7 +18,7 @@
 
     async def step_down(self, node: NodeId, request: StepDownRequest) -> StepDownReply:
         """Have a node take the lead from a database; NO_ANSWER where it gives none."""
-        question = PeerRequest(node, request, PEER_TIMEOUT, PEER_SILENCE)
+        question = PeerRequest(node, request, PEER_TIMEOUT, PEER_SILENCE_TIMEOUT)
         try:
             answer = await self._kernel.call(TRANSPORT, question)
         except (MailboxFullError, ServiceFailedError):
