--- a/src/bramblebeam/services/failover/change.py
+++ b/src/bramblebeam/services/failover/change.py
@@ -34,7 +34,7 @@
 from bramblebeam.services.failover.member_orders import MemberOrders, MemberUnreachableError
 from bramblebeam.services.failover.paused_members import PausedMembers, Statuses
 from bramblebeam.services.failover.ports import Order, Promoter
-from bramblebeam.services.failover.untold import UntoldChanges
+from bramblebeam.services.failover.untold import UnwrittenChangeDetector
 from bramblebeam.services.gateway.context import GatewayContext
 
 PROMOTION_TIMEOUT = 0.6
@@ -80,7 +80,7 @@
     ) -> None:
         """`may_be_untold`: the lease may lack the last change (see `UntoldChanges`)."""
         self._context = context
-        self._untold = UntoldChanges(context, group, may_be_untold)
+        self._untold = UnwrittenChangeDetector(context, group, may_be_untold)
         self._promoter = promoter
         self._group = group
         self._orders = MemberOrders(context.placement)
--- a/src/bramblebeam/services/failover/untold.py
+++ b/src/bramblebeam/services/failover/untold.py
@@ -17,7 +17,7 @@
 logger = logging.getLogger(__name__)
 
 
-class UntoldChanges:
+class UnwrittenChangeDetector:
     """Holds what members told of changes against the lease, and whose lead this node has ended.
 
     `may_be`: holders of the lease change the primary also without the store, so that the lease may
