--- a/src/bramblebeam/services/failover/change.py
+++ b/src/bramblebeam/services/failover/change.py
@@ -380,7 +380,7 @@
         self._former_leader = former
         self._relies_on_pauses = cut_off.relies_on_pauses
         if cut_off.position is not None:
-            self._untold.note_ended()
+            self._untold.record_step_down()
 
     async def _caught_up(self, target: InstanceId, position: Position | None) -> None:
         """Wait until the target has all that the former leader has, for a while at most."""
--- a/src/bramblebeam/services/failover/untold.py
+++ b/src/bramblebeam/services/failover/untold.py
@@ -59,7 +59,7 @@
             told_term=told.term if told is not None else None,
         )
 
-    def note_ended(self) -> None:
+    def record_step_down(self) -> None:
         """Note that this node had the former leader step down: its denial shows no other change."""
         leaders = self._leaders
         if leaders.denied_term != leaders.last_term:
