--- a/src/bramblebeam/services/failover/change.py
+++ b/src/bramblebeam/services/failover/change.py
@@ -91,7 +91,7 @@
 
     def expect_untold(self) -> None:
         """Note that the lease may lack the last change: the store came back from a copy once."""
-        self._untold.expect()
+        self._untold.expect_unwritten()
 
     async def prepare(
         self,
--- a/src/bramblebeam/services/failover/untold.py
+++ b/src/bramblebeam/services/failover/untold.py
@@ -30,7 +30,7 @@
         self._may_be = may_be
         self._ended_term = 0
 
-    def expect(self) -> None:
+    def expect_unwritten(self) -> None:
         """Note that the lease may lack the last change from now on."""
         self._may_be = True
 
