--- a/src/bramblebeam/services/failover/change.py
+++ b/src/bramblebeam/services/failover/change.py
@@ -159,7 +159,9 @@
 
         A group that has waited for long goes on without what it was not told.
         """
-        return self._untold.followed(told, former, statuses) if self._may_come_late() else told
+        return (
+            self._untold.change_to_follow(told, former, statuses) if self._may_come_late() else told
+        )
 
     def _may_follow(
         self,
--- a/src/bramblebeam/services/failover/untold.py
+++ b/src/bramblebeam/services/failover/untold.py
@@ -34,7 +34,7 @@
         """Note that the lease may lack the last change from now on."""
         self._may_be = True
 
-    def followed(
+    def change_to_follow(
         self,
         told: OrderedChange | None,
         former: InstanceId | None,
