--- a/src/bramblebeam/services/failover/change.py
+++ b/src/bramblebeam/services/failover/change.py
@@ -89,7 +89,7 @@
         self._relies_on_pauses = False
         self._former_leader: InstanceId | None = None
 
-    def expect_untold(self) -> None:
+    def expect_unwritten_change(self) -> None:
         """Note that the lease may lack the last change: the store came back from a copy once."""
         self._untold.expect_unwritten()
 
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -205,7 +205,7 @@
         if claimed is None:
             return None, ChangeOutcome(None, "the lease is another node's")
         if claimed.token.era > FIRST_ERA:
-            self._runner.expect_untold()
+            self._runner.expect_unwritten_change()
         if claimed.unsettled is not None and not self._has_restarted(claimed.unsettled.target):
             return claimed.unsettled, await self._repeat(claimed, claimed.unsettled, leader)
         if cause is Cause.UNCONFIRMED and leader is not None and self._has_witness():
