--- a/src/bramblebeam/services/failover/group_lease.py
+++ b/src/bramblebeam/services/failover/group_lease.py
@@ -127,7 +127,7 @@
         token = str(found.token)
         log_event(logger, LEASE_OF_FORMER_ERA, group=self._group, token=token, era=found.era)
 
-    def note_era(self, era: int) -> None:
+    def record_era(self, era: int) -> None:
         """Note that the store came back from a copy: whoever held the lease, it is over."""
         self._era = max(self._era, era)
         if self.known is None or self.is_current:
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -93,7 +93,7 @@
 
     def note_era(self, era: int) -> None:
         """Note that the store came back from a copy: its lease has to be looked at again."""
-        self.lease.note_era(era)
+        self.lease.record_era(era)
         self._lease_unknown.set()
         self.wake.set()
 
--- a/tests/test_leases_restored.py
+++ b/tests/test_leases_restored.py
@@ -227,7 +227,7 @@
         claimed = await holder.lease.write(None, None)
         assert claimed is not None
         platform.go_back(copy)
-        holder.lease.note_era(1)
+        holder.lease.record_era(1)
         assert holder.lease.known is not None
         assert not holder.lease.is_own
         assert await holder.lease.hold() is None
