--- a/src/bramblebeam/services/failover/group_lease.py
+++ b/src/bramblebeam/services/failover/group_lease.py
@@ -285,7 +285,7 @@
             self._know(written)
             log_event(logger, LEASE_RELEASED, group=self._group, token=str(written.token))
 
-    def note_refused(self, token: Revision) -> None:
+    def record_refused_token(self, token: Revision) -> None:
         """Use a token no more: another node has used a higher one."""
         self._refused_token = token
 
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -291,7 +291,7 @@
             await self.lease.write(change, None)
             return outcome
         if outcome.order is Order.REFUSED:
-            self.lease.note_refused(lease.token)
+            self.lease.record_refused_token(lease.token)
         if outcome.order is Order.REFUSED or not (outcome.ordered or is_repeated):
             await self.lease.write(lease.last_change, None)
         return outcome
--- a/tests/test_failover_group_lease.py
+++ b/tests/test_failover_group_lease.py
@@ -142,7 +142,7 @@
     parts.store.silent = True
     kept = asyncio.run(parts.lease.write(None, None))
     assert kept is not None
-    parts.lease.note_refused(kept.token)
+    parts.lease.record_refused_token(kept.token)
     assert asyncio.run(parts.lease.write(None, None)) is None
 
 
