--- a/src/bramblebeam/services/failover/group_lease.py
+++ b/src/bramblebeam/services/failover/group_lease.py
@@ -57,7 +57,7 @@
         self.known: Lease | None = None
         self.quiet_until = float("-inf")
         self.is_unwritten = False
-        self.reclaims = False
+        self.must_reclaim = False
         self._group = group
         self._node = node
         self._store = store
@@ -132,21 +132,21 @@
         self._era = max(self._era, era)
         if self.known is None or self.is_current:
             return
-        self.reclaims = self.reclaims or self.is_own
+        self.must_reclaim = self.must_reclaim or self.is_own
         self.known = replace(self.known, holder=UNKNOWN_HOLDER)
         self.is_unwritten = False
 
     async def reclaim(self) -> None:
         """Write the lease again if this node held it before the store came back from a copy."""
         known = self.known
-        if not self.reclaims or known is None or not self.is_current:
+        if not self.must_reclaim or known is None or not self.is_current:
             return
         if self._now() < self.quiet_until:
             return
         if known.holder == UNKNOWN_HOLDER:
             await self.write(known.last_change, known.unsettled)
         else:
-            self.reclaims = False
+            self.must_reclaim = False
 
     async def refresh(self, situation: Situation, is_wanted: Callable[[], bool]) -> bool:
         """Read another node's lease where that is due; False: it must not be taken over now.
@@ -220,7 +220,7 @@
             self._know(written)
             return None
         self.known = self._memory = written
-        self.is_unwritten = self.reclaims = False
+        self.is_unwritten = self.must_reclaim = False
         self._written_at = asked_at
         log_event(logger, LEASE_TAKEN, group=self._group, token=str(written.token))
         return written
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -114,7 +114,7 @@
             await pause(self.wake, CYCLE_SECONDS)
 
     def _quiet_pause(self) -> float:
-        is_pending = self.lease.is_unwritten or self.lease.reclaims
+        is_pending = self.lease.is_unwritten or self.lease.must_reclaim
         return FLUSH_INTERVAL if is_pending else QUIET_CYCLE_SECONDS
 
     def _observe(self) -> Situation:
@@ -140,7 +140,7 @@
         read it only in times of trouble.
         """
         while not self.lease.is_current:
-            if self.lease.reclaims or self._service.context.is_first_owner(self._group):
+            if self.lease.must_reclaim or self._service.context.is_first_owner(self._group):
                 await self.lease.create_or_read()
             if not self.lease.is_current:
                 await asyncio.sleep(LEASE_RETRY * random.uniform(0.5, 1.5))
--- a/tests/test_leases_restored.py
+++ b/tests/test_leases_restored.py
@@ -235,8 +235,8 @@
         await holder.lease.release()
         holder.now += FAR_FROM_TROUBLE
         await holder.lease.create_or_read()
-        assert holder.lease.reclaims
+        assert holder.lease.must_reclaim
         holder.now += FAR_FROM_TROUBLE
         await holder.lease.reclaim()
         assert holder.lease.is_own
-        assert not holder.lease.reclaims
+        assert not holder.lease.must_reclaim
