--- a/src/bramblebeam/services/failover/change.py
+++ b/src/bramblebeam/services/failover/change.py
@@ -409,7 +409,7 @@
     async def _statuses(self, members: list[DatabaseEntry], leader: InstanceId | None) -> Statuses:
         others = [entry.instance for entry in members if entry.instance != leader]
         silent = [instance for instance in others if self._is_silent(instance)]
-        self._paused.note_gone([instance for instance in silent if self._is_gone(instance)])
+        self._paused.record_gone([instance for instance in silent if self._is_gone(instance)])
         return await self._paused.statuses([name for name in others if name not in silent])
 
     def _is_silent(self, instance: InstanceId) -> bool:
--- a/src/bramblebeam/services/failover/paused_members.py
+++ b/src/bramblebeam/services/failover/paused_members.py
@@ -57,7 +57,7 @@
         self.paused_at = loop_time()
         return _answered(instances, answers)
 
-    def note_gone(self, instances: Collection[InstanceId]) -> None:
+    def record_gone(self, instances: Collection[InstanceId]) -> None:
         """Note that nothing listened at the addresses of members a moment ago."""
         self._gone.update(instances)
 
