--- a/src/bramblebeam/services/failover/change.py
+++ b/src/bramblebeam/services/failover/change.py
@@ -351,7 +351,7 @@
         """
         members = self._context.leader(self._group).members()
         leases_end = NEVER
-        silent = self._paused.silent(members, former, statuses)
+        silent = self._paused.unresponsive(members, former, statuses)
         if leader is None and (self._synchronous or not silent):
             statuses = await self._paused.pause(statuses, term)
         if leader is None:
--- a/src/bramblebeam/services/failover/paused_members.py
+++ b/src/bramblebeam/services/failover/paused_members.py
@@ -61,7 +61,7 @@
         """Note that nothing listened at the addresses of members a moment ago."""
         self._gone.update(instances)
 
-    def silent(
+    def unresponsive(
         self,
         members: Collection[DatabaseEntry],
         former: InstanceId | None,
