--- a/src/bramblebeam/services/failover/service.py
+++ b/src/bramblebeam/services/failover/service.py
@@ -17,7 +17,7 @@
 from bramblebeam.services.failover.member_orders import MemberOrders
 from bramblebeam.services.failover.peers import TransportStepDownPeers
 from bramblebeam.services.failover.ports import LeaseStore, Promoter
-from bramblebeam.services.failover.watch import GroupWatch
+from bramblebeam.services.failover.watch import FailoverWatch
 from bramblebeam.services.gateway.context import GatewayContext
 from bramblebeam.services.gateway.leader_news import (
     FormerLeaderFound,
@@ -50,7 +50,7 @@
         self.promoter = promoter
         self.fence_checked = fence_checked
         self.timing = FailoverTiming()
-        self._watches: dict[GroupId, GroupWatch] = {}
+        self._watches: dict[GroupId, FailoverWatch] = {}
 
     async def start(self) -> None:
         """Follow databases and the leaders of groups in use."""
@@ -101,7 +101,7 @@
     def _watch(self, group: GroupId) -> None:
         """Watch a group that this node serves: the others' view of it is second-hand."""
         if group not in self._watches and self.context.serves(group):
-            self._watches[group] = GroupWatch(self, group)
+            self._watches[group] = FailoverWatch(self, group)
             self.spawn(self._watches[group].run())
 
     @staticmethod
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -59,7 +59,7 @@
         """Return the steady clock (seconds)."""
 
 
-class GroupWatch:
+class FailoverWatch:
     """One group's loop: observe, decide, act."""
 
     def __init__(self, service: WatchedService, group: GroupId) -> None:
--- a/tests/test_failover_old_lease.py
+++ b/tests/test_failover_old_lease.py
@@ -14,7 +14,7 @@
 from bramblebeam.services.failover.change import PROMOTION_TIMEOUT, ChangeOutcome
 from bramblebeam.services.failover.group_lease import GroupLease
 from bramblebeam.services.failover.ports import Order
-from bramblebeam.services.failover.watch import GroupWatch
+from bramblebeam.services.failover.watch import FailoverWatch
 from revisions import at
 from test_failover_group_lease import OTHER, OWN, Clock, Store
 
@@ -59,7 +59,7 @@
         self.clock = Clock()
         self.store = Store(self.clock)
         service: Any = SimpleNamespace(node=OWN, timing=TIMING, now=lambda: self.clock.now)
-        self.watch = GroupWatch.__new__(GroupWatch)
+        self.watch = FailoverWatch.__new__(FailoverWatch)
         self.watch.lease = GroupLease(GROUP, OWN, self.store, TIMING, fence_checked, service.now)
         self.watch._service = service
         self.watch._group = GROUP
--- a/tests/test_failover_unwritten_change.py
+++ b/tests/test_failover_unwritten_change.py
@@ -13,7 +13,7 @@
 from bramblebeam.events.catalogue import FAILOVER_COMPLETED
 from bramblebeam.platform.node import PlatformNode
 from bramblebeam.services.failover.ports import LeaseStoreUnavailableError
-from bramblebeam.services.failover.watch import GroupWatch
+from bramblebeam.services.failover.watch import FailoverWatch
 from platform_standins.cuts import cut, keep_from
 from platform_standins.group import LineDatabase
 from platform_standins.world import GROUP, LineClient, World, joined_world, keep_writing, until
@@ -60,7 +60,7 @@
         return {order.target for order in self.world.platform.promotions}
 
 
-def watch_of(node: PlatformNode) -> GroupWatch:
+def watch_of(node: PlatformNode) -> FailoverWatch:
     return node.kernel._services["failover"]._watches[GROUP]  # type: ignore[attr-defined, no-any-return]
 
 
