--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -91,7 +91,7 @@
         await asyncio.sleep(random.uniform(0.0, FIRST_DELAY))
         await asyncio.gather(self._keep_lease(), self._watch())
 
-    def note_era(self, era: int) -> None:
+    def record_era(self, era: int) -> None:
         """Note that the store came back from a copy: its lease has to be looked at again."""
         self.lease.record_era(era)
         self._lease_unknown.set()
