--- a/src/bramblebeam/services/failover/situation.py
+++ b/src/bramblebeam/services/failover/situation.py
@@ -11,7 +11,7 @@
 from bramblebeam.services.gateway.context import GatewayContext
 from bramblebeam.services.gateway.leaders import UNCONFIRMED_SECONDS, LeaderTracker
 
-RANKS = 6
+RANK_COUNT = 6
 """Nodes spread over so many places in the order of those that take a lease over."""
 
 
@@ -92,4 +92,4 @@
 
 def _rank(node: NodeId, group: GroupId) -> int:
     digest = hashlib.blake2b(f"{group}/{node}".encode(), digest_size=2).digest()
-    return int.from_bytes(digest) % RANKS
+    return int.from_bytes(digest) % RANK_COUNT
--- a/tests/test_failover_in_vain.py
+++ b/tests/test_failover_in_vain.py
@@ -11,7 +11,7 @@
     FailoverBackoff,
 )
 from bramblebeam.core.failover.decision import FailoverTiming
-from bramblebeam.services.failover.situation import RANKS
+from bramblebeam.services.failover.situation import RANK_COUNT
 
 MEMBERS = ("db-b", "db-c")
 EPSILON = 0.01
@@ -54,4 +54,4 @@
 
 
 def test_every_other_node_gets_its_turn_within_the_longest_delay() -> None:
-    assert (RANKS - 1) * FailoverTiming().rank_step < MAX_DELAY
+    assert (RANK_COUNT - 1) * FailoverTiming().rank_step < MAX_DELAY
