--- a/src/bramblebeam/services/group/forwarding.py
+++ b/src/bramblebeam/services/group/forwarding.py
@@ -23,7 +23,7 @@
 Ask = Callable[[NodeId, Request, float], Awaitable[Reply | PeerFailure]]
 
 
-async def ask_for_change(
+async def request_change(
     request: ChangePrimaryRequest, watchers: Iterable[NodeId], ask: Ask
 ) -> ChangePrimaryReply:
     """Ask one watcher after the other, until one may have begun the change."""
