--- a/src/bramblebeam/services/group/forwarding.py
+++ b/src/bramblebeam/services/group/forwarding.py
@@ -45,7 +45,7 @@
     return reply.outcome is not ChangeOutcome.NOT_WATCHED
 
 
-async def ask_for_status(group: GroupId, watchers: Iterable[NodeId], ask: Ask) -> GroupStatusReply:
+async def request_status(group: GroupId, watchers: Iterable[NodeId], ask: Ask) -> GroupStatusReply:
     """Ask one watcher after the other, until one tells the status."""
     for watcher in watchers:
         result = await ask(watcher, GroupStatusRequest(group), STATUS_TIMEOUT)
--- a/src/bramblebeam/services/group/service.py
+++ b/src/bramblebeam/services/group/service.py
@@ -33,7 +33,7 @@
 from bramblebeam.kernel import Kernel, MailboxFullError, Service, ServiceFailedError
 from bramblebeam.kernel.mailbox import Envelope
 from bramblebeam.kernel.service import answer
-from bramblebeam.services.group.forwarding import ask_for_status, request_change
+from bramblebeam.services.group.forwarding import request_change, request_status
 from bramblebeam.services.group.watch import GroupWatch
 from bramblebeam.services.transport.messages import (
     PeerDelivery,
@@ -294,7 +294,7 @@
         if isinstance(request, ChangePrimaryRequest):
             answer(envelope, await request_change(request, watchers, self._ask))
         else:
-            answer(envelope, await ask_for_status(request.group, watchers, self._ask))
+            answer(envelope, await request_status(request.group, watchers, self._ask))
 
     async def _ask(self, watcher: NodeId, message: Any, timeout: float) -> Any:
         if watcher != self._settings.node:
