--- a/src/bramblebeam/services/transport/connection.py
+++ b/src/bramblebeam/services/transport/connection.py
@@ -116,7 +116,7 @@
         return not (self._retired or self._closed)
 
     @property
-    def greeted(self) -> bool:
+    def is_handshake_complete(self) -> bool:
         """Whether the peer has said hello over this connection."""
         return self._ready
 
