--- a/src/bramblebeam/services/transport/connection.py
+++ b/src/bramblebeam/services/transport/connection.py
@@ -192,7 +192,7 @@
                 pending.timer.cancel()
                 self._give_up(failed, "the peer is silent")
 
-    def leave_silent(self, since: float) -> bool:
+    def retire_if_silent(self, since: float) -> bool:
         """Give no new request to this stream if nothing has come over it after `since`.
 
         It ends by itself unless the peer is heard again. Returns whether it was in use.
