--- a/src/bramblebeam/services/transport/connection.py
+++ b/src/bramblebeam/services/transport/connection.py
@@ -66,7 +66,7 @@
     def closed(self, connection: PeerConnection) -> None:
         """The connection takes no new requests (it retires, or it is gone)."""
 
-    def silent(self, connection: PeerConnection, since: float) -> None:
+    def silence_detected(self, connection: PeerConnection, since: float) -> None:
         """Nothing came over the connection since then; another one is to take its place."""
 
     def protocol_error(self, connection: PeerConnection, detail: str) -> None:
