--- a/src/bramblebeam/services/gateway/forwarding.py
+++ b/src/bramblebeam/services/gateway/forwarding.py
@@ -167,7 +167,7 @@
         failure = answer if isinstance(answer, PeerFailure) else PeerFailure(False, "declined")
         if message.forwarded_on and not failure.sent:
             request.account.record_not_run()
-        if not (failure.is_late and self._context.overload.enabled):
+        if not (failure.is_timeout and self._context.overload.enabled):
             # One that is late, but is heard of, has a long queue: those who pass it by would
             # overfill the database that it queues for.
             self.avoid(node, AVOIDED_SECONDS)
--- a/src/bramblebeam/services/transport/messages.py
+++ b/src/bramblebeam/services/transport/messages.py
@@ -62,7 +62,7 @@
     detail: str
 
     @property
-    def is_late(self) -> bool:
+    def is_timeout(self) -> bool:
         """Whether only the request's time is over: as far as is known the peer runs."""
         return self.sent and self.detail == TIMED_OUT
 
