--- a/src/bramblebeam/services/transport/messages.py
+++ b/src/bramblebeam/services/transport/messages.py
@@ -19,7 +19,7 @@
     to: NodeId
     message: Any
     timeout: float
-    silence: float | None = None
+    silence_timeout: float | None = None
     repeatable: bool = False
 
 
--- a/src/bramblebeam/services/transport/service.py
+++ b/src/bramblebeam/services/transport/service.py
@@ -140,7 +140,9 @@
             reply.set_result(PeerFailure(sent=False, detail=detail))
             return
         self.traffic.count_sent(type(request.message), len(payload) + HEADER_BYTES)
-        connection.request(payload, reply, request.timeout, request.silence, request.repeatable)
+        connection.request(
+            payload, reply, request.timeout, request.silence_timeout, request.repeatable
+        )
 
     def _deliver_locally(self, request: PeerRequest, envelope: Envelope) -> None:
         refusal = self._hand_over(self.node, request.message, envelope.reply)
