--- a/src/bramblebeam/services/failover/service.py
+++ b/src/bramblebeam/services/failover/service.py
@@ -82,7 +82,7 @@
                     watch.wake.set()
             case StoreEraBegan(era):
                 for watch in self._watches.values():
-                    watch.note_era(era)
+                    watch.record_era(era)
             case FormerLeaderFound(instance=instance, newest_term=term):
                 self.spawn(self._demote(instance, term))
             case PeerDelivery(message=StepDownRequest() as request):
--- a/src/bramblebeam/services/transport/connection.py
+++ b/src/bramblebeam/services/transport/connection.py
@@ -178,7 +178,7 @@
             silent_since = max(self._received_at, pending.asked_at)
             silent = now - silent_since
             if silent >= pending.silence:
-                self.owner.silent(self, silent_since)
+                self.owner.silence_detected(self, silent_since)
                 self._fail_silent(request_id)
             elif silent >= pending.silence * PROBE_SHARE and self._ready:
                 self._probe(now, pending.silence * PROBE_SHARE)
--- a/src/bramblebeam/services/transport/service.py
+++ b/src/bramblebeam/services/transport/service.py
@@ -218,15 +218,15 @@
         if connection.peer is not None and self._connections.get(connection.peer) is connection:
             del self._connections[connection.peer]
 
-    def silent(self, connection: PeerConnection, since: float) -> None:
+    def silence_detected(self, connection: PeerConnection, since: float) -> None:
         """Replace a silent stream, and those not heard of since: they may have gone with it.
 
         One that was never greeted leads to a node that is dark, and tells nothing of others.
         """
-        if not connection.leave_silent(since):
+        if not connection.retire_if_silent(since):
             return
         related = list(self._all) if connection.greeted else []
-        others = sum(other.leave_silent(since) for other in related)
+        others = sum(other.retire_if_silent(since) for other in related)
         log_event(logger, PEER_STREAM_SILENT, peer=connection.peer or "?", others=others)
 
     def protocol_error(self, connection: PeerConnection, detail: str) -> None:
