--- a/src/bramblebeam/services/failover/group_lease.py
+++ b/src/bramblebeam/services/failover/group_lease.py
@@ -225,7 +225,7 @@
         log_event(logger, LEASE_TAKEN, group=self._group, token=str(written.token))
         return written
 
-    async def hold(self) -> Lease | None:
+    async def ensure_held(self) -> Lease | None:
         """Return this node's lease for an order that is given now; None: it may be another node's.
 
         What lies between a write and the order may take long, or the process stood still: then the
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -225,7 +225,7 @@
     async def _let_go(self) -> None:
         """Let the members that were paused in vain receive again; who leads may go on."""
         if self._runner.has_paused:
-            if await self.lease.hold() is None:
+            if await self.lease.ensure_held() is None:
                 self._runner.forget()
             await self._runner.resume()
         await self._give_way("no member may be promoted")
@@ -282,7 +282,7 @@
             if not is_repeated:
                 await self.lease.write(held.last_change, None)
             return ChangeOutcome(None, "a member that was paused is not any more")
-        lease = await self.lease.hold()
+        lease = await self.lease.ensure_held()
         if lease is None:
             self._runner.forget()
             return ChangeOutcome(None, "the lease may be another node's by now")
--- a/tests/test_leases_restored.py
+++ b/tests/test_leases_restored.py
@@ -230,7 +230,7 @@
         holder.lease.record_era(1)
         assert holder.lease.known is not None
         assert not holder.lease.is_own
-        assert await holder.lease.hold() is None
+        assert await holder.lease.ensure_held() is None
         assert await holder.lease.write(None, CHANGE) is None
         await holder.lease.release()
         holder.now += FAR_FROM_TROUBLE
