--- a/src/bramblebeam/services/failover/change.py
+++ b/src/bramblebeam/services/failover/change.py
@@ -268,7 +268,7 @@
         if not self._relies_on_pauses:
             return True
         members = self._context.leader(self._group).members()
-        return await self._paused.hold(members, self._former_leader)
+        return await self._paused.all_still_paused(members, self._former_leader)
 
     async def order(self, lease: Lease, change: OrderedChange) -> ChangeOutcome:
         """Order the prepared change."""
--- a/src/bramblebeam/services/failover/paused_members.py
+++ b/src/bramblebeam/services/failover/paused_members.py
@@ -87,7 +87,9 @@
             and not (entry.instance in statuses and statuses[entry.instance].paused)
         ]
 
-    async def hold(self, members: Collection[DatabaseEntry], former: InstanceId | None) -> bool:
+    async def all_still_paused(
+        self, members: Collection[DatabaseEntry], former: InstanceId | None
+    ) -> bool:
         """Whether every member that is registered now is paused, or nothing listens there."""
         others = [entry for entry in members if entry.instance != former]
         statuses = await self._look([entry.instance for entry in others])
