--- a/src/bramblebeam/services/failover/change.py
+++ b/src/bramblebeam/services/failover/change.py
@@ -259,7 +259,7 @@
         cut_off, _ = await self._end_former(leader, leader or former, statuses, term)
         return cut_off.is_done
 
-    async def holds(self) -> bool:
+    async def is_still_cut_off(self) -> bool:
         """Whether the former leader is still cut off, right before an order.
 
         Where that relies on pauses, no member may have started again, or come back, since: leases
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -278,7 +278,7 @@
 
     async def _order(self, held: Lease, change: OrderedChange, is_repeated: bool) -> ChangeOutcome:
         """Order a change under a lease that tells of it, if the former leader stays cut off."""
-        if not await self._runner.holds():
+        if not await self._runner.is_still_cut_off():
             if not is_repeated:
                 await self.lease.write(held.last_change, None)
             return ChangeOutcome(None, "a member that was paused is not any more")
--- a/tests/test_failover_old_lease.py
+++ b/tests/test_failover_old_lease.py
@@ -33,7 +33,7 @@
         self.is_cut_off = True
         self._meanwhile = meanwhile
 
-    async def holds(self) -> bool:
+    async def is_still_cut_off(self) -> bool:
         return self.is_cut_off
 
     async def step_down(self, leader: InstanceId, change: OrderedChange) -> bool:
