--- a/src/bramblebeam/services/failover/change.py
+++ b/src/bramblebeam/services/failover/change.py
@@ -1,4 +1,6 @@
-"""One change of primary: positions, the former leader's end, target, order."""
+"""Runs one change of a group's primary: read the members' positions, cut off the former leader,
+choose the target, order its promotion.
+"""
 
 from __future__ import annotations
 
@@ -38,36 +40,38 @@
 from bramblebeam.services.gateway.context import GatewayContext
 
 PROMOTION_TIMEOUT = 0.6
+"""Timeout of one promotion order (seconds)."""
 CATCH_UP_SECONDS = 0.5
-"""For how long a planned change waits for a replica to receive what the old leader has."""
+"""How long a planned change waits for the target to receive the former leader's whole log."""
 CATCH_UP_PAUSE = 0.03
 UNKNOWN_LEADER_SECONDS = 8.0
-"""So long a group waits whose leader no node ever knew: its registration may be late, as that of
-every database is after the store was out of order. Synchronous groups wait LOST_LOG_SECONDS."""
+"""How long a group waits for a leader that no node has ever seen: it may register late, as all
+databases do after a store outage. Groups with synchronous replicas wait LOST_LOG_SECONDS."""
 LOST_LOG_SECONDS = 30.0
-"""A synchronous group waits for so long for a log that has what was acknowledged. A database that
-crashed is back within some seconds; one that is not is taken for lost, and the group goes on."""
+"""How long a group with synchronous replicas waits for a log with every acknowledged commit. A
+crashed database is back within seconds. After this time the log is considered lost, and the group
+continues without it."""
 RESUME_SECONDS = 2.0
-"""For how long the end of a change is waited for before members receive again."""
+"""How long to wait for an ordered change to complete before the paused members receive again."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeOutcome:
-    """What became of a change. `order` None: nothing was ordered."""
+    """Result of a change. `order` is None if nothing was ordered."""
 
     order: Order | None
     detail: str
 
     @property
     def ordered(self) -> bool:
-        """Whether the order was accepted or may be carried out."""
+        """Whether the order was accepted, or may still be carried out."""
         return self.order in (Order.ACCEPTED, Order.UNKNOWN)
 
 
 class ChangeRunner:
-    """Carries out changes of a group's primary: `prepare`, then `order`.
+    """Runs changes of a group's primary: `prepare`, then `order`.
 
-    Members that were paused stay so until the change is over, or until `resume`.
+    Paused members stay paused until the change is over, or until `resume` is called.
     """
 
     def __init__(
@@ -76,11 +80,11 @@
         promoter: Promoter,
         peers: StepDownPeers,
         group: GroupId,
-        may_be_untold: bool = False,
+        may_be_unwritten: bool = False,
     ) -> None:
-        """`may_be_untold`: the lease may lack the last change (see `UntoldChanges`)."""
+        """`may_be_unwritten`: the lease may lack the last change (`UnwrittenChangeDetector`)."""
         self._context = context
-        self._untold = UnwrittenChangeDetector(context, group, may_be_untold)
+        self._unwritten = UnwrittenChangeDetector(context, group, may_be_unwritten)
         self._promoter = promoter
         self._group = group
         self._orders = MemberOrders(context.placement)
@@ -90,35 +94,35 @@
         self._former_leader: InstanceId | None = None
 
     def expect_unwritten_change(self) -> None:
-        """Note that the lease may lack the last change: the store came back from a copy once."""
-        self._untold.expect_unwritten()
+        """Record that the lease may lack the last change, because the store was restored."""
+        self._unwritten.expect_unwritten()
 
     async def prepare(
         self,
         leader: InstanceId | None,
         newest_change: OrderedChange | None,
-        told_change: OrderedChange | None,
+        recorded_change: OrderedChange | None,
     ) -> OrderedChange | None:
-        """Return the change to order, None where no member may be promoted now.
+        """Return the change to order, or None if no member may be promoted now.
 
-        `leader`: the one that can be reached and is to be replaced. It leads on until `step_down`;
-        None: it is lost, and is cut off here. `newest_change`: the last one that was ordered.
-        `told_change`: the same, or None where its target need not be followed.
+        `leader`: the reachable leader to replace, which keeps leading until `step_down`. None if
+        the leader is lost; it is then cut off here. `newest_change`: the last change recorded in
+        the lease. `recorded_change`: the same, or None if it no longer limits the choice of target.
         """
         members = self._context.leader(self._group).members()
         former = self._former(members, newest_change)
         if leader is not None and leader != former:
-            # Another node has replaced it, and this one has not heard of that yet.
+            # Another node has replaced it, which this node has not observed yet.
             return None
-        if leader is None and former is None and self._may_come_late():
+        if leader is None and former is None and self._may_still_appear():
             return None
         statuses = await self._replicas(members, leader)
-        last_change = self._last_change(former, told_change, statuses)
-        if not statuses or not self._may_follow(leader, statuses, told_change, last_change):
+        last_change = self._last_change(former, recorded_change, statuses)
+        if not statuses or not self._may_follow(leader, statuses, recorded_change, last_change):
             return None
         term = max(next_term(statuses, last_change), self._newest_term() + 1)
         if leader is None:
-            cut_off, statuses = await self._end_former(leader, former, statuses, term)
+            cut_off, statuses = await self._cut_off_former(leader, former, statuses, term)
             if not cut_off.is_done:
                 return None
         elif self._synchronous:
@@ -137,13 +141,13 @@
         statuses: Statuses,
         last_change: OrderedChange | None,
     ) -> InstanceId | None:
-        """Return the member to promote, None where acknowledged commits may be elsewhere only."""
+        """Return the member to promote; None if only other logs may have acknowledged commits."""
         members = self._context.leader(self._group).members()
         is_synchronous = self._synchronous > 0
         if is_synchronous and not await self._departed_are_covered(former, statuses):
             return None
-        forgetful = self._forgetful(statuses)
-        if not covers_acknowledged(members, statuses, former, self._synchronous, forgetful):
+        restarted = self._restarted_replicas(statuses)
+        if not covers_acknowledged(members, statuses, former, self._synchronous, restarted):
             return None
         target = self._choose(leader, statuses, last_change)
         if target is not None and not self._may_lead(target, members, statuses, last_change):
@@ -153,27 +157,29 @@
         return target
 
     def _last_change(
-        self, former: InstanceId | None, told: OrderedChange | None, statuses: Statuses
+        self, former: InstanceId | None, recorded: OrderedChange | None, statuses: Statuses
     ) -> OrderedChange | None:
-        """Return the change that a target must follow: the one that was told, or a later one.
+        """Return the last change, which limits the choice of target: the recorded or a later one.
 
-        A group that has waited for long goes on without what it was not told.
+        After the full wait, changes that the lease does not record are ignored.
         """
         return (
-            self._untold.change_to_follow(told, former, statuses) if self._may_come_late() else told
+            self._unwritten.change_to_follow(recorded, former, statuses)
+            if self._may_still_appear()
+            else recorded
         )
 
     def _may_follow(
         self,
         leader: InstanceId | None,
         statuses: Statuses,
-        told: OrderedChange | None,
+        recorded: OrderedChange | None,
         last_change: OrderedChange | None,
     ) -> bool:
-        """Whether a member that answers follows a change that was not told, if there was one."""
-        if last_change == told or self._choose(leader, statuses, last_change) is not None:
+        """Whether there is no unrecorded change, or a reachable member may be promoted after it."""
+        if last_change == recorded or self._choose(leader, statuses, last_change) is not None:
             return True
-        self._untold.log_found(told, last_change)
+        self._unwritten.log_found(recorded, last_change)
         return False
 
     def _choose(
@@ -182,10 +188,10 @@
         members = self._context.leader(self._group).members()
         return choose_target(members, statuses, leader, last_change, self._synchronous > 0)
 
-    def _forgetful(self, statuses: Statuses) -> list[InstanceId]:
-        """Return the replicas that started again and may lack what they had received.
+    def _restarted_replicas(self, statuses: Statuses) -> list[InstanceId]:
+        """Return the replicas that restarted and may lack entries that they had received.
 
-        After LOST_LOG_SECONDS what they lost is taken for lost, as a lost log is.
+        After LOST_LOG_SECONDS these entries are considered lost, as a lost log is.
         """
         leaders = self._context.leader(self._group)
         if self._has_waited(LOST_LOG_SECONDS):
@@ -203,30 +209,30 @@
         statuses: Statuses,
         last_change: OrderedChange | None,
     ) -> bool:
-        """Whether the target has a log, or no other member can be waited for that has one."""
+        """Whether the target has a log, or the group need not wait for a member that has one."""
         leaders = self._context.leader(self._group)
         known = [leaders.last_commit, leaders.watermarks.newest.position]
         if last_change is not None:
             known.append(last_change.cut)
         had_log = any(position.offset > 0 for position in known)
-        waited_in_vain = self._has_waited(UNKNOWN_LEADER_SECONDS)
-        return may_promote_without_log(target, members, statuses, had_log, waited_in_vain)
+        wait_expired = self._has_waited(UNKNOWN_LEADER_SECONDS)
+        return may_promote_without_log(target, members, statuses, had_log, wait_expired)
 
     def _has_waited(self, seconds: float) -> bool:
-        """Whether the group has had no leader for so long."""
+        """Whether the group has been without a leader for `seconds`."""
         since = self._context.leader(self._group).suspected_since
         return since is not None and self._context.now() - since >= seconds
 
-    def _may_come_late(self) -> bool:
-        """Whether a leader that is not known here, or logs, may yet be met."""
+    def _may_still_appear(self) -> bool:
+        """Whether an unknown leader or a missing log may still appear."""
         bound = LOST_LOG_SECONDS if self._synchronous else UNKNOWN_LEADER_SECONDS
         return not self._has_waited(bound)
 
     def _lacks_commits(self, longest: CandidateStatus) -> bool:
-        """Whether the longest log within reach lacks a commit that this node saw acknowledged.
+        """Whether the longest reachable log lacks a commit that this node saw acknowledged.
 
-        The former leader has it, or a replica that left: its log goes to its successor. Either is
-        waited for, as nothing else can keep the promise of a synchronous group.
+        The former leader has the commit, or a replica that left and whose successor receives its
+        log. The group waits for either, because only these can restore the acknowledged commit.
         """
         leaders = self._context.leader(self._group)
         if longest.received >= leaders.last_commit:
@@ -234,36 +240,36 @@
         return not self._has_waited(LOST_LOG_SECONDS)
 
     async def step_down(self, leader: InstanceId, change: OrderedChange) -> bool:
-        """Take the lead from a leader that can be reached, for a change that is prepared.
+        """Make a reachable leader step down for a prepared change.
 
-        Its target then receives what the leader has sent, for a while at most. False: the leader
-        may lead on.
+        If no member is paused, then wait a limited time for the target to receive the leader's
+        whole log. False: the leader may still lead.
         """
-        self._promise(leader, change.term)
+        self._stop_using(leader, change.term)
         nodes, nodes_are_all = self._context.users(self._group)
         cut_off = await self._cut_off.run(leader, change.term, nodes, NEVER, nodes_are_all)
-        self._note_ended(leader, cut_off)
+        self._record_cut_off(leader, cut_off)
         if cut_off.is_done and not self._paused:
-            await self._caught_up(change.target, cut_off.position)
+            await self._wait_caught_up(change.target, cut_off.position)
         return cut_off.is_done
 
     async def cut_off(self, leader: InstanceId | None, newest_change: OrderedChange | None) -> bool:
-        """Cut the former leader off once more, before an order is repeated.
+        """Cut the former leader off again before an order is repeated.
 
-        `newest_change`: the last one before the order.
+        `newest_change`: the last change before that order.
         """
         members = self._context.leader(self._group).members()
         former = self._former(members, newest_change)
         statuses = await self._statuses(members, leader)
         term = max(next_term(statuses, None), self._newest_term() + 1)
-        cut_off, _ = await self._end_former(leader, leader or former, statuses, term)
+        cut_off, _ = await self._cut_off_former(leader, leader or former, statuses, term)
         return cut_off.is_done
 
     async def is_still_cut_off(self) -> bool:
         """Whether the former leader is still cut off, right before an order.
 
-        Where that relies on pauses, no member may have started again, or come back, since: leases
-        may have been renewed by it, and have to be waited for once more.
+        If the cut-off relies on paused members, none of them may have restarted or reappeared
+        since: it may have renewed leases, and their expiry has to be awaited again.
         """
         if not self._relies_on_pauses:
             return True
@@ -280,25 +286,25 @@
 
     @property
     def has_paused(self) -> bool:
-        """Whether members were paused and not let go on."""
+        """Whether members were paused and not resumed."""
         return bool(self._paused)
 
     async def reaches_replica(self, leader: InstanceId) -> bool:
-        """Whether any member beside the leader answers."""
+        """Whether any member other than the leader responds."""
         members = self._context.leader(self._group).members()
         return bool(await self._statuses(members, leader))
 
     async def resume(self) -> None:
-        """Let the paused members receive again. Call it only as the lease's holder."""
+        """Let the paused members receive again. Only the lease holder may call this."""
         await self._paused.resume()
 
     async def resume_abandoned(self, leader: InstanceId) -> None:
-        """Let members receive again that somebody paused for a change which never came."""
+        """Resume members that a node paused for a change that was never completed."""
         members = self._context.leader(self._group).members()
         await self._paused.resume_abandoned(await self._statuses(members, leader))
 
     def forget(self) -> None:
-        """Leave the paused members to the lease's new holder."""
+        """Leave the paused members to the new lease holder."""
         self._paused.forget()
 
     # The former leader.
@@ -314,78 +320,81 @@
     def _former(
         self, members: list[DatabaseEntry], newest_change: OrderedChange | None
     ) -> InstanceId | None:
-        """Return the primary that is replaced, as it is registered now.
+        """Return the primary to replace, in its registered incarnation.
 
-        One that started again leads no more, and says so when it is asked to step down. It is the
-        one of the newest term: the target of the last change, which this node may not
-        have heard of while it was cut off, or the last leader that it found; else the registered
-        primary.
+        This is the leader of the newest term: the target of the last change, which this node may
+        have missed while it was cut off, or the last leader that this node found. If neither is
+        known, it is the registered primary. A restarted one no longer leads, and reports so when
+        it is ordered to step down.
         """
         leaders = self._context.leader(self._group)
         former = leaders.last_leader
         if newest_change is not None and newest_change.term >= leaders.last_term:
             former = newest_change.target
         if former is not None:
-            return self._registered(former)
+            return self._newest_incarnation(former)
         primaries = (entry.instance for entry in members if entry.role is Role.PRIMARY)
         return next(primaries, None)
 
-    def _registered(self, instance: InstanceId) -> InstanceId:
-        """Return the later start of a database, if it is registered with one."""
+    def _newest_incarnation(self, instance: InstanceId) -> InstanceId:
+        """Return the registered incarnation of a database if it is newer, else `instance`."""
         name = server_name(instance)
         registered = self._context.placement.instance_named(self._group, name)
         return registered if incarnation_of(registered) > incarnation_of(instance) else instance
 
-    async def _end_former(
+    async def _cut_off_former(
         self,
         leader: InstanceId | None,
         former: InstanceId | None,
         statuses: Statuses,
         term: int,
     ) -> tuple[CutOff, Statuses]:
-        """Make sure that nobody uses the former leader; return it with the replicas' statuses.
+        """Make sure that no node uses the former leader.
 
-        One that can be reached steps down, and the replicas go on receiving what it has sent. Of
-        one that is lost the replicas are paused, so that leases on it end. None is paused where one
-        does not answer that may confirm leases all the same: the others go on confirming them.
+        Return the result with the replicas' statuses.
+
+        A reachable leader steps down, and the replicas keep receiving what it has sent. If the
+        leader is lost, the replicas are paused so that leases on it expire. With asynchronous
+        replicas, none is paused while any member is unresponsive: it may still confirm leases, so
+        they would not expire anyway, and the others should keep confirming them.
         """
         members = self._context.leader(self._group).members()
         leases_end = NEVER
-        silent = self._paused.unresponsive(members, former, statuses)
-        if leader is None and (self._synchronous or not silent):
+        unresponsive = self._paused.unresponsive(members, former, statuses)
+        if leader is None and (self._synchronous or not unresponsive):
             statuses = await self._paused.pause(statuses, term)
         if leader is None:
             self._paused.log(members, former, statuses, term)
             if not self._paused.unpaused(members, former, statuses):
                 leases_end = self._paused.paused_at + WAIT_SECONDS
-        self._promise(former, term)
-        cut_off = await self._cut_off_lost(former, term, leases_end)
-        self._note_ended(former, cut_off)
+        self._stop_using(former, term)
+        cut_off = await self._await_cut_off(former, term, leases_end)
+        self._record_cut_off(former, cut_off)
         return cut_off, statuses
 
-    async def _cut_off_lost(
+    async def _await_cut_off(
         self, former: InstanceId | None, term: int, leases_end: float
     ) -> CutOff:
-        """Cut a former leader off, which nobody may know, until no lease on it is left."""
+        """Cut the former leader off, or wait until no lease on it is left if it is unknown."""
         if former is None:
             await asyncio.sleep(max(0.0, min(WAIT_SECONDS, leases_end - self._context.now())))
             return LEASES_EXPIRED if leases_end != NEVER else CutOff(False)
         nodes, nodes_are_all = self._context.users(self._group)
         return await self._cut_off.run(former, term, nodes, leases_end, nodes_are_all)
 
-    def _promise(self, former: InstanceId | None, term: int) -> None:
-        """Have this node promise, as those that are asked do, to use no former leader."""
+    def _stop_using(self, former: InstanceId | None, term: int) -> None:
+        """Stop using the former leader on this node, as peers do on a step-down request."""
         name = None if former is None else server_name(former)
         self._context.give_up(self._group, name, term)
 
-    def _note_ended(self, former: InstanceId | None, cut_off: CutOff) -> None:
+    def _record_cut_off(self, former: InstanceId | None, cut_off: CutOff) -> None:
         self._former_leader = former
         self._relies_on_pauses = cut_off.relies_on_pauses
         if cut_off.position is not None:
-            self._untold.record_step_down()
+            self._unwritten.record_step_down()
 
-    async def _caught_up(self, target: InstanceId, position: Position | None) -> None:
-        """Wait until the target has all that the former leader has, for a while at most."""
+    async def _wait_caught_up(self, target: InstanceId, position: Position | None) -> None:
+        """Wait up to CATCH_UP_SECONDS until the target has the former leader's whole log."""
         deadline = self._context.now() + CATCH_UP_SECONDS
         while position is not None and self._context.now() < deadline:
             statuses = await self._paused.statuses([target])
@@ -396,9 +405,9 @@
     # Members.
 
     async def _replicas(self, members: list[DatabaseEntry], leader: InstanceId | None) -> Statuses:
-        """Return what the members but the leader say; nothing where one of them leads already.
+        """Return the replicas' statuses, or nothing if one of them already leads the newest term.
 
-        A member that says that it leads a former term is no replica, and no leader.
+        A member that reports leading a former term counts neither as a replica nor as a leader.
         """
         statuses = await self._statuses(members, leader)
         newest = self._newest_term()
@@ -408,24 +417,25 @@
 
     async def _statuses(self, members: list[DatabaseEntry], leader: InstanceId | None) -> Statuses:
         others = [entry.instance for entry in members if entry.instance != leader]
-        silent = [instance for instance in others if self._is_silent(instance)]
-        self._paused.record_gone([instance for instance in silent if self._is_gone(instance)])
-        return await self._paused.statuses([name for name in others if name not in silent])
+        unresponsive = [instance for instance in others if self._is_unresponsive(instance)]
+        self._paused.record_gone([instance for instance in unresponsive if self._is_gone(instance)])
+        return await self._paused.statuses([name for name in others if name not in unresponsive])
 
-    def _is_silent(self, instance: InstanceId) -> bool:
-        """Whether the member did not answer a moment ago: to ask it again only costs time."""
+    def _is_unresponsive(self, instance: InstanceId) -> bool:
+        """Whether the member recently failed to respond, so that another query only costs time."""
         pool = self._context.placement.pools.get(instance)
         return pool is None or pool.unresponsive
 
     def _is_gone(self, instance: InstanceId) -> bool:
-        """Whether nothing listened there a moment ago."""
+        """Whether nothing listened at the member's address at the last attempt."""
         pool = self._context.placement.pools.get(instance)
         return pool is not None and pool.is_gone
 
     async def _departed_are_covered(self, former: InstanceId | None, statuses: Statuses) -> bool:
-        """Whether no database that left can have, or receive, more than a reachable member has.
+        """Whether no departed database has, or can receive, more than the longest reachable log.
 
-        It is not known here any more, but counts for acknowledgements for as long as it runs.
+        A departed database is no longer registered, but while it runs, its receipt of a commit
+        still counts for the acknowledgement.
         """
         longest = max((status.received for status in statuses.values()), default=ZERO_POSITION)
         term = next_term(statuses, None)
@@ -444,7 +454,10 @@
         return status is not None and status.received <= longest
 
     async def _resume_after(self, target: InstanceId, ordered: bool) -> None:
-        """Let the replicas receive again once the target leads, or the order came to nothing."""
+        """Let the replicas receive again once the target leads.
+
+        If it does not within RESUME_SECONDS, they stay paused.
+        """
         leaders = self._context.leader(self._group)
         deadline = self._context.now() + RESUME_SECONDS
         while ordered and leaders.leader != target and self._context.now() < deadline:
--- a/src/bramblebeam/services/failover/cut_off.py
+++ b/src/bramblebeam/services/failover/cut_off.py
@@ -1,8 +1,8 @@
-"""Makes sure that nobody uses a group's former leader before another one is ordered.
+"""Fences a group's former leader: makes sure that no node uses it before another one is promoted.
 
-Either some node of the system takes the lead from it, or no node has a lease on it any more. Leases
-are confirmed by the other members, which were paused first: then every lease has run out after a
-while, or at once where each node gives its word that it has none.
+Either some node makes it step down, or no node has a lease on it any more. Leases are confirmed by
+the other members. Once these are paused, every lease expires after a known time, or ends at once if
+each node confirms that it has stopped using the former leader.
 """
 
 from __future__ import annotations
@@ -27,22 +27,24 @@
 logger = logging.getLogger(__name__)
 
 PEER_TIMEOUT = 1.2
+"""How long another node may take to reply to a step-down request (seconds)."""
 PEER_SILENCE_TIMEOUT = 0.4
+"""The request fails earlier if nothing at all comes from that node for so long (seconds)."""
 NEVER = float("inf")
 
 
 class StepDownPeers(Protocol):
-    """Other nodes that may reach a database which this node does not."""
+    """Other nodes, which may reach a database that this node does not."""
 
     async def step_down(self, node: NodeId, request: StepDownRequest) -> StepDownReply:
-        """Have a node take the lead from a database; NO_ANSWER where it gives none."""
+        """Request that a node makes a database step down; return NO_ANSWER if it fails to reply."""
 
 
 class CutOff(NamedTuple):
-    """Whether the former leader is cut off. `position`: the end of its log, where it is known.
+    """Result of cutting off a former leader. `position`: the end of its log, if known.
 
-    `relies_on_pauses`: nobody took the lead from it, but leases on it have run out, as long as the
-    members that were paused stay so.
+    `relies_on_pauses`: it was not made to step down, but leases on it have expired, and none can be
+    confirmed as long as the paused members stay paused.
     """
 
     is_done: bool
@@ -69,16 +71,16 @@
         leases_end: float,
         nodes_are_all: bool,
     ) -> CutOff:
-        """Return once `former` is used by nobody, or all that can be tried has failed.
+        """Return once no node uses `former`, or every attempt to ensure that has failed.
 
-        `nodes`: those that may reach it. `leases_end`: when no lease on it is left (steady clock,
-        seconds), NEVER where that is not known. `nodes_are_all`: no other node can have a lease, so
-        that the word of all of them settles it.
+        `nodes`: those that may reach it. `leases_end`: when the last lease on it expires (seconds
+        of the monotonic clock), or NEVER if unknown. `nodes_are_all`: no other node can have a
+        lease, so the confirmations of all these nodes suffice.
         """
         request = StepDownRequest(self._group, server_name(former), term)
-        asked: list[Awaitable[StepDownReply]] = [self._orders.step_down(former, term)]
-        asked += [self._peers.step_down(node, request) for node in nodes]
-        pending = {asyncio.ensure_future(question) for question in asked}
+        replies: list[Awaitable[StepDownReply]] = [self._orders.step_down(former, term)]
+        replies += [self._peers.step_down(node, request) for node in nodes]
+        pending = {asyncio.ensure_future(reply) for reply in replies}
         began = loop_time()
         try:
             cut_off, how = await _settle(pending, leases_end, nodes_are_all)
@@ -100,9 +102,9 @@
 async def _settle(
     pending: set[asyncio.Task[StepDownReply]], leases_end: float, nodes_are_all: bool
 ) -> tuple[CutOff, str]:
-    """Wait for the first reply that settles it, or for the end of the leases."""
+    """Wait for a reply that decides the outcome, or until the leases expire."""
     waiting = set(pending)
-    met: set[StepDownOutcome] = set()
+    outcomes: set[StepDownOutcome] = set()
     while waiting:
         timeout = None if leases_end == NEVER else max(0.0, leases_end - loop_time())
         done, waiting = await asyncio.wait(
@@ -114,10 +116,10 @@
             reply = NO_ANSWER if task.cancelled() else task.result()
             if reply.outcome is StepDownOutcome.DONE:
                 return CutOff(True, reply.position), "stepped down"
-            met.add(reply.outcome)
-    if nodes_are_all and met == {StepDownOutcome.GONE}:
+            outcomes.add(reply.outcome)
+    if nodes_are_all and outcomes == {StepDownOutcome.GONE}:
         return CutOff(True), "gone"
-    if nodes_are_all and StepDownOutcome.NO_ANSWER not in met and leases_end != NEVER:
+    if nodes_are_all and StepDownOutcome.NO_ANSWER not in outcomes and leases_end != NEVER:
         return CutOff(True), "given up by all"
     if leases_end == NEVER:
         return CutOff(False), "unreachable, and leases on it may be renewed"
--- a/src/bramblebeam/services/failover/group_lease.py
+++ b/src/bramblebeam/services/failover/group_lease.py
@@ -1,4 +1,4 @@
-"""One node's view of the lease on a group's changes of primary, which lies in the store."""
+"""One node's view of the lease for changing a group's primary, which is kept in the store."""
 
 from __future__ import annotations
 
@@ -27,22 +27,23 @@
 logger = logging.getLogger(__name__)
 
 LEASE_TIMEOUT = 0.4
-"""One call to the store (seconds). It answers within milliseconds where it is well."""
+"""Timeout of one call to the store (seconds). A healthy store responds within milliseconds."""
 LEASE_READ_INTERVAL = 0.5
-"""While a leader is missed, another node's lease is read so often (seconds). A holder that writes
-it and is lost then is replaced so much later at most; `FailoverTiming.attempt_timeout` is five
-times that.
+"""Interval between reads of another node's lease while the leader is missing (seconds). It delays
+the replacement of a holder that fails right after a write by at most this time;
+`FailoverTiming.attempt_timeout` is five times as long.
 """
 NO_HOLDER = NodeId("")
 
 
 class GroupLease:
-    """Reads, writes and releases the lease, and knows when another node's may be taken over.
+    """Reads, writes and releases the lease, and tracks when another node's may be taken over.
 
-    `known`: as it was read or written last. `is_current`: not in a former era of the store.
-    `quiet_until`: until when it may not be taken over (steady clock, seconds). `is_unwritten`: what
-    is known was decided while the store gave no answer, and is not in the store yet. `reclaims`:
-    this node held it when the store came back from a copy, and has not written it since.
+    `known`: the lease as last read or written. `is_current`: whether that was in the store's
+    present era. `quiet_until`: until when the lease may not be taken over (seconds of the monotonic
+    clock). `is_unwritten`: `known` was decided while the store was unavailable and is not stored
+    yet. `must_reclaim`: this node held the lease when the store was restored from a copy, and has
+    not written it since.
     """
 
     def __init__(
@@ -69,7 +70,7 @@
         self._is_read = True
         self._refused_token: Revision | None = None
         self._written_at = float("-inf")
-        self._memory: Lease | None = None
+        self._last_known: Lease | None = None
         self._era = FIRST_ERA
 
     @property
@@ -79,48 +80,51 @@
 
     @property
     def is_current(self) -> bool:
-        """Whether anything is known of the lease in the store's present era."""
+        """Whether the lease is known in the store's present era."""
         return self.known is not None and self.known.token.era >= self._era
 
     async def create_or_read(self) -> None:
-        """Make sure that there is a lease; it is not known afterwards where the store is silent."""
+        """Read the lease, or create it if there is none.
+
+        If the store is unavailable, `known` stays as it is.
+        """
         try:
             found = await self._store.read(self._group, LEASE_TIMEOUT)
             if found is None:
                 found = await self._store.create(self._group, self._node, LEASE_TIMEOUT)
-                self._note_created(found)
+                self._delay_if_restored(found)
         except LeaseStoreUnavailableError as error:
             self._log_failure(error)
             return
         if found is not None:
-            self._know(found)
+            self._set_known(found)
             self.is_unwritten = self.is_own and self.known != found
 
-    def _note_created(self, created: Lease | None) -> None:
-        """Hold back where there may have been a lease that the store lost."""
+    def _delay_if_restored(self, created: Lease | None) -> None:
+        """Start a quiet time if the store may have lost an earlier lease in a restore."""
         if created is not None and created.token.era > FIRST_ERA:
-            self._be_quiet()
+            self._extend_quiet_time()
 
-    def _be_quiet(self) -> None:
-        """Leave the last holder of a former era the time of an order that it may have begun."""
+    def _extend_quiet_time(self) -> None:
+        """Give the last holder of a former era the time of an order that it may have begun."""
         self.quiet_until = max(self.quiet_until, self._now() + self._timing.lease_observation)
 
-    def _know(self, found: Lease) -> None:
-        """Take the lease as the store has it.
+    def _set_known(self, found: Lease) -> None:
+        """Set `known` to the lease as read from the store.
 
-        What the store lost of it is kept from before. Of a lease that was written in a former era
-        nobody knows who held it last, also where it names this node.
+        Changes that the store lost are kept from the previous state. The last holder of a lease
+        written in a former era is unknown, even if the lease names this node.
         """
-        memory = self._memory
-        is_new_era = memory is not None and found.token.era > memory.token.era
-        if memory is not None and (is_new_era or found.is_of_former_era):
-            found = found.with_later_changes_of(memory)
+        last_known = self._last_known
+        is_new_era = last_known is not None and found.token.era > last_known.token.era
+        if last_known is not None and (is_new_era or found.is_of_former_era):
+            found = found.with_later_changes_of(last_known)
         if found.is_of_former_era:
             found = replace(found, holder=UNKNOWN_HOLDER)
-            if memory is None or memory.token != found.token:
-                self._be_quiet()
+            if last_known is None or last_known.token != found.token:
+                self._extend_quiet_time()
                 self._log_former_era(found)
-        self.known = self._memory = found
+        self.known = self._last_known = found
         self._era = max(self._era, found.token.era)
 
     def _log_former_era(self, found: Lease) -> None:
@@ -128,7 +132,7 @@
         log_event(logger, LEASE_OF_FORMER_ERA, group=self._group, token=token, era=found.era)
 
     def record_era(self, era: int) -> None:
-        """Note that the store came back from a copy: whoever held the lease, it is over."""
+        """Record that the store was restored from a copy: no node holds the lease any more."""
         self._era = max(self._era, era)
         if self.known is None or self.is_current:
             return
@@ -137,7 +141,7 @@
         self.is_unwritten = False
 
     async def reclaim(self) -> None:
-        """Write the lease again if this node held it before the store came back from a copy."""
+        """Write the lease again if this node held it before the store was restored from a copy."""
         known = self.known
         if not self.must_reclaim or known is None or not self.is_current:
             return
@@ -149,9 +153,9 @@
             self.must_reclaim = False
 
     async def refresh(self, situation: Situation, is_wanted: Callable[[], bool]) -> bool:
-        """Read another node's lease where that is due; False: it must not be taken over now.
+        """Read another node's lease if a read is due; False: it must not be taken over now.
 
-        `is_wanted`: whether this node would take it over, by what it knows.
+        `is_wanted`: returns whether this node would take the lease over, by what it knows.
         """
         if self.is_own:
             return True
@@ -168,19 +172,23 @@
         is_first = self._read_for != situation.trouble_since
         self._read_for = situation.trouble_since
         if found is not None:
-            self._take_read(found, is_first)
+            self._handle_read(found, is_first)
         return True
 
-    def _take_read(self, found: Lease, is_first: bool) -> None:
-        """Take another node's lease, and leave it alone for as long as its holder may act."""
+    def _handle_read(self, found: Lease, is_first: bool) -> None:
+        """Update `known` from a read, and give the holder the time in which it may act."""
         quiet = quiet_time(self.known, found, is_first, self._timing)
-        self._know(found)
+        self._set_known(found)
         if not found.is_of_former_era:
             self.quiet_until = max(self.quiet_until, self._now() + quiet)
 
     def _is_read_due(self, situation: Situation, is_wanted: Callable[[], bool]) -> bool:
-        """Whether the store is to be asked: from when the holder may act, now and then, and last
-        before the lease is taken over. A store that gave no answer is left for a while."""
+        """Whether to read the lease now.
+
+        Reads begin once the holder may act: one at once per trouble, then every
+        LEASE_READ_INTERVAL, and one right before the lease is taken over. After a failed read the
+        next one always waits for that interval.
+        """
         now = self._now()
         if not is_suspicion_over(situation, now, self._timing):
             return False
@@ -193,15 +201,16 @@
     async def write(
         self, last_change: OrderedChange | None, unsettled: OrderedChange | None
     ) -> Lease | None:
-        """Write the lease as this node's, with a new token; None: it is another node's.
+        """Write the lease as this node's, with a new token; None: it may be another node's.
 
-        Where the store gives no answer, a holder's present token serves, if the outside service
-        checks tokens: a newer holder's would be higher. One that was refused is not used again.
+        If the store is unavailable, a holder keeps its present token, provided that the external
+        service checks tokens: it would refuse this token if a newer holder had used a higher one. A
+        token that was refused is not used again.
         """
         held = self.known
         assert held is not None
         content = replace(held, holder=self._node, last_change=last_change, unsettled=unsettled)
-        asked_at = self._now()
+        requested_at = self._now()
         try:
             written = await self._store.write(held, content, LEASE_TIMEOUT)
         except LeaseStoreUnavailableError as error:
@@ -209,69 +218,69 @@
             may_reuse = self._fence_checked and held.token != self._refused_token
             if held.holder != self._node or not may_reuse:
                 return None
-            self.known = self._memory = content
+            self.known = self._last_known = content
             self.is_unwritten = True
             return content
         if written is None:
             await self._read_conflicting(held)
             return None
         if written.is_of_former_era:
-            # The store came back from a copy meanwhile: the condition held for another write.
-            self._know(written)
+            # The store was restored meanwhile: the write's condition matched a different write.
+            self._set_known(written)
             return None
-        self.known = self._memory = written
+        self.known = self._last_known = written
         self.is_unwritten = self.must_reclaim = False
-        self._written_at = asked_at
+        self._written_at = requested_at
         log_event(logger, LEASE_TAKEN, group=self._group, token=str(written.token))
         return written
 
     async def ensure_held(self) -> Lease | None:
-        """Return this node's lease for an order that is given now; None: it may be another node's.
+        """Return this node's lease for an order sent now; None: it may be another node's.
 
-        What lies between a write and the order may take long, or the process stood still: then the
-        lease is written anew, which fails if another node has taken it over. Where the outside
-        service checks tokens it refuses what comes too late.
+        The steps between the lease write and the order may take long, or the process may have been
+        suspended. The lease is then written again, which fails if another node has taken it over.
+        If the external service checks tokens, this is not needed: it refuses late orders.
         """
         known = self.known
         if known is None or not self.is_own:
             return None
-        is_young = self._now() - self._written_at < self._timing.order_window
-        if is_young or self._fence_checked:
+        is_recent = self._now() - self._written_at < self._timing.order_window
+        if is_recent or self._fence_checked:
             return known
         return await self.write(known.last_change, known.unsettled)
 
     async def flush(self) -> None:
-        """Write what was decided without the store, once it answers again.
+        """Write what was decided while the store was unavailable.
 
         Another node that takes the lease over must know which member was promoted last: it may
-        reach only a former primary, whose old log must not lead again.
+        reach only a former primary, which must not be promoted with its old log.
         """
         known = self.known
         if known is not None and self.is_own and self.is_unwritten:
             await self.write(known.last_change, known.unsettled)
 
     async def _read_conflicting(self, held: Lease) -> None:
-        """Read what another node wrote meanwhile, and leave it the time of one change."""
+        """Read what another node wrote meanwhile, and give that node the time of one change."""
         try:
             found = await self._store.read(self._group, LEASE_TIMEOUT)
         except LeaseStoreUnavailableError as error:
-            # It stays as it was known, so that the next write conflicts again.
+            # `known` stays unchanged, so the next write conflicts again.
             self._log_failure(error)
             return
         if found is None:
             return
         is_same_era = found.token.era == held.token.era
         if found.holder == self._node and self.is_unwritten and is_same_era:
-            # An earlier write of this node was carried out late: what came after it still counts.
+            # An earlier write of this node took effect late. What was decided after it is valid.
             self.known = replace(held, token=found.token)
             return
-        self._know(found)
+        self._set_known(found)
         self.is_unwritten = False
         if not self.is_own:
             self.quiet_until = self._now() + self._timing.attempt_timeout
 
     async def release(self) -> None:
-        """Give the lease up before the node stops, so that nobody has to wait for it."""
+        """Release the lease, so that another node need not wait before it takes it over."""
         held = self.known
         if held is None or not self.is_own:
             return
@@ -282,11 +291,11 @@
             self._log_failure(error)
             return
         if written is not None:
-            self._know(written)
+            self._set_known(written)
             log_event(logger, LEASE_RELEASED, group=self._group, token=str(written.token))
 
     def record_refused_token(self, token: Revision) -> None:
-        """Use a token no more: another node has used a higher one."""
+        """Record a refused token, which is not used again: another node has used a higher one."""
         self._refused_token = token
 
     def _log_failure(self, error: LeaseStoreUnavailableError) -> None:
--- a/src/bramblebeam/services/failover/member_orders.py
+++ b/src/bramblebeam/services/failover/member_orders.py
@@ -1,4 +1,4 @@
-"""Orders of a change of primary to single databases, on the connections of their pools."""
+"""Sends the orders of a change of primary to single databases, over their pooled connections."""
 
 from __future__ import annotations
 
@@ -29,16 +29,17 @@
 logger = logging.getLogger(__name__)
 
 ORDER_TIMEOUT = 0.35
-"""For how long a database may take to answer an order (seconds)."""
+"""How long a database may take to respond to an order (seconds)."""
 ORDER_ATTEMPTS = 3
-"""So often a database that is too busy is asked."""
+"""Number of attempts at a database that is too busy."""
 BUSY_PAUSE = 0.04
+"""Pause between two of these attempts (seconds)."""
 
 Order = Callable[[DatabaseConnection], Awaitable[MemberStatus | None]]
 
 
 class MemberUnreachableError(Exception):
-    """A database could not be asked, or did not answer in time.
+    """A database could not be reached, or did not respond in time.
 
     `is_gone`: nothing listens at its address, or another database does.
     """
@@ -49,17 +50,17 @@
 
 
 class MemberOrders:
-    """Tells databases what to do. Every order raises MemberUnreachableError."""
+    """Sends orders to databases. Each raises MemberUnreachableError unless noted otherwise."""
 
     def __init__(self, placement: Placement) -> None:
         self._placement = placement
 
     async def status(self, instance: InstanceId) -> MemberStatus | None:
-        """Ask for the status; None: the database is too busy."""
+        """Return the status; None if the database is too busy."""
         return await self._run(instance, lambda conn: conn.status(ORDER_TIMEOUT))
 
     async def pause(self, instance: InstanceId, term: int) -> MemberStatus | None:
-        """Have a replica receive only from a leader of `term` or a newer one."""
+        """Make a replica receive only from a leader of `term` or a newer term."""
         return await self._run(instance, lambda conn: conn.pause_receiving(term, ORDER_TIMEOUT))
 
     async def resume(self, instance: InstanceId) -> None:
@@ -69,10 +70,10 @@
             await conn.resume_receiving(ORDER_TIMEOUT)
             return None
 
-        await self._once(instance, resume)
+        await self._run_once(instance, resume)
 
     async def step_down(self, instance: InstanceId, term: int) -> StepDownReply:
-        """Take the lead from a database. Raises nothing: the reply tells what was met."""
+        """Make a database step down. Raises nothing: the reply holds the outcome."""
         try:
             status = await self._run(instance, lambda conn: conn.step_down(term, ORDER_TIMEOUT))
         except MemberUnreachableError as error:
@@ -82,7 +83,7 @@
         return StepDownReply(StepDownOutcome.DONE, status.received)
 
     async def pause_departed(self, entry: DatabaseEntry, term: int) -> MemberStatus | None:
-        """Pause a database that is not registered any more but may still run."""
+        """Pause a database that is no longer registered but may still run."""
         try:
             conn = await self._placement.connector.connect(entry, NO_TENANT, ORDER_TIMEOUT)
         except ConnectError as error:
@@ -96,28 +97,31 @@
 
     async def _run(self, instance: InstanceId, order: Order) -> MemberStatus | None:
         for _ in range(ORDER_ATTEMPTS):
-            status = await self._once(instance, order)
+            status = await self._run_once(instance, order)
             if status is not None:
                 return status
             await asyncio.sleep(BUSY_PAUSE)
         return None
 
-    async def _once(self, instance: InstanceId, order: Order) -> MemberStatus | None:
-        """Give an order, which may be given twice: a pooled connection may be silent."""
-        lent = await self._lend(instance)
-        was_fresh, asked_at = lent.is_fresh, loop_time()
+    async def _run_once(self, instance: InstanceId, order: Order) -> MemberStatus | None:
+        """Run an order, and again if a reused connection fails only by timeout.
+
+        The connection may be unresponsive rather than the database, so the order may run twice.
+        """
+        conn = await self._acquire(instance)
+        was_fresh, requested_at = conn.is_fresh, loop_time()
         try:
-            return await self._on(lent, order)
+            return await self._run_on(conn, order)
         except ConnectionLostError as error:
-            if was_fresh or loop_time() - asked_at < ORDER_TIMEOUT - CLOCK_STEP:
+            if was_fresh or loop_time() - requested_at < ORDER_TIMEOUT - CLOCK_STEP:
                 raise _unreachable(instance, str(error)) from error
-            lent.pool.distrust_idle(asked_at)
+            conn.pool.distrust_idle(requested_at)
         try:
-            return await self._on(await self._lend(instance), order)
+            return await self._run_on(await self._acquire(instance), order)
         except ConnectionLostError as error:
             raise _unreachable(instance, str(error)) from error
 
-    async def _lend(self, instance: InstanceId) -> PooledConnection:
+    async def _acquire(self, instance: InstanceId) -> PooledConnection:
         pool = self._placement.pools.get(instance)
         if pool is None:
             raise _unreachable(instance, "it is not registered")
@@ -129,16 +133,16 @@
             raise _unreachable(instance, str(error), error.is_gone) from error
 
     @staticmethod
-    async def _on(lent: PooledConnection, order: Order) -> MemberStatus | None:
+    async def _run_on(conn: PooledConnection, order: Order) -> MemberStatus | None:
         try:
-            return await lent.ask(order)
+            return await conn.ask(order)
         finally:
-            lent.give_back()
+            conn.give_back()
 
 
 def _unreachable(
     instance: InstanceId, detail: str, is_gone: bool = False
 ) -> MemberUnreachableError:
-    """Log that an order was in vain, and return the error: not every caller needs to know why."""
+    """Log that an order failed and return the error; callers need not log it."""
     log_event(logger, MEMBER_ORDER_FAILED, instance=instance, error=detail, gone=is_gone)
     return MemberUnreachableError(detail, is_gone)
--- a/src/bramblebeam/services/failover/paused_members.py
+++ b/src/bramblebeam/services/failover/paused_members.py
@@ -1,7 +1,7 @@
-"""The members of one group that receive nothing while its primary is changed.
+"""Pauses the members of one group while its primary is changed.
 
-A member that is paused confirms no lease on the former leader. One that starts again has forgotten
-its pause, so that what a member answered is looked at once more before an order.
+A paused member receives nothing and confirms no lease on the former leader. A restart ends the
+pause, so the members' statuses are checked again before an order.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 
 logger = logging.getLogger(__name__)
 
-LOOK_SECONDS = 0.4
-"""For how long answers are waited for before an order: what a node takes for the end of any change
-(`SETTLED_SECONDS`) counts from then."""
+RECHECK_TIMEOUT = 0.4
+"""How long the check before an order waits for status replies (seconds). `SETTLED_SECONDS`, after
+which a node considers any change to be over, counts from that time."""
 
 Statuses = dict[InstanceId, CandidateStatus]
 
 
 class PausedMembers:
-    """Pauses members, knows which of them may still confirm leases, and lets them go on.
+    """Pauses members, tracks which of them may still confirm leases, and resumes them.
 
-    `paused_at`: when the last answer to a pause came (steady clock, seconds).
+    `paused_at`: when the last reply to a pause was received (seconds of the monotonic clock).
     """
 
     def __init__(self, group: GroupId, orders: MemberOrders) -> None:
@@ -41,24 +41,24 @@
         self._gone: set[InstanceId] = set()
 
     def __bool__(self) -> bool:
-        """Whether members were paused and not let go on."""
+        """Whether members were paused and not resumed."""
         return bool(self._paused)
 
     async def statuses(self, instances: Collection[InstanceId]) -> Statuses:
-        """Return what those members say that answer."""
-        return _answered(instances, await asyncio.gather(*map(self._status, instances)))
+        """Return the statuses of the members that reply."""
+        return _drop_missing(instances, await asyncio.gather(*map(self._status, instances)))
 
     async def pause(self, instances: Collection[InstanceId], term: int) -> Statuses:
-        """Stop replicas from receiving, but from a leader of `term` or a newer one.
+        """Stop replicas from receiving, except from a leader of `term` or a newer term.
 
-        Return what those say that answer.
+        Return the statuses of those that reply.
         """
-        answers = await asyncio.gather(*(self._pause(name, term) for name in instances))
+        replies = await asyncio.gather(*(self._pause(name, term) for name in instances))
         self.paused_at = loop_time()
-        return _answered(instances, answers)
+        return _drop_missing(instances, replies)
 
     def record_gone(self, instances: Collection[InstanceId]) -> None:
-        """Note that nothing listened at the addresses of members a moment ago."""
+        """Record that nothing listened at the addresses of these members."""
         self._gone.update(instances)
 
     def unresponsive(
@@ -67,9 +67,9 @@
         former: InstanceId | None,
         statuses: Mapping[InstanceId, CandidateStatus],
     ) -> list[InstanceId]:
-        """Return the registered members that gave no answer, and may live."""
-        free = self.unpaused(members, former, statuses)
-        return [instance for instance in free if instance not in statuses]
+        """Return the registered members that did not reply and may still run."""
+        unpaused = self.unpaused(members, former, statuses)
+        return [instance for instance in unpaused if instance not in statuses]
 
     def unpaused(
         self,
@@ -90,23 +90,26 @@
     async def all_still_paused(
         self, members: Collection[DatabaseEntry], former: InstanceId | None
     ) -> bool:
-        """Whether every member that is registered now is paused, or nothing listens there."""
+        """Whether each registered member is paused, or nothing listens at its address.
+
+        A lapsed member is ignored: its registration has expired.
+        """
         others = [entry for entry in members if entry.instance != former]
-        statuses = await self._look([entry.instance for entry in others])
-        free = self.unpaused(others, former, statuses)
-        if free:
-            log_event(logger, MEMBERS_FREE, group=self._group, members=", ".join(sorted(free)))
-        return not free
-
-    async def _look(self, instances: Collection[InstanceId]) -> Statuses:
-        """Return what those members say that answer soon."""
-        asked = {name: asyncio.ensure_future(self._status(name)) for name in instances}
-        if not asked:
+        statuses = await self._statuses_within_timeout([entry.instance for entry in others])
+        unpaused = self.unpaused(others, former, statuses)
+        if unpaused:
+            log_event(logger, MEMBERS_FREE, group=self._group, members=", ".join(sorted(unpaused)))
+        return not unpaused
+
+    async def _statuses_within_timeout(self, instances: Collection[InstanceId]) -> Statuses:
+        """Return the statuses of the members that reply within RECHECK_TIMEOUT."""
+        queries = {name: asyncio.ensure_future(self._status(name)) for name in instances}
+        if not queries:
             return {}
-        answered, late = await asyncio.wait(asked.values(), timeout=LOOK_SECONDS)
-        for task in late:
+        replied, pending = await asyncio.wait(queries.values(), timeout=RECHECK_TIMEOUT)
+        for task in pending:
             task.cancel()
-        found = {name: task.result() for name, task in asked.items() if task in answered}
+        found = {name: task.result() for name, task in queries.items() if task in replied}
         return {name: status for name, status in found.items() if status is not None}
 
     def log(
@@ -116,7 +119,7 @@
         statuses: Mapping[InstanceId, CandidateStatus],
         term: int,
     ) -> None:
-        """Log which members are paused, and why the others are not."""
+        """Log which members are paused and why the others are not."""
         paused = sorted(name for name, status in statuses.items() if status.paused)
         others = [
             f"{entry.instance}: {self._state(entry, statuses)}"
@@ -134,23 +137,23 @@
 
     def _state(self, entry: DatabaseEntry, statuses: Mapping[InstanceId, CandidateStatus]) -> str:
         if entry.instance in statuses:
-            return "it receives"
+            return "it receives data"
         if entry.instance in self._gone:
             return "nothing listens"
-        return "lapsed and silent" if entry.lapsed else "silent"
+        return "lapsed and unresponsive" if entry.lapsed else "unresponsive"
 
     async def resume(self) -> None:
-        """Let the paused members receive again. Call it only as the lease's holder."""
+        """Let the paused members receive again. Only the lease holder may call this."""
         await asyncio.gather(*(self._resume(instance) for instance in self._paused))
         self._paused.clear()
 
     async def resume_abandoned(self, statuses: Mapping[InstanceId, CandidateStatus]) -> None:
-        """Let members receive again that somebody paused for a change which never came."""
+        """Resume members that a node paused for a change that was never completed."""
         self._paused |= {instance for instance, status in statuses.items() if status.paused}
         await self.resume()
 
     def forget(self) -> None:
-        """Leave the paused members to the lease's new holder."""
+        """Leave the paused members to the new lease holder."""
         self._paused.clear()
 
     async def _status(self, instance: InstanceId) -> CandidateStatus | None:
@@ -158,7 +161,7 @@
         try:
             status = await self._orders.status(instance)
         except MemberUnreachableError as error:
-            # Logged where it was met; a member without a status is no target.
+            # Already logged by MemberOrders. A member without a status is never a target.
             if error.is_gone:
                 self._gone.add(instance)
             return None
@@ -185,15 +188,15 @@
         try:
             await self._orders.resume(instance)
         except MemberUnreachableError:
-            # Logged where it was met; the next watch of the group finds it paused and tries again.
+            # Already logged by MemberOrders. The group's next watch finds it paused and retries.
             return
 
 
-def _answered(
-    instances: Collection[InstanceId], answers: Collection[CandidateStatus | None]
+def _drop_missing(
+    instances: Collection[InstanceId], replies: Collection[CandidateStatus | None]
 ) -> Statuses:
     return {
         instance: status
-        for instance, status in zip(instances, answers, strict=True)
+        for instance, status in zip(instances, replies, strict=True)
         if status is not None
     }
--- a/src/bramblebeam/services/failover/peers.py
+++ b/src/bramblebeam/services/failover/peers.py
@@ -1,4 +1,4 @@
-"""Other nodes, asked by the transport service to take the lead from a database."""
+"""Sends step-down requests to other nodes over the transport service."""
 
 from bramblebeam.core.failover.messages import NO_ANSWER, StepDownReply, StepDownRequest
 from bramblebeam.core.identity import NodeId
@@ -11,16 +11,16 @@
 
 
 class TransportStepDownPeers:
-    """Carries the question over the transport service of this node."""
+    """Sends step-down requests over the transport service of this node."""
 
     def __init__(self, kernel: Kernel) -> None:
         self._kernel = kernel
 
     async def step_down(self, node: NodeId, request: StepDownRequest) -> StepDownReply:
-        """Have a node take the lead from a database; NO_ANSWER where it gives none."""
-        question = PeerRequest(node, request, PEER_TIMEOUT, PEER_SILENCE_TIMEOUT)
+        """Request that a node makes a database step down; return NO_ANSWER if it fails to reply."""
+        message = PeerRequest(node, request, PEER_TIMEOUT, PEER_SILENCE_TIMEOUT)
         try:
-            answer = await self._kernel.call(TRANSPORT, question)
+            reply = await self._kernel.call(TRANSPORT, message)
         except (MailboxFullError, ServiceFailedError):
             return NO_ANSWER
-        return answer if isinstance(answer, StepDownReply) else NO_ANSWER
+        return reply if isinstance(reply, StepDownReply) else NO_ANSWER
--- a/src/bramblebeam/services/failover/ports.py
+++ b/src/bramblebeam/services/failover/ports.py
@@ -1,4 +1,4 @@
-"""The interfaces between failover and the adapter of a platform."""
+"""Interfaces that a platform's adapter implements for the failover service."""
 
 from __future__ import annotations
 
@@ -10,41 +10,41 @@
 
 
 class LeaseStoreUnavailableError(Exception):
-    """The store gave no answer. A write may have been done, or may be done later."""
+    """The store did not respond. A write may have taken effect, or may do so later."""
 
 
 class LeaseStore(Protocol):
-    """Keeps one lease a group."""
+    """Keeps one lease per group."""
 
     async def read(self, group: GroupId, timeout: float) -> Lease | None:
-        """Return the lease, or None where there is none. Raises LeaseStoreUnavailableError."""
+        """Return the lease, or None if there is none. Raises LeaseStoreUnavailableError."""
 
     async def create(self, group: GroupId, holder: NodeId, timeout: float) -> Lease | None:
-        """Create the lease; None: there is one. Raises LeaseStoreUnavailableError."""
+        """Create the lease; None if it exists already. Raises LeaseStoreUnavailableError."""
 
     async def write(self, lease: Lease, content: Lease, timeout: float) -> Lease | None:
-        """Write `content` (but its token) if the lease is still `lease`.
+        """Write `content` (except its token) if the stored lease is still `lease`.
 
-        Return the lease with its new token; None: it was changed.
+        Return the lease with its new token, or None if it was changed meanwhile.
 
         Raises LeaseStoreUnavailableError.
         """
 
 
 class Order(Enum):
-    """What became of an order to promote."""
+    """Outcome of a promotion order."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
-    """A newer token was used, or the database does not run. Nothing was done."""
+    """A newer token was used, or the database is not running. Nothing was done."""
     UNKNOWN = "unknown"
-    """No answer. It may be carried out, also later."""
+    """No reply. The order may be carried out, even later."""
     NOT_DONE = "not done"
-    """The service could not be reached or had too much to do. Nothing was done."""
+    """The service was unreachable or overloaded. Nothing was done."""
 
 
 class Promoter(Protocol):
-    """The outside service that promotes a database."""
+    """The external service that promotes databases."""
 
     async def promote(self, lease: Lease, target: InstanceId, timeout: float) -> Order:
-        """Order that `target` leads the lease's group, fenced by the lease's token."""
+        """Order `target` to lead the lease's group, fenced by the lease's token."""
--- a/src/bramblebeam/services/failover/service.py
+++ b/src/bramblebeam/services/failover/service.py
@@ -1,4 +1,4 @@
-"""The failover service: watches the leaders of groups in use and changes those that are lost."""
+"""The failover service: watches the leaders of groups in use and replaces those that fail."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class FailoverService(Service):
-    """Runs one watch a group in use."""
+    """Runs one watch per group in use."""
 
     name: ClassVar[str] = "failover"
 
@@ -53,7 +53,7 @@
         self._watches: dict[GroupId, FailoverWatch] = {}
 
     async def start(self) -> None:
-        """Follow databases and the leaders of groups in use."""
+        """Subscribe to events, accept step-down requests, and start the watches again."""
         for message_type in (
             DirectoryChanged,
             LeaderSuspected,
@@ -67,11 +67,11 @@
             self.spawn(watch.run())
 
     async def drain(self) -> None:
-        """Give up the leases that this node holds."""
+        """Release the leases that this node holds."""
         await asyncio.gather(*(watch.lease.release() for watch in self._watches.values()))
 
     async def handle(self, envelope: Envelope) -> None:
-        """Watch the groups that this node uses; look again at news."""
+        """Start watches of groups that this node serves, and wake them on events."""
         match envelope.message:
             case LeaderSuspected(group=group) | LeaderProven(group=group):
                 self._watch(group)
@@ -89,22 +89,22 @@
                 self.spawn(self._step_down(request, envelope))
 
     async def _demote(self, instance: InstanceId, term: int) -> None:
-        """Take the lead from a database that was replaced and does not know it."""
+        """Make a database step down that was replaced but still considers itself the leader."""
         await self._orders.step_down(instance, term)
 
     async def _step_down(self, request: StepDownRequest, envelope: Envelope) -> None:
-        """Use the database no more, and take the lead from it if it can be reached."""
+        """Stop using a database as leader, and make it step down if it can be reached."""
         self.context.give_up(request.group, request.name, request.term)
         instance = self.context.placement.instance_named(request.group, request.name)
         answer(envelope, await self._orders.step_down(instance, request.term))
 
     def _watch(self, group: GroupId) -> None:
-        """Watch a group that this node serves: the others' view of it is second-hand."""
+        """Watch the group if this node serves it; other nodes observe it only indirectly."""
         if group not in self._watches and self.context.serves(group):
             self._watches[group] = FailoverWatch(self, group)
             self.spawn(self._watches[group].run())
 
     @staticmethod
     def now() -> float:
-        """Return the steady clock (seconds)."""
+        """Return the monotonic clock (seconds)."""
         return asyncio.get_running_loop().time()
--- a/src/bramblebeam/services/failover/situation.py
+++ b/src/bramblebeam/services/failover/situation.py
@@ -1,4 +1,4 @@
-"""What one node sees of a group's primary, as the decision on a change needs it."""
+"""Collects what one node observes of a group's primary into the input of the failover decision."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from bramblebeam.services.gateway.leaders import UNCONFIRMED_SECONDS, LeaderTracker
 
 RANK_COUNT = 6
-"""Nodes spread over so many places in the order of those that take a lease over."""
+"""Number of ranks over which nodes are spread by hash. Lower ranks take a lease over earlier."""
 
 
 class GroupObserver:
-    """Reads the leader's tracker and the directory."""
+    """Observes the primary of one group through the leader tracker and the directory."""
 
     def __init__(
         self, context: GatewayContext, node: NodeId, group: GroupId, now: Callable[[], float]
@@ -29,7 +29,7 @@
         self._leaving_since: float | None = None
 
     def observe(self, lease: GroupLease, ordered_at: float | None) -> Situation:
-        """Return what this node knows now."""
+        """Return the current situation. `ordered_at`: as in `Situation`."""
         leaders = self._context.leader(self._group)
         cause: Cause | None = None
         since: float | None = None
@@ -38,13 +38,13 @@
         elif leaders.leader is None:
             self._leaving_since = None
             cause, since = Cause.LOST, leaders.suspected_since
-        elif self._leader_leaves():
+        elif self._is_leader_leaving():
             if self._leaving_since is None:
                 self._leaving_since = self._now()
             cause, since = self._leaving_cause(leaders.leader), self._leaving_since
         else:
             self._leaving_since = None
-            cause, since = self._quiet_trouble(leaders, lease)
+            cause, since = self._trouble_of_staying_leader(leaders, lease)
         return Situation(
             node=self._node,
             rank=self._rank,
@@ -56,11 +56,11 @@
             ordered_at=ordered_at,
         )
 
-    def _quiet_trouble(
+    def _trouble_of_staying_leader(
         self, leaders: LeaderTracker, lease: GroupLease
     ) -> tuple[Cause | None, float | None]:
-        """Return what is wrong with a leader that answers and stays, and since when."""
-        if _awaits_other_leader(lease, leaders.leader):
+        """Return the trouble of a leader that responds and is not leaving, and since when."""
+        if _has_unsettled_order(lease, leaders.leader):
             return Cause.UNSETTLED, self._now()
         if leaders.stalled_since is not None:
             return Cause.STALLED, leaders.stalled_since
@@ -69,7 +69,7 @@
             return Cause.UNCONFIRMED, unconfirmed
         return None, None
 
-    def _leader_leaves(self) -> bool:
+    def _is_leader_leaving(self) -> bool:
         leaders = self._context.leader(self._group)
         if leaders.leader is None:
             return False
@@ -82,8 +82,8 @@
         return Cause.LAPSED if is_lapsed else Cause.LEAVING
 
 
-def _awaits_other_leader(lease: GroupLease, leader: InstanceId | None) -> bool:
-    """Whether this node has ordered another leader and does not know what became of it."""
+def _has_unsettled_order(lease: GroupLease, leader: InstanceId | None) -> bool:
+    """Whether this node ordered another leader and the outcome is still unknown."""
     held = lease.known
     if held is None or not lease.is_own or held.unsettled is None:
         return False
--- a/src/bramblebeam/services/failover/untold.py
+++ b/src/bramblebeam/services/failover/untold.py
@@ -1,4 +1,4 @@
-"""Finds out whether there was a change of primary that the group's lease does not tell."""
+"""Detects changes of primary that the group's lease does not record."""
 
 from __future__ import annotations
 
@@ -18,49 +18,52 @@
 
 
 class UnwrittenChangeDetector:
-    """Holds what members told of changes against the lease, and whose lead this node has ended.
+    """Compares the members' status reports with the lease.
 
-    `may_be`: holders of the lease change the primary also without the store, so that the lease may
-    lack the last change. Else it tells every one.
+    `may_be_unwritten`: lease holders change the primary even while the store is unavailable, so
+    the lease may lack the last change. Otherwise it records every change.
     """
 
-    def __init__(self, context: GatewayContext, group: GroupId, may_be: bool) -> None:
+    def __init__(self, context: GatewayContext, group: GroupId, may_be_unwritten: bool) -> None:
         self._context = context
         self._group = group
-        self._may_be = may_be
+        self._may_be_unwritten = may_be_unwritten
         self._ended_term = 0
 
     def expect_unwritten(self) -> None:
-        """Note that the lease may lack the last change from now on."""
-        self._may_be = True
+        """Record that the lease may lack the last change from now on."""
+        self._may_be_unwritten = True
 
     def change_to_follow(
         self,
-        told: OrderedChange | None,
+        recorded: OrderedChange | None,
         former: InstanceId | None,
         statuses: Mapping[InstanceId, CandidateStatus],
     ) -> OrderedChange | None:
-        """Return the change that a target must follow; None: there was none.
+        """Return the last change, which limits the choice of target; None if there was none.
 
-        `told`: by the lease. `former`: the primary that is replaced. `statuses`: of the replicas
-        that answered.
+        `recorded`: the last change in the lease. `former`: the primary to replace. `statuses`: of
+        the replicas that replied.
         """
-        if not self._may_be:
-            return told
-        return infer_last_change(told, self._seen(former, statuses))
+        if not self._may_be_unwritten:
+            return recorded
+        return infer_last_change(recorded, self._observed(former, statuses))
 
-    def log_found(self, told: OrderedChange | None, found: OrderedChange | None) -> None:
-        """Log that no member that answers follows a change that the lease does not tell."""
+    def log_found(self, recorded: OrderedChange | None, found: OrderedChange | None) -> None:
+        """Log an unrecorded change after which no reachable member may be promoted."""
         log_event(
             logger,
             UNTOLD_CHANGE_FOUND,
             group=self._group,
             term=found.term if found is not None else None,
-            told_term=told.term if told is not None else None,
+            told_term=recorded.term if recorded is not None else None,
         )
 
     def record_step_down(self) -> None:
-        """Note that this node had the former leader step down: its denial shows no other change."""
+        """Record that this node made the former leader step down.
+
+        That the database then denies leading is no sign of another change.
+        """
         leaders = self._leaders
         if leaders.denied_term != leaders.last_term:
             self._ended_term = leaders.last_term
@@ -69,21 +72,21 @@
     def _leaders(self) -> LeaderTracker:
         return self._context.leader(self._group)
 
-    def _seen(
+    def _observed(
         self, former: InstanceId | None, statuses: Mapping[InstanceId, CandidateStatus]
     ) -> ObservedLeadership:
         leaders = self._leaders
         others = {entry.instance for entry in leaders.members()} - {former}
         term = leaders.last_term
-        says_so = term > 0 and leaders.denied_term == term
+        reports_replaced = term > 0 and leaders.denied_term == term
         if former is not None and former in statuses and leaders.last_leader in (None, former):
-            # It is a replica of the term that it led, so that it has not heard of its successor.
+            # It is a replica in the term that it led, so it does not know its successor yet.
             term = term or statuses[former].term
-            says_so = says_so or statuses[former].term <= term
+            reports_replaced = reports_replaced or statuses[former].term <= term
         return ObservedLeadership(
             leader=leaders.last_leader,
             term=term,
             newest_term=leaders.highest_term,
-            was_replaced=says_so and self._ended_term != term,
+            was_replaced=reports_replaced and self._ended_term != term,
             all_others_replied=others <= statuses.keys(),
         )
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -1,4 +1,4 @@
-"""One group's watch: observes its primary, decides, and changes it."""
+"""Watches one group: observes its primary, decides, and changes it."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
 logger = logging.getLogger(__name__)
 
 CYCLE_SECONDS = 0.1
+"""Interval between checks while there is trouble (seconds)."""
 QUIET_CYCLE_SECONDS = 5.0
-"""News of the leader or of the databases ends a quiet wait at once."""
+"""Interval without trouble (seconds). A change of the leader or the databases ends it at once."""
 FLUSH_INTERVAL = 0.5
-"""A lease that could not be written is tried so often (seconds), by its holder alone: shorter than
-another node needs to take it over (`FailoverTiming.takeover_delay` and `lease_observation`)."""
+"""Interval at which the holder retries a failed lease write (seconds). It is shorter than the time
+before another node takes the lease over (`FailoverTiming.takeover_delay`, `lease_observation`)."""
 FIRST_DELAY = 1.0
-"""A watch begins at a random moment within so long after the group's first statement (seconds): a
-node that has just started finds the leader first, and not all groups ask the store at once."""
+"""Maximum random delay between a group's first statement and its watch (seconds): a node that has
+just started finds the leader first, and not all groups query the store at once."""
 LEASE_RETRY = 1.0
-"""Seconds, half to one and a half times as many, before the store is asked for a first lease again.
-"""
+"""Mean delay before a first lease is requested again (seconds), with a jitter of 50 percent."""
 
 
-class WatchedService(Protocol):
-    """What a watch needs of the service that runs it."""
+class FailoverHost(Protocol):
+    """The parts of the failover service that a watch uses."""
 
     node: NodeId
     context: GatewayContext
@@ -56,13 +56,13 @@
 
     @staticmethod
     def now() -> float:
-        """Return the steady clock (seconds)."""
+        """Return the monotonic clock (seconds)."""
 
 
 class FailoverWatch:
-    """One group's loop: observe, decide, act."""
+    """Runs the loop of one group: observe, decide, act. Setting `wake` ends the current wait."""
 
-    def __init__(self, service: WatchedService, group: GroupId) -> None:
+    def __init__(self, service: FailoverHost, group: GroupId) -> None:
         self.wake = asyncio.Event()
         self.lease = GroupLease(
             group,
@@ -75,15 +75,15 @@
         self._service = service
         self._group = group
         self._ordered_at: float | None = None
-        self._in_vain = FailoverBackoff()
-        self._lease_unknown = asyncio.Event()
+        self._backoff = FailoverBackoff()
+        self._lease_invalidated = asyncio.Event()
         self._observer = GroupObserver(service.context, service.node, group, service.now)
         self._runner = ChangeRunner(
             service.context,
             service.promoter,
             service.peers,
             group,
-            may_be_untold=service.fence_checked,
+            may_be_unwritten=service.fence_checked,
         )
 
     async def run(self) -> None:
@@ -92,21 +92,21 @@
         await asyncio.gather(self._keep_lease(), self._watch())
 
     def record_era(self, era: int) -> None:
-        """Note that the store came back from a copy: its lease has to be looked at again."""
+        """Record that the store was restored from a copy: the lease has to be read again."""
         self.lease.record_era(era)
-        self._lease_unknown.set()
+        self._lease_invalidated.set()
         self.wake.set()
 
     async def _watch(self) -> None:
         while True:
             situation = self._observe()
             if situation.cause is None:
-                await self._end_trouble()
+                await self._settle_change()
                 await self.lease.reclaim()
                 await self.lease.flush()
                 await pause(self.wake, self._quiet_pause())
                 continue
-            if self._in_vain.must_wait(self._members(), self._service.now()):
+            if self._backoff.must_wait(self._members(), self._service.now()):
                 await pause(self.wake, CYCLE_SECONDS)
                 continue
             if await self.lease.refresh(situation, self._wants_lease):
@@ -127,17 +127,17 @@
         return decide(situation, self._service.now(), self._service.timing)
 
     async def _keep_lease(self) -> None:
-        """Make sure that somebody has the lease before it is needed, in each era of the store."""
+        """Make sure that the lease exists before it is needed, in each era of the store."""
         while True:
-            self._lease_unknown.clear()
+            self._lease_invalidated.clear()
             await self._first_lease()
-            await self._lease_unknown.wait()
+            await self._lease_invalidated.wait()
 
     async def _first_lease(self) -> None:
         """Read or create the lease.
 
-        The first nodes that serve the group do, and the last holder of a former era; the others
-        read it only in times of trouble.
+        Only the group's first owners and the last holder of a former era do so. Other nodes read
+        the lease only if there is trouble.
         """
         while not self.lease.is_current:
             if self.lease.must_reclaim or self._service.context.is_first_owner(self._group):
@@ -148,7 +148,7 @@
     # The change.
 
     async def _act(self) -> None:
-        """Change the primary, if that is to be done now and by this node."""
+        """Change the primary if this node is to do so now."""
         situation = self._observe()
         action = self._decide(situation)
         if action is Action.NONE:
@@ -160,7 +160,7 @@
         if situation.cause is None or self.lease.known is None:
             return
         if situation.cause is Cause.UNCONFIRMED and not await self._reaches_replica():
-            await self._give_way("only the leader can be reached")
+            await self._back_off("only the leader can be reached")
             return
         began = self._service.now()
         log_event(
@@ -183,8 +183,8 @@
             token=str(self.lease.known.token),
             duration_ms=round((self._service.now() - began) * 1000),
         )
-        is_put_off = situation.leader is not None and outcome.order is None
-        if outcome.ordered or is_put_off:
+        is_deferred = situation.leader is not None and outcome.order is None
+        if outcome.ordered or is_deferred:
             self._ordered_at = self._service.now()
 
     async def _change(
@@ -192,12 +192,12 @@
     ) -> tuple[OrderedChange | None, ChangeOutcome]:
         """Claim the lease, prepare the change, write it into the lease, and order it.
 
-        Members are told to pause only under a claimed lease: two nodes that prepare at the same
-        time would undo each other's pauses. An order without an answer is repeated with a new
-        token until it is answered: it may yet be carried out, and then no other log may lead. One
-        whose target has started again since is not repeated: its log is not the one that was
-        chosen. A leader on which no member may confirm a lease any more, as all have started again
-        since it was promoted, is changed as planned: the new one's they may confirm.
+        Members are paused only under a claimed lease: two nodes that prepare changes at the same
+        time would undo each other's pauses. An order without a reply is repeated with a new token
+        until it is answered: it may still be carried out, and no other log may lead then. It is
+        not repeated if the target has restarted since: its log is no longer the one chosen. If all
+        members have restarted since the leader's promotion, none may confirm a lease on it any
+        more. The leader is then replaced by a planned change, as they may confirm its successor.
         """
         known = self.lease.known
         assert known is not None
@@ -214,7 +214,7 @@
         newest, history = claimed.last_change, self._history(claimed)
         change = await self._runner.prepare(leader, newest, history)
         if change is None:
-            await self._let_go()
+            await self._abort_attempt()
             return None, ChangeOutcome(None, "no member may be promoted now")
         lease = await self.lease.write(claimed.last_change, change)
         if lease is None:
@@ -222,19 +222,19 @@
             return change, ChangeOutcome(None, "the lease is another node's")
         return change, await self._carry_out(lease, change, leader)
 
-    async def _let_go(self) -> None:
-        """Let the members that were paused in vain receive again; who leads may go on."""
+    async def _abort_attempt(self) -> None:
+        """Resume the members paused by a failed attempt; a present leader may keep leading."""
         if self._runner.has_paused:
             if await self.lease.ensure_held() is None:
                 self._runner.forget()
             await self._runner.resume()
-        await self._give_way("no member may be promoted")
+        await self._back_off("no member may be promoted")
 
-    async def _give_way(self, reason: str) -> None:
-        """Be in no hurry to try again; let others try first after several tries in vain."""
-        self._in_vain.record_failure(self._members(), self._service.now())
+    async def _back_off(self, reason: str) -> None:
+        """Delay the next attempt; release the lease after several failed ones."""
+        self._backoff.record_failure(self._members(), self._service.now())
         lease = self.lease.known
-        if not self._in_vain.should_yield or lease is None or lease.unsettled is not None:
+        if not self._backoff.should_yield or lease is None or lease.unsettled is not None:
             return
         log_event(logger, FAILOVER_LEFT_TO_OTHERS, group=self._group, reason=reason)
         await self.lease.release()
@@ -244,14 +244,14 @@
         return leader is not None and await self._runner.reaches_replica(leader)
 
     def _members(self) -> tuple[tuple[InstanceId, bool, bool], ...]:
-        """Return what the directory tells of the members, as far as a change depends on it."""
+        """Return what the directory reports about the members that may affect a change."""
         members = self._service.context.leader(self._group).members()
         return tuple(sorted((entry.instance, entry.lapsed, entry.leaving) for entry in members))
 
     async def _carry_out(
         self, lease: Lease, change: OrderedChange, leader: InstanceId | None
     ) -> ChangeOutcome:
-        """Order a prepared change, once a leader that can be reached has stepped down."""
+        """Order a prepared change, after a reachable leader has stepped down."""
         if leader is not None and not await self._runner.step_down(leader, change):
             await self.lease.write(lease.last_change, None)
             await self._runner.resume()
@@ -261,13 +261,16 @@
     async def _repeat(
         self, lease: Lease, change: OrderedChange, leader: InstanceId | None
     ) -> ChangeOutcome:
-        """Order once more what was ordered and not answered."""
+        """Repeat an order that was not answered."""
         if not await self._runner.cut_off(leader, lease.last_change):
             return ChangeOutcome(None, "the former leader may be in use")
         return await self._order(lease, change, True)
 
     def _history(self, lease: Lease) -> OrderedChange | None:
-        """Return the last change; a group that was without a primary for long does without it."""
+        """Return the last change, or None if it no longer limits the choice of target.
+
+        That is so in an asynchronous group after `any_member_after` without a primary.
+        """
         since = self._service.context.leader(self._group).suspected_since
         settings = self._service.context.table.groups.get(self._group)
         synchronous = settings is not None and settings.synchronous_replicas > 0
@@ -277,7 +280,7 @@
         return None if is_long else lease.last_change
 
     async def _order(self, held: Lease, change: OrderedChange, is_repeated: bool) -> ChangeOutcome:
-        """Order a change under a lease that tells of it, if the former leader stays cut off."""
+        """Order a change that the lease records, if the former leader is still cut off."""
         if not await self._runner.is_still_cut_off():
             if not is_repeated:
                 await self.lease.write(held.last_change, None)
@@ -296,10 +299,10 @@
             await self.lease.write(lease.last_change, None)
         return outcome
 
-    async def _end_trouble(self) -> None:
-        """Undo pauses and settle the order of a change that is over, if the lease is still ours."""
+    async def _settle_change(self) -> None:
+        """Resume members and settle a completed change, if this node still holds the lease."""
         self._ordered_at = None
-        self._in_vain.reset()
+        self._backoff.reset()
         lease = self.lease.known
         if lease is None or not self.lease.is_own:
             self._runner.forget()
@@ -310,7 +313,7 @@
         if not is_done and not self._runner.has_paused:
             return
         if unsettled is not None and not is_done:
-            # The order may yet be carried out: nobody may go back to the former leader.
+            # The order may still be carried out, so no node may use the former leader again.
             return
         last_change = lease.last_change
         if unsettled is not None and leader is not None and is_done:
--- a/src/bramblebeam/services/group/commands.py
+++ b/src/bramblebeam/services/group/commands.py
@@ -1,4 +1,4 @@
-"""The statements by which a database group is commanded."""
+"""SQL statements that control the members of a database group."""
 
 from collections.abc import Iterable
 
@@ -6,23 +6,23 @@
 
 
 def promise(term: int) -> str:
-    """Return the statement that promises a term."""
+    """Return the statement by which a member promises a term."""
     return f"CALL bramblebeam.promise({term})"
 
 
 def promote(term: int, members: Iterable[InstanceSpec]) -> str:
-    """Return the statement that makes its receiver the primary of a term."""
+    """Return the statement that makes a member the primary of a term."""
     listed = ",".join(_endpoint(member) for member in members)
     return f"CALL bramblebeam.promote({term}, '{listed}')"
 
 
 def follow(term: int, primary: InstanceSpec) -> str:
-    """Return the statement that makes its receiver follow the primary of a term."""
+    """Return the statement that makes a member follow the primary of a term."""
     return f"CALL bramblebeam.follow({term}, '{_endpoint(primary)}')"
 
 
 def pause_writes(milliseconds: int) -> str:
-    """Return the statement that has a primary hold new writes back (0: let them go on)."""
+    """Return the statement that makes a primary delay new writes (0: stop delaying them)."""
     return f"CALL bramblebeam.pause_writes({milliseconds})"
 
 
--- a/src/bramblebeam/services/group/forwarding.py
+++ b/src/bramblebeam/services/group/forwarding.py
@@ -1,4 +1,4 @@
-"""Passes a request for a group on to the group's watchers."""
+"""Forwards requests about a group to the nodes that watch it."""
 
 from collections.abc import Awaitable, Callable, Iterable
 from typing import TypeGuard
@@ -14,22 +14,22 @@
 from bramblebeam.services.transport.messages import PeerFailure
 
 CHANGE_TIMEOUT = 8.0
-"""How long another node may take over a planned change (seconds)."""
+"""Timeout of a planned change at another node (seconds)."""
 STATUS_TIMEOUT = 2.0
-"""How long another node may take to tell a group's status (seconds)."""
+"""Timeout of a status request to another node (seconds)."""
 
 Request = ChangePrimaryRequest | GroupStatusRequest
 Reply = ChangePrimaryReply | GroupStatusReply
-Ask = Callable[[NodeId, Request, float], Awaitable[Reply | PeerFailure]]
+SendRequest = Callable[[NodeId, Request, float], Awaitable[Reply | PeerFailure]]
 
 
 async def request_change(
-    request: ChangePrimaryRequest, watchers: Iterable[NodeId], ask: Ask
+    request: ChangePrimaryRequest, watchers: Iterable[NodeId], send: SendRequest
 ) -> ChangePrimaryReply:
-    """Ask one watcher after the other, until one may have begun the change."""
+    """Send the request to one watcher after another, until one may have begun the change."""
     detail = "no node watches the group"
     for watcher in watchers:
-        result = await ask(watcher, request, CHANGE_TIMEOUT)
+        result = await send(watcher, request, CHANGE_TIMEOUT)
         if isinstance(result, PeerFailure):
             detail = f"{watcher}: {result.detail}"
             if result.sent:
@@ -45,10 +45,12 @@
     return reply.outcome is not ChangeOutcome.NOT_WATCHED
 
 
-async def request_status(group: GroupId, watchers: Iterable[NodeId], ask: Ask) -> GroupStatusReply:
-    """Ask one watcher after the other, until one tells the status."""
+async def request_status(
+    group: GroupId, watchers: Iterable[NodeId], send: SendRequest
+) -> GroupStatusReply:
+    """Query one watcher after another, until one reports the status."""
     for watcher in watchers:
-        result = await ask(watcher, GroupStatusRequest(group), STATUS_TIMEOUT)
+        result = await send(watcher, GroupStatusRequest(group), STATUS_TIMEOUT)
         if isinstance(result, GroupStatusReply) and result.watched:
             return result
     return GroupStatusReply(group, watched=False)
--- a/src/bramblebeam/services/group/member.py
+++ b/src/bramblebeam/services/group/member.py
@@ -16,23 +16,23 @@
 )
 
 IDLE_CONNECTIONS = 1
-"""Connections kept open to a member between commands."""
+"""Number of connections to a member that are kept open between commands."""
 
 
 class FailureKind(IntEnum):
     """Why a command has no result."""
 
     NOT_LISTENING = 1
-    """No process listens at the address: surely not run."""
+    """No process listens at the address. The command was certainly not run."""
     REFUSED = 2
-    """The member answered with an error: surely not run."""
+    """The member replied with an error. The command was certainly not run."""
     LOST = 3
-    """No answer: it may have run."""
+    """No reply. The command may have been run."""
 
 
 @dataclass(frozen=True, slots=True)
 class CommandFailure:
-    """A command without a result. `code` is the member's error code, if it gave one."""
+    """A command without a result. `code` is the member's error code, or 0."""
 
     kind: FailureKind
     detail: str
@@ -40,10 +40,10 @@
 
 
 class MemberClient:
-    """Runs commands on one member, each within its own time, none waiting for another.
+    """Runs commands on one member. Each has its own timeout, and none waits for another.
 
-    A command takes the idle connection or opens one; a connection whose command failed, or was
-    given up, is closed.
+    A command uses the idle connection or opens a new one. A connection whose command failed or was
+    cancelled is closed.
     """
 
     def __init__(self, address: Address, user: str, password: str, program_name: str) -> None:
@@ -55,7 +55,7 @@
         self._closed = False
 
     async def run(self, sql: str, timeout: float) -> Result[BackendResult, CommandFailure]:
-        """Run one command within `timeout` seconds, its connecting included."""
+        """Run one command within `timeout` seconds, including the time to connect."""
         try:
             async with asyncio.timeout(timeout):
                 return Ok(await self._run(sql, timeout))
@@ -64,25 +64,25 @@
         except StatementError as error:
             return Error(CommandFailure(FailureKind.REFUSED, error.message, error.code))
         except ConnectError as error:
-            kind = FailureKind.NOT_LISTENING if _not_listening(error) else FailureKind.LOST
+            kind = FailureKind.NOT_LISTENING if _is_connection_refused(error) else FailureKind.LOST
             return Error(CommandFailure(kind, str(error), error.code))
         except BackendError as error:
             return Error(CommandFailure(FailureKind.LOST, str(error)))
 
     async def close(self) -> None:
-        """Close the idle connections; those in use close after their commands."""
+        """Close the idle connections. Connections in use are closed after their commands."""
         self._closed = True
         connections, self._idle = self._idle, []
         await asyncio.gather(*(connection.close() for connection in connections))
 
     async def _run(self, sql: str, timeout: float) -> BackendResult:
-        connection = await self._take(timeout)
+        connection = await self._acquire(timeout)
         try:
             return await connection.execute(sql)
         finally:
-            self._put_back(connection)
+            self._release(connection)
 
-    async def _take(self, timeout: float) -> BackendConnection:
+    async def _acquire(self, timeout: float) -> BackendConnection:
         while self._idle:
             connection = self._idle.pop()
             if not connection.broken:
@@ -91,14 +91,14 @@
             self._address, self._user, self._password, self._program_name, timeout
         )
 
-    def _put_back(self, connection: BackendConnection) -> None:
+    def _release(self, connection: BackendConnection) -> None:
         if connection.broken or self._closed or len(self._idle) >= IDLE_CONNECTIONS:
             connection.abort()
         else:
             self._idle.append(connection)
 
 
-def _not_listening(error: BaseException) -> bool:
+def _is_connection_refused(error: BaseException) -> bool:
     cause: BaseException | None = error
     while cause is not None:
         if isinstance(cause, ConnectionRefusedError):
--- a/src/bramblebeam/services/group/service.py
+++ b/src/bramblebeam/services/group/service.py
@@ -1,4 +1,4 @@
-"""The group service: one machine for each database group that this node watches."""
+"""The group service: runs one state machine for each database group that this node watches."""
 
 from __future__ import annotations
 
@@ -54,24 +54,24 @@
     ReachabilityReply,
 )
 RELOCATION_INTERVAL = 0.25
-"""How often the watched primaries are checked for a reason to move (seconds)."""
+"""Interval of the checks whether a watched primary should be relocated (seconds)."""
 RETRY_SECONDS = 0.05
-"""When an event is brought again to a full mailbox (seconds)."""
+"""Delay before an event is posted again to a full mailbox (seconds)."""
 
 
 @dataclass(frozen=True, slots=True)
 class _WatchEvent:
-    """Brings an event to the machine of a group, in the service's own order."""
+    """Passes an event to a group's machine through the mailbox, so that events stay in order."""
 
     group: GroupId
     event: Any
 
 
 class GroupService(Service):
-    """Watches the groups that the member table gives to this node.
+    """Watches the groups that the member table assigns to this node.
 
-    Answers `ChangePrimaryRequest` and `GroupStatusRequest` for every group, by asking the group's
-    watchers where this node is none.
+    Answers `ChangePrimaryRequest` and `GroupStatusRequest` for every group, and forwards them to
+    the group's watchers if this node is not one.
     """
 
     name: ClassVar[str] = "group"
@@ -90,7 +90,7 @@
         self._relocations: dict[GroupId, Relocation] = {}
 
     async def start(self) -> None:
-        """Subscribe to the views and register for the peers' messages."""
+        """Subscribe to the views, register for peers' messages, and start the watches."""
         self.kernel.subscribe(MembersChanged, self.name)
         self.kernel.subscribe(ConfigurationChanged, self.name)
         if self.kernel.has("transport"):
@@ -99,7 +99,7 @@
         self.spawn(self._relocate_primaries())
 
     async def stop(self) -> None:
-        """End every watch."""
+        """Stop all watches and answer their requests."""
         for group in self._watches:
             self._answer_requests_of(group)
         watches, self._watches = list(self._watches.values()), {}
@@ -107,7 +107,7 @@
         await asyncio.gather(*(watch.close() for watch in watches))
 
     async def handle(self, envelope: Envelope) -> None:
-        """Take one message."""
+        """Handle one message."""
         match envelope.message:
             case _WatchEvent(group=group, event=event):
                 self._feed(group, event)
@@ -118,14 +118,14 @@
                 self._table.configuration = view
                 self._replace_watches()
             case PeerDelivery(sender=sender, message=message):
-                self._take_from_peer(sender, message, envelope)
+                self._handle_peer_message(sender, message, envelope)
             case ChangePrimaryRequest() | GroupStatusRequest():
-                self.spawn(self._ask_watchers(envelope))
+                self.spawn(self._forward(envelope))
 
     # Watches
 
     def _replace_watches(self) -> None:
-        """Start, change and end watches as the member table and the rows in force tell."""
+        """Start, reconfigure and stop watches to match the member table and the active rows."""
         wanted = self._table.watched()
         for group in [group for group in self._watches if group not in wanted]:
             watch = self._watches.pop(group)
@@ -167,7 +167,7 @@
         )
 
     def _emit(self, group: GroupId, event: Any) -> None:
-        """Bring an event into the mailbox; try again while it is full."""
+        """Post an event to the mailbox; retry while it is full."""
         try:
             self.kernel.post(self.name, _WatchEvent(group, event))
         except MailboxFullError:
@@ -184,9 +184,9 @@
             self.kernel.post("transport", PeerPost(to, message))
 
     def _publish(self, message: GroupChanged) -> None:
-        before = self._published.get(message.group)
+        previous = self._published.get(message.group)
         self._published[message.group] = message
-        if message.primary and (before is None or before.term != message.term):
+        if message.primary and (previous is None or previous.term != message.term):
             log_event(
                 logger,
                 catalogue.GROUP_PRIMARY_CHANGED,
@@ -203,27 +203,27 @@
             )
         self.kernel.publish(message)
 
-    # Primaries that should move
+    # Relocation of primaries
 
     async def _relocate_primaries(self) -> None:
         while True:
             await asyncio.sleep(RELOCATION_INTERVAL)
             now = asyncio.get_running_loop().time()
-            around = RelocationContext(
+            context = RelocationContext(
                 self._settings.node, self._table.members, self._table.configuration
             )
             for group, watch in list(self._watches.items()):
-                self._relocate(group, watch, around, now)
+                self._relocate(group, watch, context, now)
 
     def _relocate(
-        self, group: GroupId, watch: GroupWatch, around: RelocationContext, now: float
+        self, group: GroupId, watch: GroupWatch, context: RelocationContext, now: float
     ) -> None:
-        if not watch.machine.managed or not around.is_first_reachable(
+        if not watch.machine.managed or not context.is_first_reachable(
             self._table.watchers_of(group)
         ):
             return
         relocation = self._relocations.setdefault(group, Relocation())
-        target = relocation.target(watch.machine.view, around, now)
+        target = relocation.target(watch.machine.view, context, now)
         if target is None:
             return
         log_event(
@@ -233,16 +233,16 @@
             primary=watch.machine.view.primary,
             target=target,
         )
-        self._change(ChangePrimaryRequest(group, target), Envelope(None, None))
+        self._start_change(ChangePrimaryRequest(group, target), Envelope(None, None))
 
     # Requests
 
-    def _take_from_peer(self, sender: NodeId, message: Any, envelope: Envelope) -> None:
+    def _handle_peer_message(self, sender: NodeId, message: Any, envelope: Envelope) -> None:
         match message:
             case ReachabilityRequest() | ReachabilityReply() | PrimaryNotice():
                 self._feed(message.group, Received(sender, message))
             case ChangePrimaryRequest():
-                self._change(message, envelope)
+                self._start_change(message, envelope)
             case GroupStatusRequest(group=group):
                 answer(envelope, self._status(group))
 
@@ -252,8 +252,8 @@
             return GroupStatusReply(group, watched=False)
         return watch.machine.status(asyncio.get_running_loop().time())
 
-    def _change(self, request: ChangePrimaryRequest, envelope: Envelope) -> None:
-        """Begin a planned change here; the envelope is answered when it is over."""
+    def _start_change(self, request: ChangePrimaryRequest, envelope: Envelope) -> None:
+        """Start a planned change here; the envelope is answered once it is over."""
         watch = self._watches.get(request.group)
         if watch is None:
             answer(envelope, ChangePrimaryReply(request.group, ChangeOutcome.NOT_WATCHED))
@@ -280,23 +280,23 @@
         answer(envelope, reply)
 
     def _answer_requests_of(self, group: GroupId) -> None:
-        """Answer the requests of a group that this node stops watching."""
+        """Answer the pending requests of a group that this node stops watching."""
         for number, (of_group, envelope) in list(self._requests.items()):
             if of_group == group:
                 del self._requests[number]
                 detail = "the node stopped watching the group"
                 answer(envelope, ChangePrimaryReply(group, ChangeOutcome.FAILED, detail=detail))
 
-    async def _ask_watchers(self, envelope: Envelope) -> None:
-        """Let the group's watchers answer, this node among them."""
+    async def _forward(self, envelope: Envelope) -> None:
+        """Forward a request to the group's watchers, which may include this node."""
         request = envelope.message
         watchers = self._table.watchers_of(request.group)
         if isinstance(request, ChangePrimaryRequest):
-            answer(envelope, await request_change(request, watchers, self._ask))
+            answer(envelope, await request_change(request, watchers, self._send_request))
         else:
-            answer(envelope, await request_status(request.group, watchers, self._ask))
+            answer(envelope, await request_status(request.group, watchers, self._send_request))
 
-    async def _ask(self, watcher: NodeId, message: Any, timeout: float) -> Any:
+    async def _send_request(self, watcher: NodeId, message: Any, timeout: float) -> Any:
         if watcher != self._settings.node:
             request = PeerRequest(watcher, message, timeout)
             try:
@@ -304,5 +304,5 @@
             except (TimeoutError, MailboxFullError, ServiceFailedError) as error:
                 return PeerFailure(sent=True, detail=repr(error))
         reply = asyncio.get_running_loop().create_future()
-        self._take_from_peer(watcher, message, Envelope(message, reply))
+        self._handle_peer_message(watcher, message, Envelope(message, reply))
         return await reply
--- a/src/bramblebeam/services/group/watch.py
+++ b/src/bramblebeam/services/group/watch.py
@@ -1,4 +1,4 @@
-"""Drives the machine of one watched group: carries its effects out and brings the answers back."""
+"""Drives the state machine of one watched group: runs its effects and feeds the results back."""
 
 import asyncio
 import logging
@@ -27,10 +27,10 @@
 
 
 class GroupWatch:
-    """One watched group. All its methods run in the service's event loop.
+    """One watched group. All methods run in the service's event loop.
 
-    `emit` brings an event into the service's mailbox, from where it comes back by `feed`;
-    `send` posts a message to a peer; `publish` and `finish` take the machine's results.
+    `emit` posts an event to the service's mailbox, which passes it back to `feed`. `send` posts a
+    message to a peer. `publish` and `finish` receive the machine's results.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         }
 
     def feed(self, event: Any) -> None:
-        """Give the machine one event and carry its effects out."""
+        """Pass one event to the machine and run its effects."""
         loop = asyncio.get_running_loop()
         if isinstance(event, events.GroupReconfigured):
             self._replace_clients(event)
@@ -78,7 +78,7 @@
         self._set_timer(loop)
 
     async def close(self) -> None:
-        """Stop the timer and close the connections."""
+        """Cancel the timer and close the connections."""
         if self._timer is not None:
             self._timer.cancel()
         clients = [client for _, client in self._clients.values()]
@@ -88,8 +88,8 @@
     def _set_timer(self, loop: asyncio.AbstractEventLoop) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        due = self.machine.next_wakeup()
-        self._timer = None if due is None else loop.call_at(due, self._emit, Wakeup())
+        wakeup_at = self.machine.next_wakeup()
+        self._timer = None if wakeup_at is None else loop.call_at(wakeup_at, self._emit, Wakeup())
 
     def _replace_clients(self, event: events.GroupReconfigured) -> None:
         wanted = {member.instance: member.address for member in event.members}
@@ -160,7 +160,7 @@
     def _status_of(
         self, result: Result[BackendResult, CommandFailure], instance: InstanceId
     ) -> MemberStatus | None:
-        """Return the status, unless another server answers at the member's address."""
+        """Return the status; None if it is unreadable or from another server than the member."""
         if result.is_error():
             return None
         try:
@@ -175,7 +175,7 @@
         return status
 
     def _note_unreadable(self, instance: InstanceId, error: str) -> None:
-        """Log once that a member's status cannot be used, until it can again."""
+        """Log that a member's status is unusable, once until it is usable again."""
         if instance in self._unreadable:
             return
         self._unreadable.add(instance)
--- a/src/bramblebeam/services/membership/changes.py
+++ b/src/bramblebeam/services/membership/changes.py
@@ -1,4 +1,4 @@
-"""Logs what changed between two views of the members."""
+"""Logs the differences between two views of the members."""
 
 import logging
 
@@ -25,19 +25,19 @@
 
 
 def log_changes(old: MembersView, new: MembersView) -> None:
-    """Log each member whose state or incarnation changed, and zones lost or found."""
+    """Log each member whose state changed, and each zone that became unreachable or reachable."""
     for node, member in new.members.items():
-        before = old.members.get(node)
-        if before is not member:
-            _log_member(before, member)
+        previous = old.members.get(node)
+        if previous is not member:
+            _log_member(previous, member)
     for zone in sorted(new.unreachable - old.unreachable):
         log_event(logger, ZONE_UNREACHABLE, zone=zone)
     for zone in sorted(old.unreachable - new.unreachable):
         log_event(logger, ZONE_REACHABLE, zone=zone)
 
 
-def _log_member(before: Member | None, member: Member) -> None:
-    if before is not None and before.state is member.state:
+def _log_member(previous: Member | None, member: Member) -> None:
+    if previous is not None and previous.state is member.state:
         return
     spec = member.spec
     event = _EVENTS[member.state]
--- a/src/bramblebeam/services/membership/messages.py
+++ b/src/bramblebeam/services/membership/messages.py
@@ -1,4 +1,4 @@
-"""What other services of a node tell the membership service."""
+"""Messages from a node's other services to its membership service."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HintedMachine:
-    """A machine that the platform lists. The list lags: it may be gone, or listed late."""
+    """A machine in the platform's list. The list lags: a machine may be gone or not listed yet."""
 
     node: NodeId
     zone: ZoneId
@@ -17,16 +17,16 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineHint:
-    """The platform's list of machines: places to join through. Replaces the last one."""
+    """The platform's list of machines, used as seeds for joining. Replaces the previous list."""
 
     machines: tuple[HintedMachine, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class LeaveRequest:
-    """Mark this node as leaving: it gets no new ownership. Answered when peers were told."""
+    """Mark this node as leaving: it gets no new ownership. Answered after peers were notified."""
 
 
 @dataclass(frozen=True, slots=True)
 class MembersRequest:
-    """Ask for the view in force; the answer is a `MembersView`."""
+    """Request the current view; the answer is a `MembersView`."""
--- a/src/bramblebeam/services/membership/service.py
+++ b/src/bramblebeam/services/membership/service.py
@@ -1,4 +1,4 @@
-"""Drives the membership machine by datagrams, streams and the event loop's clock."""
+"""Drives the membership state machine with datagrams, streams and the event loop's clock."""
 
 from __future__ import annotations
 
@@ -40,7 +40,9 @@
 logger = logging.getLogger(__name__)
 
 LEAVE_NOTICE_SECONDS = 0.5
-FAREWELL_SECONDS = 0.05
+"""How long a drain waits for peers to receive that this node is leaving."""
+LEAVE_ANNOUNCEMENT_SECONDS = 0.05
+"""How long a stop after a drain waits for the leave announcement to be sent."""
 NO_ADDRESS = Address("", 0)
 
 MESSAGE_TYPES: tuple[type, ...] = (
@@ -59,7 +61,7 @@
 
 
 class MembershipService(Service):
-    """Owns the member table of a node and publishes `MembersChanged`."""
+    """Maintains the member table of a node and publishes `MembersChanged`."""
 
     name: ClassVar[str] = "membership"
 
@@ -78,7 +80,7 @@
         self._leaving = False
 
     async def start(self) -> None:
-        """Take the addresses of the listening services and begin to join."""
+        """Get the addresses of the listening services and start joining."""
         await self.kernel.call("transport", PeerRoute(self.name, MESSAGE_TYPES))
         spec = await self._own_spec()
         known = [
@@ -98,40 +100,40 @@
         self._step(Wakeup())
 
     async def stop(self) -> None:
-        """Stop the clock; after a drain, tell peers that the node is gone."""
+        """Cancel the timer; after a drain, announce to peers that the node has left."""
         if self._leaving:
             self._step(LeaveFinished())
-            await asyncio.sleep(FAREWELL_SECONDS)
+            await asyncio.sleep(LEAVE_ANNOUNCEMENT_SECONDS)
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         self._machine = None
 
     async def drain(self) -> None:
-        """Tell peers that this node leaves, and give them a moment to hear it."""
+        """Announce to peers that this node is leaving, and wait for the updates to be sent."""
         self._leaving = True
         self._step(LeaveStarted())
         await asyncio.sleep(LEAVE_NOTICE_SECONDS)
 
     async def handle(self, envelope: Envelope) -> None:
-        """Take a peer's message or a request of the node's own services."""
+        """Handle a peer's message or a request of the node's own services."""
         message = envelope.message
         if isinstance(message, PeerDelivery):
-            self._take_delivery(message)
+            self._handle_delivery(message)
         elif isinstance(message, MachineHint):
-            self._take_hint(message)
+            self._handle_hint(message)
         elif isinstance(message, LeaveRequest):
             self.spawn(self._leave(envelope))
         elif isinstance(message, MembersRequest):
             answer(envelope, self._view)
 
-    def _take_delivery(self, delivery: PeerDelivery) -> None:
+    def _handle_delivery(self, delivery: PeerDelivery) -> None:
         if delivery.source is None:
             self._step(Received(delivery.sender, delivery.message))
         else:
             self._step(DatagramReceived(delivery.sender, delivery.source, delivery.message))
 
-    def _take_hint(self, hint: MachineHint) -> None:
+    def _handle_hint(self, hint: MachineHint) -> None:
         staying = [machine for machine in hint.machines if not machine.leaving]
         seeds = tuple(Seed(machine.node, machine.address) for machine in staying)
         self._step(SeedsHinted(seeds))
@@ -144,10 +146,10 @@
         if self._machine is None:
             return
         for effect in self._machine.handle(event, self._now()):
-            self._carry_out(effect)
+            self._run_effect(effect)
         self._set_timer()
 
-    def _carry_out(self, effect: Any) -> None:
+    def _run_effect(self, effect: Any) -> None:
         if isinstance(effect, SendDatagram):
             self._post_to_transport(PeerDatagram(effect.to, effect.message))
         elif isinstance(effect, Send):
@@ -170,10 +172,10 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        due = self._machine.next_wakeup() if self._machine is not None else None
-        if due is not None:
+        wakeup_at = self._machine.next_wakeup() if self._machine is not None else None
+        if wakeup_at is not None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_at(due, self._step, Wakeup())
+            self._timer = loop.call_at(wakeup_at, self._step, Wakeup())
 
     async def _own_spec(self) -> NodeSpec:
         return NodeSpec(
--- a/src/bramblebeam/services/transport/datagrams.py
+++ b/src/bramblebeam/services/transport/datagrams.py
@@ -1,4 +1,4 @@
-"""The datagram socket of a node."""
+"""The UDP socket of a node."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
     traffic: PeerTraffic
 
     def deliver_post(self, sender: NodeId, message: Any, source: Address | None = None) -> None:
-        """Hand a message without an answer to its service, or drop it."""
+        """Pass a message without an answer to its service, or drop it."""
 
     def datagram_error(self, source: Address, detail: str) -> None:
-        """A datagram could not be read."""
+        """Report a datagram that could not be decoded."""
 
 
 class DatagramEndpoint(asyncio.DatagramProtocol):
-    """Sends and takes datagrams."""
+    """Sends and receives datagrams."""
 
     def __init__(self, owner: DatagramOwner) -> None:
         self.owner = owner
         self._transport: asyncio.DatagramTransport | None = None
 
     def send(self, to: Address, message_type: type, encoded: bytes) -> None:
-        """Send an encoded message without a promise; one too large for a datagram is lost."""
+        """Send an encoded message without any guarantee; one too large for a datagram is lost."""
         if self._transport is None:
             return
         data = encode_datagram(self.owner.node, encoded)
@@ -47,11 +47,11 @@
             self._transport = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the socket."""
+        """Store the transport of the socket."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Check a datagram and hand its message on."""
+        """Decode a datagram and deliver its message."""
         source = Address(addr[0], addr[1])
         try:
             sender, encoded = decode_datagram(data)
@@ -63,4 +63,4 @@
         self.owner.deliver_post(sender, message, source)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore what the network says of earlier datagrams: failure detection decides."""
+        """Ignore network errors of earlier datagrams; the failure detector handles lost peers."""
--- a/src/bramblebeam/services/transport/messages.py
+++ b/src/bramblebeam/services/transport/messages.py
@@ -1,4 +1,4 @@
-"""What other services of a node ask the transport."""
+"""Messages between a node's other services and its transport service."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -10,10 +10,11 @@
 class PeerRequest:
     """Send `message` to a node and wait for its answer (`timeout` in seconds).
 
-    The answer is the peer's message or a `PeerFailure`. A request to the own node goes straight to
-    the service that takes the message's type. `silence`: fail earlier, when for so many seconds
-    nothing at all has come from the peer, not even the answer to a probe (None: do not).
-    `repeatable`: it may run twice, so that it fails as soon as its stream is found to be silent.
+    The answer is the peer's message or a `PeerFailure`. A request to the own node goes directly to
+    the service that handles the message's type. `silence_timeout`: fail earlier if nothing at all
+    is received from the peer for so many seconds, not even the answer to a probe (None: do not).
+    `repeatable`: the request may run twice, so it fails as soon as its stream is found to be
+    unresponsive, even before its own silence timeout.
     """
 
     to: NodeId
@@ -25,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerPost:
-    """Send `message` over the stream to a node without an answer and without a promise."""
+    """Send `message` over the stream to a node, without an answer or a delivery guarantee."""
 
     to: NodeId
     message: Any
@@ -41,9 +42,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerDelivery:
-    """What the transport puts in a service's mailbox for a message from a peer.
+    """A peer's message, as the transport posts it to a service's mailbox.
 
-    `source`: where a datagram came from; None for what came over a stream.
+    `source`: the sender's address of a datagram; None for a message from a stream.
     """
 
     sender: NodeId
@@ -56,22 +57,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerFailure:
-    """No answer. `sent` False: the peer surely did not get the message."""
+    """A request without an answer. `sent` False: the peer certainly did not receive it."""
 
     sent: bool
     detail: str
 
     @property
     def is_timeout(self) -> bool:
-        """Whether only the request's time is over: as far as is known the peer runs."""
+        """Whether only the request's timeout expired; the peer is not known to have failed."""
         return self.sent and self.detail == TIMED_OUT
 
 
 @dataclass(frozen=True, slots=True)
 class PeerRoute:
-    """Register: messages of these types from peers go to the service `name`.
+    """Route peers' messages of these types to the service `name`.
 
-    They arrive as `PeerDelivery`; the reply of that envelope goes back to the peer.
+    They arrive as `PeerDelivery`. The reply to that envelope is sent back to the peer.
     """
 
     name: str
@@ -80,4 +81,4 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficRequest:
-    """Ask for the traffic with peers so far; the answer is the live `PeerTraffic`."""
+    """Request the traffic counts since the start; the answer is the live `PeerTraffic`."""
--- a/src/bramblebeam/services/transport/service.py
+++ b/src/bramblebeam/services/transport/service.py
@@ -1,4 +1,4 @@
-"""The transport service: peers' streams and datagrams, and routes to the other services."""
+"""The transport service: streams and datagrams to peers, and routes to the node's services."""
 
 from __future__ import annotations
 
@@ -47,11 +47,11 @@
 IDLE_CHECK_SECONDS = 15.0
 SILENCE_CHECK_SECONDS = 0.1
 STALL_SECONDS = 0.1
-"""A check that is so late shows that this process stood still: what came meanwhile is not read yet.
-"""
+"""A check delayed by more than this shows that the process was suspended. It is skipped, because
+data received meanwhile has not been read yet."""
 BIND_ATTEMPTS = 20
 DEAD_GRACE_SECONDS = 1.0
-"""A stream to a node that is said to be dead is kept so long, as the node may refute it."""
+"""How long a stream to a node that was declared dead is kept, as the node may refute its death."""
 
 
 @functools.cache
@@ -63,7 +63,7 @@
 
 
 class TransportService(Service):
-    """Owns the peer sockets of a node."""
+    """Owns the peer sockets of a node and routes messages to its services."""
 
     name: ClassVar[str] = "transport"
 
@@ -83,7 +83,7 @@
         self._address = Address(settings.peer.host, settings.peer.port)
         self._seeds = {seed.node: seed.address for seed in settings.seeds}
         self._members = MembersView()
-        self._doubted: set[NodeId] = set()
+        self._presumed_dead: set[NodeId] = set()
         self._routes: dict[type, str] = {}
         self._connections: dict[NodeId, PeerConnection] = {}
         self._all: weakref.WeakSet[PeerConnection] = weakref.WeakSet()
@@ -100,7 +100,7 @@
         }
 
     async def start(self) -> None:
-        """Listen for streams and datagrams on one port number. Raises OSError."""
+        """Listen for streams and datagrams on the same port number. Raises OSError."""
         self.kernel.subscribe(MembersChanged, self.name)
         await self._bind()
         self.spawn(self._retire_idle())
@@ -116,10 +116,10 @@
             connection.abort("the node stops")
 
     async def handle(self, envelope: Envelope) -> None:
-        """Carry out one request of another service."""
+        """Handle one request of another service."""
         self._handlers[type(envelope.message)](envelope)
 
-    # Requests of the node's own services.
+    # Requests from the node's own services.
 
     def _handle_request(self, envelope: Envelope) -> None:
         request: PeerRequest = envelope.message
@@ -145,7 +145,7 @@
         )
 
     def _deliver_locally(self, request: PeerRequest, envelope: Envelope) -> None:
-        refusal = self._hand_over(self.node, request.message, envelope.reply)
+        refusal = self._route_to_service(self.node, request.message, envelope.reply)
         if refusal is not None:
             answer(envelope, PeerFailure(sent=False, detail=refusal))
 
@@ -185,13 +185,13 @@
         self._members = changed.view
         loop = asyncio.get_running_loop()
         for node in self._connections:
-            if self._is_dead(node) and node not in self._doubted:
-                self._doubted.add(node)
+            if self._is_dead(node) and node not in self._presumed_dead:
+                self._presumed_dead.add(node)
                 loop.call_later(DEAD_GRACE_SECONDS, self._close_if_dead, node)
 
     def _close_if_dead(self, node: NodeId) -> None:
-        """Fail what waits for a dead node; a false death was refuted by now."""
-        self._doubted.discard(node)
+        """Fail the requests to a dead node; a node that is alive has refuted its death by now."""
+        self._presumed_dead.discard(node)
         connection = self._connections.get(node)
         if connection is not None and self._is_dead(node):
             connection.abort(f"node {node} is dead")
@@ -206,31 +206,32 @@
     def _handle_traffic(self, envelope: Envelope) -> None:
         answer(envelope, self.traffic)
 
-    # What connections and the datagram socket call.
+    # Called by connections and the datagram socket.
 
     def opened(self, connection: PeerConnection) -> None:
-        """Use the newest stream to a peer: an older one may lead to its dead predecessor."""
+        """Use the newest stream to a peer: an older one may lead to its former incarnation."""
         if connection.peer is not None and connection.usable:
             self._connections[connection.peer] = connection
 
     def closed(self, connection: PeerConnection) -> None:
-        """Give no new requests to this stream."""
+        """Assign no new requests to this stream."""
         if connection.peer is not None and self._connections.get(connection.peer) is connection:
             del self._connections[connection.peer]
 
     def silence_detected(self, connection: PeerConnection, since: float) -> None:
-        """Replace a silent stream, and those not heard of since: they may have gone with it.
+        """Replace an unresponsive stream and all others that received nothing after `since`.
 
-        One that was never greeted leads to a node that is dark, and tells nothing of others.
+        The same failure may have broken them. If its handshake was never completed, only this
+        stream is replaced: its node is unreachable, which says nothing about other streams.
         """
         if not connection.retire_if_silent(since):
             return
-        related = list(self._all) if connection.greeted else []
+        related = list(self._all) if connection.is_handshake_complete else []
         others = sum(other.retire_if_silent(since) for other in related)
         log_event(logger, PEER_STREAM_SILENT, peer=connection.peer or "?", others=others)
 
     def protocol_error(self, connection: PeerConnection, detail: str) -> None:
-        """Log why a stream is closed."""
+        """Log the protocol violation for which a stream is closed."""
         log_event(logger, PEER_PROTOCOL_ERROR, peer=connection.peer or "?", error=detail)
 
     def datagram_error(self, source: Address, detail: str) -> None:
@@ -240,15 +241,15 @@
         )
 
     def deliver(self, sender: NodeId, message: Any) -> Reply | str:
-        """Hand a request to its service; return its future answer, or why it was refused."""
+        """Pass a request to its service; return the future of the answer, or why it was refused."""
         reply = asyncio.get_running_loop().create_future()
-        return self._hand_over(sender, message, reply) or reply
+        return self._route_to_service(sender, message, reply) or reply
 
     def deliver_post(self, sender: NodeId, message: Any, source: Address | None = None) -> None:
-        """Hand a message to its service; drop it where there is none or its mailbox is full."""
-        self._hand_over(sender, message, None, source)
+        """Pass a message to its service; drop it if there is none or its mailbox is full."""
+        self._route_to_service(sender, message, None, source)
 
-    def _hand_over(
+    def _route_to_service(
         self, sender: NodeId, message: Any, reply: Reply | None, source: Address | None = None
     ) -> str | None:
         name = self._routes.get(type(message))
@@ -272,7 +273,7 @@
         connection = PeerConnection(self, node)
         self._connections[node] = connection
         self._all.add(connection)
-        self.spawn(self._dial(connection, address))
+        self.spawn(self._connect(connection, address))
         return connection
 
     def _address_of(self, node: NodeId) -> Address | None:
@@ -281,7 +282,7 @@
             return member.spec.peer_address
         return self._seeds.get(node)
 
-    async def _dial(self, connection: PeerConnection, address: Address) -> None:
+    async def _connect(self, connection: PeerConnection, address: Address) -> None:
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT):
--- a/src/bramblebeam/services/transport/settings.py
+++ b/src/bramblebeam/services/transport/settings.py
@@ -1,4 +1,4 @@
-"""What the transport and membership services are told at their start."""
+"""Settings of the transport and membership services."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -7,11 +7,11 @@
 
 
 class Endpoint(Protocol):
-    """An address to listen on. Port 0: the system chooses."""
+    """An address to listen on. Port 0: the operating system chooses the port."""
 
     @property
     def host(self) -> str:
-        """The IP number."""
+        """The IP address."""
 
     @property
     def port(self) -> int:
@@ -19,11 +19,11 @@
 
 
 class SeedNode(Protocol):
-    """A node to join through."""
+    """A node through which to join the system."""
 
     @property
     def node(self) -> NodeId:
-        """Its name, or any other text where only the address is known."""
+        """Its name, or any other text if only the address is known."""
 
     @property
     def address(self) -> Address:
@@ -31,7 +31,7 @@
 
 
 class PeerSettings(Protocol):
-    """The part of a node's settings that its peers matter to."""
+    """The part of a node's settings that concerns its peers."""
 
     @property
     def node(self) -> NodeId:
@@ -47,8 +47,8 @@
 
     @property
     def peer(self) -> Endpoint:
-        """Where the node listens for its peers."""
+        """The endpoint on which the node listens for peers."""
 
     @property
     def seeds(self) -> Sequence[SeedNode]:
-        """Nodes to join through."""
+        """Nodes through which to join the system."""
--- a/src/bramblebeam/services/transport/traffic.py
+++ b/src/bramblebeam/services/transport/traffic.py
@@ -1,4 +1,4 @@
-"""Counts of what a node sends to and takes from its peers, by type of message."""
+"""Counts the messages that a node sends to and receives from its peers, by type."""
 
 from dataclasses import dataclass, field
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class TrafficCount:
-    """Messages and their bytes (payload and own framing; UDP and IP headers for datagrams)."""
+    """Number of messages and their bytes: payload and framing, for datagrams UDP and IP headers."""
 
     messages: int = 0
     octets: int = 0
@@ -20,15 +20,15 @@
 
 @dataclass(slots=True)
 class PeerTraffic:
-    """Since the start of the transport."""
+    """Traffic since the start of the transport."""
 
     sent: dict[type, TrafficCount] = field(default_factory=dict)
     received: dict[type, TrafficCount] = field(default_factory=dict)
 
     def count_sent(self, message_type: type, octets: int) -> None:
-        """Count a message that was handed to a socket or a queue."""
+        """Count a message that was passed to a socket or a queue."""
         self.sent.setdefault(message_type, TrafficCount()).add(octets)
 
     def count_received(self, message_type: type, octets: int) -> None:
-        """Count a message that came in."""
+        """Count a received message."""
         self.received.setdefault(message_type, TrafficCount()).add(octets)
