--- a/src/bramblebeam/services/failover/__init__.py
+++ b/src/bramblebeam/services/failover/__init__.py
@@ -1,1 +1,1 @@
-"""Changes the primary of groups by orders to an outside service."""
+"""Changes the primary of groups through orders to an external service."""
--- a/src/bramblebeam/services/failover/change.py
+++ b/src/bramblebeam/services/failover/change.py
@@ -1,5 +1,7 @@
-"""Runs one change of a group's primary: read the members' positions, cut off the former leader,
-choose the target, order its promotion.
+"""Runs one change of a group's primary.
+
+Its steps: read the members' positions, cut off the former leader, choose the target, and order its
+promotion.
 """
 
 from __future__ import annotations
--- a/src/bramblebeam/services/failover/member_orders.py
+++ b/src/bramblebeam/services/failover/member_orders.py
@@ -124,11 +124,11 @@
     async def _acquire(self, instance: InstanceId) -> PooledConnection:
         pool = self._placement.pools.get(instance)
         if pool is None:
-            raise _unreachable(instance, "it is not registered")
+            raise _unreachable(instance, "the instance is not registered")
         try:
             return await pool.acquire_any(ORDER_TIMEOUT)
         except TimeoutError as error:
-            raise _unreachable(instance, "no connection came in time") from error
+            raise _unreachable(instance, "no connection became available in time") from error
         except ConnectError as error:
             raise _unreachable(instance, str(error), error.is_gone) from error
 
--- a/src/bramblebeam/services/failover/paused_members.py
+++ b/src/bramblebeam/services/failover/paused_members.py
@@ -137,10 +137,10 @@
 
     def _state(self, entry: DatabaseEntry, statuses: Mapping[InstanceId, CandidateStatus]) -> str:
         if entry.instance in statuses:
-            return "it receives data"
+            return "it receives"
         if entry.instance in self._gone:
             return "nothing listens"
-        return "lapsed and unresponsive" if entry.lapsed else "unresponsive"
+        return "lapsed and silent" if entry.lapsed else "silent"
 
     async def resume(self) -> None:
         """Let the paused members receive again. Only the lease holder may call this."""
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -244,7 +244,7 @@
         return leader is not None and await self._runner.reaches_replica(leader)
 
     def _members(self) -> tuple[tuple[InstanceId, bool, bool], ...]:
-        """Return what the directory reports about the members that may affect a change."""
+        """Return the members' directory state, as far as it affects a change."""
         members = self._service.context.leader(self._group).members()
         return tuple(sorted((entry.instance, entry.lapsed, entry.leaving) for entry in members))
 
--- a/src/bramblebeam/services/group/watch.py
+++ b/src/bramblebeam/services/group/watch.py
@@ -169,7 +169,7 @@
             self._note_unreadable(instance, str(error))
             return None
         if status.instance != instance:
-            self._note_unreadable(instance, f"{status.instance} answers there")
+            self._note_unreadable(instance, f"server {status.instance} answers at its address")
             return None
         self._unreadable.discard(instance)
         return status
--- a/src/bramblebeam/services/transport/connection.py
+++ b/src/bramblebeam/services/transport/connection.py
@@ -292,10 +292,10 @@
 
     def _handle_hello(self, frame: Frame) -> None:
         if frame.kind != FrameKind.HELLO:
-            raise DecodeError("the first frame is no hello")
+            raise DecodeError("the first frame is not a hello")
         hello = self.owner.codec.decode(frame.payload)
         if not isinstance(hello, Hello):
-            raise DecodeError("the first message is no hello")
+            raise DecodeError("the first message is not a hello")
         if self.peer is not None and hello.node != self.peer:
             raise DecodeError(f"node {hello.node} answers in place of {self.peer}")
         protocol = common_protocol(hello, self.owner.highest_protocol)
--- a/src/bramblebeam/services/transport/service.py
+++ b/src/bramblebeam/services/transport/service.py
@@ -113,7 +113,7 @@
             self._server = None
         self._datagrams.close()
         for connection in list(self._all):
-            connection.abort("the node stops")
+            connection.abort("the node is stopping")
 
     async def handle(self, envelope: Envelope) -> None:
         """Handle one request of another service."""
@@ -136,7 +136,7 @@
             return
         connection = self._connection_to(request.to)
         if connection is None:
-            detail = f"no address of node {request.to} is known"
+            detail = f"the address of node {request.to} is unknown"
             reply.set_result(PeerFailure(sent=False, detail=detail))
             return
         self.traffic.count_sent(type(request.message), len(payload) + HEADER_BYTES)
