--- a/src/bramblebeam/services/group/watch.py
+++ b/src/bramblebeam/services/group/watch.py
@@ -1,25 +1,23 @@
-"""Drives the machine of one watched group: carries its effects out and brings the answers back."""
+"""Drives the state machine of one watched group: runs its effects and feeds the results back."""
 
 import asyncio
 import logging
-from collections.abc import Callable, Coroutine
-from typing import Any
-
-from expression import Error, Result
-
-from bramblebeam.core.group import events
-from bramblebeam.core.group.events import CommandOutcome
-from bramblebeam.core.group.machine import GroupMachine
-from bramblebeam.core.group.messages import MemberStatus
-from bramblebeam.core.identity import Address, InstanceId, NodeId
-from bramblebeam.core.machine import Send, Wakeup
-from bramblebeam.edges.backend import BackendResult
-from bramblebeam.edges.backend.status import STATUS_QUERY, StatusFormatError, parse_status
-from bramblebeam.events import catalogue, log_event
-from bramblebeam.metrics import PRIMARY_CHANGE_SECONDS
-from bramblebeam.services.group import commands
-from bramblebeam.services.group.member import CommandFailure, FailureKind, MemberClient
-from bramblebeam.settings.model import BackendSettings
+from bramblebeam.core.group import (events)
+from bramblebeam.core.group.events import (CommandOutcome)
+from bramblebeam.core.group.machine import (GroupMachine)
+from bramblebeam.core.group.messages import (MemberStatus)
+from bramblebeam.core.identity import (Address, InstanceId, NodeId)
+from bramblebeam.core.machine import (Send, Wakeup)
+from bramblebeam.edges.backend import (BackendResult)
+from bramblebeam.edges.backend.status import (STATUS_QUERY, StatusFormatError, parse_status)
+from bramblebeam.events import (catalogue, log_event)
+from bramblebeam.metrics import (PRIMARY_CHANGE_SECONDS)
+from bramblebeam.services.group import (commands)
+from bramblebeam.services.group.member import (CommandFailure, FailureKind, MemberClient)
+from bramblebeam.settings.model import (BackendSettings)
+from collections.abc import (Callable, Coroutine)
+from expression import (Error, Result)
+from typing import (Any)
 
 logger = logging.getLogger(__name__)
 
@@ -27,10 +25,10 @@
 
 
 class GroupWatch:
-    """One watched group. All its methods run in the service's event loop.
+    """One watched group. All methods run in the service's event loop.
 
-    `emit` brings an event into the service's mailbox, from where it comes back by `feed`;
-    `send` posts a message to a peer; `publish` and `finish` take the machine's results.
+    `emit` posts an event to the service's mailbox, which passes it back to `feed`. `send` posts a
+    message to a peer. `publish` and `finish` receive the machine's results.
     """
 
     def __init__(
@@ -69,7 +67,7 @@
         }
 
     def feed(self, event: Any) -> None:
-        """Give the machine one event and carry its effects out."""
+        """Pass one event to the machine and run its effects."""
         loop = asyncio.get_running_loop()
         if isinstance(event, events.GroupReconfigured):
             self._replace_clients(event)
@@ -78,7 +76,7 @@
         self._set_timer(loop)
 
     async def close(self) -> None:
-        """Stop the timer and close the connections."""
+        """Cancel the timer and close the connections."""
         if self._timer is not None:
             self._timer.cancel()
         clients = [client for _, client in self._clients.values()]
@@ -88,8 +86,8 @@
     def _set_timer(self, loop: asyncio.AbstractEventLoop) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        due = self.machine.next_wakeup()
-        self._timer = None if due is None else loop.call_at(due, self._emit, Wakeup())
+        wakeup_at = self.machine.next_wakeup()
+        self._timer = None if wakeup_at is None else loop.call_at(wakeup_at, self._emit, Wakeup())
 
     def _replace_clients(self, event: events.GroupReconfigured) -> None:
         wanted = {member.instance: member.address for member in event.members}
@@ -160,7 +158,7 @@
     def _status_of(
         self, result: Result[BackendResult, CommandFailure], instance: InstanceId
     ) -> MemberStatus | None:
-        """Return the status, unless another server answers at the member's address."""
+        """Return the status; None if it is unreadable or from another server than the member."""
         if result.is_error():
             return None
         try:
@@ -169,13 +167,13 @@
             self._note_unreadable(instance, str(error))
             return None
         if status.instance != instance:
-            self._note_unreadable(instance, f"{status.instance} answers there")
+            self._note_unreadable(instance, f"server {status.instance} answers at its address")
             return None
         self._unreadable.discard(instance)
         return status
 
     def _note_unreadable(self, instance: InstanceId, error: str) -> None:
-        """Log once that a member's status cannot be used, until it can again."""
+        """Log that a member's status is unusable, once until it is usable again."""
         if instance in self._unreadable:
             return
         self._unreadable.add(instance)
--- a/tests/test_failover_unwritten_change.py
+++ b/tests/test_failover_unwritten_change.py
@@ -13,7 +13,7 @@
 from bramblebeam.events.catalogue import FAILOVER_COMPLETED
 from bramblebeam.platform.node import PlatformNode
 from bramblebeam.services.failover.ports import LeaseStoreUnavailableError
-from bramblebeam.services.failover.watch import GroupWatch
+from bramblebeam.services.failover.watch import FailoverWatch
 from platform_standins.cuts import cut, keep_from
 from platform_standins.group import LineDatabase
 from platform_standins.world import GROUP, LineClient, World, joined_world, keep_writing, until
@@ -60,7 +60,7 @@
         return {order.target for order in self.world.platform.promotions}
 
 
-def watch_of(node: PlatformNode) -> GroupWatch:
+def watch_of(node: PlatformNode) -> FailoverWatch:
     return node.kernel._services["failover"]._watches[GROUP]  # type: ignore[attr-defined, no-any-return]
 
 
@@ -105,8 +105,8 @@
 async def test_a_former_primary_is_not_promoted_by_a_node_that_missed_the_change(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Found by soak runs (STALE 404, 486 and 565): commits that only its log had became valid
-    again, although reads in the term between had missed them.
+    """Found by simulated days with random faults (STALE 404, 486 and 565): commits that only its
+    log had became valid again, although reads in the term between had missed them.
     """
     async with changed_without_store() as split:
         caplog.clear()
--- a/tests/test_leases_restored.py
+++ b/tests/test_leases_restored.py
@@ -227,16 +227,16 @@
         claimed = await holder.lease.write(None, None)
         assert claimed is not None
         platform.go_back(copy)
-        holder.lease.note_era(1)
+        holder.lease.record_era(1)
         assert holder.lease.known is not None
         assert not holder.lease.is_own
-        assert await holder.lease.hold() is None
+        assert await holder.lease.ensure_held() is None
         assert await holder.lease.write(None, CHANGE) is None
         await holder.lease.release()
         holder.now += FAR_FROM_TROUBLE
         await holder.lease.create_or_read()
-        assert holder.lease.reclaims
+        assert holder.lease.must_reclaim
         holder.now += FAR_FROM_TROUBLE
         await holder.lease.reclaim()
         assert holder.lease.is_own
-        assert not holder.lease.reclaims
+        assert not holder.lease.must_reclaim
