--- a/src/bramblebeam/services/failover/change.py
+++ b/src/bramblebeam/services/failover/change.py
@@ -5,20 +5,41 @@
 """
 
 from __future__ import annotations
+
 import asyncio
-from bramblebeam.core.failover.lease import (Lease, OrderedChange)
-from bramblebeam.core.failover.target import (CandidateStatus, choose_target, covers_acknowledged, may_promote_without_log, next_term)
-from bramblebeam.core.gateway.directory import (DatabaseEntry)
-from bramblebeam.core.gateway.leader_lease import (WAIT_SECONDS)
-from bramblebeam.core.identity import (GroupId, InstanceId, Position, ZERO_POSITION, incarnation_of, server_name)
-from bramblebeam.core.role import (Role)
-from bramblebeam.services.failover.cut_off import (CutOff, LEASES_EXPIRED, LeaderCutOff, NEVER, StepDownPeers)
-from bramblebeam.services.failover.member_orders import (MemberOrders, MemberUnreachableError)
-from bramblebeam.services.failover.paused_members import (PausedMembers, Statuses)
-from bramblebeam.services.failover.ports import (Order, Promoter)
-from bramblebeam.services.failover.untold import (UnwrittenChangeDetector)
-from bramblebeam.services.gateway.context import (GatewayContext)
-from dataclasses import (dataclass)
+from dataclasses import dataclass
+
+from bramblebeam.core.failover.lease import Lease, OrderedChange
+from bramblebeam.core.failover.target import (
+    CandidateStatus,
+    choose_target,
+    covers_acknowledged,
+    may_promote_without_log,
+    next_term,
+)
+from bramblebeam.core.gateway.directory import DatabaseEntry
+from bramblebeam.core.gateway.leader_lease import WAIT_SECONDS
+from bramblebeam.core.identity import (
+    ZERO_POSITION,
+    GroupId,
+    InstanceId,
+    Position,
+    incarnation_of,
+    server_name,
+)
+from bramblebeam.core.role import Role
+from bramblebeam.services.failover.cut_off import (
+    LEASES_EXPIRED,
+    NEVER,
+    CutOff,
+    LeaderCutOff,
+    StepDownPeers,
+)
+from bramblebeam.services.failover.member_orders import MemberOrders, MemberUnreachableError
+from bramblebeam.services.failover.paused_members import PausedMembers, Statuses
+from bramblebeam.services.failover.ports import Order, Promoter
+from bramblebeam.services.failover.untold import UnwrittenChangeDetector
+from bramblebeam.services.gateway.context import GatewayContext
 
 PROMOTION_TIMEOUT = 0.6
 """Timeout of one promotion order (seconds)."""
--- a/src/bramblebeam/services/failover/paused_members.py
+++ b/src/bramblebeam/services/failover/paused_members.py
@@ -5,16 +5,18 @@
 """
 
 from __future__ import annotations
+
 import asyncio
 import logging
-from bramblebeam.core.failover.target import (CandidateStatus)
-from bramblebeam.core.gateway.directory import (DatabaseEntry)
-from bramblebeam.core.identity import (GroupId, InstanceId)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (MEMBERS_NOT_PAUSED, MEMBERS_PAUSED)
-from bramblebeam.services.failover.member_orders import (MemberOrders, MemberUnreachableError)
-from bramblebeam.services.waiting import (loop_time)
-from collections.abc import (Collection, Mapping)
+from collections.abc import Collection, Mapping
+
+from bramblebeam.core.failover.target import CandidateStatus
+from bramblebeam.core.gateway.directory import DatabaseEntry
+from bramblebeam.core.identity import GroupId, InstanceId
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import MEMBERS_NOT_PAUSED, MEMBERS_PAUSED
+from bramblebeam.services.failover.member_orders import MemberOrders, MemberUnreachableError
+from bramblebeam.services.waiting import loop_time
 
 logger = logging.getLogger(__name__)
 
--- a/src/bramblebeam/services/failover/service.py
+++ b/src/bramblebeam/services/failover/service.py
@@ -1,24 +1,30 @@
 """The failover service: watches the leaders of groups in use and replaces those that fail."""
 
 from __future__ import annotations
+
 import asyncio
-from bramblebeam.core.failover.decision import (FailoverTiming)
-from bramblebeam.core.failover.messages import (StepDownRequest)
-from bramblebeam.core.gateway.directory import (DirectoryChanged)
-from bramblebeam.core.identity import (GroupId, InstanceId, NodeId)
-from bramblebeam.core.revision import (StoreEraBegan)
-from bramblebeam.kernel import (Kernel, Service)
-from bramblebeam.kernel.mailbox import (Envelope)
-from bramblebeam.kernel.service import (answer)
-from bramblebeam.services.failover.cut_off import (StepDownPeers)
-from bramblebeam.services.failover.member_orders import (MemberOrders)
-from bramblebeam.services.failover.peers import (TransportStepDownPeers)
-from bramblebeam.services.failover.ports import (LeaseStore, Promoter)
-from bramblebeam.services.failover.watch import (FailoverWatch)
-from bramblebeam.services.gateway.context import (GatewayContext)
-from bramblebeam.services.gateway.leader_news import (FormerLeaderFound, LeaderProven, LeaderSuspected)
-from bramblebeam.services.transport.messages import (PeerDelivery, PeerRoute)
-from typing import (ClassVar)
+from typing import ClassVar
+
+from bramblebeam.core.failover.decision import FailoverTiming
+from bramblebeam.core.failover.messages import StepDownRequest
+from bramblebeam.core.gateway.directory import DirectoryChanged
+from bramblebeam.core.identity import GroupId, InstanceId, NodeId
+from bramblebeam.core.revision import StoreEraBegan
+from bramblebeam.kernel import Kernel, Service
+from bramblebeam.kernel.mailbox import Envelope
+from bramblebeam.kernel.service import answer
+from bramblebeam.services.failover.cut_off import StepDownPeers
+from bramblebeam.services.failover.member_orders import MemberOrders
+from bramblebeam.services.failover.peers import TransportStepDownPeers
+from bramblebeam.services.failover.ports import LeaseStore, Promoter
+from bramblebeam.services.failover.watch import FailoverWatch
+from bramblebeam.services.gateway.context import GatewayContext
+from bramblebeam.services.gateway.leader_news import (
+    FormerLeaderFound,
+    LeaderProven,
+    LeaderSuspected,
+)
+from bramblebeam.services.transport.messages import PeerDelivery, PeerRoute
 
 
 class FailoverService(Service):
--- a/src/bramblebeam/services/failover/untold.py
+++ b/src/bramblebeam/services/failover/untold.py
@@ -1,16 +1,18 @@
 """Detects changes of primary that the group's lease does not record."""
 
 from __future__ import annotations
+
 import logging
-from bramblebeam.core.failover.lease import (OrderedChange)
-from bramblebeam.core.failover.target import (CandidateStatus)
-from bramblebeam.core.failover.unwritten import (ObservedLeadership, infer_last_change)
-from bramblebeam.core.identity import (GroupId, InstanceId)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (UNRECORDED_CHANGE_FOUND)
-from bramblebeam.services.gateway.context import (GatewayContext)
-from bramblebeam.services.gateway.leaders import (LeaderTracker)
-from collections.abc import (Mapping)
+from collections.abc import Mapping
+
+from bramblebeam.core.failover.lease import OrderedChange
+from bramblebeam.core.failover.target import CandidateStatus
+from bramblebeam.core.failover.unwritten import ObservedLeadership, infer_last_change
+from bramblebeam.core.identity import GroupId, InstanceId
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import UNRECORDED_CHANGE_FOUND
+from bramblebeam.services.gateway.context import GatewayContext
+from bramblebeam.services.gateway.leaders import LeaderTracker
 
 logger = logging.getLogger(__name__)
 
--- a/src/bramblebeam/services/failover/watch.py
+++ b/src/bramblebeam/services/failover/watch.py
@@ -1,25 +1,27 @@
 """Watches one group: observes its primary, decides, and changes it."""
 
 from __future__ import annotations
+
 import asyncio
 import logging
 import random
-from bramblebeam.core.failover.backoff import (FailoverBackoff)
-from bramblebeam.core.failover.decision import (Action, Cause, FailoverTiming, Situation, decide)
-from bramblebeam.core.failover.lease import (Lease, OrderedChange)
-from bramblebeam.core.identity import (GroupId, InstanceId, NodeId, incarnation_of, server_name)
-from bramblebeam.core.revision import (FIRST_ERA)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (FAILOVER_COMPLETED, FAILOVER_DEFERRED, FAILOVER_STARTED)
-from bramblebeam.services.failover.change import (ChangeOutcome, ChangeRunner)
-from bramblebeam.services.failover.cut_off import (StepDownPeers)
-from bramblebeam.services.failover.group_lease import (GroupLease)
-from bramblebeam.services.failover.ports import (LeaseStore, Order, Promoter)
-from bramblebeam.services.failover.situation import (GroupObserver)
-from bramblebeam.services.gateway.context import (GatewayContext)
-from bramblebeam.services.waiting import (pause)
-from dataclasses import (replace)
-from typing import (Protocol)
+from dataclasses import replace
+from typing import Protocol
+
+from bramblebeam.core.failover.backoff import FailoverBackoff
+from bramblebeam.core.failover.decision import Action, Cause, FailoverTiming, Situation, decide
+from bramblebeam.core.failover.lease import Lease, OrderedChange
+from bramblebeam.core.identity import GroupId, InstanceId, NodeId, incarnation_of, server_name
+from bramblebeam.core.revision import FIRST_ERA
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import FAILOVER_COMPLETED, FAILOVER_DEFERRED, FAILOVER_STARTED
+from bramblebeam.services.failover.change import ChangeOutcome, ChangeRunner
+from bramblebeam.services.failover.cut_off import StepDownPeers
+from bramblebeam.services.failover.group_lease import GroupLease
+from bramblebeam.services.failover.ports import LeaseStore, Order, Promoter
+from bramblebeam.services.failover.situation import GroupObserver
+from bramblebeam.services.gateway.context import GatewayContext
+from bramblebeam.services.waiting import pause
 
 logger = logging.getLogger(__name__)
 
--- a/src/bramblebeam/services/feed/service.py
+++ b/src/bramblebeam/services/feed/service.py
@@ -1,31 +1,45 @@
 """The feed service: keeps routes and registered databases up to date with the store."""
 
 from __future__ import annotations
+
 import asyncio
 import logging
-from bramblebeam.core.feed.messages import (FollowReply, FollowRequest, ListName)
-from bramblebeam.core.feed.plan import (FeedPlan, feed_plan)
-from bramblebeam.core.gateway.directory import (DatabaseEntry, DirectoryChanged)
-from bramblebeam.core.gateway.owners import (NodeLocation)
-from bramblebeam.core.gateway.registry import (Registry)
-from bramblebeam.core.gateway.routes import (RouteTable, RoutesChanged)
-from bramblebeam.core.identity import (NodeId, incarnation_of, server_name)
-from bramblebeam.core.membership.view import (MembersChanged, MembersView)
-from bramblebeam.core.revision import (Revision, StoreEraBegan)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (DIRECTORY_CHANGED, FEED_PLAN_CHANGED, FORMER_INCARNATION_IGNORED, ROUTES_IN_FORCE)
-from bramblebeam.kernel import (Kernel, Service)
-from bramblebeam.kernel.mailbox import (Envelope)
-from bramblebeam.kernel.service import (answer)
-from bramblebeam.services.feed.beside_peers import (LongestRunningPeers, PeerCheckedList)
-from bramblebeam.services.feed.followed import (FollowedList)
-from bramblebeam.services.feed.peers import (PeerSource, database_items, follow_reply, pack_databases, pack_routes, route_items)
-from bramblebeam.services.feed.ports import (Source, StoreList, Versioned)
-from bramblebeam.services.feed.sources import (ListSources)
-from bramblebeam.services.gateway.metrics import (StoreState)
-from bramblebeam.services.transport.messages import (PeerDelivery, PeerRoute)
-from bramblebeam.services.waiting import (wait_at_most)
-from typing import (ClassVar)
+from typing import ClassVar
+
+from bramblebeam.core.feed.messages import FollowReply, FollowRequest, ListName
+from bramblebeam.core.feed.plan import FeedPlan, feed_plan
+from bramblebeam.core.gateway.directory import DatabaseEntry, DirectoryChanged
+from bramblebeam.core.gateway.owners import NodeLocation
+from bramblebeam.core.gateway.registry import Registry
+from bramblebeam.core.gateway.routes import RoutesChanged, RouteTable
+from bramblebeam.core.identity import NodeId, incarnation_of, server_name
+from bramblebeam.core.membership.view import MembersChanged, MembersView
+from bramblebeam.core.revision import Revision, StoreEraBegan
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import (
+    DIRECTORY_CHANGED,
+    FEED_PLAN_CHANGED,
+    FORMER_INCARNATION_IGNORED,
+    ROUTES_IN_FORCE,
+)
+from bramblebeam.kernel import Kernel, Service
+from bramblebeam.kernel.mailbox import Envelope
+from bramblebeam.kernel.service import answer
+from bramblebeam.services.feed.beside_peers import LongestRunningPeers, PeerCheckedList
+from bramblebeam.services.feed.followed import FollowedList
+from bramblebeam.services.feed.peers import (
+    PeerSource,
+    database_items,
+    follow_reply,
+    pack_databases,
+    pack_routes,
+    route_items,
+)
+from bramblebeam.services.feed.ports import Source, StoreList, Versioned
+from bramblebeam.services.feed.sources import ListSources
+from bramblebeam.services.gateway.metrics import StoreState
+from bramblebeam.services.transport.messages import PeerDelivery, PeerRoute
+from bramblebeam.services.waiting import wait_at_most
 
 logger = logging.getLogger(__name__)
 
--- a/src/bramblebeam/services/gateway/metrics.py
+++ b/src/bramblebeam/services/gateway/metrics.py
@@ -166,13 +166,13 @@
         )
         yield self._counter(
             "bramblebeam_database_ejections",
-            "Times that a database was ejected from reads for slow, failed or missing answers.",
+            "Times that a database got no reads for a while, as those sent there fared badly.",
             ("cause",),
             {(cause,): count for cause, count in self._ejections.items()},
         )
         yield self._counter(
             "bramblebeam_reads_passed_on",
-            "Reads that were forwarded to a database of another region.",
+            "Reads that were sent to a database of another region.",
             (),
             {(): self._reads_forwarded},
         )
@@ -190,7 +190,7 @@
         )
         yield self._counter(
             "bramblebeam_operations",
-            "Operations of tenants that were counted at this node, or sent to databases by it.",
+            "Operations of tenants that were counted here, or sent to databases from here.",
             ("part",),
             {(part.value,): count for part, count in self.tenants.totals.items()},
         )
@@ -225,31 +225,31 @@
         figures = self.admission.counts()
         yield self._counter(
             "bramblebeam_refused_early",
-            "Statements refused on arrival.",
+            "Statements refused as they arrived.",
             ("cause",),
             {(cause,): count for cause, count in self._refused_early.items()},
         )
         yield self._counter(
             "bramblebeam_refused_wrongly",
-            "Statements refused on arrival that a database would have had room for in time.",
+            "Of those, such as a database would have had room for in time.",
             (),
             {(): figures.wrong_refusals},
         )
         yield self._counter(
             "bramblebeam_held_in_vain",
-            "Statements refused after over a quarter of the time to their soft deadline.",
+            "Statements refused after a quarter and more of the time in which they were wanted.",
             (),
             {(): figures.wasted_waits},
         )
         yield self._counter(
             "bramblebeam_withdrawn",
-            "Forwarded statements withdrawn because no caller waited for them any more.",
+            "Forwarded statements that nobody waited for any more.",
             ("state",),
             {(state,): count for state, count in self._withdrawn.items()},
         )
         yield self._counter(
             "bramblebeam_second_attempts_denied",
-            "Statements that were not retried because of load.",
+            "Statements that were not tried again under load.",
             (),
             {(): self._second_attempts_denied},
         )
--- a/src/bramblebeam/services/group/watch.py
+++ b/src/bramblebeam/services/group/watch.py
@@ -2,22 +2,24 @@
 
 import asyncio
 import logging
-from bramblebeam.core.group import (events)
-from bramblebeam.core.group.events import (CommandOutcome)
-from bramblebeam.core.group.machine import (GroupMachine)
-from bramblebeam.core.group.messages import (MemberStatus)
-from bramblebeam.core.identity import (Address, InstanceId, NodeId)
-from bramblebeam.core.machine import (Send, Wakeup)
-from bramblebeam.edges.backend import (BackendResult)
-from bramblebeam.edges.backend.status import (STATUS_QUERY, StatusFormatError, parse_status)
-from bramblebeam.events import (catalogue, log_event)
-from bramblebeam.metrics import (PRIMARY_CHANGE_SECONDS)
-from bramblebeam.services.group import (commands)
-from bramblebeam.services.group.member import (CommandFailure, FailureKind, MemberClient)
-from bramblebeam.settings.model import (BackendSettings)
-from collections.abc import (Callable, Coroutine)
-from expression import (Error, Result)
-from typing import (Any)
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+from expression import Error, Result
+
+from bramblebeam.core.group import events
+from bramblebeam.core.group.events import CommandOutcome
+from bramblebeam.core.group.machine import GroupMachine
+from bramblebeam.core.group.messages import MemberStatus
+from bramblebeam.core.identity import Address, InstanceId, NodeId
+from bramblebeam.core.machine import Send, Wakeup
+from bramblebeam.edges.backend import BackendResult
+from bramblebeam.edges.backend.status import STATUS_QUERY, StatusFormatError, parse_status
+from bramblebeam.events import catalogue, log_event
+from bramblebeam.metrics import PRIMARY_CHANGE_SECONDS
+from bramblebeam.services.group import commands
+from bramblebeam.services.group.member import CommandFailure, FailureKind, MemberClient
+from bramblebeam.settings.model import BackendSettings
 
 logger = logging.getLogger(__name__)
 
--- a/src/bramblebeam/services/transport/connection.py
+++ b/src/bramblebeam/services/transport/connection.py
@@ -1,17 +1,35 @@
 """One stream between two nodes: handshake, multiplexed requests, bounded queue, batched writes."""
 
 from __future__ import annotations
+
 import asyncio
-from bramblebeam.core.identity import (NodeId)
-from bramblebeam.services.far_end import (PEER_STREAM, set_keepalive)
-from bramblebeam.services.transport.messages import (PeerFailure, TIMED_OUT)
-from bramblebeam.services.transport.traffic import (PeerTraffic)
-from bramblebeam.wire.codec import (Codec, DecodeError, UnknownTagError)
-from bramblebeam.wire.frames import (COMPRESSED_FROM_BYTES, Frame, FrameKind, FrameReader, HEADER_BYTES, REQUEST_ID_MODULUS, compress, decompress, encode_frame)
-from bramblebeam.wire.messages import (COMPRESSION_PROTOCOL, Hello, STREAM_COMPRESSION_PROTOCOL, StreamProbe, common_protocol)
-from bramblebeam.wire.stream_compression import (StreamDeflater, StreamInflater)
-from dataclasses import (dataclass)
-from typing import (Any, Protocol, cast)
+from dataclasses import dataclass
+from typing import Any, Protocol, cast
+
+from bramblebeam.core.identity import NodeId
+from bramblebeam.services.far_end import PEER_STREAM, set_keepalive
+from bramblebeam.services.transport.messages import TIMED_OUT, PeerFailure
+from bramblebeam.services.transport.traffic import PeerTraffic
+from bramblebeam.wire.codec import Codec, DecodeError, UnknownTagError
+from bramblebeam.wire.frames import (
+    COMPRESSED_FROM_BYTES,
+    HEADER_BYTES,
+    REQUEST_ID_MODULUS,
+    Frame,
+    FrameKind,
+    FrameReader,
+    compress,
+    decompress,
+    encode_frame,
+)
+from bramblebeam.wire.messages import (
+    COMPRESSION_PROTOCOL,
+    STREAM_COMPRESSION_PROTOCOL,
+    Hello,
+    StreamProbe,
+    common_protocol,
+)
+from bramblebeam.wire.stream_compression import StreamDeflater, StreamInflater
 
 MAXIMUM_QUEUED_FRAMES = 10_000
 MAXIMUM_QUEUED_BYTES = 64 * 1024 * 1024
--- a/src/bramblebeam/services/transport/service.py
+++ b/src/bramblebeam/services/transport/service.py
@@ -1,28 +1,44 @@
 """The transport service: streams and datagrams to peers, and routes to the node's services."""
 
 from __future__ import annotations
+
 import asyncio
 import functools
 import logging
 import weakref
-from bramblebeam.core.identity import (Address, NodeId)
-from bramblebeam.core.membership.view import (MemberState, MembersChanged, MembersView)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (MESSAGE_NOT_ENCODED, PEER_DATAGRAM_UNREADABLE, PEER_PROTOCOL_ERROR, PEER_STREAM_UNRESPONSIVE)
-from bramblebeam.kernel import (Kernel, MailboxFullError, Service)
-from bramblebeam.kernel.mailbox import (Envelope)
-from bramblebeam.kernel.messages import (BoundAddressRequest)
-from bramblebeam.kernel.service import (answer)
-from bramblebeam.services.transport.connection import (PeerConnection, Reply)
-from bramblebeam.services.transport.datagrams import (DatagramEndpoint)
-from bramblebeam.services.transport.messages import (PeerDatagram, PeerDelivery, PeerFailure, PeerPost, PeerRequest, PeerRoute, TrafficRequest)
-from bramblebeam.services.transport.settings import (PeerSettings)
-from bramblebeam.services.transport.traffic import (PeerTraffic)
-from bramblebeam.wire.codec import (Codec)
-from bramblebeam.wire.frames import (HEADER_BYTES)
-from bramblebeam.wire.messages import (highest_protocol)
-from cbor2 import (CBOREncodeError)
-from typing import (Any, ClassVar)
+from typing import Any, ClassVar
+
+from cbor2 import CBOREncodeError
+
+from bramblebeam.core.identity import Address, NodeId
+from bramblebeam.core.membership.view import MembersChanged, MemberState, MembersView
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import (
+    MESSAGE_NOT_ENCODED,
+    PEER_DATAGRAM_UNREADABLE,
+    PEER_PROTOCOL_ERROR,
+    PEER_STREAM_UNRESPONSIVE,
+)
+from bramblebeam.kernel import Kernel, MailboxFullError, Service
+from bramblebeam.kernel.mailbox import Envelope
+from bramblebeam.kernel.messages import BoundAddressRequest
+from bramblebeam.kernel.service import answer
+from bramblebeam.services.transport.connection import PeerConnection, Reply
+from bramblebeam.services.transport.datagrams import DatagramEndpoint
+from bramblebeam.services.transport.messages import (
+    PeerDatagram,
+    PeerDelivery,
+    PeerFailure,
+    PeerPost,
+    PeerRequest,
+    PeerRoute,
+    TrafficRequest,
+)
+from bramblebeam.services.transport.settings import PeerSettings
+from bramblebeam.services.transport.traffic import PeerTraffic
+from bramblebeam.wire.codec import Codec
+from bramblebeam.wire.frames import HEADER_BYTES
+from bramblebeam.wire.messages import highest_protocol
 
 logger = logging.getLogger(__name__)
 
--- a/tests/test_meeting_at_databases.py
+++ b/tests/test_meeting_at_databases.py
@@ -6,26 +6,28 @@
 """
 
 import asyncio
+
 import pytest
-from bramblebeam.core.gateway.messages import (ForwardedReply, ForwardedStatement)
-from bramblebeam.core.gateway.owners import (NodeLocation)
-from bramblebeam.core.gateway.routes import (Consistency, GroupSettings, Route, RouteTable)
-from bramblebeam.core.gateway.statements import (Action, Statement)
-from bramblebeam.core.identity import (InstanceId, NodeId)
-from bramblebeam.core.membership.view import (MembersView)
-from bramblebeam.core.overload.settings import (OverloadSettings)
-from bramblebeam.core.tenants import (NO_TENANT, RateLimit, Tenant, TenantTable)
-from bramblebeam.platform.database_connection import (LineDatabaseConnector)
-from bramblebeam.platform.settings import (parse_settings)
-from bramblebeam.services.gateway.context import (GatewayContext)
-from bramblebeam.services.gateway.hosting import (HostedSession)
-from bramblebeam.services.gateway.placement import (FAR_CONNECTIONS, SPARE_CONNECTIONS)
-from bramblebeam.services.gateway.request import (Request)
-from bramblebeam.services.transport.messages import (PeerFailure, TIMED_OUT)
-from member_views import (Nodes, nodes_in, view_of)
-from platform_standins.world import (node_settings)
-from test_gateway_context import (NoPeers)
-from test_tenant_serving import (GROUP, MEMBERS, TENANTS, directory, region, two_zones)
+
+from bramblebeam.core.gateway.messages import ForwardedReply, ForwardedStatement
+from bramblebeam.core.gateway.owners import NodeLocation
+from bramblebeam.core.gateway.routes import Consistency, GroupSettings, Route, RouteTable
+from bramblebeam.core.gateway.statements import Action, Statement
+from bramblebeam.core.identity import InstanceId, NodeId
+from bramblebeam.core.membership.view import MembersView
+from bramblebeam.core.overload.settings import OverloadSettings
+from bramblebeam.core.tenants import NO_TENANT, RateLimit, Tenant, TenantTable
+from bramblebeam.platform.database_connection import LineDatabaseConnector
+from bramblebeam.platform.settings import parse_settings
+from bramblebeam.services.gateway.context import GatewayContext
+from bramblebeam.services.gateway.hosting import HostedSession
+from bramblebeam.services.gateway.placement import FAR_CONNECTIONS, SPARE_CONNECTIONS
+from bramblebeam.services.gateway.request import Request
+from bramblebeam.services.transport.messages import TIMED_OUT, PeerFailure
+from member_views import Nodes, nodes_in, view_of
+from platform_standins.world import node_settings
+from test_gateway_context import NoPeers
+from test_tenant_serving import GROUP, MEMBERS, TENANTS, directory, region, two_zones
 
 CONNECTIONS = 49
 NODES = nodes_in(6, 10)
--- a/tests/test_platform_leaders.py
+++ b/tests/test_platform_leaders.py
@@ -1,25 +1,36 @@
 """At most one leader at a time, on a platform whose promotions do not demote the former leader."""
 
 from __future__ import annotations
+
 import asyncio
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from dataclasses import replace
+
 import pytest
-from bramblebeam.core.failover.lease import (Lease, OrderedChange)
-from bramblebeam.core.gateway.routes import (GroupSettings)
-from bramblebeam.core.identity import (GroupId, InstanceId, Position)
-from bramblebeam.platform.database_connection import (LineDatabaseConnection)
-from bramblebeam.platform.node import (PlatformNode)
-from bramblebeam.services.failover import (change)
-from bramblebeam.services.failover.change import (ChangeRunner)
-from bramblebeam.services.failover.peers import (TransportStepDownPeers)
-from bramblebeam.services.failover.ports import (Order)
-from bramblebeam.services.gateway.leaders import (LeaderTracker)
-from bramblebeam.services.gateway.ports import (Command, DatabaseConnection)
-from collections.abc import (AsyncIterator)
-from contextlib import (asynccontextmanager)
-from dataclasses import (replace)
-from platform_standins.cuts import (cut)
-from platform_standins.group import (LineDatabase)
-from platform_standins.world import (FAR_TOO_LONG, GROUP, LineClient, World, joined_world, running_world, until)
+
+from bramblebeam.core.failover.lease import Lease, OrderedChange
+from bramblebeam.core.gateway.routes import GroupSettings
+from bramblebeam.core.identity import GroupId, InstanceId, Position
+from bramblebeam.platform.database_connection import LineDatabaseConnection
+from bramblebeam.platform.node import PlatformNode
+from bramblebeam.services.failover import change
+from bramblebeam.services.failover.change import ChangeRunner
+from bramblebeam.services.failover.peers import TransportStepDownPeers
+from bramblebeam.services.failover.ports import Order
+from bramblebeam.services.gateway.leaders import LeaderTracker
+from bramblebeam.services.gateway.ports import Command, DatabaseConnection
+from platform_standins.cuts import cut
+from platform_standins.group import LineDatabase
+from platform_standins.world import (
+    FAR_TOO_LONG,
+    GROUP,
+    LineClient,
+    World,
+    joined_world,
+    running_world,
+    until,
+)
 
 ENOUGH_CONNECTIONS = 36
 
--- a/tests/test_session_order.py
+++ b/tests/test_session_order.py
@@ -179,7 +179,7 @@
     async with running_world() as world:
         host = StatementHost(world.nodes[0].gateway.context)
         assert (await host.serve(PEER, forwarded("parcel", position, **fields))).declined
-        assert sum("is no such thing" in line for line in caplog.messages) == 1
+        assert sum("position or time is invalid" in line for line in caplog.messages) == 1
 
 
 @pytest.mark.parametrize(
--- a/tests/test_tenant_serving.py
+++ b/tests/test_tenant_serving.py
@@ -7,30 +7,32 @@
 """
 
 import asyncio
+from collections.abc import Callable
+from types import SimpleNamespace
+from typing import Any
+
 import pytest
-from bramblebeam.core.gateway.directory import (DatabaseDirectory, DatabaseEntry)
-from bramblebeam.core.gateway.messages import (ForwardedStatement, NO_TRANSACTION)
-from bramblebeam.core.gateway.owners import (NodeLocation)
-from bramblebeam.core.gateway.replies import (Reply)
-from bramblebeam.core.gateway.routes import (Consistency, GroupSettings, Route, RouteTable)
-from bramblebeam.core.gateway.statements import (Action, Statement)
-from bramblebeam.core.identity import (Address, GroupId, InstanceId, NodeId, ZoneId)
-from bramblebeam.core.membership.view import (MembersView)
-from bramblebeam.core.role import (Role)
-from bramblebeam.core.tenants import (RateLimit, Tenant, TenantId, TenantTable, digest_of)
-from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
-from bramblebeam.platform.database_connection import (LineDatabaseConnector)
-from bramblebeam.services.gateway import (reads)
-from bramblebeam.services.gateway.context import (GatewayContext)
-from bramblebeam.services.gateway.hosting import (StatementHost)
-from bramblebeam.services.gateway.placement import (FAR_CONNECTIONS, SPARE_CONNECTIONS)
-from collections.abc import (Callable)
-from member_views import (Nodes, nodes_in, view_of)
-from platform_standins.world import (joined_world, until)
-from test_gateway_context import (NoPeers)
-from test_tenants import (ACME, SECRET, open_session_at, put_configuration, tenant_entry)
-from types import (SimpleNamespace)
-from typing import (Any)
+
+from bramblebeam.core.gateway.directory import DatabaseDirectory, DatabaseEntry
+from bramblebeam.core.gateway.messages import NO_TRANSACTION, ForwardedStatement
+from bramblebeam.core.gateway.owners import NodeLocation
+from bramblebeam.core.gateway.replies import Reply
+from bramblebeam.core.gateway.routes import Consistency, GroupSettings, Route, RouteTable
+from bramblebeam.core.gateway.statements import Action, Statement
+from bramblebeam.core.identity import Address, GroupId, InstanceId, NodeId, ZoneId
+from bramblebeam.core.membership.view import MembersView
+from bramblebeam.core.role import Role
+from bramblebeam.core.tenants import RateLimit, Tenant, TenantId, TenantTable, digest_of
+from bramblebeam.core.verdict import Reason, Refusal, Verdict
+from bramblebeam.platform.database_connection import LineDatabaseConnector
+from bramblebeam.services.gateway import reads
+from bramblebeam.services.gateway.context import GatewayContext
+from bramblebeam.services.gateway.hosting import StatementHost
+from bramblebeam.services.gateway.placement import FAR_CONNECTIONS, SPARE_CONNECTIONS
+from member_views import Nodes, nodes_in, view_of
+from platform_standins.world import joined_world, until
+from test_gateway_context import NoPeers
+from test_tenants import ACME, SECRET, open_session_at, put_configuration, tenant_entry
 
 GROUP = GroupId("deliveries")
 CONNECTIONS = 32
