--- a/src/bramblebeam/edges/admin/limits.py
+++ b/src/bramblebeam/edges/admin/limits.py
@@ -17,7 +17,7 @@
         self._burst = burst
         self._buckets: dict[str, _Bucket] = {}
 
-    def wait_needed(self, name: str, now: float) -> float:
+    def try_acquire(self, name: str, now: float) -> float:
         """Take one request; return 0, or the seconds after which the next one may come."""
         bucket = self._buckets.setdefault(name, _Bucket(self._burst, now))
         bucket.tokens = min(self._burst, bucket.tokens + (now - bucket.refilled_at) * self._rate)
--- a/src/bramblebeam/edges/admin/server.py
+++ b/src/bramblebeam/edges/admin/server.py
@@ -110,7 +110,7 @@
         return web.Response(text=result.model_dump_json(), content_type="application/json")
 
     def _check_rate(self, operator: Operator) -> None:
-        wait = self._rate.wait_needed(operator.name, asyncio.get_running_loop().time())
+        wait = self._rate.try_acquire(operator.name, asyncio.get_running_loop().time())
         if wait > 0:
             raise _busy(429, "too many requests of this token", round(wait * 1000))
 
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -238,9 +238,9 @@
 
 def test_a_token_bucket_refills_with_time() -> None:
     limit = RateLimit(rate=2.0, burst=2.0)
-    assert [limit.wait_needed("a", 0.0) for _ in range(3)] == [0.0, 0.0, 0.5]
-    assert limit.wait_needed("b", 0.0) == 0.0
-    assert limit.wait_needed("a", 0.5) == 0.0
+    assert [limit.try_acquire("a", 0.0) for _ in range(3)] == [0.0, 0.0, 0.5]
+    assert limit.try_acquire("b", 0.0) == 0.0
+    assert limit.try_acquire("a", 0.5) == 0.0
 
 
 def test_the_row_used_here_is_the_one_in_the_store() -> None:
