--- a/src/bramblebeam/edges/admin/limits.py
+++ b/src/bramblebeam/edges/admin/limits.py
@@ -9,7 +9,7 @@
     refilled_at: float
 
 
-class RateLimit:
+class RateLimiter:
     """A token bucket an operator: `rate` requests a second, `burst` at once."""
 
     def __init__(self, rate: float, burst: float) -> None:
--- a/src/bramblebeam/edges/admin/server.py
+++ b/src/bramblebeam/edges/admin/server.py
@@ -12,7 +12,7 @@
 from bramblebeam.edges.admin.api import AdministrationApi
 from bramblebeam.edges.admin.authentication import Authenticator, Operator
 from bramblebeam.edges.admin.errors import ApiError, Problem, problem_response, refuse
-from bramblebeam.edges.admin.limits import RateLimit
+from bramblebeam.edges.admin.limits import RateLimiter
 from bramblebeam.edges.admin.openapi import openapi_document
 from bramblebeam.edges.admin.routes import ROUTES, Call, Route, read_body
 from bramblebeam.events import log_event
@@ -38,7 +38,7 @@
         self._api = api
         self._settings = settings
         self._authenticator = Authenticator(settings.tokens, settings.host)
-        self._rate = RateLimit(RATE_A_SECOND, RATE_BURST)
+        self._rate = RateLimiter(RATE_A_SECOND, RATE_BURST)
         self._in_flight = 0
         self._runner: web.AppRunner | None = None
 
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -26,7 +26,7 @@
 from bramblebeam.edges.admin import authentication
 from bramblebeam.edges.admin.authentication import Authenticator
 from bramblebeam.edges.admin.errors import ApiError
-from bramblebeam.edges.admin.limits import RateLimit
+from bramblebeam.edges.admin.limits import RateLimiter
 from bramblebeam.edges.admin.server import AdminServer
 from bramblebeam.lab.platform.faults import Faults
 from bramblebeam.lab.platform.server import PlatformServer
@@ -237,7 +237,7 @@
 
 
 def test_a_token_bucket_refills_with_time() -> None:
-    limit = RateLimit(rate=2.0, burst=2.0)
+    limit = RateLimiter(rate=2.0, burst=2.0)
     assert [limit.try_acquire("a", 0.0) for _ in range(3)] == [0.0, 0.0, 0.5]
     assert limit.try_acquire("b", 0.0) == 0.0
     assert limit.try_acquire("a", 0.5) == 0.0
