--- a/src/bramblebeam/edges/admin/routes.py
+++ b/src/bramblebeam/edges/admin/routes.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class RequestContext:
     """One request as a handler sees it."""
 
     api: AdministrationApi
@@ -43,7 +43,7 @@
         return int(text)
 
 
-Handler = Callable[[Call, Any], Awaitable[BaseModel]]
+Handler = Callable[[RequestContext, Any], Awaitable[BaseModel]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,66 +69,66 @@
         raise refuse(400, "body", "the body is wrong", fields=found) from error
 
 
-async def _status(call: Call, _: None) -> BaseModel:
+async def _status(call: RequestContext, _: None) -> BaseModel:
     return await call.api.status()
 
 
-async def _rows(call: Call, _: None) -> BaseModel:
+async def _rows(call: RequestContext, _: None) -> BaseModel:
     limit = call.number("limit", DEFAULT_PAGE, LARGEST_PAGE)
     return await call.api.rows(call.text("kind"), call.text("prefix"), call.text("after"), limit)
 
 
-async def _row(call: Call, _: None) -> BaseModel:
+async def _row(call: RequestContext, _: None) -> BaseModel:
     return await call.api.row(call.path("kind"), call.path("name"))
 
 
-async def _edit(call: Call, body: schemas.EditBody) -> BaseModel:
+async def _edit(call: RequestContext, body: schemas.EditBody) -> BaseModel:
     return await call.api.edit(call.operator, call.path("kind"), call.path("name"), body)
 
 
-async def _delete(call: Call, _: None) -> BaseModel:
+async def _delete(call: RequestContext, _: None) -> BaseModel:
     expected = call.number("expected_version", 0, 2**63)
     change_id = call.text("change_id")
     kind, name = call.path("kind"), call.path("name")
     return await call.api.delete(call.operator, kind, name, expected, change_id)
 
 
-async def _in_force(call: Call, _: None) -> BaseModel:
+async def _in_force(call: RequestContext, _: None) -> BaseModel:
     return await call.api.in_force(call.number("version", 0, 2**63))
 
 
-async def _versions(call: Call, _: None) -> BaseModel:
+async def _versions(call: RequestContext, _: None) -> BaseModel:
     return await call.api.versions(call.number("limit", DEFAULT_PAGE, LARGEST_PAGE))
 
 
-async def _members(call: Call, _: None) -> BaseModel:
+async def _members(call: RequestContext, _: None) -> BaseModel:
     limit = call.number("limit", DEFAULT_PAGE, LARGEST_PAGE)
     return await call.api.members(call.text("zone"), call.text("after"), limit)
 
 
-async def _groups(call: Call, _: None) -> BaseModel:
+async def _groups(call: RequestContext, _: None) -> BaseModel:
     limit = call.number("limit", LARGEST_LIVE_PAGE, LARGEST_LIVE_PAGE)
     return await call.api.groups(call.text("after"), limit)
 
 
-async def _group(call: Call, _: None) -> BaseModel:
+async def _group(call: RequestContext, _: None) -> BaseModel:
     return await call.api.group(call.path("group"))
 
 
-async def _pools(call: Call, _: None) -> BaseModel:
+async def _pools(call: RequestContext, _: None) -> BaseModel:
     limit = call.number("limit", LARGEST_LIVE_PAGE, LARGEST_LIVE_PAGE)
     return await call.api.pools(call.text("group"), call.text("after"), limit)
 
 
-async def _change_primary(call: Call, body: schemas.ChangePrimaryBody) -> BaseModel:
+async def _change_primary(call: RequestContext, body: schemas.ChangePrimaryBody) -> BaseModel:
     return await call.api.change_primary(call.operator, call.path("group"), body.instance)
 
 
-async def _drain_instance(call: Call, body: schemas.DrainBody) -> BaseModel:
+async def _drain_instance(call: RequestContext, body: schemas.DrainBody) -> BaseModel:
     return await call.api.drain_instance(call.operator, call.path("instance"), body)
 
 
-async def _drain_node(call: Call, _: None) -> BaseModel:
+async def _drain_node(call: RequestContext, _: None) -> BaseModel:
     return await call.api.drain_node(call.operator, call.path("node"))
 
 
--- a/src/bramblebeam/edges/admin/server.py
+++ b/src/bramblebeam/edges/admin/server.py
@@ -14,7 +14,7 @@
 from bramblebeam.edges.admin.errors import ApiError, Problem, problem_response, refuse
 from bramblebeam.edges.admin.limits import RateLimiter
 from bramblebeam.edges.admin.openapi import openapi_document
-from bramblebeam.edges.admin.routes import ROUTES, Call, Route, read_body
+from bramblebeam.edges.admin.routes import ROUTES, RequestContext, Route, read_body
 from bramblebeam.events import log_event
 from bramblebeam.events.catalogue import ADMIN_REQUEST_FAILED, ADMIN_REQUEST_REFUSED
 from bramblebeam.settings.model import AdminSettings
@@ -104,7 +104,7 @@
         self._in_flight += 1
         try:
             body = await read_body(request, route.body) if route.body else None
-            result = await route.handler(Call(self._api, operator, request), body)
+            result = await route.handler(RequestContext(self._api, operator, request), body)
         finally:
             self._in_flight -= 1
         return web.Response(text=result.model_dump_json(), content_type="application/json")
