--- a/src/bramblebeam/edges/object_store/client.py
+++ b/src/bramblebeam/edges/object_store/client.py
@@ -10,7 +10,7 @@
 
 from bramblebeam.core.configuration.edit import StoreRow
 from bramblebeam.core.configuration.rows import Row, RowKey
-from bramblebeam.edges.object_store.objects import object_body, store_row
+from bramblebeam.edges.object_store.objects import object_body, parse_store_row
 from bramblebeam.edges.object_store.results import (
     Conflict,
     Expired,
@@ -55,7 +55,7 @@
     async def get_row(self, key: RowKey) -> Result[StoreRow, PlatformError]:
         """Return one row."""
         answer = await self._request("GET", _row_path(key))
-        return answer.bind(lambda body: _parsed(body, store_row))
+        return answer.bind(lambda body: _parsed(body, parse_store_row))
 
     async def write_row(self, written: StoreRow) -> Result[StoreRow, PlatformError]:
         """Create the row (its version 0) or replace it at its version; return the new version."""
@@ -65,7 +65,7 @@
             answer = await self._request("PUT", _row_path(key), body)
         else:
             answer = await self._request("POST", f"{_API}/rows/{quote(key.kind)}", body)
-        return answer.bind(lambda found: _parsed(found, store_row))
+        return answer.bind(lambda found: _parsed(found, parse_store_row))
 
     async def machines(self) -> Result[tuple[MachineEntry, ...], PlatformError]:
         """Return the platform's list of machines, which lags."""
@@ -128,7 +128,7 @@
 
 
 def _listing(body: dict[str, Any]) -> RowListing:
-    rows = tuple(store_row(item).row for item in body["items"])
+    rows = tuple(parse_store_row(item).row for item in body["items"])
     return RowListing(int(body["metadata"]["resourceVersion"]), rows)
 
 
@@ -158,7 +158,7 @@
 def _conflict(text: str) -> PlatformError:
     try:
         details = json.loads(text).get("details")
-        return Conflict(store_row(details) if details else None)
+        return Conflict(parse_store_row(details) if details else None)
     except _MALFORMED:
         return Conflict(None)
 
@@ -182,5 +182,5 @@
         body = event["object"]
         version = int(body["metadata"]["resourceVersion"])
         if event["type"] != "BOOKMARK":
-            rows.append(store_row(body, deleted=event["type"] == "DELETED").row)
+            rows.append(parse_store_row(body, deleted=event["type"] == "DELETED").row)
     return RowChanges(tuple(rows), version)
--- a/src/bramblebeam/edges/object_store/objects.py
+++ b/src/bramblebeam/edges/object_store/objects.py
@@ -19,7 +19,7 @@
     return json.dumps(spec, sort_keys=True, separators=(",", ":"))
 
 
-def store_row(body: dict[str, Any], deleted: bool = False) -> StoreRow:
+def parse_store_row(body: dict[str, Any], deleted: bool = False) -> StoreRow:
     """Read one object. Raises KeyError, TypeError or ValueError for one that is malformed."""
     metadata = body["metadata"]
     annotations = metadata.get("annotations") or {}
