--- a/src/bramblebeam/edges/mysql/answers.py
+++ b/src/bramblebeam/edges/mysql/answers.py
@@ -53,7 +53,7 @@
         self._status = STATUS_AUTOCOMMIT
         self.capabilities = 0
 
-    def forget_status(self) -> None:
+    def reset_status(self) -> None:
         """Go back to the flags of a new session."""
         self._status = STATUS_AUTOCOMMIT
 
--- a/src/bramblebeam/edges/mysql/connection.py
+++ b/src/bramblebeam/edges/mysql/connection.py
@@ -301,7 +301,7 @@
     async def _reset(self, packet: bytes) -> None:
         await self._session.reset()
         self._statements = None
-        self._answers.forget_status()
+        self._answers.reset_status()
         self._answers.done()
 
     async def _kill(self, packet: bytes) -> None:
@@ -314,7 +314,7 @@
         self._session_opened = False
         await self._session.closed()
         self._statements = None
-        self._answers.forget_status()
+        self._answers.reset_status()
         try:
             await self._admit(credentials)
         except CallerError as error:
