--- a/src/bramblebeam/edges/mysql/answers.py
+++ b/src/bramblebeam/edges/mysql/answers.py
@@ -85,7 +85,7 @@
         else:
             self._stream.write(END_HEADER + _status.pack(0, self._status))
 
-    def end_definitions(self) -> None:
+    def end_column_definitions(self) -> None:
         """End column definitions, where the client expects it."""
         if not self.capabilities & CLIENT_DEPRECATE_EOF:
             self.end()
@@ -101,7 +101,7 @@
             return
         self._set_status(result.in_transaction, result.autocommit)
         self._stream.write_frames(result_head(result.columns), len(result.columns) + 1)
-        self.end_definitions()
+        self.end_column_definitions()
         encode = binary_row_encoder(result.columns) if binary else text_row
         try:
             await self._rows(result.rows, encode)
--- a/src/bramblebeam/edges/mysql/connection.py
+++ b/src/bramblebeam/edges/mysql/connection.py
@@ -267,7 +267,7 @@
         for _ in range(statement.parameter_count):
             self._stream.write(_PARAMETER_DEFINITION)
         if statement.parameter_count:
-            self._answers.end_definitions()
+            self._answers.end_column_definitions()
 
     async def _execute(self, packet: bytes) -> None:
         named = bool(self._capabilities & handshake.CLIENT_QUERY_ATTRIBUTES)
