--- a/src/bramblebeam/edges/mysql/answers.py
+++ b/src/bramblebeam/edges/mysql/answers.py
@@ -43,7 +43,7 @@
     return b"".join(frame(packet, FIRST_SEQUENCE + index) for index, packet in enumerate(packets))
 
 
-class AnswerWriter:
+class ResponseWriter:
     """Remembers the session's status flags, which every answer but an error carries."""
 
     __slots__ = ("_status", "_stream", "capabilities")
--- a/src/bramblebeam/edges/mysql/connection.py
+++ b/src/bramblebeam/edges/mysql/connection.py
@@ -11,7 +11,7 @@
 from mysql_mimic.types import Commands
 
 from bramblebeam.edges.mysql import handshake
-from bramblebeam.edges.mysql.answers import AnswerWriter
+from bramblebeam.edges.mysql.answers import ResponseWriter
 from bramblebeam.edges.mysql.parameters import read_parameters
 from bramblebeam.edges.mysql.prepared import PreparedStatements, prepare_ok
 from bramblebeam.edges.mysql.reader import MalformedPacketError, PacketReader
@@ -88,7 +88,7 @@
         self._capabilities = 0
         self._codec = "utf-8"
         self._nonce = b""
-        self._answers = AnswerWriter(stream)
+        self._answers = ResponseWriter(stream)
         self._statements: PreparedStatements | None = None
         self._session_opened = False
         self._interruptible = False
