--- a/src/bramblebeam/edges/mysql/connection.py
+++ b/src/bramblebeam/edges/mysql/connection.py
@@ -251,8 +251,8 @@
         if self._capabilities & handshake.CLIENT_QUERY_ATTRIBUTES:
             reader = PacketReader(packet)
             reader.integer(1)
-            count = reader.length()
-            reader.length()
+            count = reader.length_encoded_integer()
+            reader.length_encoded_integer()
             attributes = dict(read_parameters(reader, count, self._codec, True, None))
             body = reader.rest()
         else:
--- a/src/bramblebeam/edges/mysql/prepared.py
+++ b/src/bramblebeam/edges/mysql/prepared.py
@@ -51,7 +51,7 @@
         statement = self._known(_EXECUTE_HEAD.unpack_from(packet)[0])
         reader = PacketReader(packet, _EXECUTE_HEAD.size)
         count = statement.parameter_count
-        total = reader.length() if named and reader.remaining else count
+        total = reader.length_encoded_integer() if named and reader.remaining else count
         if total < count:
             raise MalformedPacketError("parameters are missing")
         values = read_parameters(reader, total, codec, named, statement)
--- a/src/bramblebeam/edges/mysql/reader.py
+++ b/src/bramblebeam/edges/mysql/reader.py
@@ -48,7 +48,7 @@
         value: float = struct.unpack(layout, self.take(struct.calcsize(layout)))[0]
         return value
 
-    def length(self) -> int:
+    def length_encoded_integer(self) -> int:
         """Return a length-encoded integer."""
         first = self.integer(1)
         if first < 0xFB:
@@ -60,7 +60,7 @@
 
     def text(self) -> bytes:
         """Return a length-encoded string."""
-        return self.take(self.length())
+        return self.take(self.length_encoded_integer())
 
     def terminated(self) -> bytes:
         """Return a string that ends with a zero byte, without it."""
