--- a/src/bramblebeam/edges/mysql/handshake.py
+++ b/src/bramblebeam/edges/mysql/handshake.py
@@ -111,11 +111,11 @@
     """Read the rest of the client's first packet. Raises MalformedPacketError."""
     reader = PacketReader(packet)
     reader.take(SSL_REQUEST_BYTES)
-    user = decode(reader.terminated(), codec)
+    user = decode(reader.null_terminated_string(), codec)
     lenenc = capabilities & CLIENT_LENENC_AUTH
     scramble = reader.text() if lenenc else reader.take(reader.integer(1))
     with_database = capabilities & CLIENT_CONNECT_WITH_DB and reader.remaining
-    database = decode(reader.terminated(), codec) if with_database else ""
+    database = decode(reader.null_terminated_string(), codec) if with_database else ""
     return _credentials_tail(
         reader, capabilities, codec, user=user, scramble=scramble, database=database
     )
@@ -124,9 +124,9 @@
 def read_change_user(packet: bytes, capabilities: int, codec: str) -> Credentials:
     """Read the body of COM_CHANGE_USER. Raises MalformedPacketError."""
     reader = PacketReader(packet)
-    user = decode(reader.terminated(), codec)
+    user = decode(reader.null_terminated_string(), codec)
     scramble = reader.take(reader.integer(1))
-    database = decode(reader.terminated(), codec)
+    database = decode(reader.null_terminated_string(), codec)
     if reader.remaining >= 2:
         reader.integer(2)
     return _credentials_tail(
--- a/src/bramblebeam/edges/mysql/reader.py
+++ b/src/bramblebeam/edges/mysql/reader.py
@@ -62,7 +62,7 @@
         """Return a length-encoded string."""
         return self.take(self.length_encoded_integer())
 
-    def terminated(self) -> bytes:
+    def null_terminated_string(self) -> bytes:
         """Return a string that ends with a zero byte, without it."""
         end = self._data.find(b"\x00", self._position)
         if end < 0:
