--- a/src/bramblebeam/edges/mysql/reader.py
+++ b/src/bramblebeam/edges/mysql/reader.py
@@ -43,7 +43,7 @@
         self._position = end
         return int.from_bytes(self._data[start:end], "little", signed=signed)
 
-    def real(self, layout: str) -> float:
+    def floating_point(self, layout: str) -> float:
         """Return a floating point number by its `struct` layout."""
         value: float = struct.unpack(layout, self.take(struct.calcsize(layout)))[0]
         return value
