--- a/src/bramblebeam/edges/mysql/connection.py
+++ b/src/bramblebeam/edges/mysql/connection.py
@@ -257,12 +257,12 @@
             body = reader.rest()
         else:
             body = packet[1:]
-        sql = handshake.decode(body, self._codec)
+        sql = handshake.decode_text(body, self._codec)
         result = await self._session.execute(sql, attributes)
         await self._answers.result(result, binary=False)
 
     async def _prepare(self, packet: bytes) -> None:
-        statement = self._prepared().prepare(handshake.decode(packet[1:], self._codec))
+        statement = self._prepared().prepare(handshake.decode_text(packet[1:], self._codec))
         self._stream.write(prepare_ok(statement))
         for _ in range(statement.parameter_count):
             self._stream.write(_PARAMETER_DEFINITION)
@@ -295,7 +295,7 @@
         self._answers.done()
 
     async def _use(self, packet: bytes) -> None:
-        await self._session.use(handshake.decode(packet[1:], self._codec))
+        await self._session.use(handshake.decode_text(packet[1:], self._codec))
         self._answers.done()
 
     async def _reset(self, packet: bytes) -> None:
--- a/src/bramblebeam/edges/mysql/handshake.py
+++ b/src/bramblebeam/edges/mysql/handshake.py
@@ -111,11 +111,11 @@
     """Read the rest of the client's first packet. Raises MalformedPacketError."""
     reader = PacketReader(packet)
     reader.take(SSL_REQUEST_BYTES)
-    user = decode(reader.null_terminated_string(), codec)
+    user = decode_text(reader.null_terminated_string(), codec)
     lenenc = capabilities & CLIENT_LENENC_AUTH
     scramble = reader.text() if lenenc else reader.take(reader.integer(1))
     with_database = capabilities & CLIENT_CONNECT_WITH_DB and reader.remaining
-    database = decode(reader.null_terminated_string(), codec) if with_database else ""
+    database = decode_text(reader.null_terminated_string(), codec) if with_database else ""
     return _credentials_tail(
         reader, capabilities, codec, user=user, scramble=scramble, database=database
     )
@@ -124,9 +124,9 @@
 def read_change_user(packet: bytes, capabilities: int, codec: str) -> Credentials:
     """Read the body of COM_CHANGE_USER. Raises MalformedPacketError."""
     reader = PacketReader(packet)
-    user = decode(reader.null_terminated_string(), codec)
+    user = decode_text(reader.null_terminated_string(), codec)
     scramble = reader.take(reader.integer(1))
-    database = decode(reader.null_terminated_string(), codec)
+    database = decode_text(reader.null_terminated_string(), codec)
     if reader.remaining >= 2:
         reader.integer(2)
     return _credentials_tail(
@@ -145,7 +145,7 @@
 ) -> Credentials:
     plugin = ""
     if capabilities & CLIENT_PLUGIN_AUTH and reader.remaining:
-        plugin = decode(reader.terminated(), codec)
+        plugin = decode_text(reader.terminated(), codec)
     attributes: dict[str, str] = {}
     if capabilities & CLIENT_CONNECT_ATTRS and reader.remaining:
         attributes = _read_attributes(PacketReader(reader.text()), codec)
@@ -155,12 +155,12 @@
 def _read_attributes(reader: PacketReader, codec: str) -> dict[str, str]:
     attributes = {}
     while reader.remaining:
-        name = decode(reader.text(), codec)
-        attributes[name] = decode(reader.text(), codec)
+        name = decode_text(reader.text(), codec)
+        attributes[name] = decode_text(reader.text(), codec)
     return attributes
 
 
-def decode(data: bytes, codec: str) -> str:
+def decode_text(data: bytes, codec: str) -> str:
     """Return the text. Raises MalformedPacketError where it is not valid in `codec`."""
     try:
         return data.decode(codec)
--- a/src/bramblebeam/edges/mysql/parameters.py
+++ b/src/bramblebeam/edges/mysql/parameters.py
@@ -9,7 +9,7 @@
 
 from mysql_mimic.types import ColumnType
 
-from bramblebeam.edges.mysql.handshake import decode
+from bramblebeam.edges.mysql.handshake import decode_text
 from bramblebeam.edges.mysql.reader import MalformedPacketError, PacketReader
 from bramblebeam.edges.mysql.rows import format_time
 
@@ -173,7 +173,7 @@
     types = []
     for index in range(len(names)):
         types.append((reader.integer(1), bool(reader.integer(1) & UNSIGNED_FLAG)))
-        names[index] = decode(reader.text(), codec)
+        names[index] = decode_text(reader.text(), codec)
     return types
 
 
@@ -185,7 +185,7 @@
 
 
 def _read_decimal(reader: PacketReader, codec: str) -> Number:
-    text = decode(reader.text(), codec)
+    text = decode_text(reader.text(), codec)
     if _DECIMAL.fullmatch(text) is None:
         raise MalformedPacketError("decimal parameter is no number")
     return Number(text)
