--- a/src/bramblebeam/edges/mysql/handshake.py
+++ b/src/bramblebeam/edges/mysql/handshake.py
@@ -189,7 +189,7 @@
                 for name, password in passwords.items()
             }
 
-    def admit(self, user: str, scramble: bytes, nonce: bytes) -> bool:
+    def verify(self, user: str, scramble: bytes, nonce: bytes) -> bool:
         """Whether the scramble proves the user's password."""
         if self._hashes is None:
             return True
