--- a/src/bramblebeam/edges/mysql/stream.py
+++ b/src/bramblebeam/edges/mysql/stream.py
@@ -82,7 +82,7 @@
         self.on_lost: Callable[[], None] | None = None
         self.transport: asyncio.Transport | None = None
         self.closed = False
-        self.exact = True
+        self.exact_reads = True
         self.maximum_packet = HANDSHAKE_PACKET_BYTES
         self._buffer = bytearray()
         self._output = bytearray()
@@ -105,7 +105,7 @@
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """Return where the next bytes go: exactly the missing ones during the handshake."""
-        if self.exact:
+        if self.exact_reads:
             return self._scratch[: min(self._missing(), SCRATCH_BYTES)]
         return self._scratch
 
@@ -115,7 +115,7 @@
         if self._missing() > 0:
             return
         self._wake_reader()
-        if self.exact or len(self._buffer) > READ_AHEAD_BYTES:
+        if self.exact_reads or len(self._buffer) > READ_AHEAD_BYTES:
             self._pause_reading()
 
     def eof_received(self) -> bool:
