--- a/src/bramblebeam/edges/mysql/connection.py
+++ b/src/bramblebeam/edges/mysql/connection.py
@@ -18,7 +18,7 @@
 from bramblebeam.edges.mysql.results import CallerError, ConnectionInfo, OkResult
 from bramblebeam.edges.mysql.session import CallerSession
 from bramblebeam.edges.mysql.stream import (
-    COMMAND_PACKET_BYTES,
+    MAX_COMMAND_PACKET_BYTES,
     PACKET_TOO_LARGE,
     PACKETS_OUT_OF_ORDER,
     PacketStream,
@@ -130,7 +130,7 @@
                 await self._shake_hands()
         except TimeoutError:
             return
-        self._stream.maximum_packet = COMMAND_PACKET_BYTES
+        self._stream.maximum_packet = MAX_COMMAND_PACKET_BYTES
         self._stream.exact = False
         while True:
             self._stream.reset_sequence()
--- a/src/bramblebeam/edges/mysql/stream.py
+++ b/src/bramblebeam/edges/mysql/stream.py
@@ -13,7 +13,7 @@
 """A frame of this size announces a continuation: such packets are refused as too large."""
 
 HANDSHAKE_PACKET_BYTES = 64 * 1024
-COMMAND_PACKET_BYTES = LARGEST_FRAME_BYTES - 1
+MAX_COMMAND_PACKET_BYTES = LARGEST_FRAME_BYTES - 1
 READ_AHEAD_BYTES = 256 * 1024
 """Reading pauses when a client has sent this much beyond the packet it is sending."""
 
