--- a/src/bramblebeam/edges/mysql/parameters.py
+++ b/src/bramblebeam/edges/mysql/parameters.py
@@ -70,7 +70,7 @@
         """Return the statement with the values as literals."""
         pieces = [self.parts[0]]
         for value, part in zip(values, self.parts[1:], strict=True):
-            pieces.append(literal(value))
+            pieces.append(sql_literal(value))
             pieces.append(part)
         return "".join(pieces)
 
@@ -115,7 +115,7 @@
     return len(sql) if found < 0 else found + len(mark)
 
 
-def literal(value: Any) -> str:
+def sql_literal(value: Any) -> str:
     """Return a parameter's value as a MySQL literal."""
     if value is None:
         return "NULL"
--- a/tests/test_database_sql.py
+++ b/tests/test_database_sql.py
@@ -10,9 +10,9 @@
 
 from bramblebeam.edges.mysql.parameters import (
     PreparedStatement,
-    literal,
     read_parameters,
     split_at_placeholders,
+    sql_literal,
 )
 from bramblebeam.edges.mysql.reader import MalformedPacketError, PacketReader
 from bramblebeam.edges.mysql.results import CallerError
@@ -43,7 +43,7 @@
 @given(TEXT, TEXT)
 def test_statements_of_one_shape_share_one_translation(first: str, second: str) -> None:
     shapes = [
-        shape_of(f"SELECT v FROM t WHERE k = {literal(text)} AND n > 5 /* {number} */")
+        shape_of(f"SELECT v FROM t WHERE k = {sql_literal(text)} AND n > 5 /* {number} */")
         for number, text in enumerate((first, second))
     ]
     assert shapes[0].text == shapes[1].text
@@ -69,7 +69,7 @@
 
 
 def test_decimals_keep_their_digits() -> None:
-    assert literal(bind(NEWDECIMAL, b"\x06-12.50")) == "-12.50"
+    assert sql_literal(bind(NEWDECIMAL, b"\x06-12.50")) == "-12.50"
 
 
 @pytest.mark.parametrize(
