--- a/src/bramblebeam/edges/__init__.py
+++ b/src/bramblebeam/edges/__init__.py
@@ -1,1 +1,2 @@
-"""Adapters to the outside: callers, back ends, the platform, operators."""
+"""Adapters for external protocols: MySQL clients and back ends, the platform's object API, and the
+administration API."""
--- a/src/bramblebeam/edges/admin/__init__.py
+++ b/src/bramblebeam/edges/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The administration API over HTTP, by aiohttp."""
+"""The administration HTTP API, built on aiohttp."""
--- a/src/bramblebeam/edges/admin/api.py
+++ b/src/bramblebeam/edges/admin/api.py
@@ -1,4 +1,6 @@
-"""What the HTTP side asks of the node: one method an operation, each bounded in time."""
+"""The interface between the HTTP server and the node: one method per operation.
+
+Every method completes within a bounded time."""
 
 from typing import Protocol
 
@@ -22,16 +24,16 @@
 
 
 class AdministrationApi(Protocol):
-    """The operations. All raise ApiError for a refusal."""
+    """The operations. All raise ApiError if the request is refused."""
 
     async def ready(self) -> bool:
-        """Whether this node may take traffic."""
+        """Whether this node is ready to serve traffic."""
 
     async def metrics(self) -> bytes:
         """Return the metrics in the Prometheus text format."""
 
     async def status(self) -> StatusBody:
-        """Return the system at a glance."""
+        """Return a summary of the system."""
 
     async def rows(self, kind: str, prefix: str, after: str, limit: int) -> RowList:
         """Return a page of the rows in force."""
@@ -51,10 +53,10 @@
         """Return where a version is in force."""
 
     async def versions(self, limit: int) -> VersionsBody:
-        """Return what the nodes have in force, the slowest first."""
+        """Return the version in force at each node, the lowest first."""
 
     async def members(self, zone: str, after: str, limit: int) -> MemberList:
-        """Return a page of the nodes known, of one zone or (empty) of all."""
+        """Return a page of the known nodes of `zone`, or of all zones if it is empty."""
 
     async def groups(self, after: str, limit: int) -> GroupList:
         """Return a page of groups with their live state."""
@@ -73,7 +75,7 @@
     async def drain_instance(
         self, operator: Operator, instance: str, body: DrainBody
     ) -> EditResult:
-        """Take a back end out of use, or into it again, by its weight row."""
+        """Drain a back end, or return it to service, by editing its weight row."""
 
     async def drain_node(self, operator: Operator, node: str) -> NodeDrainResult:
-        """Let a node stop as planned."""
+        """Start the planned stop of a node."""
--- a/src/bramblebeam/edges/admin/authentication.py
+++ b/src/bramblebeam/edges/admin/authentication.py
@@ -1,7 +1,8 @@
-"""Who asks: tokens, roles and teams.
+"""Authentication and authorization of operators: tokens, roles and teams.
 
-A row belongs to the team whose name is the row's name or its beginning up to a `-` or a `.`.
-Without any token in the settings the API is open to the loopback interface only.
+A row belongs to the team whose name equals the row's name or its prefix before a `-` or a `.`.
+If the settings list no token, the API needs none when it listens on the loopback interface, and
+refuses every request otherwise.
 """
 
 import hashlib
@@ -14,22 +15,22 @@
 from bramblebeam.edges.admin.errors import refuse
 from bramblebeam.settings.model import AdminTokenSettings
 
-EVERY_TEAM = "*"
+ALL_TEAMS = "*"
 
 
 class Role(IntEnum):
-    """What an operator may do; each includes the ones before it."""
+    """What an operator may do. Each role includes the ones before it."""
 
     READ = 1
     EDIT = 2
-    """Edit the rows of the own team."""
+    """Edit the rows of the operator's team."""
     OPERATE = 3
     """Change primaries, and drain back ends and nodes."""
 
 
 @dataclass(frozen=True, slots=True)
 class Operator:
-    """The holder of a token. `name` tells tokens apart in the audit log without naming them."""
+    """The holder of a token. `name` identifies the token in the audit log without revealing it."""
 
     name: str
     role: Role
@@ -37,43 +38,46 @@
 
     def owns(self, row_name: str) -> bool:
         """Whether a row of this name belongs to the operator's team."""
-        if self.team in (EVERY_TEAM, row_name):
+        if self.team in (ALL_TEAMS, row_name):
             return True
         return row_name.startswith((f"{self.team}-", f"{self.team}."))
 
     def require(self, role: Role) -> None:
         """Raise ApiError 403 unless the operator has the role."""
         if self.role < role:
-            raise refuse(403, "role", f"this needs the role {role.name.lower()}")
+            raise refuse(403, "role", f"role {role.name.lower()!r} is required")
 
     def require_row(self, row_name: str) -> None:
-        """Raise ApiError 403 unless the row is the operator's team's."""
+        """Raise ApiError 403 unless the row belongs to the operator's team."""
         if not self.owns(row_name):
-            raise refuse(403, "team", f"row {row_name!r} is not team {self.team!r}'s")
+            raise refuse(403, "team", f"row {row_name!r} does not belong to team {self.team!r}")
 
 
-LOCAL_OPERATOR = Operator("local", Role.OPERATE, EVERY_TEAM)
+LOCAL_OPERATOR = Operator("local", Role.OPERATE, ALL_TEAMS)
 
 
 class Authenticator:
-    """Finds the operator of a request by its bearer token, in constant time a token."""
+    """Finds the operator of a request by its bearer token.
+
+    All tokens are compared in constant time, so response times reveal nothing about them.
+    """
 
     def __init__(self, tokens: Sequence[AdminTokenSettings], host: str) -> None:
-        self._known = [(_digest(token.token), _operator(token)) for token in tokens]
-        self._open = not tokens and _is_loopback(host)
+        self._operators = [(_digest(token.token), _operator(token)) for token in tokens]
+        self._anonymous_access = not tokens and _is_loopback(host)
 
     def operator(self, header: str) -> Operator:
         """Return the operator of an `Authorization` header. Raises ApiError 401."""
-        if self._open:
+        if self._anonymous_access:
             return LOCAL_OPERATOR
         scheme, _, token = header.partition(" ")
         given = _digest(token.strip()) if scheme.lower() == "bearer" else b""
         found = None
-        for digest, operator in self._known:
+        for digest, operator in self._operators:
             if hmac.compare_digest(digest, given):
                 found = operator
         if found is None:
-            raise refuse(401, "token", "a known bearer token is required")
+            raise refuse(401, "token", "a valid bearer token is required")
         return found
 
 
--- a/src/bramblebeam/edges/admin/errors.py
+++ b/src/bramblebeam/edges/admin/errors.py
@@ -1,4 +1,4 @@
-"""Refusals of the API: an HTTP status, a code for programs, and a text for people."""
+"""Errors of the API: an HTTP status, a machine-readable code and a message."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 
 class Problem(BaseModel):
-    """The body of every refusal. `not_run`: whether the request surely had no effect."""
+    """The body of every error response. `not_run`: the request is known to have had no effect."""
 
     code: str
     message: str
@@ -17,7 +17,7 @@
 
 
 class ApiError(Exception):
-    """A refusal with its HTTP status."""
+    """An error response with its HTTP status."""
 
     def __init__(self, status: int, problem: Problem) -> None:
         super().__init__(problem.message)
@@ -26,12 +26,12 @@
 
 
 def refuse(status: int, code: str, message: str, **details: Any) -> ApiError:
-    """Return the refusal of a request that had no effect."""
+    """Return the error for a request that was refused without any effect."""
     return ApiError(status, Problem(code=code, message=message, details=details))
 
 
 def problem_response(error: ApiError) -> web.Response:
-    """Return the refusal as an HTTP answer."""
+    """Return the error as an HTTP response."""
     headers = {}
     if error.problem.retry_after_ms is not None:
         headers["Retry-After"] = str(max(1, round(error.problem.retry_after_ms / 1000)))
--- a/src/bramblebeam/edges/admin/limits.py
+++ b/src/bramblebeam/edges/admin/limits.py
@@ -1,4 +1,4 @@
-"""Bounds on what one operator may ask."""
+"""Rate limiting of operators' requests."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 
 class RateLimiter:
-    """A token bucket an operator: `rate` requests a second, `burst` at once."""
+    """A token bucket per operator: `rate` requests per second, bursts of up to `burst`."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self._rate = rate
@@ -18,7 +18,7 @@
         self._buckets: dict[str, _Bucket] = {}
 
     def try_acquire(self, name: str, now: float) -> float:
-        """Take one request; return 0, or the seconds after which the next one may come."""
+        """Admit a request of operator `name` and return 0, or return the seconds to wait."""
         bucket = self._buckets.setdefault(name, _Bucket(self._burst, now))
         bucket.tokens = min(self._burst, bucket.tokens + (now - bucket.refilled_at) * self._rate)
         bucket.refilled_at = now
--- a/src/bramblebeam/edges/admin/openapi.py
+++ b/src/bramblebeam/edges/admin/openapi.py
@@ -1,4 +1,4 @@
-"""The OpenAPI document, made from the table of routes."""
+"""Generates the OpenAPI document from the table of routes."""
 
 import re
 from typing import Any
@@ -9,22 +9,22 @@
 from bramblebeam.edges.admin.errors import Problem
 from bramblebeam.edges.admin.routes import ROUTES, Route
 
-_REFERENCE = "#/components/schemas/{model}"
-_REFUSALS = {
-    "400": "The request is wrong.",
-    "401": "No known token.",
+_SCHEMA_REFERENCE = "#/components/schemas/{model}"
+_ERROR_RESPONSES = {
+    "400": "The request is invalid.",
+    "401": "The bearer token is missing or unknown.",
     "403": "The token's role or team does not allow it.",
-    "404": "There is no such thing.",
-    "409": "The row is at another version: `details` has it and the version that was expected.",
-    "422": "The row is wrong: the message names the field.",
-    "429": "Too many requests of this operator.",
-    "503": "Not done; come back after the time given.",
-    "504": "It may have been done: ask again with the same change id.",
+    "404": "The requested object does not exist.",
+    "409": "The row is at another version: `details` has it and the expected version.",
+    "422": "The row is invalid: the message names the field.",
+    "429": "Too many requests from this operator.",
+    "503": "Not executed; retry after the given time.",
+    "504": "The outcome is unknown; retry with the same change id.",
 }
 
 
 def openapi_document(version: str) -> dict[str, Any]:
-    """Return the document for the program's version."""
+    """Return the document, labelled with the program's version."""
     models: set[type[BaseModel]] = {Problem}
     for route in ROUTES:
         models.add(route.result)
@@ -32,7 +32,7 @@
             models.add(route.body)
     ordered = sorted(models, key=lambda model: model.__name__)
     _, schemas = models_json_schema(
-        [(model, "validation") for model in ordered], ref_template=_REFERENCE
+        [(model, "validation") for model in ordered], ref_template=_SCHEMA_REFERENCE
     )
     paths: dict[str, dict[str, Any]] = {}
     for route in ROUTES:
@@ -51,8 +51,8 @@
 
 def _operation(route: Route) -> dict[str, Any]:
     responses: dict[str, Any] = {"200": _content(route.summary, route.result)}
-    for status, meaning in _REFUSALS.items():
-        responses[status] = _content(meaning, Problem)
+    for status, description in _ERROR_RESPONSES.items():
+        responses[status] = _content(description, Problem)
     operation: dict[str, Any] = {
         "summary": route.summary,
         "description": f"Needs the role `{route.role.name.lower()}`.",
@@ -67,19 +67,19 @@
 
 def _parameters(route: Route) -> list[dict[str, Any]]:
     text = {"type": "string"}
-    found: list[dict[str, Any]] = [
+    parameters: list[dict[str, Any]] = [
         {"name": name, "in": "path", "required": True, "schema": text}
         for name in re.findall(r"{(\w+)}", route.path)
     ]
-    found += [
-        {"name": name, "in": "query", "description": meaning, "schema": text}
-        for name, meaning in route.query
+    parameters += [
+        {"name": name, "in": "query", "description": description, "schema": text}
+        for name, description in route.query
     ]
-    return found
+    return parameters
 
 
 def _content(description: str, model: type[BaseModel]) -> dict[str, Any]:
-    reference = {"$ref": _REFERENCE.format(model=model.__name__)}
+    reference = {"$ref": _SCHEMA_REFERENCE.format(model=model.__name__)}
     body: dict[str, Any] = {"content": {"application/json": {"schema": reference}}}
     if description:
         body["description"] = description
--- a/src/bramblebeam/edges/admin/routes.py
+++ b/src/bramblebeam/edges/admin/routes.py
@@ -1,4 +1,4 @@
-"""The operations of the API: path, role, bodies. Both the server and OpenAPI read this table."""
+"""The table of API operations, used by the server and for the OpenAPI document."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -13,33 +13,33 @@
 from bramblebeam.edges.admin.errors import refuse
 
 PREFIX = "/api/v1"
-DEFAULT_PAGE = 100
-LARGEST_PAGE = 1_000
-LARGEST_LIVE_PAGE = 50
-"""Groups and pools are asked of their owners live: a page of them is small."""
+DEFAULT_PAGE_SIZE = 100
+MAX_PAGE_SIZE = 1_000
+MAX_LIVE_PAGE_SIZE = 50
+"""Limit for groups and pools. Each entry is queried from its owner, so pages are small."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestContext:
-    """One request as a handler sees it."""
+    """One request, as passed to a handler."""
 
     api: AdministrationApi
     operator: Operator
     request: web.Request
 
-    def path(self, name: str) -> str:
-        """Return a part of the path."""
+    def path_parameter(self, name: str) -> str:
+        """Return a path parameter."""
         return self.request.match_info[name]
 
-    def text(self, name: str) -> str:
-        """Return a query parameter; empty if it is missing."""
+    def query_text(self, name: str) -> str:
+        """Return a query parameter, or an empty string if it is missing."""
         return self.request.query.get(name, "")
 
-    def number(self, name: str, default: int, largest: int) -> int:
-        """Return a whole query parameter from 0 to `largest`. Raises ApiError 400."""
+    def query_integer(self, name: str, default: int, maximum: int) -> int:
+        """Return an integer query parameter from 0 to `maximum`. Raises ApiError 400."""
         text = self.request.query.get(name, str(default))
-        if not text.isascii() or not text.isdigit() or int(text) > largest:
-            raise refuse(400, "parameter", f"{name}: expected a whole number up to {largest}")
+        if not text.isascii() or not text.isdigit() or int(text) > maximum:
+            raise refuse(400, "parameter", f"{name}: expected an integer from 0 to {maximum}")
         return int(text)
 
 
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One operation. `query`: its query parameters, each with its meaning."""
+    """One operation. `query`: name and description of each query parameter."""
 
     method: str
     path: str
@@ -61,97 +61,103 @@
 
 
 async def read_body(request: web.Request, model: type[BaseModel]) -> BaseModel:
-    """Return the checked body. Raises ApiError 400 that names each wrong field."""
+    """Return the validated body. Raises ApiError 400, which lists each invalid field."""
     try:
         return model.model_validate_json(await request.read())
     except ValidationError as error:
         found = {".".join(map(str, entry["loc"])): entry["msg"] for entry in error.errors()}
-        raise refuse(400, "body", "the body is wrong", fields=found) from error
+        raise refuse(400, "body", "the body is invalid", fields=found) from error
 
 
-async def _status(call: RequestContext, _: None) -> BaseModel:
-    return await call.api.status()
+async def _status(ctx: RequestContext, _: None) -> BaseModel:
+    return await ctx.api.status()
 
 
-async def _rows(call: RequestContext, _: None) -> BaseModel:
-    limit = call.number("limit", DEFAULT_PAGE, LARGEST_PAGE)
-    return await call.api.rows(call.text("kind"), call.text("prefix"), call.text("after"), limit)
+async def _rows(ctx: RequestContext, _: None) -> BaseModel:
+    limit = ctx.query_integer("limit", DEFAULT_PAGE_SIZE, MAX_PAGE_SIZE)
+    return await ctx.api.rows(
+        ctx.query_text("kind"), ctx.query_text("prefix"), ctx.query_text("after"), limit
+    )
 
 
-async def _row(call: RequestContext, _: None) -> BaseModel:
-    return await call.api.row(call.path("kind"), call.path("name"))
+async def _row(ctx: RequestContext, _: None) -> BaseModel:
+    return await ctx.api.row(ctx.path_parameter("kind"), ctx.path_parameter("name"))
 
 
-async def _edit(call: RequestContext, body: schemas.EditBody) -> BaseModel:
-    return await call.api.edit(call.operator, call.path("kind"), call.path("name"), body)
+async def _edit(ctx: RequestContext, body: schemas.EditBody) -> BaseModel:
+    return await ctx.api.edit(
+        ctx.operator, ctx.path_parameter("kind"), ctx.path_parameter("name"), body
+    )
 
 
-async def _delete(call: RequestContext, _: None) -> BaseModel:
-    expected = call.number("expected_version", 0, 2**63)
-    change_id = call.text("change_id")
-    kind, name = call.path("kind"), call.path("name")
-    return await call.api.delete(call.operator, kind, name, expected, change_id)
+async def _delete(ctx: RequestContext, _: None) -> BaseModel:
+    expected = ctx.query_integer("expected_version", 0, 2**63)
+    change_id = ctx.query_text("change_id")
+    kind, name = ctx.path_parameter("kind"), ctx.path_parameter("name")
+    return await ctx.api.delete(ctx.operator, kind, name, expected, change_id)
 
 
-async def _in_force(call: RequestContext, _: None) -> BaseModel:
-    return await call.api.in_force(call.number("version", 0, 2**63))
+async def _in_force(ctx: RequestContext, _: None) -> BaseModel:
+    return await ctx.api.in_force(ctx.query_integer("version", 0, 2**63))
 
 
-async def _versions(call: RequestContext, _: None) -> BaseModel:
-    return await call.api.versions(call.number("limit", DEFAULT_PAGE, LARGEST_PAGE))
+async def _versions(ctx: RequestContext, _: None) -> BaseModel:
+    return await ctx.api.versions(ctx.query_integer("limit", DEFAULT_PAGE_SIZE, MAX_PAGE_SIZE))
 
 
-async def _members(call: RequestContext, _: None) -> BaseModel:
-    limit = call.number("limit", DEFAULT_PAGE, LARGEST_PAGE)
-    return await call.api.members(call.text("zone"), call.text("after"), limit)
+async def _members(ctx: RequestContext, _: None) -> BaseModel:
+    limit = ctx.query_integer("limit", DEFAULT_PAGE_SIZE, MAX_PAGE_SIZE)
+    return await ctx.api.members(ctx.query_text("zone"), ctx.query_text("after"), limit)
 
 
-async def _groups(call: RequestContext, _: None) -> BaseModel:
-    limit = call.number("limit", LARGEST_LIVE_PAGE, LARGEST_LIVE_PAGE)
-    return await call.api.groups(call.text("after"), limit)
+async def _groups(ctx: RequestContext, _: None) -> BaseModel:
+    limit = ctx.query_integer("limit", MAX_LIVE_PAGE_SIZE, MAX_LIVE_PAGE_SIZE)
+    return await ctx.api.groups(ctx.query_text("after"), limit)
 
 
-async def _group(call: RequestContext, _: None) -> BaseModel:
-    return await call.api.group(call.path("group"))
+async def _group(ctx: RequestContext, _: None) -> BaseModel:
+    return await ctx.api.group(ctx.path_parameter("group"))
 
 
-async def _pools(call: RequestContext, _: None) -> BaseModel:
-    limit = call.number("limit", LARGEST_LIVE_PAGE, LARGEST_LIVE_PAGE)
-    return await call.api.pools(call.text("group"), call.text("after"), limit)
+async def _pools(ctx: RequestContext, _: None) -> BaseModel:
+    limit = ctx.query_integer("limit", MAX_LIVE_PAGE_SIZE, MAX_LIVE_PAGE_SIZE)
+    return await ctx.api.pools(ctx.query_text("group"), ctx.query_text("after"), limit)
 
 
-async def _change_primary(call: RequestContext, body: schemas.ChangePrimaryBody) -> BaseModel:
-    return await call.api.change_primary(call.operator, call.path("group"), body.instance)
+async def _change_primary(ctx: RequestContext, body: schemas.ChangePrimaryBody) -> BaseModel:
+    return await ctx.api.change_primary(ctx.operator, ctx.path_parameter("group"), body.instance)
 
 
-async def _drain_instance(call: RequestContext, body: schemas.DrainBody) -> BaseModel:
-    return await call.api.drain_instance(call.operator, call.path("instance"), body)
+async def _drain_instance(ctx: RequestContext, body: schemas.DrainBody) -> BaseModel:
+    return await ctx.api.drain_instance(ctx.operator, ctx.path_parameter("instance"), body)
 
 
-async def _drain_node(call: RequestContext, _: None) -> BaseModel:
-    return await call.api.drain_node(call.operator, call.path("node"))
+async def _drain_node(ctx: RequestContext, _: None) -> BaseModel:
+    return await ctx.api.drain_node(ctx.operator, ctx.path_parameter("node"))
 
 
-_PAGE = (("after", "the `next` of the page before"), ("limit", "rows a page"))
+_PAGE = (("after", "the `next` of the previous page"), ("limit", "maximum entries per page"))
 _ROW = f"{PREFIX}/rows/{{kind}}/{{name}}"
 
 ROUTES: tuple[Route, ...] = (
-    Route("GET", f"{PREFIX}/status", Role.READ, "The system", _status, schemas.StatusBody),
+    Route(
+        "GET", f"{PREFIX}/status", Role.READ, "Status of the system", _status, schemas.StatusBody
+    ),
     Route(
         "GET",
         f"{PREFIX}/rows",
         Role.READ,
-        "Rows in force at the asked node",
+        "Rows in force at the node that answers",
         _rows,
         schemas.RowList,
-        query=(("kind", "group, limit or weight"), ("prefix", "beginning of the name"), *_PAGE),
+        query=(("kind", "group, limit or weight"), ("prefix", "prefix of the name"), *_PAGE),
     ),
     Route("GET", _ROW, Role.READ, "One row in force", _row, schemas.RowBody),
     Route(
         "PUT",
         _ROW,
         Role.EDIT,
-        "Write a row; 409 shows both versions",
+        "Write a row; 409 reports both versions",
         _edit,
         schemas.EditResult,
         schemas.EditBody,
@@ -160,12 +166,12 @@
         "DELETE",
         _ROW,
         Role.EDIT,
-        "Delete a row; 409 shows the version that is there",
+        "Delete a row; 409 reports the current version",
         _delete,
         schemas.EditResult,
         query=(
-            ("expected_version", "the version that is to be deleted"),
-            ("change_id", "makes the edit safe to send again"),
+            ("expected_version", "the version to delete"),
+            ("change_id", "makes the edit idempotent"),
         ),
     ),
     Route(
@@ -175,16 +181,16 @@
         "Where a version is in force, by zone",
         _in_force,
         schemas.InForceBody,
-        query=(("version", "the store version of an edit"),),
+        query=(("version", "the version that the store assigned to an edit"),),
     ),
     Route(
         "GET",
         f"{PREFIX}/versions",
         Role.READ,
-        "What each node has in force, the slowest first",
+        "Version in force at each node, the lowest first",
         _versions,
         schemas.VersionsBody,
-        query=(("limit", "nodes to show"),),
+        query=(("limit", "maximum number of nodes"),),
     ),
     Route(
         "GET",
@@ -193,7 +199,7 @@
         "Nodes",
         _members,
         schemas.MemberList,
-        query=(("zone", "only this zone's"), *_PAGE),
+        query=(("zone", "return only nodes of this zone"), *_PAGE),
     ),
     Route("GET", f"{PREFIX}/groups", Role.READ, "Groups", _groups, schemas.GroupList, query=_PAGE),
     Route("GET", f"{PREFIX}/groups/{{group}}", Role.READ, "One group", _group, schemas.GroupBody),
@@ -201,10 +207,10 @@
         "GET",
         f"{PREFIX}/pools",
         Role.READ,
-        "Slots of back ends",
+        "Slot usage of back ends",
         _pools,
         schemas.PoolList,
-        query=(("group", "only this group's"), *_PAGE),
+        query=(("group", "return only pools of this group"), *_PAGE),
     ),
     Route(
         "POST",
@@ -219,7 +225,7 @@
         "POST",
         f"{PREFIX}/instances/{{instance}}/drain",
         Role.OPERATE,
-        "Take a back end out of use, or into it again",
+        "Drain a back end, or return it to service",
         _drain_instance,
         schemas.EditResult,
         schemas.DrainBody,
--- a/src/bramblebeam/edges/admin/schemas.py
+++ b/src/bramblebeam/edges/admin/schemas.py
@@ -1,4 +1,4 @@
-"""The bodies of the API. Times are milliseconds where a name ends in `_ms`."""
+"""Request and response bodies of the API. Fields that end in `_ms` are in milliseconds."""
 
 from typing import Any, Literal
 
@@ -10,7 +10,7 @@
 
 
 class RowBody(_Body):
-    """One version of one row. `version` is the store's; it only grows."""
+    """One version of one row. `version` is assigned by the store and only increases."""
 
     kind: str
     name: str
@@ -20,7 +20,7 @@
 
 
 class RowList(_Body):
-    """Rows in force at the asked node. `next`: ask again with `after=next` for more."""
+    """Rows in force at the node that answers. `next`: the `after` value for the next page."""
 
     rows: list[RowBody]
     complete: int
@@ -30,7 +30,7 @@
 class EditBody(_Body):
     """An edit: written only if the row is at `expected_version` (0: it must not exist).
 
-    `change_id` makes the edit safe to send again; the node makes one up where it is missing.
+    `change_id` makes the edit idempotent; the node generates one if it is missing.
     """
 
     expected_version: int = Field(ge=0)
@@ -39,7 +39,7 @@
 
 
 class EditResult(_Body):
-    """An accepted edit. `overwritten`: a later edit has taken its place already."""
+    """An accepted edit. `overwritten`: a later edit has already replaced it."""
 
     change_id: str
     version: int
@@ -48,7 +48,7 @@
 
 
 class ZoneInForce(_Body):
-    """How far one zone is: `slowest` is the node that is furthest back, at `lowest`."""
+    """Versions in force in one zone: `lowest` is the lowest one, at node `slowest`."""
 
     zone: str
     lowest: int
@@ -58,7 +58,7 @@
 
 
 class InForceBody(_Body):
-    """Where a version is in force. `everywhere`: every zone answered, and no node is behind."""
+    """Where a version is in force. `everywhere`: every zone answered and no node is behind."""
 
     version: int
     everywhere: bool
@@ -67,7 +67,7 @@
 
 
 class NodeVersion(_Body):
-    """What one node has in force at least (0: not known)."""
+    """The lowest version that one node may have in force (0: unknown)."""
 
     node: str
     zone: str
@@ -75,7 +75,7 @@
 
 
 class VersionsBody(_Body):
-    """What is in force where, node by node, the slowest first; `total`: nodes known in all."""
+    """The version in force at each node, the lowest first. `total`: number of known nodes."""
 
     nodes: list[NodeVersion]
     total: int
@@ -83,7 +83,7 @@
 
 
 class MemberBody(_Body):
-    """One node as the asked node knows it."""
+    """One node, as known to the node that answers."""
 
     node: str
     zone: str
@@ -94,14 +94,14 @@
 
 
 class MemberList(_Body):
-    """A page of the nodes known, by zone and name."""
+    """A page of the known nodes, ordered by zone and name."""
 
     members: list[MemberBody]
     next: str | None = None
 
 
 class GroupMemberBody(_Body):
-    """One database server of a group; live fields are missing where no owner answered."""
+    """One database server of a group. Live fields are null if no owner answered."""
 
     instance: str
     zone: str
@@ -114,11 +114,11 @@
     lag_ms: int | None = None
     leaving: bool | None = None
     drained: bool = False
-    """By its weight row: it is to get no new work."""
+    """Its weight row excludes it from new work."""
 
 
 class GroupBody(_Body):
-    """One database group. `unreachable`: instances of which nothing could be learned."""
+    """One database group. `unreachable`: instances whose state could not be determined."""
 
     group: str
     failover: str
@@ -137,7 +137,7 @@
 
 
 class PoolServiceBody(_Body):
-    """One service's slots on one back end."""
+    """Slot usage of one service on one back end."""
 
     service: str
     slots: int
@@ -147,7 +147,7 @@
 
 
 class PoolBody(_Body):
-    """The slots of one back end, as its owner has them."""
+    """Slot usage of one back end, as reported by its owner."""
 
     instance: str
     group: str
@@ -167,7 +167,7 @@
 
 
 class StatusBody(_Body):
-    """The system at a glance, as the asked node sees it."""
+    """A summary of the system, as seen by the node that answers."""
 
     node: str
     zone: str
@@ -182,13 +182,13 @@
 
 
 class ChangePrimaryBody(_Body):
-    """The instance that is to be primary."""
+    """The instance that is to become primary."""
 
     instance: str
 
 
 class ChangePrimaryResult(_Body):
-    """How a planned change of primary ended."""
+    """The outcome of a planned change of primary."""
 
     group: str
     outcome: str
@@ -199,10 +199,10 @@
 
 
 class DrainBody(_Body):
-    """Whether the back end is to be drained; null `expected_version`: whatever is in force.
+    """Whether to drain the back end. A null `expected_version` stands for the version in force.
 
-    A primary that is drained moves by a planned change. `force`: also where the group changes its
-    primary itself, and its writes are refused until it has.
+    Draining a primary starts a planned change of primary. `force`: drain even if the group changes
+    its primary by itself; its writes are then refused until it has done so.
     """
 
     drain: bool = True
@@ -211,7 +211,7 @@
 
 
 class NodeDrainResult(_Body):
-    """The node begins its planned stop."""
+    """Confirms that the node has begun its planned stop."""
 
     node: str
     state: Literal["stopping"] = "stopping"
--- a/src/bramblebeam/edges/admin/server.py
+++ b/src/bramblebeam/edges/admin/server.py
@@ -21,10 +21,10 @@
 
 logger = logging.getLogger(__name__)
 
-LARGEST_BODY_BYTES = 256 * 1024
-MOST_IN_FLIGHT = 64
-RATE_A_SECOND = 100.0
-RATE_BURST = 200.0
+MAX_BODY_BYTES = 256 * 1024
+MAX_REQUESTS_IN_FLIGHT = 64
+REQUESTS_PER_SECOND = 100.0
+REQUEST_BURST = 200.0
 BUSY_RETRY_MS = 1_000
 SHUTDOWN_SECONDS = 2.0
 
@@ -32,21 +32,21 @@
 
 
 class AdminServer:
-    """Listens for operators and for the collector of metrics."""
+    """Serves operators, health probes and the metrics collector."""
 
     def __init__(self, api: AdministrationApi, settings: AdminSettings) -> None:
         self._api = api
         self._settings = settings
         self._authenticator = Authenticator(settings.tokens, settings.host)
-        self._rate = RateLimiter(RATE_A_SECOND, RATE_BURST)
+        self._rate_limiter = RateLimiter(REQUESTS_PER_SECOND, REQUEST_BURST)
         self._in_flight = 0
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> Address:
-        """Listen; return the address in use. Raises OSError, ssl.SSLError."""
-        application = web.Application(client_max_size=LARGEST_BODY_BYTES)
+        """Start listening and return the bound address. Raises OSError, ssl.SSLError."""
+        application = web.Application(client_max_size=MAX_BODY_BYTES)
         for route in ROUTES:
-            application.router.add_route(route.method, route.path, self._operation(route))
+            application.router.add_route(route.method, route.path, self._handler_for(route))
         application.router.add_get("/healthz", self._health)
         application.router.add_get("/readyz", self._ready)
         application.router.add_get("/metrics", self._metrics)
@@ -55,19 +55,19 @@
         self._runner = runner
         await runner.setup()
         site = web.TCPSite(
-            runner, self._settings.host, self._settings.port, ssl_context=self._tls()
+            runner, self._settings.host, self._settings.port, ssl_context=self._tls_context()
         )
         await site.start()
         host, port = runner.addresses[0][:2]
         return Address(host, port)
 
     async def stop(self) -> None:
-        """Stop listening; let requests in flight end within a bound."""
+        """Stop listening; wait up to SHUTDOWN_SECONDS for requests in flight."""
         if self._runner is not None:
             await self._runner.cleanup()
             self._runner = None
 
-    def _tls(self) -> ssl.SSLContext | None:
+    def _tls_context(self) -> ssl.SSLContext | None:
         tls = self._settings.tls
         if tls is None:
             return None
@@ -76,30 +76,30 @@
         context.load_cert_chain(tls.certificate, tls.key)
         return context
 
-    def _operation(self, route: Route) -> HttpHandler:
+    def _handler_for(self, route: Route) -> HttpHandler:
         async def handle(request: web.Request) -> web.StreamResponse:
             try:
-                return await self._bounded(route, request)
+                return await self._run_operation(route, request)
             except ApiError as error:
                 self._log_refusal(request, error)
                 return problem_response(error)
             except web.HTTPRequestEntityTooLarge:
-                limit = f"the body is larger than {LARGEST_BODY_BYTES} bytes"
-                return problem_response(refuse(413, "body", limit))
+                message = f"the body is larger than {MAX_BODY_BYTES} bytes"
+                return problem_response(refuse(413, "body", message))
             except (web.HTTPException, asyncio.CancelledError):
                 raise
             except Exception as error:
                 log_event(logger, ADMIN_REQUEST_FAILED, path=request.path, error=repr(error))
-                problem = Problem(code="internal", message="the node failed", not_run=False)
+                problem = Problem(code="internal", message="internal error", not_run=False)
                 return problem_response(ApiError(500, problem))
 
         return handle
 
-    async def _bounded(self, route: Route, request: web.Request) -> web.Response:
+    async def _run_operation(self, route: Route, request: web.Request) -> web.Response:
         operator = self._authenticator.operator(request.headers.get("Authorization", ""))
         operator.require(route.role)
         self._check_rate(operator)
-        if self._in_flight >= MOST_IN_FLIGHT:
+        if self._in_flight >= MAX_REQUESTS_IN_FLIGHT:
             raise _busy(503, "too many requests in flight", BUSY_RETRY_MS)
         self._in_flight += 1
         try:
@@ -110,9 +110,9 @@
         return web.Response(text=result.model_dump_json(), content_type="application/json")
 
     def _check_rate(self, operator: Operator) -> None:
-        wait = self._rate.try_acquire(operator.name, asyncio.get_running_loop().time())
+        wait = self._rate_limiter.try_acquire(operator.name, asyncio.get_running_loop().time())
         if wait > 0:
-            raise _busy(429, "too many requests of this token", round(wait * 1000))
+            raise _busy(429, "too many requests with this token", round(wait * 1000))
 
     def _log_refusal(self, request: web.Request, error: ApiError) -> None:
         if error.status in (401, 403):
--- a/src/bramblebeam/edges/backend/__init__.py
+++ b/src/bramblebeam/edges/backend/__init__.py
@@ -1,4 +1,4 @@
-"""The back ends' protocol: MySQL, by asyncmy."""
+"""The client of the back ends' MySQL protocol, built on asyncmy."""
 
 from bramblebeam.edges.backend.connection import BackendConnection
 from bramblebeam.edges.backend.errors import (
--- a/src/bramblebeam/edges/backend/connection.py
+++ b/src/bramblebeam/edges/backend/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a back end."""
+"""A connection to a back end."""
 
 import asyncio
 import socket
@@ -16,22 +16,22 @@
 
 COM_RESET_CONNECTION = 0x1F
 CLIENT_ERRORS = range(2000, 3000)
-"""Error codes that the driver makes itself; all others come from the server."""
+"""Error codes that the driver generates; all others come from the server."""
 
 SERVER_GONE = 2006
-"""The driver found the connection closed before the statement was handed over whole."""
+"""Driver error: the connection was closed before the whole statement was written."""
 
 BINARY_CHARACTER_SET = 63
 RECEIVE_BUFFER_BYTES = 16 * 1024
-"""First size of the driver's receive buffer; it grows by itself. Its own default is 256 KB."""
+"""Initial size of the driver's receive buffer, which grows on demand (driver default: 256 KB)."""
 
 SOCKET_BUFFER_BYTES = 256 * 1024
-"""Bounds what a server may send ahead of the reader."""
+"""Kernel receive buffer: bounds how far a server can send ahead of the reader."""
 
 KEEPALIVE_IDLE_SECONDS = 10
 KEEPALIVE_INTERVAL_SECONDS = 5
 KEEPALIVE_PROBES = 3
-"""The driver switches keepalive on; these are its times."""
+"""Keepalive timing; the driver itself enables keepalive."""
 
 _INTEGER_TYPES = (
     FIELD_TYPE.TINY,
@@ -66,15 +66,15 @@
 class BackendConnection:
     """A connection that runs one statement at a time.
 
-    A connection that failed, or whose statement or fetch was cancelled, is `broken`: it is closed
-    and never usable again. No method may be called while another one runs.
+    After a failure, or the cancellation of a statement or fetch, the connection is `broken`: it is
+    closed and can't be used again. No method may be called while another one runs.
     """
 
     def __init__(self, driver: Any) -> None:
         self._driver = driver
         self._stream: Any = None
         self._running = False
-        self._held_back = False
+        self._reading_paused = False
 
     @classmethod
     async def connect(
@@ -101,52 +101,52 @@
                     conv=_CONVERSIONS,
                 )
         except TimeoutError as error:
-            raise ConnectError(f"no connection to {address} within {timeout} s") from error
+            raise ConnectError(f"connecting to {address} timed out after {timeout} s") from error
         except MySQLError as error:
-            code = _code(error)
+            code = _error_code(error)
             server_code = 0 if code in CLIENT_ERRORS else code
-            raise ConnectError(f"no connection to {address}: {error}", server_code) from error
+            raise ConnectError(f"could not connect to {address}: {error}", server_code) from error
         except (OSError, ValueError, IndexError) as error:
-            raise ConnectError(f"no connection to {address}: {error}") from error
-        _tune(driver)
+            raise ConnectError(f"could not connect to {address}: {error}") from error
+        _configure(driver)
         return cls(driver)
 
     @property
     def id(self) -> int:
-        """The server's number of this connection, as in CONNECTION_ID()."""
+        """The server's id of this connection, as returned by CONNECTION_ID()."""
         number: int = self._driver.thread_id()
         return number
 
     @property
     def broken(self) -> bool:
-        """Whether the connection can't be used any more."""
+        """Whether the connection is closed or unusable."""
         driver = self._driver
         return not driver.connected or driver._stream_broken
 
     @property
     def busy(self) -> bool:
-        """Whether an answer is under way (`broken` is not busy)."""
+        """Whether a statement or a streamed result is in progress; False if broken."""
         return not self.broken and (self._running or self._stream is not None)
 
     @property
     def in_transaction(self) -> bool:
-        """Whether a transaction was open by the last answer; an error packet does not tell."""
+        """Whether a transaction was open as of the last result. Error packets don't report it."""
         flag: bool = self._driver.get_transaction_status()
         return flag
 
     async def execute(self, sql: str, maximum_rows: int | None = None) -> BackendResult:
         """Run one statement.
 
-        With `maximum_rows`, a larger result comes with `more` set and its rest by `fetch`; until
-        then the connection is busy, and the server is not read from between fetches.
+        With `maximum_rows`, a larger result has `more` set, and `fetch` returns its remaining rows.
+        The connection stays busy until then, and reading from the server is paused between fetches.
         Raises StatementError, ConnectionLostError.
         """
         streamed = maximum_rows is not None
-        await self._run(self._driver.query(sql, unbuffered=streamed))
+        await self._run_exclusive(self._driver.query(sql, unbuffered=streamed))
         result = self._driver._result
         if result.description is None:
-            return self._ok(result)
-        columns = tuple(_column(field) for field in result.fields)
+            return self._ok_result(result)
+        columns = tuple(_column_spec(field) for field in result.fields)
         if maximum_rows is None:
             return BackendResult(columns, result.rows, in_transaction=self.in_transaction)
         self._stream = result
@@ -158,21 +158,21 @@
     async def fetch(self, count: int) -> RowBatch:
         """Return the next rows of a streamed result, at least one and about `count` at most.
 
-        Raises StatementError (the result ends with it), ConnectionLostError, RuntimeError where
-        no result is open.
+        Raises StatementError (which ends the result), ConnectionLostError, and RuntimeError if no
+        result is open.
         """
         if self._stream is None:
             raise RuntimeError("no streamed result is open")
-        if self._held_back and self._driver._transport is not None:
-            self._held_back = False
+        if self._reading_paused and self._driver._transport is not None:
+            self._reading_paused = False
             self._driver._transport.resume_reading()
         try:
-            rows, more = await self._run(self._take_rows(self._stream, count))
+            rows, more = await self._run_exclusive(self._read_rows(self._stream, count))
         except StatementError:
             self._stream = None
             raise
         if more:
-            self._held_back = True
+            self._reading_paused = True
             self._driver._transport.pause_reading()
         else:
             self._stream = None
@@ -180,18 +180,21 @@
 
     async def use(self, database: str) -> None:
         """Change the default database. Raises StatementError, ConnectionLostError."""
-        await self._run(self._driver.select_db(database))
+        await self._run_exclusive(self._driver.select_db(database))
 
     async def reset(self) -> None:
-        """Roll back and clear the session's state. Raises StatementError, ConnectionLostError."""
-        await self._run(self._reset())
+        """Roll back and reset the session state. Raises StatementError, ConnectionLostError."""
+        await self._run_exclusive(self._reset())
 
     async def kill(self, connection_id: int, query_only: bool) -> None:
-        """End another connection, or its statement. Raises StatementError, ConnectionLostError."""
+        """Kill another connection, or only its statement.
+
+        Raises StatementError, ConnectionLostError.
+        """
         await self.execute(f"KILL {'QUERY ' if query_only else ''}{connection_id}")
 
     async def close(self) -> None:
-        """Say goodbye where nothing is under way, and close."""
+        """Close, with COM_QUIT if the connection is idle."""
         if self.busy or self.broken:
             self.abort()
             return
@@ -202,24 +205,24 @@
             self.abort()
 
     def abort(self) -> None:
-        """Close at once, whatever is under way."""
+        """Close at once, aborting anything in progress."""
         self._stream = None
         transport = self._driver._transport
         if transport is not None:
             transport.abort()
         self._driver.close()
 
-    async def _run(self, work: Awaitable[T]) -> T:
+    async def _run_exclusive(self, operation: Awaitable[T]) -> T:
         if self._running:
-            raise RuntimeError("a statement is under way on this connection")
+            raise RuntimeError("a statement is already running on this connection")
         self._running = True
         try:
-            return await work
+            return await operation
         except MySQLError as error:
             raise self._translate(error) from error
         except (OSError, EOFError, AssertionError, IndexError, ValueError) as error:
             self.abort()
-            raise ConnectionLostError(f"the answer could not be read: {error}", True) from error
+            raise ConnectionLostError(f"the response could not be read: {error}", True) from error
         except BaseException:
             self.abort()
             raise
@@ -227,7 +230,7 @@
             self._running = False
 
     def _translate(self, error: MySQLError) -> StatementError | ConnectionLostError:
-        code = _code(error)
+        code = _error_code(error)
         message = str(error.args[1]) if len(error.args) > 1 else str(error)
         if code >= 1000 and code not in CLIENT_ERRORS and not self.broken:
             sqlstate = getattr(error, "sqlstate", None) or "HY000"
@@ -241,7 +244,7 @@
         await self._driver._read_ok_packet()
 
     @staticmethod
-    async def _take_rows(result: Any, count: int) -> tuple[Rows, bool]:
+    async def _read_rows(result: Any, count: int) -> tuple[Rows, bool]:
         rows: list[tuple[Any, ...]] = []
         while len(rows) < count:
             row = await result._read_rowdata_packet_unbuffered()
@@ -251,7 +254,7 @@
             rows.extend(result._take_pending_rows(count - len(rows)))
         return tuple(rows), True
 
-    def _ok(self, result: Any) -> BackendResult:
+    def _ok_result(self, result: Any) -> BackendResult:
         return BackendResult(
             affected_rows=result.affected_rows,
             last_insert_id=result.insert_id,
@@ -260,20 +263,20 @@
         )
 
 
-def _code(error: MySQLError) -> int:
+def _error_code(error: MySQLError) -> int:
     code = error.args[0] if error.args else 0
     return code if isinstance(code, int) else 0
 
 
-def _column(field: Any) -> ColumnSpec:
+def _column_spec(field: Any) -> ColumnSpec:
     if field.type_code not in _TEXT_OR_BYTES_TYPES:
         return ColumnSpec(field.name, field.type_code)
     is_bytes = field.charsetnr == BINARY_CHARACTER_SET
     return ColumnSpec(field.name, FIELD_TYPE.BLOB if is_bytes else FIELD_TYPE.VAR_STRING)
 
 
-def _tune(driver: Any) -> None:
-    """Bound the memory of the connection; have the system notice a server that is gone."""
+def _configure(driver: Any) -> None:
+    """Bound the connection's buffers and set up keepalive to detect a server that is gone."""
     connected = driver._transport.get_extra_info("socket")
     connected.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER_BYTES)
     connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
--- a/src/bramblebeam/edges/backend/errors.py
+++ b/src/bramblebeam/edges/backend/errors.py
@@ -1,17 +1,17 @@
-"""What can go wrong at a back end, and whether the statement may have run."""
+"""Errors of back ends, each with a verdict on whether the statement may have run."""
 
 from bramblebeam.core.verdict import Verdict
 
 MAJORITY_NOT_REACHED = 3102
-"""The group's code for a write that the primary has in its log but no majority acknowledged."""
+"""Error code of the group: the write is in the primary's log, but no majority acknowledged it."""
 
 FAILED_DURING_COMMIT = 1180
-MAY_HAVE_RUN = frozenset({MAJORITY_NOT_REACHED, FAILED_DURING_COMMIT})
-"""Error packets that do not say that the statement was rolled back."""
+UNCERTAIN_OUTCOME_CODES = frozenset({MAJORITY_NOT_REACHED, FAILED_DURING_COMMIT})
+"""Error codes that do not imply that the statement was rolled back."""
 
 
 class BackendError(Exception):
-    """No ordinary answer from a back end. `verdict` says whether the statement may have run."""
+    """Base of all back-end errors. `verdict` says whether the statement may have run."""
 
     def __init__(self, message: str, verdict: Verdict) -> None:
         super().__init__(message)
@@ -19,9 +19,9 @@
 
 
 class ConnectError(BackendError):
-    """No connection was made; nothing has run.
+    """The connection could not be established; nothing has run.
 
-    `code` is the server's error code where it refused the connection, else 0.
+    `code` is the server's error code if the server refused the connection, else 0.
     """
 
     def __init__(self, message: str, code: int = 0) -> None:
@@ -30,10 +30,10 @@
 
 
 class StatementError(BackendError):
-    """The server answered the statement with an error. The connection stays usable."""
+    """The server returned an error for the statement. The connection stays usable."""
 
     def __init__(self, code: int, sqlstate: str, message: str) -> None:
-        verdict = Verdict.UNKNOWN if code in MAY_HAVE_RUN else Verdict.NOT_RUN
+        verdict = Verdict.UNKNOWN if code in UNCERTAIN_OUTCOME_CODES else Verdict.NOT_RUN
         super().__init__(f"{code} ({sqlstate}): {message}", verdict)
         self.code = code
         self.sqlstate = sqlstate
@@ -41,7 +41,7 @@
 
 
 class ConnectionLostError(BackendError):
-    """The connection broke. `sent` False: the statement surely did not reach the server whole."""
+    """The connection was lost. `sent` is False if the whole statement can't have reached the server."""
 
     def __init__(self, message: str, sent: bool) -> None:
         super().__init__(message, Verdict.UNKNOWN if sent else Verdict.NOT_RUN)
--- a/src/bramblebeam/edges/backend/results.py
+++ b/src/bramblebeam/edges/backend/results.py
@@ -1,4 +1,4 @@
-"""What a back end answers to a statement."""
+"""Results of statements at a back end."""
 
 from dataclasses import dataclass
 from typing import Any, NamedTuple
@@ -9,7 +9,7 @@
 
 
 class RowBatch(NamedTuple):
-    """Some rows of a streamed result. `more`: others follow."""
+    """A batch of rows of a streamed result. `more`: further rows follow."""
 
     rows: Rows
     more: bool
@@ -17,11 +17,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendResult:
-    """A statement's answer, or its head: where `more` is set, `fetch` gives the other rows.
+    """A statement's result. If `more` is set, `rows` is the first batch and `fetch` returns the rest.
 
-    Integers come as int, FLOAT and DOUBLE as float, values of the BLOB family as bytes, all
-    others (decimals and times too) as the text the server sent. A column's type code is one of
-    the BLOB family if and only if its values are bytes.
+    Integers are int, FLOAT and DOUBLE are float, values of the BLOB family are bytes; all others,
+    including decimals and temporal values, are the text that the server sent. A column's type code
+    is one of the BLOB family if and only if its values are bytes.
     """
 
     columns: tuple[ColumnSpec, ...] = ()
--- a/src/bramblebeam/edges/backend/status.py
+++ b/src/bramblebeam/edges/backend/status.py
@@ -1,8 +1,8 @@
-"""The status query to a member of a database group, and the reading of its answer.
+"""The status query to a member of a database group, and the parser of its result.
 
-A member is asked several times a second for as long as the system runs, so the query takes the
-brief form: one column whose text holds the values in the order of `_NAMES`, a fifth of the bytes of
-a row with a description for each column. The answers of commands hold the full row.
+Members are polled several times a second, so the query uses the brief form: one column whose text
+holds the values in the order of `_FIELDS`. It takes a fifth of the bytes of a full row, which needs
+a definition for each column. Commands return the full row.
 """
 
 from typing import Any
@@ -14,7 +14,7 @@
 
 STATUS_QUERY = "SHOW BRAMBLEBEAM STATUS BRIEF"
 
-_NAMES = (
+_FIELDS = (
     "instance",
     "term",
     "role",
@@ -31,14 +31,14 @@
 
 
 class StatusFormatError(Exception):
-    """A member's status lacks a value or holds a wrong one. Not retriable."""
+    """A member's status lacks a value or holds an invalid one. Not retriable."""
 
 
 def parse_status(result: BackendResult) -> MemberStatus:
-    """Read a status, brief or as a full row. Raises StatusFormatError."""
+    """Parse a brief or full status. Raises StatusFormatError."""
     if len(result.rows) != 1:
-        raise StatusFormatError(f"{len(result.rows)} rows instead of one")
-    row = _values(result)
+        raise StatusFormatError(f"{len(result.rows)} status rows, expected one")
+    row = _values_by_field(result)
     try:
         return MemberStatus(
             instance=InstanceId(str(row["instance"])),
@@ -53,12 +53,12 @@
             leaving=bool(int(row["leaving"])),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise StatusFormatError(f"status is not readable: {error!r}") from error
+        raise StatusFormatError(f"invalid status: {error!r}") from error
 
 
-def _values(result: BackendResult) -> dict[str, Any]:
+def _values_by_field(result: BackendResult) -> dict[str, Any]:
     values = result.rows[0]
     if len(result.columns) == 1:
-        return dict(zip(_NAMES, str(values[0]).split(","), strict=False))
+        return dict(zip(_FIELDS, str(values[0]).split(","), strict=False))
     names = (column.name for column in result.columns)
     return dict(zip(names, values, strict=True))
--- a/src/bramblebeam/edges/mysql/__init__.py
+++ b/src/bramblebeam/edges/mysql/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' protocol: MySQL, by the codec of mysql-mimic."""
+"""The server side of the callers' MySQL protocol, built on the codec of mysql-mimic."""
--- a/src/bramblebeam/edges/mysql/answers.py
+++ b/src/bramblebeam/edges/mysql/answers.py
@@ -1,4 +1,4 @@
-"""Writes the server's answers to a stream of packets."""
+"""Writes the server's responses to a packet stream."""
 
 import asyncio
 import logging
@@ -28,23 +28,26 @@
 OK_HEADER = b"\x00"
 END_HEADER = b"\xfe"
 ERROR_HEADER = b"\xff"
-WRONG_VALUE = 1366
-HEAD_CACHE = 1_024
+INCORRECT_VALUE = 1366
+RESULT_HEADER_CACHE_SIZE = 1_024
 FIRST_SEQUENCE = 1
-"""The client's command has number 0, so an answer begins with this one."""
+"""The client's command has sequence number 0, so a response begins with 1."""
 
 _status = struct.Struct("<HH")
 
 
-@lru_cache(HEAD_CACHE)
-def result_head(columns: tuple[ColumnSpec, ...]) -> bytes:
-    """Return the frames that begin a result set: the number of columns, and each column."""
+@lru_cache(RESULT_HEADER_CACHE_SIZE)
+def result_set_header(columns: tuple[ColumnSpec, ...]) -> bytes:
+    """Return the framed packets that begin a result set: column count and column definitions."""
     packets = [uint_len(len(columns)), *(column_definition(column) for column in columns)]
     return b"".join(frame(packet, FIRST_SEQUENCE + index) for index, packet in enumerate(packets))
 
 
 class ResponseWriter:
-    """Remembers the session's status flags, which every answer but an error carries."""
+    """Writes responses.
+
+    It stores the session's status flags, which every response except an error carries.
+    `capabilities` are those negotiated with the client."""
 
     __slots__ = ("_status", "_stream", "capabilities")
 
@@ -54,11 +57,11 @@
         self.capabilities = 0
 
     def reset_status(self) -> None:
-        """Go back to the flags of a new session."""
+        """Reset the status flags to those of a new session."""
         self._status = STATUS_AUTOCOMMIT
 
     def ok(self, result: OkResult) -> None:
-        """Say that a statement without rows has run."""
+        """Write the OK packet of a statement without rows."""
         self._set_status(result.in_transaction, result.autocommit)
         self._stream.write(
             OK_HEADER
@@ -68,52 +71,52 @@
             + result.info.encode()
         )
 
-    def done(self) -> None:
-        """Say that a command without a result is done, with the flags of the last answer."""
+    def acknowledge(self) -> None:
+        """Write the OK packet of a command without a result, with unchanged status flags."""
         self._stream.write(OK_HEADER + b"\x00\x00" + _status.pack(self._status, 0))
 
     def error(self, error: CallerError) -> None:
-        """Refuse a command, or end the rows of a result that can't be completed."""
+        """Write an error packet, which refuses a command or ends an incomplete result set."""
         state = error.sqlstate.encode()[:5].ljust(5, b"0")
         code = error.code.to_bytes(2, "little")
         self._stream.write(ERROR_HEADER + code + b"#" + state + error.message.encode())
 
     def end(self) -> None:
-        """End the rows, or the column definitions of a client that expects this."""
+        """End rows or column definitions with an EOF packet, or OK if EOF is deprecated."""
         if self.capabilities & CLIENT_DEPRECATE_EOF:
             self._stream.write(END_HEADER + b"\x00\x00" + _status.pack(self._status, 0))
         else:
             self._stream.write(END_HEADER + _status.pack(0, self._status))
 
     def end_column_definitions(self) -> None:
-        """End column definitions, where the client expects it."""
+        """End the column definitions if the client expects an EOF packet there."""
         if not self.capabilities & CLIENT_DEPRECATE_EOF:
             self.end()
 
     async def result(self, result: OkResult | RowsResult, binary: bool) -> None:
-        """Write a whole answer; rows as fast as the client takes them.
+        """Write a complete result. Rows are written only as fast as the client reads them.
 
-        Raises CallerError (from the source of the rows, or for a value that does not fit its
-        column), StreamClosedError.
+        Raises StreamClosedError, and CallerError from the source of the rows or for a value that
+        does not fit its column.
         """
         if isinstance(result, OkResult):
             self.ok(result)
             return
         self._set_status(result.in_transaction, result.autocommit)
-        self._stream.write_frames(result_head(result.columns), len(result.columns) + 1)
+        self._stream.write_frames(result_set_header(result.columns), len(result.columns) + 1)
         self.end_column_definitions()
         encode = binary_row_encoder(result.columns) if binary else text_row
         try:
-            await self._rows(result.rows, encode)
+            await self._write_rows(result.rows, encode)
         except RowEncodingError as error:
-            raise CallerError(WRONG_VALUE, "HY000", str(error)) from error
+            raise CallerError(INCORRECT_VALUE, "HY000", str(error)) from error
         finally:
             close = getattr(result.rows, "aclose", None)
             if close is not None:
-                await _finish(close())
+                await _close_rows(close())
         self.end()
 
-    async def _rows(
+    async def _write_rows(
         self,
         rows: Sequence[Sequence[Any]] | AsyncIterator[Sequence[Any]],
         encode: Callable[[Sequence[Any]], bytes],
@@ -138,9 +141,9 @@
         )
 
 
-async def _finish(closing: Awaitable[Any]) -> None:
-    """Close an iterator of rows; that it fails while it ends is no concern of the client's."""
+async def _close_rows(closing: Awaitable[Any]) -> None:
+    """Close an iterator of rows. Errors are only logged: the client already has its response."""
     try:
         await closing
     except (CallerError, RuntimeError):
-        logger.debug("a result's source failed while it was closed", exc_info=True)
+        logger.debug("closing the source of a result set failed", exc_info=True)
--- a/src/bramblebeam/edges/mysql/connection.py
+++ b/src/bramblebeam/edges/mysql/connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: the handshake, then one command after the other."""
+"""A client connection: the handshake, then one command after another."""
 
 import asyncio
 import logging
@@ -33,7 +33,7 @@
 
 logger = logging.getLogger(__name__)
 
-HANDSHAKE_SECONDS = 10.0
+HANDSHAKE_TIMEOUT_SECONDS = 10.0
 
 ACCESS_DENIED = 1045
 UNKNOWN_COMMAND = 1047
@@ -44,7 +44,7 @@
 
 
 class Interruption(Enum):
-    """Why a running statement is to end."""
+    """Why a running statement is interrupted."""
 
     QUERY_KILLED = 1
     CONNECTION_KILLED = 2
@@ -53,16 +53,16 @@
 
 
 class CallerConnection:
-    """Speaks the protocol with one client on behalf of one session. One task runs it."""
+    """Serves one client with one session. A single task runs it."""
 
     __slots__ = (
         "_accounts",
-        "_answers",
         "_capabilities",
         "_codec",
         "_interruptible",
         "_interruption",
         "_nonce",
+        "_responses",
         "_session",
         "_session_opened",
         "_statements",
@@ -88,17 +88,17 @@
         self._capabilities = 0
         self._codec = "utf-8"
         self._nonce = b""
-        self._answers = ResponseWriter(stream)
+        self._responses = ResponseWriter(stream)
         self._statements: PreparedStatements | None = None
         self._session_opened = False
         self._interruptible = False
         self._interruption: Interruption | None = None
         self._task: asyncio.Task[Any] | None = None
 
-    # Life of the connection
+    # Lifecycle
 
     async def run(self) -> None:
-        """Serve the client until it goes. Closes the session and the stream in every case."""
+        """Serve the client until it disconnects. The session and the stream are always closed."""
         self._task = asyncio.current_task()
         self._stream.on_lost = self._client_lost
         try:
@@ -108,16 +108,16 @@
         except (StreamClosedError, OSError):
             pass
         except CallerError as error:
-            self._answers.error(error)
+            self._responses.error(error)
             if error.code in (PACKET_TOO_LARGE, PACKETS_OUT_OF_ORDER):
                 self._log_protocol_error(error)
         except MalformedPacketError as error:
-            self._answers.error(CallerError(MALFORMED_PACKET, "HY000", str(error)))
+            self._responses.error(CallerError(MALFORMED_PACKET, "HY000", str(error)))
             self._log_protocol_error(error)
         except asyncio.CancelledError:
             if self._interruption is None:
                 raise
-            self._write_farewell()
+            self._write_shutdown_error()
         finally:
             self._interruptible = False
             self._stream.close()
@@ -126,12 +126,12 @@
 
     async def _serve(self) -> None:
         try:
-            async with asyncio.timeout(HANDSHAKE_SECONDS):
-                await self._shake_hands()
+            async with asyncio.timeout(HANDSHAKE_TIMEOUT_SECONDS):
+                await self._perform_handshake()
         except TimeoutError:
             return
         self._stream.maximum_packet = MAX_COMMAND_PACKET_BYTES
-        self._stream.exact = False
+        self._stream.exact_reads = False
         while True:
             self._stream.reset_sequence()
             packet = await self._stream.read()
@@ -140,7 +140,7 @@
             await self._run_command(packet)
 
     def interrupt(self, interruption: Interruption) -> None:
-        """End what runs; a killed query leaves the connection as it is, everything else ends it."""
+        """Cancel the running command. Anything but a killed query also ends the connection."""
         if self._task is None or self._task.done():
             return
         if interruption is Interruption.QUERY_KILLED and not self._interruptible:
@@ -156,16 +156,16 @@
     def _log_protocol_error(self, error: Exception) -> None:
         log_event(logger, CALLER_PROTOCOL_ERROR, remote=self._stream.remote(), error=error)
 
-    def _write_farewell(self) -> None:
+    def _write_shutdown_error(self) -> None:
         if self._interruption in (Interruption.CONNECTION_KILLED, Interruption.SERVER_STOPPED):
             text = "Connection was killed"
             if self._interruption is Interruption.SERVER_STOPPED:
                 text = "Server shutdown in progress"
-            self._answers.error(CallerError(SERVER_SHUTDOWN, "08S01", text))
+            self._responses.error(CallerError(SERVER_SHUTDOWN, "08S01", text))
 
     # Connection phase
 
-    async def _shake_hands(self) -> None:
+    async def _perform_handshake(self) -> None:
         stream = self._stream
         self._nonce = handshake.new_nonce()
         stream.write(handshake.greeting(self.id, self._nonce, self._tls is not None))
@@ -176,19 +176,19 @@
             await stream.start_tls(self._tls)
             packet = await stream.read()
             self._capabilities, self._codec = handshake.read_capabilities(packet)
-        self._answers.capabilities = self._capabilities
+        self._responses.capabilities = self._capabilities
         credentials = handshake.read_credentials(packet, self._capabilities, self._codec)
-        await self._admit(credentials)
+        await self._authenticate(credentials)
 
-    async def _admit(self, credentials: handshake.Credentials) -> None:
-        """Check the password, open the session, say OK. Raises CallerError."""
+    async def _authenticate(self, credentials: handshake.Credentials) -> None:
+        """Check the password, open the session and send OK. Raises CallerError."""
         stream = self._stream
         scramble = credentials.scramble
         if credentials.plugin not in ("", handshake.PLUGIN_NAME):
             stream.write(handshake.auth_switch_request(self._nonce))
             await stream.drain()
             scramble = await stream.read()
-        if not self._accounts.admit(credentials.user, scramble, self._nonce):
+        if not self._accounts.verify(credentials.user, scramble, self._nonce):
             log_event(logger, CALLER_DENIED, user=credentials.user, remote=stream.remote())
             text = f"Access denied for user '{credentials.user}'"
             raise CallerError(ACCESS_DENIED, "28000", text)
@@ -201,7 +201,7 @@
         )
         self._session_opened = True
         await self._session.opened(info)
-        self._answers.ok(OkResult())
+        self._responses.ok(OkResult())
         await stream.drain()
 
     # Command phase
@@ -216,34 +216,36 @@
                 raise CallerError(UNKNOWN_COMMAND, "08S01", "Unknown command")
             await handler(self, packet)
         except CallerError as error:
-            self._answers.error(error)
+            self._responses.error(error)
         except MalformedPacketError as error:
-            self._answers.error(CallerError(MALFORMED_PACKET, "HY000", str(error)))
+            self._responses.error(CallerError(MALFORMED_PACKET, "HY000", str(error)))
         except asyncio.CancelledError:
             if self._interruption is not Interruption.QUERY_KILLED or self._task is None:
                 raise
-            self._answers.error(
+            self._responses.error(
                 CallerError(INTERRUPTED, "70100", "Query execution was interrupted")
             )
         except (StreamClosedError, OSError):
             raise
         except Exception as error:
             log_event(logger, STATEMENT_FAILED_INTERNALLY, error=f"{type(error).__name__}: {error}")
-            self._answers.error(CallerError(UNKNOWN_ERROR, "HY000", "Internal error"))
+            self._responses.error(CallerError(UNKNOWN_ERROR, "HY000", "Internal error"))
         finally:
             self._interruptible = False
-        self._settle_interruption()
+        self._finish_interruption()
         await self._stream.drain()
 
-    def _settle_interruption(self) -> None:
-        """Take note of an interruption that the session turned into an answer of its own."""
+    def _finish_interruption(self) -> None:
+        """Handle an interruption after the session has already produced a response.
+
+        A killed query ends here; any other interruption closes the connection."""
         if self._interruption is None or self._task is None:
             return
         self._task.uncancel()
         if self._interruption is Interruption.QUERY_KILLED:
             self._interruption = None
             return
-        self._write_farewell()
+        self._write_shutdown_error()
         raise StreamClosedError
 
     async def _query(self, packet: bytes) -> None:
@@ -259,66 +261,68 @@
             body = packet[1:]
         sql = handshake.decode_text(body, self._codec)
         result = await self._session.execute(sql, attributes)
-        await self._answers.result(result, binary=False)
+        await self._responses.result(result, binary=False)
 
     async def _prepare(self, packet: bytes) -> None:
-        statement = self._prepared().prepare(handshake.decode_text(packet[1:], self._codec))
+        statement = self._prepared_statements().prepare(
+            handshake.decode_text(packet[1:], self._codec)
+        )
         self._stream.write(prepare_ok(statement))
         for _ in range(statement.parameter_count):
             self._stream.write(_PARAMETER_DEFINITION)
         if statement.parameter_count:
-            self._answers.end_column_definitions()
+            self._responses.end_column_definitions()
 
     async def _execute(self, packet: bytes) -> None:
         named = bool(self._capabilities & handshake.CLIENT_QUERY_ATTRIBUTES)
-        sql, attributes = self._prepared().bind(packet, self._codec, named)
+        sql, attributes = self._prepared_statements().bind(packet, self._codec, named)
         result = await self._session.execute(sql, attributes)
-        await self._answers.result(result, binary=True)
+        await self._responses.result(result, binary=True)
 
     async def _long_data(self, packet: bytes) -> None:
-        if not self._prepared().add_long_data(packet):
+        if not self._prepared_statements().add_long_data(packet):
             raise StreamClosedError
 
     async def _statement_reset(self, packet: bytes) -> None:
-        self._prepared().reset(packet)
-        self._answers.done()
+        self._prepared_statements().reset(packet)
+        self._responses.acknowledge()
 
     async def _statement_close(self, packet: bytes) -> None:
-        self._prepared().close(packet)
+        self._prepared_statements().close(packet)
 
-    def _prepared(self) -> PreparedStatements:
+    def _prepared_statements(self) -> PreparedStatements:
         if self._statements is None:
             self._statements = PreparedStatements()
         return self._statements
 
     async def _ping(self, packet: bytes) -> None:
-        self._answers.done()
+        self._responses.acknowledge()
 
     async def _use(self, packet: bytes) -> None:
         await self._session.use(handshake.decode_text(packet[1:], self._codec))
-        self._answers.done()
+        self._responses.acknowledge()
 
     async def _reset(self, packet: bytes) -> None:
         await self._session.reset()
         self._statements = None
-        self._answers.reset_status()
-        self._answers.done()
+        self._responses.reset_status()
+        self._responses.acknowledge()
 
     async def _kill(self, packet: bytes) -> None:
         connection_id = PacketReader(packet, 1).integer(4)
         result = await self._session.execute(f"KILL {connection_id}", {})
-        await self._answers.result(result, binary=False)
+        await self._responses.result(result, binary=False)
 
     async def _change_user(self, packet: bytes) -> None:
         credentials = handshake.read_change_user(packet[1:], self._capabilities, self._codec)
         self._session_opened = False
         await self._session.closed()
         self._statements = None
-        self._answers.reset_status()
+        self._responses.reset_status()
         try:
-            await self._admit(credentials)
+            await self._authenticate(credentials)
         except CallerError as error:
-            self._answers.error(error)
+            self._responses.error(error)
             await self._stream.drain()
             raise StreamClosedError from error
 
@@ -326,23 +330,23 @@
 Handler = Callable[[CallerConnection, bytes], Awaitable[None]]
 
 
-def _byte(command: Commands) -> bytes:
+def _command_byte(command: Commands) -> bytes:
     return int(command).to_bytes(1, "little")
 
 
-_QUIT = _byte(Commands.COM_QUIT)
+_QUIT = _command_byte(Commands.COM_QUIT)
 _HANDLERS: dict[bytes, Handler] = {
-    _byte(Commands.COM_QUERY): CallerConnection._query,
-    _byte(Commands.COM_STMT_PREPARE): CallerConnection._prepare,
-    _byte(Commands.COM_STMT_EXECUTE): CallerConnection._execute,
-    _byte(Commands.COM_STMT_SEND_LONG_DATA): CallerConnection._long_data,
-    _byte(Commands.COM_STMT_RESET): CallerConnection._statement_reset,
-    _byte(Commands.COM_STMT_CLOSE): CallerConnection._statement_close,
-    _byte(Commands.COM_PING): CallerConnection._ping,
-    _byte(Commands.COM_INIT_DB): CallerConnection._use,
-    _byte(Commands.COM_RESET_CONNECTION): CallerConnection._reset,
-    _byte(Commands.COM_PROCESS_KILL): CallerConnection._kill,
-    _byte(Commands.COM_CHANGE_USER): CallerConnection._change_user,
+    _command_byte(Commands.COM_QUERY): CallerConnection._query,
+    _command_byte(Commands.COM_STMT_PREPARE): CallerConnection._prepare,
+    _command_byte(Commands.COM_STMT_EXECUTE): CallerConnection._execute,
+    _command_byte(Commands.COM_STMT_SEND_LONG_DATA): CallerConnection._long_data,
+    _command_byte(Commands.COM_STMT_RESET): CallerConnection._statement_reset,
+    _command_byte(Commands.COM_STMT_CLOSE): CallerConnection._statement_close,
+    _command_byte(Commands.COM_PING): CallerConnection._ping,
+    _command_byte(Commands.COM_INIT_DB): CallerConnection._use,
+    _command_byte(Commands.COM_RESET_CONNECTION): CallerConnection._reset,
+    _command_byte(Commands.COM_PROCESS_KILL): CallerConnection._kill,
+    _command_byte(Commands.COM_CHANGE_USER): CallerConnection._change_user,
 }
 _PARAMETER_DEFINITION: bytes = packets.make_column_definition_41(
     server_charset=packets.CharacterSet.utf8mb4, name="?"
--- a/src/bramblebeam/edges/mysql/handshake.py
+++ b/src/bramblebeam/edges/mysql/handshake.py
@@ -1,4 +1,4 @@
-"""The messages of the connection phase, and the check of the caller's password."""
+"""Packets of the connection phase, and password authentication."""
 
 import hmac
 import secrets
@@ -32,20 +32,20 @@
 SSL_REQUEST_BYTES = 32
 NONCE_BYTES = 20
 _PRINTABLE = (string.ascii_letters + string.digits + "+-").encode() * 4
-"""Maps each byte to a printable one, all of them equally likely."""
+"""Translation table from any byte to one of 64 printable characters, all equally likely."""
 
-_ID_OFFSET = 1 + len(SERVER_VERSION) + 1
-_NONCE_OFFSET = _ID_OFFSET + 4
+_CONNECTION_ID_OFFSET = 1 + len(SERVER_VERSION) + 1
+_NONCE_OFFSET = _CONNECTION_ID_OFFSET + 4
 _NONCE_REST_OFFSET = _NONCE_OFFSET + 8 + 1 + 2 + 1 + 2 + 2 + 1 + 10
-"""After the first part of the nonce: filler, capabilities, character set, status, capabilities,
-length of the nonce, and reserved bytes."""
+"""Follows the first 8 bytes of the nonce, a filler, lower capabilities, character set, status, upper
+capabilities, length of the nonce, and reserved bytes."""
 
 _plugin = NativePasswordAuthPlugin()
 
 
 @dataclass(frozen=True, slots=True)
 class Credentials:
-    """What a client says of itself, at connect or with a change of user."""
+    """What a client sends to authenticate, on connecting or with COM_CHANGE_USER."""
 
     user: str
     scramble: bytes
@@ -55,14 +55,14 @@
 
 
 def new_nonce() -> bytes:
-    """Return 20 printable bytes that nobody can foresee."""
+    """Return 20 unpredictable printable bytes."""
     return secrets.token_bytes(NONCE_BYTES).translate(_PRINTABLE)
 
 
 def greeting(connection_id: int, nonce: bytes, offer_tls: bool) -> bytes:
-    """Return the packet that the server speaks first."""
+    """Return the server's initial handshake packet."""
     packet = bytearray(_greeting_template(offer_tls))
-    packet[_ID_OFFSET : _ID_OFFSET + 4] = connection_id.to_bytes(4, "little")
+    packet[_CONNECTION_ID_OFFSET : _CONNECTION_ID_OFFSET + 4] = connection_id.to_bytes(4, "little")
     packet[_NONCE_OFFSET : _NONCE_OFFSET + 8] = nonce[:8]
     packet[_NONCE_REST_OFFSET : _NONCE_REST_OFFSET + 12] = nonce[8:]
     return bytes(packet)
@@ -70,7 +70,7 @@
 
 @cache
 def _greeting_template(offer_tls: bool) -> bytes:
-    """Return a greeting for connection 0 and a nonce of placeholders."""
+    """Return a greeting with connection id 0 and a placeholder nonce."""
     capabilities = SERVER_CAPABILITIES | (CLIENT_SSL if offer_tls else 0)
     packet: bytes = packets.make_handshake_v10(
         capabilities=Capabilities(capabilities),
@@ -85,56 +85,56 @@
 
 
 def read_capabilities(packet: bytes) -> tuple[int, str]:
-    """Return the agreed capabilities and the codec of the client's character set.
+    """Return the negotiated capabilities and the codec of the client's character set.
 
     Raises MalformedPacketError.
     """
     reader = PacketReader(packet)
     capabilities = reader.integer(4) & (SERVER_CAPABILITIES | CLIENT_SSL)
     if not capabilities & CLIENT_PROTOCOL_41:
-        raise MalformedPacketError("client is too old")
+        raise MalformedPacketError("client does not support protocol 4.1")
     reader.integer(4)
-    return capabilities, codec_of(reader.integer(1))
+    return capabilities, codec_for_collation(reader.integer(1))
 
 
-def codec_of(collation: int) -> str:
-    """Return the codec of a MySQL collation's number. Raises MalformedPacketError."""
+def codec_for_collation(collation: int) -> str:
+    """Return the codec for a MySQL collation id. Raises MalformedPacketError."""
     try:
         codec: str = Collation(collation).charset.codec
         "".encode(codec)
     except (ValueError, LookupError, KeyError) as error:
-        raise MalformedPacketError("character set is not known") from error
+        raise MalformedPacketError("unknown character set") from error
     return codec
 
 
 def read_credentials(packet: bytes, capabilities: int, codec: str) -> Credentials:
-    """Read the rest of the client's first packet. Raises MalformedPacketError."""
+    """Parse the credentials of a handshake response. Raises MalformedPacketError."""
     reader = PacketReader(packet)
     reader.take(SSL_REQUEST_BYTES)
     user = decode_text(reader.null_terminated_string(), codec)
     lenenc = capabilities & CLIENT_LENENC_AUTH
-    scramble = reader.text() if lenenc else reader.take(reader.integer(1))
+    scramble = reader.length_encoded_string() if lenenc else reader.take(reader.integer(1))
     with_database = capabilities & CLIENT_CONNECT_WITH_DB and reader.remaining
     database = decode_text(reader.null_terminated_string(), codec) if with_database else ""
-    return _credentials_tail(
+    return _read_plugin_and_attributes(
         reader, capabilities, codec, user=user, scramble=scramble, database=database
     )
 
 
 def read_change_user(packet: bytes, capabilities: int, codec: str) -> Credentials:
-    """Read the body of COM_CHANGE_USER. Raises MalformedPacketError."""
+    """Parse the body of COM_CHANGE_USER. Raises MalformedPacketError."""
     reader = PacketReader(packet)
     user = decode_text(reader.null_terminated_string(), codec)
     scramble = reader.take(reader.integer(1))
     database = decode_text(reader.null_terminated_string(), codec)
     if reader.remaining >= 2:
         reader.integer(2)
-    return _credentials_tail(
+    return _read_plugin_and_attributes(
         reader, capabilities, codec, user=user, scramble=scramble, database=database
     )
 
 
-def _credentials_tail(
+def _read_plugin_and_attributes(
     reader: PacketReader,
     capabilities: int,
     codec: str,
@@ -145,23 +145,23 @@
 ) -> Credentials:
     plugin = ""
     if capabilities & CLIENT_PLUGIN_AUTH and reader.remaining:
-        plugin = decode_text(reader.terminated(), codec)
+        plugin = decode_text(reader.null_terminated_string(), codec)
     attributes: dict[str, str] = {}
     if capabilities & CLIENT_CONNECT_ATTRS and reader.remaining:
-        attributes = _read_attributes(PacketReader(reader.text()), codec)
+        attributes = _read_attributes(PacketReader(reader.length_encoded_string()), codec)
     return Credentials(user, scramble, database, plugin, attributes)
 
 
 def _read_attributes(reader: PacketReader, codec: str) -> dict[str, str]:
     attributes = {}
     while reader.remaining:
-        name = decode_text(reader.text(), codec)
-        attributes[name] = decode_text(reader.text(), codec)
+        name = decode_text(reader.length_encoded_string(), codec)
+        attributes[name] = decode_text(reader.length_encoded_string(), codec)
     return attributes
 
 
 def decode_text(data: bytes, codec: str) -> str:
-    """Return the text. Raises MalformedPacketError where it is not valid in `codec`."""
+    """Decode text. Raises MalformedPacketError if it is not valid in `codec`."""
     try:
         return data.decode(codec)
     except UnicodeDecodeError as error:
@@ -169,7 +169,7 @@
 
 
 def auth_switch_request(nonce: bytes) -> bytes:
-    """Return the packet that asks the client for the native-password method."""
+    """Return the packet that requests authentication with mysql_native_password."""
     packet: bytes = packets.make_auth_switch_request(
         server_charset=CharacterSet.utf8mb4,
         plugin_name=PLUGIN_NAME,
@@ -179,7 +179,7 @@
 
 
 class Accounts:
-    """The callers' accounts. Without any, every user name is let in with any password."""
+    """The callers' accounts. If `passwords` is None, any user name and password are accepted."""
 
     def __init__(self, passwords: dict[str, str] | None) -> None:
         self._hashes: dict[str, str] | None = None
@@ -190,13 +190,15 @@
             }
 
     def verify(self, user: str, scramble: bytes, nonce: bytes) -> bool:
-        """Whether the scramble proves the user's password."""
+        """Return whether the scramble matches the user's password."""
         if self._hashes is None:
             return True
-        known = self._hashes.get(user)
-        if known is None:
+        password_hash = self._hashes.get(user)
+        if password_hash is None:
             return False
-        if not known:
+        if not password_hash:
             return hmac.compare_digest(scramble, b"")
-        matches: bool = len(scramble) == 20 and _plugin.verify_scramble(known, scramble, nonce)
+        matches: bool = len(scramble) == 20 and _plugin.verify_scramble(
+            password_hash, scramble, nonce
+        )
         return matches
--- a/src/bramblebeam/edges/mysql/parameters.py
+++ b/src/bramblebeam/edges/mysql/parameters.py
@@ -1,4 +1,4 @@
-"""Prepared statements: finds the placeholders, reads the bound values, writes them as literals."""
+"""Prepared statements: finds placeholders, parses bound values and renders them as SQL literals."""
 
 import math
 import re
@@ -46,59 +46,62 @@
 _DECIMAL = re.compile(r"[+-]?\d+(?:\.\d*)?(?:[eE][+-]?\d+)?", re.ASCII)
 
 
-class Number(str):
-    """The digits of a decimal parameter: written without quotes."""
+class DecimalLiteral(str):
+    """The text of a decimal parameter, which is rendered without quotes."""
 
     __slots__ = ()
 
 
 @dataclass(slots=True)
 class PreparedStatement:
-    """One prepared statement: its text between the placeholders, and what was bound so far."""
+    """One prepared statement.
+
+    `fragments`: its text around the placeholders. `types`: type code and unsigned flag of each
+    parameter, as last bound. `long_data`: data sent ahead of the execution, by parameter index."""
 
     id: int
-    parts: tuple[str, ...]
+    fragments: tuple[str, ...]
     types: list[tuple[int, bool]] = field(default_factory=list)
     long_data: dict[int, bytearray] = field(default_factory=dict)
 
     @property
     def parameter_count(self) -> int:
-        """How many placeholders the statement has."""
-        return len(self.parts) - 1
+        """The number of placeholders."""
+        return len(self.fragments) - 1
 
-    def text(self, values: Sequence[Any]) -> str:
-        """Return the statement with the values as literals."""
-        pieces = [self.parts[0]]
-        for value, part in zip(values, self.parts[1:], strict=True):
+    def render(self, values: Sequence[Any]) -> str:
+        """Return the statement with the values inserted as literals."""
+        pieces = [self.fragments[0]]
+        for value, fragment in zip(values, self.fragments[1:], strict=True):
             pieces.append(sql_literal(value))
-            pieces.append(part)
+            pieces.append(fragment)
         return "".join(pieces)
 
 
 def split_at_placeholders(sql: str) -> tuple[str, ...]:
-    """Return the text before, between and after the `?` that stand outside quotes and comments."""
-    parts = []
+    """Split a statement at each `?` outside quotes and comments."""
+    fragments = []
     start = 0
     position = 0
     while position < len(sql):
         character = sql[position]
         if character == "?":
-            parts.append(sql[start:position])
+            fragments.append(sql[start:position])
             start = position + 1
             position += 1
         elif character in "'\"`":
-            position = _end_of_quoted(sql, position, character)
+            position = _index_after_quoted(sql, position, character)
         elif character == "#" or sql.startswith("-- ", position):
-            position = _end_after(sql, position, "\n")
+            position = _index_after(sql, position, "\n")
         elif sql.startswith("/*", position):
-            position = _end_after(sql, position + 2, "*/")
+            position = _index_after(sql, position + 2, "*/")
         else:
             position += 1
-    parts.append(sql[start:])
-    return tuple(parts)
+    fragments.append(sql[start:])
+    return tuple(fragments)
 
 
-def _end_of_quoted(sql: str, start: int, quote: str) -> int:
+def _index_after_quoted(sql: str, start: int, quote: str) -> int:
     position = start + 1
     while position < len(sql):
         if sql[position] == "\\" and quote != "`":
@@ -110,16 +113,16 @@
     return len(sql)
 
 
-def _end_after(sql: str, start: int, mark: str) -> int:
-    found = sql.find(mark, start)
-    return len(sql) if found < 0 else found + len(mark)
+def _index_after(sql: str, start: int, terminator: str) -> int:
+    found = sql.find(terminator, start)
+    return len(sql) if found < 0 else found + len(terminator)
 
 
 def sql_literal(value: Any) -> str:
-    """Return a parameter's value as a MySQL literal."""
+    """Render a parameter's value as a MySQL literal."""
     if value is None:
         return "NULL"
-    if isinstance(value, Number | int | float):
+    if isinstance(value, DecimalLiteral | int | float):
         return str(value)
     if isinstance(value, bytes):
         return f"X'{value.hex()}'"
@@ -134,7 +137,7 @@
 def read_parameters(
     reader: PacketReader, count: int, codec: str, named: bool, statement: PreparedStatement | None
 ) -> list[tuple[str, Any]]:
-    """Return (name, value) of each parameter. Raises MalformedPacketError."""
+    """Parse the name and value of each parameter. Raises MalformedPacketError."""
     if count == 0:
         return []
     if count > MAXIMUM_PARAMETERS:
@@ -148,7 +151,7 @@
     else:
         types = statement.types if statement is not None else []
     if len(types) < count:
-        raise MalformedPacketError("parameters have no types")
+        raise MalformedPacketError("parameter types are missing")
     long_data = statement.long_data if statement is not None else {}
     values = []
     for index, (type_code, unsigned) in enumerate(types[:count]):
@@ -169,11 +172,11 @@
 
 
 def _read_named_types(reader: PacketReader, names: list[str], codec: str) -> list[tuple[int, bool]]:
-    """Return the types and fill in the names, one for each parameter."""
+    """Return the parameters' types, and store their names in `names`."""
     types = []
     for index in range(len(names)):
         types.append((reader.integer(1), bool(reader.integer(1) & UNSIGNED_FLAG)))
-        names[index] = decode_text(reader.text(), codec)
+        names[index] = decode_text(reader.length_encoded_string(), codec)
     return types
 
 
@@ -184,24 +187,24 @@
         return data
 
 
-def _read_decimal(reader: PacketReader, codec: str) -> Number:
-    text = decode_text(reader.text(), codec)
+def _read_decimal(reader: PacketReader, codec: str) -> DecimalLiteral:
+    text = decode_text(reader.length_encoded_string(), codec)
     if _DECIMAL.fullmatch(text) is None:
-        raise MalformedPacketError("decimal parameter is no number")
-    return Number(text)
+        raise MalformedPacketError("decimal parameter is not a number")
+    return DecimalLiteral(text)
 
 
-def _read_real(reader: PacketReader, layout: str) -> float:
-    value = reader.real(layout)
+def _read_float(reader: PacketReader, layout: str) -> float:
+    value = reader.floating_point(layout)
     if not math.isfinite(value):
-        raise MalformedPacketError("real parameter is not finite")
+        raise MalformedPacketError("floating-point parameter is not finite")
     return value
 
 
 def _read_timestamp(reader: PacketReader) -> str:
     length = reader.integer(1)
     if length not in (0, 4, 7, 11):
-        raise MalformedPacketError("timestamp has a wrong length")
+        raise MalformedPacketError("invalid length of a timestamp")
     if length == 0:
         return "0000-00-00"
     text = f"{reader.integer(2):04}-{reader.integer(1):02}-{reader.integer(1):02}"
@@ -215,7 +218,7 @@
 def _read_time(reader: PacketReader) -> timedelta:
     length = reader.integer(1)
     if length not in (0, 8, 12):
-        raise MalformedPacketError("time has a wrong length")
+        raise MalformedPacketError("invalid length of a time")
     if length == 0:
         return timedelta()
     negative = reader.integer(1)
@@ -232,20 +235,22 @@
     size = _INTEGER_SIZES.get(type_code)
     if size is not None:
         return reader.integer(size, signed=not unsigned)
-    read = _READERS.get(type_code)
+    read = _VALUE_READERS.get(type_code)
     if read is None:
         raise MalformedPacketError(f"parameter type {type_code} is not supported")
     return read(reader, codec)
 
 
-_Reader = Callable[[PacketReader, str], Any]
-_READERS: dict[int, _Reader] = {
-    **dict.fromkeys(_TEXT_TYPES, lambda reader, codec: _text_or_bytes(reader.text(), codec)),
-    **dict.fromkeys(_BYTES_TYPES, lambda reader, codec: reader.text()),
+_ValueReader = Callable[[PacketReader, str], Any]
+_VALUE_READERS: dict[int, _ValueReader] = {
+    **dict.fromkeys(
+        _TEXT_TYPES, lambda reader, codec: _text_or_bytes(reader.length_encoded_string(), codec)
+    ),
+    **dict.fromkeys(_BYTES_TYPES, lambda reader, codec: reader.length_encoded_string()),
     **dict.fromkeys(_DECIMAL_TYPES, _read_decimal),
     **dict.fromkeys(_TIMESTAMP_TYPES, lambda reader, codec: _read_timestamp(reader)),
     ColumnType.TIME: lambda reader, codec: _read_time(reader),
-    ColumnType.FLOAT: lambda reader, codec: _read_real(reader, "<f"),
-    ColumnType.DOUBLE: lambda reader, codec: _read_real(reader, "<d"),
+    ColumnType.FLOAT: lambda reader, codec: _read_float(reader, "<f"),
+    ColumnType.DOUBLE: lambda reader, codec: _read_float(reader, "<d"),
     ColumnType.NULL: lambda reader, codec: None,
 }
--- a/src/bramblebeam/edges/mysql/reader.py
+++ b/src/bramblebeam/edges/mysql/reader.py
@@ -1,14 +1,14 @@
-"""Reads the fields of one client packet, with every length checked."""
+"""Reads the fields of one client packet, with bounds checks."""
 
 import struct
 
 
 class MalformedPacketError(Exception):
-    """A client packet ends before its fields do, or carries values that are not allowed."""
+    """A client packet is truncated or holds an invalid value."""
 
 
 class PacketReader:
-    """A cursor over one packet. Every method raises MalformedPacketError past the end."""
+    """A cursor over one packet. Methods raise MalformedPacketError if the packet is too short."""
 
     __slots__ = ("_data", "_position")
 
@@ -18,7 +18,7 @@
 
     @property
     def remaining(self) -> int:
-        """How many bytes are left."""
+        """The number of unread bytes."""
         return len(self._data) - self._position
 
     def take(self, length: int) -> bytes:
@@ -31,7 +31,7 @@
         return part
 
     def rest(self) -> bytes:
-        """Return all bytes that are left."""
+        """Return all remaining bytes."""
         return self.take(self.remaining)
 
     def integer(self, size: int, signed: bool = False) -> int:
@@ -44,7 +44,7 @@
         return int.from_bytes(self._data[start:end], "little", signed=signed)
 
     def floating_point(self, layout: str) -> float:
-        """Return a floating point number by its `struct` layout."""
+        """Return a floating-point number with the given `struct` layout."""
         value: float = struct.unpack(layout, self.take(struct.calcsize(layout)))[0]
         return value
 
@@ -55,18 +55,18 @@
             return first
         sizes = {0xFC: 2, 0xFD: 3, 0xFE: 8}
         if first not in sizes:
-            raise MalformedPacketError("length is not allowed")
+            raise MalformedPacketError("invalid length prefix")
         return self.integer(sizes[first])
 
-    def text(self) -> bytes:
+    def length_encoded_string(self) -> bytes:
         """Return a length-encoded string."""
         return self.take(self.length_encoded_integer())
 
     def null_terminated_string(self) -> bytes:
-        """Return a string that ends with a zero byte, without it."""
+        """Return a null-terminated string without its terminator."""
         end = self._data.find(b"\x00", self._position)
         if end < 0:
-            raise MalformedPacketError("string has no end")
+            raise MalformedPacketError("string is not null-terminated")
         part = self._data[self._position : end]
         self._position = end + 1
         return part
--- a/src/bramblebeam/edges/mysql/results.py
+++ b/src/bramblebeam/edges/mysql/results.py
@@ -1,4 +1,4 @@
-"""What a session answers to a statement."""
+"""Results and errors that a session returns to its client."""
 
 from collections.abc import AsyncIterator, Sequence
 from dataclasses import dataclass
@@ -7,12 +7,12 @@
 from bramblebeam.core.statement import ColumnSpec
 
 BYTES_TYPE_CODES = frozenset({249, 250, 251, 252})
-"""MySQL type codes of the BLOB family: their values are bytes; those of other types are not."""
+"""MySQL type codes of the BLOB family. Only values of these types are bytes."""
 
 
 @dataclass(frozen=True, slots=True)
 class OkResult:
-    """A statement without rows has run. `info` is the text of the OK packet."""
+    """The result of a statement without rows. `info` is the text of the OK packet."""
 
     affected_rows: int = 0
     last_insert_id: int = 0
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RowsResult:
-    """A result set. An asynchronous iterator of rows is written as it yields, in flat memory."""
+    """A result set. Rows of an asynchronous iterator are streamed in constant memory."""
 
     columns: tuple[ColumnSpec, ...]
     rows: Sequence[Sequence[Any]] | AsyncIterator[Sequence[Any]]
@@ -32,7 +32,7 @@
 
 
 class CallerError(Exception):
-    """The statement (or the connection) is refused with a MySQL error code and SQLSTATE."""
+    """A MySQL error for the client: its statement or connection is refused."""
 
     def __init__(self, code: int, sqlstate: str, message: str) -> None:
         super().__init__(f"{code} ({sqlstate}): {message}")
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionInfo:
-    """Who has connected. `attributes` are the connection attributes the client sent."""
+    """An authenticated client. `attributes` are the connection attributes that it sent."""
 
     id: int
     user: str
--- a/src/bramblebeam/edges/mysql/rows.py
+++ b/src/bramblebeam/edges/mysql/rows.py
@@ -1,4 +1,4 @@
-"""Encodes result sets: column definitions, and rows in the text and the binary protocol."""
+"""Encodes column definitions, and rows in the text and the binary protocol."""
 
 import struct
 from collections.abc import Callable, Sequence
@@ -16,12 +16,12 @@
 
 NULL_TEXT = b"\xfb"
 BINARY_ROW_OFFSET = 2
-COLUMN_CACHE = 4096
+COLUMN_DEFINITION_CACHE_SIZE = 4096
 DATE_LENGTH = len("2026-03-01")
 ZERO_DATE = "0000-00-00"
 EMPTY_TEMPORAL = b"\x00"
 
-_STRUCTS: dict[int, struct.Struct] = {
+_FIXED_SIZE_STRUCTS: dict[int, struct.Struct] = {
     ColumnType.TINY: struct.Struct("<b"),
     ColumnType.SHORT: struct.Struct("<h"),
     ColumnType.YEAR: struct.Struct("<h"),
@@ -34,12 +34,12 @@
 _TEMPORAL_TYPES = frozenset(
     {ColumnType.DATE, ColumnType.DATETIME, ColumnType.TIMESTAMP, ColumnType.TIME}
 )
-_BINARY_CHARSET_TYPES = BYTES_TYPE_CODES | _TEMPORAL_TYPES | frozenset(_STRUCTS)
+_BINARY_CHARSET_TYPES = BYTES_TYPE_CODES | _TEMPORAL_TYPES | frozenset(_FIXED_SIZE_STRUCTS)
 
 
-@lru_cache(COLUMN_CACHE)
+@lru_cache(COLUMN_DEFINITION_CACHE_SIZE)
 def column_definition(column: ColumnSpec) -> bytes:
-    """Return the packet that describes one column."""
+    """Return the column definition packet."""
     binary = column.type_code in _BINARY_CHARSET_TYPES
     packet: bytes = packets.make_column_definition_41(
         server_charset=CharacterSet.utf8mb4,
@@ -51,13 +51,13 @@
 
 
 def text_row(row: Sequence[Any]) -> bytes:
-    """Return one row in the text protocol."""
+    """Encode one row in the text protocol."""
     parts = []
     for value in row:
         if value is None:
             parts.append(NULL_TEXT)
             continue
-        text = _text(value)
+        text = _encode_text(value)
         length = len(text)
         if length < 0xFB:
             parts.append(length.to_bytes(1, "little"))
@@ -67,7 +67,7 @@
     return b"".join(parts)
 
 
-def _text(value: Any) -> bytes:
+def _encode_text(value: Any) -> bytes:
     if type(value) is str:
         return value.encode()
     if type(value) is int:
@@ -82,7 +82,7 @@
 
 
 def format_time(value: timedelta) -> str:
-    """Return a TIME value as MySQL writes it, with the microseconds only where there are some."""
+    """Format a TIME value as MySQL does. Microseconds are included only if they are not zero."""
     sign = "-" if value < timedelta() else ""
     value = abs(value)
     minutes, seconds = divmod(value.days * 86_400 + value.seconds, 60)
@@ -99,15 +99,15 @@
 
 
 def binary_row_encoder(columns: Sequence[ColumnSpec]) -> Callable[[Sequence[Any]], bytes]:
-    """Return what writes a row of these columns in the binary protocol.
+    """Return a function that encodes a row of these columns in the binary protocol.
 
-    It raises RowEncodingError.
+    The function raises RowEncodingError.
     """
     encoders = [_binary_encoder(column) for column in columns]
 
     def encode(row: Sequence[Any]) -> bytes:
         try:
-            return _binary_row(row, encoders)
+            return _encode_binary_row(row, encoders)
         except (struct.error, AttributeError, TypeError, ValueError) as error:
             raise RowEncodingError(f"A value does not fit its column: {error}") from error
 
@@ -115,11 +115,11 @@
 
 
 def _binary_encoder(column: ColumnSpec) -> BinaryEncoder:
-    fixed = _STRUCTS.get(column.type_code)
-    if fixed is not None:
-        return fixed.pack
+    layout = _FIXED_SIZE_STRUCTS.get(column.type_code)
+    if layout is not None:
+        return layout.pack
     if column.type_code not in _TEMPORAL_TYPES:
-        return _binary_text
+        return _encode_binary_text
     encode = ResultColumn(column.name, ColumnType(column.type_code)).binary_encode
     parse = parse_time if column.type_code == ColumnType.TIME else parse_date
 
@@ -135,26 +135,26 @@
 
 
 def parse_date(text: str) -> date:
-    """Return a DATE, DATETIME or TIMESTAMP from MySQL's text. Raises ValueError."""
+    """Parse a DATE, DATETIME or TIMESTAMP in MySQL's format. Raises ValueError."""
     if len(text) == DATE_LENGTH:
         return date.fromisoformat(text)
     return datetime.fromisoformat(text)
 
 
 def parse_time(text: str) -> timedelta:
-    """Return a TIME from MySQL's text. Raises ValueError."""
+    """Parse a TIME in MySQL's format. Raises ValueError."""
     sign = -1 if text.startswith("-") else 1
     hours, minutes, seconds = text.lstrip("-").split(":")
     value = timedelta(hours=int(hours), minutes=int(minutes), seconds=float(seconds))
     return sign * value
 
 
-def _binary_text(value: Any) -> bytes:
-    encoded: bytes = str_len(_text(value))
+def _encode_binary_text(value: Any) -> bytes:
+    encoded: bytes = str_len(_encode_text(value))
     return encoded
 
 
-def _binary_row(row: Sequence[Any], encoders: Sequence[BinaryEncoder]) -> bytes:
+def _encode_binary_row(row: Sequence[Any], encoders: Sequence[BinaryEncoder]) -> bytes:
     nulls = NullBitmap.new(len(encoders), offset=BINARY_ROW_OFFSET)
     values = []
     for index, encode in enumerate(encoders):
--- a/src/bramblebeam/edges/mysql/server.py
+++ b/src/bramblebeam/edges/mysql/server.py
@@ -1,4 +1,4 @@
-"""The listener for MySQL clients."""
+"""The server for MySQL clients."""
 
 import asyncio
 import itertools
@@ -33,7 +33,7 @@
 class MysqlServer:
     """Accepts MySQL clients and runs one `CallerSession` for each.
 
-    `users` maps a user's name to its password; None lets every user name in with any password.
+    `users` maps user names to passwords. If it is None, any user name and password are accepted.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen. Raises OSError where the address can't be had."""
+        """Start listening. Raises OSError if the address can't be bound."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: PacketStream(self._accept), self._host, self._port, backlog=BACKLOG
@@ -63,7 +63,7 @@
 
     @property
     def address(self) -> Address:
-        """The address listened on. Raises RuntimeError before `start`."""
+        """The bound address. Raises RuntimeError before `start`."""
         if self._server is None:
             raise RuntimeError("server is not started")
         host, port = self._server.sockets[0].getsockname()[:2]
@@ -71,44 +71,44 @@
 
     @property
     def connections(self) -> int:
-        """How many clients are connected."""
+        """The number of connected clients."""
         return len(self._connections)
 
     def kill(self, connection_id: int, query_only: bool) -> bool:
-        """End a connection, or only the statement it runs. False: there is no such connection."""
+        """Kill a connection, or only its statement. Return False if there is no such connection."""
         connection = self._connections.get(connection_id)
         if connection is None:
             return False
-        kind = Interruption.QUERY_KILLED if query_only else Interruption.CONNECTION_KILLED
-        connection.interrupt(kind)
+        interruption = Interruption.QUERY_KILLED if query_only else Interruption.CONNECTION_KILLED
+        connection.interrupt(interruption)
         return True
 
     def close(self) -> None:
-        """Stop listening; the clients that are connected stay."""
+        """Stop listening. Connected clients stay connected."""
         if self._server is not None:
             self._server.close()
 
     async def stop(self) -> None:
-        """Stop listening and end every connection; return when all sessions are closed."""
+        """Stop listening and end all connections. Return when all sessions are closed."""
         self.close()
         for connection in list(self._connections.values()):
             connection.interrupt(Interruption.SERVER_STOPPED)
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
 
     def _accept(self, stream: PacketStream) -> None:
-        connection_id = self._free_id()
+        connection_id = self._next_free_id()
         connection = CallerConnection(
             connection_id, stream, self._session_factory(), self._accounts, self._ssl
         )
         self._connections[connection_id] = connection
         task = asyncio.get_running_loop().create_task(connection.run())
         self._tasks[connection_id] = task
-        task.add_done_callback(lambda done: self._ended(connection_id, done))
+        task.add_done_callback(lambda done: self._on_connection_done(connection_id, done))
 
-    def _free_id(self) -> int:
+    def _next_free_id(self) -> int:
         return next(number for number in self._ids if number not in self._connections)
 
-    def _ended(self, connection_id: int, task: asyncio.Task[None]) -> None:
+    def _on_connection_done(self, connection_id: int, task: asyncio.Task[None]) -> None:
         self._connections.pop(connection_id, None)
         self._tasks.pop(connection_id, None)
         if not task.cancelled() and task.exception() is not None:
--- a/src/bramblebeam/edges/mysql/session.py
+++ b/src/bramblebeam/edges/mysql/session.py
@@ -1,4 +1,4 @@
-"""What the protocol adapter asks of its user, one object a connection."""
+"""The interface that serves one client connection, called by the protocol adapter."""
 
 from abc import ABC, abstractmethod
 from typing import Any
@@ -7,19 +7,19 @@
 
 
 class CallerSession(ABC):
-    """One client connection's session. All methods are called by the connection's own task.
+    """The session of one client connection. The connection's task calls all methods.
 
-    Any method but `closed` may raise `CallerError`, which the client gets. `execute` is cancelled
-    when the client vanishes or its query is killed.
+    Any method except `closed` may raise `CallerError`, which is sent to the client. `execute` is
+    cancelled when the client disconnects or its query is killed.
     """
 
     @abstractmethod
     async def opened(self, connection: ConnectionInfo) -> None:
-        """Take a client that has proved who it is; a CallerError turns it away."""
+        """Accept an authenticated client. A CallerError refuses the connection."""
 
     @abstractmethod
     async def execute(self, sql: str, attributes: dict[str, Any]) -> OkResult | RowsResult:
-        """Run one statement; `attributes` are its query attributes."""
+        """Run one statement. `attributes` are its query attributes."""
 
     @abstractmethod
     async def use(self, database: str) -> None:
@@ -27,8 +27,8 @@
 
     @abstractmethod
     async def reset(self) -> None:
-        """Roll back, and forget the session's state."""
+        """Roll back and reset the session state."""
 
     @abstractmethod
     async def closed(self) -> None:
-        """The client is gone or turned away. Called once for each `opened`."""
+        """Release resources: the client is gone or was refused. Called once for each `opened`."""
--- a/src/bramblebeam/edges/mysql/stream.py
+++ b/src/bramblebeam/edges/mysql/stream.py
@@ -1,4 +1,4 @@
-"""MySQL packets over a transport: framing, sequence numbers, back-pressure, size limits."""
+"""MySQL packets over a transport: framing, sequence numbers, backpressure, size limits."""
 
 import asyncio
 import socket
@@ -9,13 +9,14 @@
 from bramblebeam.edges.mysql.results import CallerError
 
 HEADER_BYTES = 4
-LARGEST_FRAME_BYTES = 0xFFFFFF
-"""A frame of this size announces a continuation: such packets are refused as too large."""
+MAX_FRAME_BYTES = 0xFFFFFF
+"""Maximum payload of a frame. A frame of this size means that the packet continues in the next one;
+such packets of clients are refused as too large."""
 
-HANDSHAKE_PACKET_BYTES = 64 * 1024
-MAX_COMMAND_PACKET_BYTES = LARGEST_FRAME_BYTES - 1
+MAX_HANDSHAKE_PACKET_BYTES = 64 * 1024
+MAX_COMMAND_PACKET_BYTES = MAX_FRAME_BYTES - 1
 READ_AHEAD_BYTES = 256 * 1024
-"""Reading pauses when a client has sent this much beyond the packet it is sending."""
+"""Reading pauses when the buffer holds a complete packet and more than this many bytes."""
 
 PACKET_TOO_LARGE = 1153
 PACKETS_OUT_OF_ORDER = 1156
@@ -35,12 +36,12 @@
 
 
 def frame(packet: bytes, sequence: int) -> bytes:
-    """Return a packet with its header. `sequence` counts on beyond 255 by itself."""
+    """Return a packet with its header. `sequence` is taken modulo 256."""
     return _header.pack(len(packet) | (sequence & 0xFF) << 24) + packet
 
 
 def set_keepalive(transport: asyncio.BaseTransport) -> None:
-    """Have the system notice, within about a minute, that the other end is gone without a word."""
+    """Enable TCP keepalive, which detects a vanished peer within about a minute."""
     connected = transport.get_extra_info("socket")
     if connected is None or connected.family not in (socket.AF_INET, socket.AF_INET6):
         return
@@ -51,11 +52,11 @@
 
 
 class PacketStream(asyncio.BufferedProtocol):
-    """One connection's packets.
+    """The packet stream of one connection.
 
-    Bytes are received into one scratch buffer that all connections share, so that an idle
-    connection holds none. During the handshake no byte beyond the packet asked for is read:
-    what follows a request for TLS belongs to the TLS layer.
+    Bytes are received into a scratch buffer shared by all connections, so idle connections need
+    no receive buffer. During the handshake (`exact_reads`) no byte beyond the expected packet is
+    read, because the bytes after a TLS request belong to the TLS layer.
     """
 
     _scratch = memoryview(bytearray(SCRATCH_BYTES))
@@ -71,7 +72,7 @@
         "_sequence",
         "_write_paused",
         "closed",
-        "exact",
+        "exact_reads",
         "maximum_packet",
         "on_lost",
         "transport",
@@ -83,7 +84,7 @@
         self.transport: asyncio.Transport | None = None
         self.closed = False
         self.exact_reads = True
-        self.maximum_packet = HANDSHAKE_PACKET_BYTES
+        self.maximum_packet = MAX_HANDSHAKE_PACKET_BYTES
         self._buffer = bytearray()
         self._output = bytearray()
         self._sequence = 0
@@ -96,7 +97,7 @@
     # Transport callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport; a TLS upgrade calls this again on some event loops."""
+        """Store the transport. Some event loops call this again on a TLS upgrade."""
         first = self.transport is None
         self.transport = transport  # type: ignore[assignment]
         if first:
@@ -104,35 +105,35 @@
             self._on_connected(self)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return where the next bytes go: exactly the missing ones during the handshake."""
+        """Return the receive buffer, limited to the missing bytes during the handshake."""
         if self.exact_reads:
-            return self._scratch[: min(self._missing(), SCRATCH_BYTES)]
+            return self._scratch[: min(self._missing_bytes(), SCRATCH_BYTES)]
         return self._scratch
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Take the received bytes; pause reading where the client is far ahead."""
+        """Append the received bytes. Pause reading if the client is too far ahead."""
         self._buffer += self._scratch[:nbytes]
-        if self._missing() > 0:
+        if self._missing_bytes() > 0:
             return
         self._wake_reader()
         if self.exact_reads or len(self._buffer) > READ_AHEAD_BYTES:
             self._pause_reading()
 
     def eof_received(self) -> bool:
-        """Treat the client's half-close as the end of the connection."""
-        self._lost()
+        """Treat a half-close by the client as the end of the connection."""
+        self._mark_closed()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Mark the connection closed and wake whoever waits for it."""
-        self._lost()
+        """Mark the connection closed and wake all waiters."""
+        self._mark_closed()
 
     def pause_writing(self) -> None:
-        """Let `drain` wait: the client reads slower than it is sent to."""
+        """Make `drain` wait until the client has read more."""
         self._write_paused = True
 
     def resume_writing(self) -> None:
-        """Let `drain` go on."""
+        """Wake a waiting `drain`."""
         self._write_paused = False
         self._wake(self._drain_waiter)
 
@@ -159,12 +160,12 @@
             finally:
                 self._read_waiter = None
 
-    def _missing(self) -> int:
-        """Return how many bytes the first packet in the buffer lacks."""
+    def _missing_bytes(self) -> int:
+        """Return how many bytes of the first packet are not yet buffered."""
         buffer = self._buffer
-        have = len(buffer)
-        if have < HEADER_BYTES:
-            return HEADER_BYTES - have
+        buffered = len(buffer)
+        if buffered < HEADER_BYTES:
+            return HEADER_BYTES - buffered
         length = buffer[0] | buffer[1] << 8 | buffer[2] << 16
         if length > self.maximum_packet:
             self._fail(
@@ -173,11 +174,11 @@
                 )
             )
             return 0
-        return HEADER_BYTES + length - have
+        return HEADER_BYTES + length - buffered
 
     def _next_packet(self) -> bytes | None:
         buffer = self._buffer
-        if self._missing() > 0 or self._failure is not None:
+        if self._missing_bytes() > 0 or self._failure is not None:
             return None
         length = buffer[0] | buffer[1] << 8 | buffer[2] << 16
         if buffer[3] != self._sequence:
@@ -201,9 +202,9 @@
     # Writing
 
     def write(self, packet: bytes) -> None:
-        """Add one packet to the output."""
+        """Append one packet to the output buffer."""
         output = self._output
-        if len(packet) >= LARGEST_FRAME_BYTES:
+        if len(packet) >= MAX_FRAME_BYTES:
             self._write_large(packet)
             return
         output += _header.pack(len(packet) | self._sequence << 24)
@@ -211,30 +212,30 @@
         self._sequence = (self._sequence + 1) & 0xFF
 
     def write_frames(self, frames: bytes, count: int) -> None:
-        """Add packets framed beforehand, numbered from where the sequence stands."""
+        """Append `count` already framed packets, numbered from the current sequence number."""
         self._output += frames
         self._sequence = (self._sequence + count) & 0xFF
 
     def _write_large(self, packet: bytes) -> None:
-        for start in range(0, len(packet) + 1, LARGEST_FRAME_BYTES):
-            part = packet[start : start + LARGEST_FRAME_BYTES]
+        for start in range(0, len(packet) + 1, MAX_FRAME_BYTES):
+            part = packet[start : start + MAX_FRAME_BYTES]
             self._output += _header.pack(len(part) | self._sequence << 24)
             self._output += part
             self._sequence = (self._sequence + 1) & 0xFF
 
     @property
     def output_full(self) -> bool:
-        """Whether enough output is waiting for a `drain` to pay."""
+        """Whether enough output is buffered to make a `drain` worthwhile."""
         return len(self._output) >= WRITE_BUFFER_BYTES
 
     def flush(self) -> None:
-        """Hand the output to the transport."""
+        """Write the output buffer to the transport."""
         if self._output and self.transport is not None and not self.closed:
             self.transport.write(self._output)
         self._output = bytearray()
 
     async def drain(self) -> None:
-        """Flush, and wait while the client reads slower than it is sent to.
+        """Flush, and wait while the transport's write buffer is full.
 
         Raises StreamClosedError.
         """
@@ -249,13 +250,13 @@
             raise StreamClosedError
 
     def reset_sequence(self) -> None:
-        """Start a new command: both sides count packets from zero."""
+        """Reset the sequence number to 0, as both sides do for each command."""
         self._sequence = 0
 
-    # The connection
+    # Connection
 
     async def start_tls(self, context: SSLContext) -> None:
-        """Go over to TLS as the server. Raises ssl.SSLError, OSError."""
+        """Upgrade the connection to TLS as the server. Raises ssl.SSLError, OSError."""
         assert self.transport is not None
         loop = asyncio.get_running_loop()
         self._reading_paused = False
@@ -271,16 +272,16 @@
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once and drop what was not sent."""
+        """Close at once and discard unsent output."""
         if self.transport is not None:
             self.transport.abort()
 
     def remote(self) -> str:
-        """Return the client's IP number, or an empty text."""
+        """Return the client's IP address, or an empty string if it is unknown."""
         peer = self.transport.get_extra_info("peername") if self.transport is not None else None
         return str(peer[0]) if peer else ""
 
-    def _lost(self) -> None:
+    def _mark_closed(self) -> None:
         if self.closed:
             return
         self.closed = True
--- a/src/bramblebeam/edges/object_store/__init__.py
+++ b/src/bramblebeam/edges/object_store/__init__.py
@@ -1,1 +1,1 @@
-"""The client of the platform's object API, by aiohttp."""
+"""The client of the platform's object API, built on aiohttp."""
--- a/src/bramblebeam/edges/object_store/client.py
+++ b/src/bramblebeam/edges/object_store/client.py
@@ -1,4 +1,4 @@
-"""Requests to the platform's object API. Every outcome is a value; nothing raises."""
+"""Requests to the platform's object API. Errors are returned as values, not raised."""
 
 import json
 from collections.abc import AsyncIterator, Callable
@@ -23,18 +23,18 @@
     Unavailable,
 )
 
-WATCH_SILENCE_SECONDS = 10.0
-"""A watch that tells nothing, not even a bookmark, for this long counts as lost."""
+WATCH_IDLE_TIMEOUT_SECONDS = 10.0
+"""A watch that sends nothing, not even a bookmark, for this long is treated as lost."""
 
 Parsed = TypeVar("Parsed")
 
 _API = "/apis/bramblebeam/v1"
 _MAXIMUM_LINE_BYTES = 4 * 1024 * 1024
-_MALFORMED = (KeyError, TypeError, ValueError)
+_PARSE_ERRORS = (KeyError, TypeError, ValueError)
 
 
 class PlatformClient:
-    """A client of one platform at `url`; `timeout` (seconds) bounds each request but a watch."""
+    """A client of the platform at `url`. `timeout` (seconds) bounds each request except watches."""
 
     def __init__(self, url: str, timeout: float) -> None:
         self._url = url.rstrip("/")
@@ -48,51 +48,51 @@
             self._session = None
 
     async def list_rows(self) -> Result[RowListing, PlatformError]:
-        """Return every row, of all kinds, at one version."""
+        """Return the rows of all kinds at one version of the store."""
         answer = await self._request("GET", f"{_API}/rows")
-        return answer.bind(lambda body: _parsed(body, _listing))
+        return answer.bind(lambda body: _parse_body(body, _parse_listing))
 
     async def get_row(self, key: RowKey) -> Result[StoreRow, PlatformError]:
         """Return one row."""
         answer = await self._request("GET", _row_path(key))
-        return answer.bind(lambda body: _parsed(body, parse_store_row))
+        return answer.bind(lambda body: _parse_body(body, parse_store_row))
 
     async def write_row(self, written: StoreRow) -> Result[StoreRow, PlatformError]:
-        """Create the row (its version 0) or replace it at its version; return the new version."""
+        """Create the row if its version is 0, else replace that version. Return the stored row."""
         body = object_body(written)
         key = written.row.key
         if written.row.version:
             answer = await self._request("PUT", _row_path(key), body)
         else:
             answer = await self._request("POST", f"{_API}/rows/{quote(key.kind)}", body)
-        return answer.bind(lambda found: _parsed(found, parse_store_row))
+        return answer.bind(lambda found: _parse_body(found, parse_store_row))
 
     async def machines(self) -> Result[tuple[MachineEntry, ...], PlatformError]:
-        """Return the platform's list of machines, which lags."""
+        """Return the platform's list of machines, which may be stale."""
         answer = await self._request("GET", f"{_API}/machines")
-        return answer.bind(lambda body: _parsed(body, _machines))
+        return answer.bind(lambda body: _parse_body(body, _parse_machines))
 
     async def watch_rows(self, version: int) -> AsyncIterator[Result[RowChanges, PlatformError]]:
-        """Yield the changes after `version` as they come; the last item is an error."""
+        """Yield the changes after `version` as they arrive. The last item is an error."""
         path = f"{_API}/rows?watch=1&resourceVersion={version}"
         timeout = aiohttp.ClientTimeout(
-            total=None, sock_connect=self._timeout, sock_read=WATCH_SILENCE_SECONDS
+            total=None, sock_connect=self._timeout, sock_read=WATCH_IDLE_TIMEOUT_SECONDS
         )
         try:
-            async with self._opened().get(self._url + path, timeout=timeout) as response:
+            async with self._open_session().get(self._url + path, timeout=timeout) as response:
                 if response.status != 200:
-                    yield Error(await _status_error(response))
+                    yield Error(await _parse_error(response))
                     return
                 async for changes in _watch_lines(response.content):
                     yield Ok(changes)
-        except _MALFORMED as error:
+        except _PARSE_ERRORS as error:
             yield Error(Rejected(200, f"malformed watch line: {error!r}"))
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             yield Error(Unavailable(True, repr(error)))
         else:
-            yield Error(Unavailable(True, "the watch was closed"))
+            yield Error(Unavailable(True, "the server closed the watch"))
 
-    def _opened(self) -> aiohttp.ClientSession:
+    def _open_session(self) -> aiohttp.ClientSession:
         if self._session is None:
             self._session = aiohttp.ClientSession(read_bufsize=_MAXIMUM_LINE_BYTES)
         return self._session
@@ -102,10 +102,12 @@
     ) -> Result[dict[str, Any], PlatformError]:
         timeout = aiohttp.ClientTimeout(total=self._timeout)
         try:
-            request = self._opened().request(method, self._url + path, json=body, timeout=timeout)
+            request = self._open_session().request(
+                method, self._url + path, json=body, timeout=timeout
+            )
             async with request as response:
                 if response.status >= 400:
-                    return Error(await _status_error(response))
+                    return Error(await _parse_error(response))
                 return Ok(await response.json())
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             return Error(Unavailable(False, repr(error)))
@@ -117,22 +119,22 @@
     return f"{_API}/rows/{quote(key.kind, safe='')}/{quote(key.name, safe='')}"
 
 
-def _parsed(
+def _parse_body(
     body: dict[str, Any], parse: Callable[[dict[str, Any]], Parsed]
 ) -> Result[Parsed, PlatformError]:
-    """Read an answer's body; one that is malformed says nothing on whether the request ran."""
+    """Parse a response body. If it is malformed, it is unknown whether the request ran."""
     try:
         return Ok(parse(body))
-    except _MALFORMED as error:
-        return Error(Unavailable(True, f"malformed answer: {error!r}"))
+    except _PARSE_ERRORS as error:
+        return Error(Unavailable(True, f"malformed response: {error!r}"))
 
 
-def _listing(body: dict[str, Any]) -> RowListing:
+def _parse_listing(body: dict[str, Any]) -> RowListing:
     rows = tuple(parse_store_row(item).row for item in body["items"])
     return RowListing(int(body["metadata"]["resourceVersion"]), rows)
 
 
-def _machines(body: dict[str, Any]) -> tuple[MachineEntry, ...]:
+def _parse_machines(body: dict[str, Any]) -> tuple[MachineEntry, ...]:
     return tuple(
         MachineEntry(
             item["node"], item["zone"], item["host"], int(item["port"]), item["state"] == "leaving"
@@ -141,40 +143,40 @@
     )
 
 
-async def _status_error(response: aiohttp.ClientResponse) -> PlatformError:
-    """Read an HTTP error. A 5xx answer may come from a proxy: the request may have run."""
+async def _parse_error(response: aiohttp.ClientResponse) -> PlatformError:
+    """Convert an HTTP error. A 5xx response may come from a proxy, so the request may have run."""
     text = await response.text()
     if response.status == 404:
         return NotFound()
     if response.status == 410:
         return Expired()
     if response.status == 409:
-        return _conflict(text)
+        return _parse_conflict(text)
     if response.status >= 500:
         return Unavailable(True, f"status {response.status}")
     return Rejected(response.status, text[:200])
 
 
-def _conflict(text: str) -> PlatformError:
+def _parse_conflict(text: str) -> PlatformError:
     try:
         details = json.loads(text).get("details")
         return Conflict(parse_store_row(details) if details else None)
-    except _MALFORMED:
+    except _PARSE_ERRORS:
         return Conflict(None)
 
 
 async def _watch_lines(content: aiohttp.StreamReader) -> AsyncIterator[RowChanges]:
-    """Yield one batch for all the lines that have come."""
+    """Yield the changes of all complete lines received so far as one batch."""
     pending = b""
     while chunk := await content.readany():
         lines, _, pending = (pending + chunk).rpartition(b"\n")
         if len(pending) > _MAXIMUM_LINE_BYTES:
             raise ValueError("watch line too long")
         if lines:
-            yield _changes(lines.split(b"\n"))
+            yield _parse_changes(lines.split(b"\n"))
 
 
-def _changes(lines: list[bytes]) -> RowChanges:
+def _parse_changes(lines: list[bytes]) -> RowChanges:
     rows: list[Row] = []
     version = 0
     for line in lines:
--- a/src/bramblebeam/edges/object_store/objects.py
+++ b/src/bramblebeam/edges/object_store/objects.py
@@ -1,4 +1,4 @@
-"""Turns the platform's JSON objects into rows and back."""
+"""Converts the platform's JSON objects to rows and back."""
 
 import json
 from typing import Any
@@ -9,7 +9,7 @@
 CHANGE_ANNOTATION = "bramblebeam/change"
 OPERATOR_ANNOTATION = "bramblebeam/operator"
 DELETED_ANNOTATION = "bramblebeam/deleted"
-"""On an object that stands for a deleted row; its spec is empty."""
+"""Marks the tombstone of a deleted row. Its spec is empty."""
 
 PREVIOUS_ANNOTATION = "bramblebeam/previous-changes"
 
@@ -20,12 +20,12 @@
 
 
 def parse_store_row(body: dict[str, Any], deleted: bool = False) -> StoreRow:
-    """Read one object. Raises KeyError, TypeError or ValueError for one that is malformed."""
+    """Parse one object. Raises KeyError, TypeError or ValueError if it is malformed."""
     metadata = body["metadata"]
     annotations = metadata.get("annotations") or {}
     key = RowKey(body["kind"], metadata["name"])
-    gone = deleted or annotations.get(DELETED_ANNOTATION) == "true"
-    spec = "" if gone else canonical_json(body["spec"])
+    is_deleted = deleted or annotations.get(DELETED_ANNOTATION) == "true"
+    spec = "" if is_deleted else canonical_json(body["spec"])
     change_id = "" if deleted else annotations.get(CHANGE_ANNOTATION, "")
     row = Row(key, int(metadata["resourceVersion"]), spec, change_id)
     previous = annotations.get(PREVIOUS_ANNOTATION, "")
@@ -33,16 +33,16 @@
     return StoreRow(row, annotations.get(OPERATOR_ANNOTATION, ""), changes)
 
 
-def object_body(written: StoreRow) -> dict[str, Any]:
-    """Return the JSON object to write; version 0 is left out (a creation).
+def object_body(store_row: StoreRow) -> dict[str, Any]:
+    """Return the JSON object to write. Version 0 is omitted, which creates the object.
 
-    A deleted row is written as an object without a spec, so that its change ids are kept.
+    A deleted row is written as a tombstone with an empty spec, which keeps its change ids.
     """
-    row = written.row
+    row = store_row.row
     annotations = {
         CHANGE_ANNOTATION: row.change_id,
-        OPERATOR_ANNOTATION: written.operator,
-        PREVIOUS_ANNOTATION: ",".join(written.previous_changes),
+        OPERATOR_ANNOTATION: store_row.operator,
+        PREVIOUS_ANNOTATION: ",".join(store_row.previous_changes),
     }
     if not row.spec:
         annotations[DELETED_ANNOTATION] = "true"
--- a/src/bramblebeam/edges/object_store/results.py
+++ b/src/bramblebeam/edges/object_store/results.py
@@ -1,4 +1,4 @@
-"""What the platform answers, as typed values."""
+"""Results and errors of requests to the platform."""
 
 from dataclasses import dataclass
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RowChanges:
-    """Changes that a watch told, oldest first. `version`: everything up to it was told."""
+    """Changes reported by a watch, oldest first. All changes up to `version` have been reported."""
 
     rows: tuple[Row, ...]
     version: int
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineEntry:
-    """One machine of the platform's lagging list."""
+    """One machine of the platform's list, which may be stale."""
 
     node: str
     zone: str
@@ -35,24 +35,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The write did not run: the row is at another version (`current` None: it is deleted)."""
+    """The write did not run: the row is at another version (`current` is None if it is deleted)."""
 
     current: StoreRow | None
 
 
 @dataclass(frozen=True, slots=True)
 class NotFound:
-    """There is no such row."""
+    """The row does not exist."""
 
 
 @dataclass(frozen=True, slots=True)
 class Expired:
-    """The store no longer keeps the changes after the asked version: list again."""
+    """The store no longer has the changes after the requested version; a new listing is needed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The store refused the request as wrong; it did not run."""
+    """The store rejected the request as invalid; it did not run."""
 
     status: int
     detail: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """No answer. `sent` False: the store surely did not get the request."""
+    """No valid response. `sent` is False if the store can't have received the request."""
 
     sent: bool
     detail: str
@@ -70,7 +70,7 @@
 
 
 def error_text(error: PlatformError) -> str:
-    """Return an error as a short text for people."""
+    """Return a short description of an error for logs and messages."""
     match error:
         case Unavailable(_, detail) | Rejected(_, detail):
             return detail
--- a/tests/test_database_sql.py
+++ b/tests/test_database_sql.py
@@ -34,7 +34,7 @@
     sql = "UPDATE t SET a = '?'" + "".join(f", c{index} = ?" for index in range(len(values)))
     statement = PreparedStatement(1, split_at_placeholders(sql))
     assert statement.parameter_count == len(values)
-    shape = shape_of(statement.text(values))
+    shape = shape_of(statement.render(values))
     names = iter(f":p{number}" for number in range(1, len(values) + 2))
     assert shape.text == re.sub(r"'\?'|\?", lambda _: next(names), sql)
     assert shape.parameters == ("?", *values)
