--- a/src/bramblebeam/edges/admin/api.py
+++ b/src/bramblebeam/edges/admin/api.py
@@ -1,6 +1,7 @@
 """The interface between the HTTP server and the node: one method per operation.
 
-Every method completes within a bounded time."""
+Every method completes within a bounded time.
+"""
 
 from typing import Protocol
 
--- a/src/bramblebeam/edges/admin/authentication.py
+++ b/src/bramblebeam/edges/admin/authentication.py
@@ -45,7 +45,7 @@
     def require(self, role: Role) -> None:
         """Raise ApiError 403 unless the operator has the role."""
         if self.role < role:
-            raise refuse(403, "role", f"role {role.name.lower()!r} is required")
+            raise refuse(403, "role", f"the role {role.name.lower()} is required")
 
     def require_row(self, row_name: str) -> None:
         """Raise ApiError 403 unless the row belongs to the operator's team."""
@@ -71,10 +71,10 @@
         if self._anonymous_access:
             return LOCAL_OPERATOR
         scheme, _, token = header.partition(" ")
-        given = _digest(token.strip()) if scheme.lower() == "bearer" else b""
+        token_digest = _digest(token.strip()) if scheme.lower() == "bearer" else b""
         found = None
         for digest, operator in self._operators:
-            if hmac.compare_digest(digest, given):
+            if hmac.compare_digest(digest, token_digest):
                 found = operator
         if found is None:
             raise refuse(401, "token", "a valid bearer token is required")
--- a/src/bramblebeam/edges/admin/routes.py
+++ b/src/bramblebeam/edges/admin/routes.py
@@ -65,8 +65,10 @@
     try:
         return model.model_validate_json(await request.read())
     except ValidationError as error:
-        found = {".".join(map(str, entry["loc"])): entry["msg"] for entry in error.errors()}
-        raise refuse(400, "body", "the body is invalid", fields=found) from error
+        invalid_fields = {
+            ".".join(map(str, entry["loc"])): entry["msg"] for entry in error.errors()
+        }
+        raise refuse(400, "body", "the body is invalid", fields=invalid_fields) from error
 
 
 async def _status(ctx: RequestContext, _: None) -> BaseModel:
--- a/src/bramblebeam/edges/admin/schemas.py
+++ b/src/bramblebeam/edges/admin/schemas.py
@@ -67,7 +67,7 @@
 
 
 class NodeVersion(_Body):
-    """The lowest version that one node may have in force (0: unknown)."""
+    """The minimum version in force at one node (0: unknown)."""
 
     node: str
     zone: str
--- a/src/bramblebeam/edges/backend/connection.py
+++ b/src/bramblebeam/edges/backend/connection.py
@@ -277,11 +277,11 @@
 
 def _configure(driver: Any) -> None:
     """Bound the connection's buffers and set up keepalive to detect a server that is gone."""
-    connected = driver._transport.get_extra_info("socket")
-    connected.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER_BYTES)
-    connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
-    connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS)
-    connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    sock = driver._transport.get_extra_info("socket")
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER_BYTES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
     protocol = driver._proto
     if protocol.length == protocol.pos:
         protocol.buffer = bytearray(RECEIVE_BUFFER_BYTES)
--- a/src/bramblebeam/edges/backend/errors.py
+++ b/src/bramblebeam/edges/backend/errors.py
@@ -41,7 +41,7 @@
 
 
 class ConnectionLostError(BackendError):
-    """The connection was lost. `sent` is False if the whole statement can't have reached the server."""
+    """The connection was lost. `sent` is False if the server did not get the whole statement."""
 
     def __init__(self, message: str, sent: bool) -> None:
         super().__init__(message, Verdict.UNKNOWN if sent else Verdict.NOT_RUN)
--- a/src/bramblebeam/edges/backend/results.py
+++ b/src/bramblebeam/edges/backend/results.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendResult:
-    """A statement's result. If `more` is set, `rows` is the first batch and `fetch` returns the rest.
+    """A statement's result. If `more` is set, these are the first rows; `fetch` returns the rest.
 
     Integers are int, FLOAT and DOUBLE are float, values of the BLOB family are bytes; all others,
     including decimals and temporal values, are the text that the server sent. A column's type code
--- a/src/bramblebeam/edges/mysql/answers.py
+++ b/src/bramblebeam/edges/mysql/answers.py
@@ -47,7 +47,8 @@
     """Writes responses.
 
     It stores the session's status flags, which every response except an error carries.
-    `capabilities` are those negotiated with the client."""
+    `capabilities` are those negotiated with the client.
+    """
 
     __slots__ = ("_status", "_stream", "capabilities")
 
@@ -142,7 +143,7 @@
 
 
 async def _close_rows(closing: Awaitable[Any]) -> None:
-    """Close an iterator of rows. Errors are only logged: the client already has its response."""
+    """Close an iterator of rows. Its errors are only logged, as they don't concern the client."""
     try:
         await closing
     except (CallerError, RuntimeError):
--- a/src/bramblebeam/edges/mysql/connection.py
+++ b/src/bramblebeam/edges/mysql/connection.py
@@ -238,7 +238,8 @@
     def _finish_interruption(self) -> None:
         """Handle an interruption after the session has already produced a response.
 
-        A killed query ends here; any other interruption closes the connection."""
+        A killed query leaves the connection open; any other interruption closes it.
+        """
         if self._interruption is None or self._task is None:
             return
         self._task.uncancel()
--- a/src/bramblebeam/edges/mysql/handshake.py
+++ b/src/bramblebeam/edges/mysql/handshake.py
@@ -37,8 +37,8 @@
 _CONNECTION_ID_OFFSET = 1 + len(SERVER_VERSION) + 1
 _NONCE_OFFSET = _CONNECTION_ID_OFFSET + 4
 _NONCE_REST_OFFSET = _NONCE_OFFSET + 8 + 1 + 2 + 1 + 2 + 2 + 1 + 10
-"""Follows the first 8 bytes of the nonce, a filler, lower capabilities, character set, status, upper
-capabilities, length of the nonce, and reserved bytes."""
+"""Comes after the first 8 bytes of the nonce, a filler, lower capabilities, character set, status,
+upper capabilities, length of the nonce, and reserved bytes."""
 
 _plugin = NativePasswordAuthPlugin()
 
--- a/src/bramblebeam/edges/mysql/parameters.py
+++ b/src/bramblebeam/edges/mysql/parameters.py
@@ -57,7 +57,8 @@
     """One prepared statement.
 
     `fragments`: its text around the placeholders. `types`: type code and unsigned flag of each
-    parameter, as last bound. `long_data`: data sent ahead of the execution, by parameter index."""
+    parameter, as last bound. `long_data`: data sent ahead of the execution, by parameter index.
+    """
 
     id: int
     fragments: tuple[str, ...]
--- a/src/bramblebeam/edges/mysql/prepared.py
+++ b/src/bramblebeam/edges/mysql/prepared.py
@@ -90,5 +90,5 @@
 
 
 def prepare_ok(statement: PreparedStatement) -> bytes:
-    """Return the response packet to COM_STMT_PREPARE."""
+    """Return the first packet of the response to COM_STMT_PREPARE."""
     return _PREPARE_OK.pack(0, statement.id, 0, statement.parameter_count, 0, 0)
--- a/src/bramblebeam/edges/mysql/session.py
+++ b/src/bramblebeam/edges/mysql/session.py
@@ -31,4 +31,4 @@
 
     @abstractmethod
     async def closed(self) -> None:
-        """Release resources: the client is gone or was refused. Called once for each `opened`."""
+        """Close the session of a client that is gone or refused. Called once for each `opened`."""
--- a/src/bramblebeam/edges/mysql/stream.py
+++ b/src/bramblebeam/edges/mysql/stream.py
@@ -11,7 +11,7 @@
 HEADER_BYTES = 4
 MAX_FRAME_BYTES = 0xFFFFFF
 """Maximum payload of a frame. A frame of this size means that the packet continues in the next one;
-such packets of clients are refused as too large."""
+such packets from clients are refused as too large."""
 
 MAX_HANDSHAKE_PACKET_BYTES = 64 * 1024
 MAX_COMMAND_PACKET_BYTES = MAX_FRAME_BYTES - 1
@@ -42,13 +42,13 @@
 
 def set_keepalive(transport: asyncio.BaseTransport) -> None:
     """Enable TCP keepalive, which detects a vanished peer within about a minute."""
-    connected = transport.get_extra_info("socket")
-    if connected is None or connected.family not in (socket.AF_INET, socket.AF_INET6):
+    sock = transport.get_extra_info("socket")
+    if sock is None or sock.family not in (socket.AF_INET, socket.AF_INET6):
         return
-    connected.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
-    connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS)
-    connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
 
 
 class PacketStream(asyncio.BufferedProtocol):
--- a/src/bramblebeam/edges/object_store/client.py
+++ b/src/bramblebeam/edges/object_store/client.py
@@ -49,28 +49,28 @@
 
     async def list_rows(self) -> Result[RowListing, PlatformError]:
         """Return the rows of all kinds at one version of the store."""
-        answer = await self._request("GET", f"{_API}/rows")
-        return answer.bind(lambda body: _parse_body(body, _parse_listing))
+        result = await self._request("GET", f"{_API}/rows")
+        return result.bind(lambda body: _parse_body(body, _parse_listing))
 
     async def get_row(self, key: RowKey) -> Result[StoreRow, PlatformError]:
         """Return one row."""
-        answer = await self._request("GET", _row_path(key))
-        return answer.bind(lambda body: _parse_body(body, parse_store_row))
+        result = await self._request("GET", _row_path(key))
+        return result.bind(lambda body: _parse_body(body, parse_store_row))
 
-    async def write_row(self, written: StoreRow) -> Result[StoreRow, PlatformError]:
+    async def write_row(self, store_row: StoreRow) -> Result[StoreRow, PlatformError]:
         """Create the row if its version is 0, else replace that version. Return the stored row."""
-        body = object_body(written)
-        key = written.row.key
-        if written.row.version:
-            answer = await self._request("PUT", _row_path(key), body)
+        body = object_body(store_row)
+        key = store_row.row.key
+        if store_row.row.version:
+            result = await self._request("PUT", _row_path(key), body)
         else:
-            answer = await self._request("POST", f"{_API}/rows/{quote(key.kind)}", body)
-        return answer.bind(lambda found: _parse_body(found, parse_store_row))
+            result = await self._request("POST", f"{_API}/rows/{quote(key.kind)}", body)
+        return result.bind(lambda stored: _parse_body(stored, parse_store_row))
 
     async def machines(self) -> Result[tuple[MachineEntry, ...], PlatformError]:
         """Return the platform's list of machines, which may be stale."""
-        answer = await self._request("GET", f"{_API}/machines")
-        return answer.bind(lambda body: _parse_body(body, _parse_machines))
+        result = await self._request("GET", f"{_API}/machines")
+        return result.bind(lambda body: _parse_body(body, _parse_machines))
 
     async def watch_rows(self, version: int) -> AsyncIterator[Result[RowChanges, PlatformError]]:
         """Yield the changes after `version` as they arrive. The last item is an error."""
--- a/tests/test_backend_connection.py
+++ b/tests/test_backend_connection.py
@@ -1,4 +1,4 @@
-"""The back ends' adapter against the protocol adapter's server."""
+"""Connections to back ends, with the MySQL protocol adapter as the server."""
 
 import asyncio
 import contextlib
@@ -29,8 +29,10 @@
 
 
 class FakeDatabase(CallerSession):
-    def __init__(self, server: list[MysqlServer], produced: list[int]) -> None:
-        self.server = server
+    """Returns fixed results; `produced[0]` is the number of the last row it has produced."""
+
+    def __init__(self, servers: list[MysqlServer], produced: list[int]) -> None:
+        self.servers = servers
         self.produced = produced
         self.connection: ConnectionInfo | None = None
 
@@ -51,7 +53,7 @@
             return RowsResult((ColumnSpec("n", 8),), self.failing_rows())
         if sql.startswith("KILL"):
             words = sql.split()
-            self.server[0].kill(int(words[-1]), query_only="QUERY" in words)
+            self.servers[0].kill(int(words[-1]), query_only="QUERY" in words)
             return OkResult()
         if sql.startswith("FAIL"):
             raise CallerError(int(sql.split()[1]), "HY000", "refused")
@@ -78,10 +80,10 @@
 
 @contextlib.asynccontextmanager
 async def database() -> AsyncIterator[tuple[Address, list[int], MysqlServer]]:
-    holder: list[MysqlServer] = []
+    servers: list[MysqlServer] = []
     produced = [0]
-    server = MysqlServer(lambda: FakeDatabase(holder, produced), "127.0.0.1", 0)
-    holder.append(server)
+    server = MysqlServer(lambda: FakeDatabase(servers, produced), "127.0.0.1", 0)
+    servers.append(server)
     await server.start()
     try:
         yield server.address, produced, server
@@ -112,18 +114,18 @@
         assert connection.broken
 
 
-async def test_streamed_rows_arrive_whole_and_the_server_is_held_back() -> None:
+async def test_streamed_rows_are_complete_and_backpressure_stops_the_server() -> None:
     async with database() as (address, produced, _):
         connection = await connect(address)
         result = await connection.execute("MANY", maximum_rows=100)
         assert result.more
         assert connection.busy
         rows = list(result.rows)
-        held_at = -1
-        while held_at != produced[0]:
-            held_at = produced[0]
+        paused_at = -1
+        while paused_at != produced[0]:
+            paused_at = produced[0]
             await asyncio.sleep(0.05)
-        assert held_at < ROWS - 1
+        assert paused_at < ROWS - 1
         more = True
         while more:
             batch = await connection.fetch(1_000)
@@ -189,7 +191,7 @@
         await control.close()
 
 
-async def test_lost_after_sending_is_unknown() -> None:
+async def test_connection_lost_after_sending_has_unknown_outcome() -> None:
     async with database() as (address, _, server):
         connection = await connect(address)
         waiting = asyncio.create_task(connection.execute("WAIT"))
@@ -212,11 +214,11 @@
             await connect(address)
         assert (refused.value.code, refused.value.verdict) == (0, Verdict.NOT_RUN)
 
-    async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def unresponsive(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read()
         writer.close()
 
-    listener = await asyncio.start_server(silent, "127.0.0.1", 0)
+    listener = await asyncio.start_server(unresponsive, "127.0.0.1", 0)
     async with listener:
         address = Address(*listener.sockets[0].getsockname())
         with pytest.raises(ConnectError):
--- a/tests/test_backend_status.py
+++ b/tests/test_backend_status.py
@@ -1,4 +1,4 @@
-"""The brief and the full status of a member are read alike, and a broken one is an error."""
+"""Parsing of a member's brief and full status, and errors for an invalid one."""
 
 import pytest
 
@@ -17,16 +17,16 @@
     await connection.close()
     await member.stop()
     assert len(brief.columns) == 1
-    fields = parse_status(brief)._asdict()
-    others = parse_status(full)._asdict()
-    for moving in ("primary_contact_ms", "lag_ms"):
-        assert fields.pop(moving) <= others.pop(moving)
-    assert fields == others
-    assert fields["instance"] == "db-1"
+    brief_fields = parse_status(brief)._asdict()
+    full_fields = parse_status(full)._asdict()
+    for time_field in ("primary_contact_ms", "lag_ms"):
+        assert brief_fields.pop(time_field) <= full_fields.pop(time_field)
+    assert brief_fields == full_fields
+    assert brief_fields["instance"] == "db-1"
 
 
 @pytest.mark.parametrize("text", ["", "db-1,1,replica", "db-1,x,replica,0,0,0,0,0,0,,0,0"])
-def test_broken_status_is_an_error(text: str) -> None:
+def test_invalid_status_is_an_error(text: str) -> None:
     result = BackendResult(columns=(ColumnSpec("status", 253),), rows=((text,),))
     with pytest.raises(StatusFormatError):
         parse_status(result)
--- a/tests/test_mysql_server.py
+++ b/tests/test_mysql_server.py
@@ -1,4 +1,4 @@
-"""The callers' protocol adapter, with real drivers and with hostile bytes."""
+"""The MySQL protocol adapter for callers, with real drivers and with malformed input."""
 
 import asyncio
 import contextlib
@@ -39,7 +39,7 @@
 
 
 class RecordingSession(CallerSession):
-    """Answers by a few fixed statements and records what it was asked."""
+    """Returns fixed results for a few statements and records every call."""
 
     def __init__(self, log: list[Any]) -> None:
         self.log = log
@@ -65,7 +65,9 @@
         if sql == "SELECT bug":
             raise RuntimeError("not expected")
         if sql.startswith("SELECT many"):
-            return RowsResult((ColumnSpec("n", LONGLONG), ColumnSpec("t", VAR_STRING)), self.many())
+            return RowsResult(
+                (ColumnSpec("n", LONGLONG), ColumnSpec("t", VAR_STRING)), self.many_rows()
+            )
         if sql.startswith("SELECT types"):
             columns = (
                 ColumnSpec("i", LONGLONG),
@@ -80,7 +82,7 @@
             return RowsResult(columns, [TYPES_ROW], in_transaction=True, autocommit=False)
         return OkResult(3, 17, "position=4:9", in_transaction=sql == "BEGIN")
 
-    async def many(self) -> AsyncIterator[tuple[int, str]]:
+    async def many_rows(self) -> AsyncIterator[tuple[int, str]]:
         for number in range(20_000):
             yield number, "x" * 20
 
@@ -107,7 +109,7 @@
 
 
 @contextlib.asynccontextmanager
-async def running(
+async def running_server(
     context: ssl.SSLContext | None = None, users: dict[str, str] | None = None
 ) -> AsyncIterator[tuple[MysqlServer, list[Any]]]:
     log: list[Any] = []
@@ -119,22 +121,22 @@
         await server.stop()
 
 
-async def connected(server: MysqlServer, **options: Any) -> Any:
+async def connect(server: MysqlServer, **options: Any) -> Any:
     host, port = server.address
     return await asyncmy.connect(host=host, port=port, user="svc", autocommit=None, **options)
 
 
-async def until(check: Any) -> None:
+async def wait_until(check: Any) -> None:
     for _ in range(2_500):
         if check():
             return
         await asyncio.sleep(0.002)
-    raise AssertionError("the condition did not come true")
+    raise AssertionError("the condition was not met in time")
 
 
 async def test_asyncmy_sees_counts_info_flags_and_attributes() -> None:
-    async with running() as (server, log):
-        connection = await connected(server, database="depot", program_name="epoch-4")
+    async with running_server() as (server, log):
+        connection = await connect(server, database="depot", program_name="epoch-4")
         await connection.query("INSERT INTO t VALUES (1)")
         result = connection._result
         assert (result.affected_rows, result.insert_id) == (3, 17)
@@ -150,13 +152,13 @@
         await connection._read_ok_packet()
         assert log[-1] == "reset"
         await connection.ensure_closed()
-        await until(lambda: server.connections == 0)
+        await wait_until(lambda: server.connections == 0)
         assert log[-1] == "closed"
 
 
 async def test_values_in_text_and_binary_protocol() -> None:
-    async with running() as (server, _):
-        connection = await connected(server)
+    async with running_server() as (server, _):
+        connection = await connect(server)
         await connection.query("SELECT types")
         assert tuple(connection._result.rows[0]) == TYPES_ROW
         assert connection.get_transaction_status()
@@ -170,8 +172,8 @@
 
 
 async def test_prepared_parameters_become_literals() -> None:
-    async with running() as (server, log):
-        connection = await connected(server)
+    async with running_server() as (server, log):
+        connection = await connect(server)
         statement = await connection.prepare("UPDATE t SET a=?, b='?' /* ? */ WHERE c=? AND d=?")
         assert statement.parameter_count == 3
         await statement.execute(("it's \\ ?", None, 7))
@@ -199,8 +201,8 @@
 
 
 async def test_errors_leave_the_connection_usable(caplog: pytest.LogCaptureFixture) -> None:
-    async with running() as (server, _):
-        connection = await connected(server)
+    async with running_server() as (server, _):
+        connection = await connect(server)
         with pytest.raises(asyncmy.errors.OperationalError) as failure:
             await connection.query("SELECT fail")
         assert failure.value.args[0] == 1213
@@ -212,8 +214,8 @@
 
 
 async def test_large_result_by_asynchronous_rows() -> None:
-    async with running() as (server, _):
-        connection = await connected(server)
+    async with running_server() as (server, _):
+        connection = await connect(server)
         await connection.query("SELECT many")
         rows = connection._result.rows
         assert len(rows) == 20_000
@@ -221,23 +223,23 @@
         connection.close()
 
 
-async def test_vanished_client_cancels_the_statement_and_closes_the_session() -> None:
-    async with running() as (server, log):
-        connection = await connected(server)
+async def test_lost_client_cancels_the_statement_and_closes_the_session() -> None:
+    async with running_server() as (server, log):
+        connection = await connect(server)
         query = asyncio.create_task(connection.query("SELECT wait"))
-        await until(lambda: "SELECT wait" in log)
+        await wait_until(lambda: "SELECT wait" in log)
         connection._transport.abort()
-        await until(lambda: server.connections == 0)
+        await wait_until(lambda: server.connections == 0)
         assert log[-2:] == ["cancelled", "closed"]
         await asyncio.gather(query, return_exceptions=True)
 
 
-async def test_kill_query_keeps_and_kill_ends_the_connection() -> None:
-    async with running() as (server, log):
-        connection = await connected(server)
+async def test_kill_query_keeps_the_connection_and_kill_closes_it() -> None:
+    async with running_server() as (server, log):
+        connection = await connect(server)
         connection_id = log[0].id
         query = asyncio.create_task(connection.query("SELECT wait"))
-        await until(lambda: "SELECT wait" in log)
+        await wait_until(lambda: "SELECT wait" in log)
         assert server.kill(connection_id, query_only=True)
         with pytest.raises(asyncmy.errors.MySQLError) as failure:
             await query
@@ -246,22 +248,22 @@
         server.kill(connection_id, query_only=True)
         await connection.query("UPDATE t")
         assert server.kill(connection_id, query_only=False)
-        await until(lambda: server.connections == 0)
+        await wait_until(lambda: server.connections == 0)
         assert log[-1] == "closed"
         assert not server.kill(connection_id, query_only=False)
 
 
-def events_of(caplog: pytest.LogCaptureFixture) -> Counter[int]:
+def event_counts(caplog: pytest.LogCaptureFixture) -> Counter[int]:
     return Counter(getattr(record, "event_number", 0) for record in caplog.records)
 
 
 async def test_passwords_and_refusal_at_open(caplog: pytest.LogCaptureFixture) -> None:
-    async with running(users={"svc": "secret", "crowd": "", "open": ""}) as (server, log):
-        connection = await connected(server, password="secret")
+    async with running_server(users={"svc": "secret", "crowd": "", "open": ""}) as (server, log):
+        connection = await connect(server, password="secret")
         connection.close()
         for options in ({"password": "wrong"}, {"password": ""}):
             with pytest.raises(asyncmy.errors.OperationalError) as failure:
-                await connected(server, **options)
+                await connect(server, **options)
             assert failure.value.args[0] == 1045
         host, port = server.address
         with pytest.raises(asyncmy.errors.OperationalError) as failure:
@@ -270,13 +272,13 @@
         with pytest.raises(asyncmy.errors.OperationalError) as failure:
             await asyncmy.connect(host=host, port=port, user="crowd")
         assert failure.value.args[0] == 1040
-        await until(lambda: server.connections == 0)
+        await wait_until(lambda: server.connections == 0)
         assert sum(1 for entry in log if entry == "closed") == 2
-        assert events_of(caplog) == {1191: 3}
+        assert event_counts(caplog) == {1191: 3}
 
 
 async def test_pymysql_with_text_protocol() -> None:
-    async with running(users={"svc": "secret"}) as (server, _):
+    async with running_server(users={"svc": "secret"}) as (server, _):
         host, port = server.address
 
         def use() -> tuple[int, tuple[Any, ...], int]:
@@ -325,10 +327,10 @@
         frame(1, HANDSHAKE) + frame(0, b"\x63"),
     ],
 )
-async def test_hostile_bytes_end_in_an_error_or_a_close(
+async def test_malformed_input_ends_in_an_error_or_a_close(
     hostile: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async with running() as (server, log):
+    async with running_server() as (server, log):
         reader, writer = await asyncio.open_connection(*server.address)
         await reader.readexactly(4)
         writer.write(hostile)
@@ -336,18 +338,18 @@
         async with asyncio.timeout(5):
             await reader.read()
         writer.close()
-        await until(lambda: server.connections == 0)
+        await wait_until(lambda: server.connections == 0)
         opened = sum(1 for entry in log if isinstance(entry, ConnectionInfo))
         assert opened == sum(1 for entry in log if entry == "closed")
         assert not [record for record in caplog.records if record.levelname == "ERROR"]
-        assert set(events_of(caplog)) <= {1192}
+        assert set(event_counts(caplog)) <= {1192}
 
 
 async def test_query_attributes_of_text_and_prepared_statements() -> None:
     with_attributes = struct.pack("<IIB23x", 0x0008A20D | 1 << 27, 1 << 24, 45) + b"svc\0\0"
     names = b"\xfd\0" + b"\x07request" + b"\x08\0" + b"\x05limit"
     values = b"\x02r1" + struct.pack("<q", -4)
-    async with running() as (server, log):
+    async with running_server() as (server, log):
         reader, writer = await asyncio.open_connection(*server.address)
         await read_packet(reader)
         writer.write(frame(1, with_attributes))
@@ -366,16 +368,16 @@
         writer.close()
 
 
-async def test_packets_out_of_order_are_named_in_the_log(caplog: pytest.LogCaptureFixture) -> None:
-    async with running() as (server, _):
+async def test_packets_out_of_order_are_logged(caplog: pytest.LogCaptureFixture) -> None:
+    async with running_server() as (server, _):
         _, writer = await asyncio.open_connection(*server.address)
         writer.write(frame(7, HANDSHAKE))
-        await until(lambda: events_of(caplog) == {1192: 1})
+        await wait_until(lambda: event_counts(caplog) == {1192: 1})
         writer.close()
 
 
-def certificate(directory: Path) -> ssl.SSLContext:
-    """A server's context with a self-signed certificate."""
+def server_tls_context(directory: Path) -> ssl.SSLContext:
+    """Return a server's TLS context with a self-signed certificate."""
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "localhost")])
     begin = datetime(2026, 1, 1, tzinfo=UTC)
@@ -404,27 +406,27 @@
 @pytest.mark.parametrize("loop_factory", [asyncio.new_event_loop, uvloop.new_event_loop])
 def test_tls_with_both_drivers_and_both_loops(loop_factory: Any, tmp_path: Path) -> None:
     async def use() -> None:
-        context = certificate(tmp_path)
-        async with running(context, users={"svc": "secret"}) as (server, log):
+        context = server_tls_context(tmp_path)
+        async with running_server(context, users={"svc": "secret"}) as (server, log):
             host, port = server.address
             client_context = ssl.create_default_context()
             client_context.check_hostname = False
             client_context.verify_mode = ssl.CERT_NONE
             for _ in range(20):
-                connection = await connected(server, password="secret", ssl=client_context)
+                connection = await connect(server, password="secret", ssl=client_context)
                 await connection.query("SELECT types")
                 assert tuple(connection._result.rows[0]) == TYPES_ROW
                 connection.close()
             query = await asyncio.to_thread(pymysql_over_tls, host, port)
             assert query == TYPES_ROW
-            plain = await connected(server, password="secret")
+            plain = await connect(server, password="secret")
             await plain.query("UPDATE t")
             plain.close()
-            connection = await connected(server, password="secret", ssl=client_context)
+            connection = await connect(server, password="secret", ssl=client_context)
             waiting = asyncio.create_task(connection.query("SELECT wait"))
-            await until(lambda: "SELECT wait" in log)
+            await wait_until(lambda: "SELECT wait" in log)
             connection._transport.abort()
-            await until(lambda: server.connections == 0)
+            await wait_until(lambda: server.connections == 0)
             assert "cancelled" in log
             await asyncio.gather(waiting, return_exceptions=True)
 
@@ -449,8 +451,8 @@
 
 
 @pytest.mark.parametrize(("password", "first_byte"), [("secret", 0x00), ("wrong", 0xFF)])
-async def test_client_of_another_method_is_switched(password: str, first_byte: int) -> None:
-    async with running(users={"svc": "secret"}) as (server, log):
+async def test_client_with_another_auth_plugin_is_switched(password: str, first_byte: int) -> None:
+    async with running_server(users={"svc": "secret"}) as (server, log):
         reader, writer = await asyncio.open_connection(*server.address)
         await read_packet(reader)
         capabilities = struct.pack("<IIB23x", 0x0008A200 | 1 << 19, 1 << 24, 45)
@@ -466,8 +468,8 @@
 
 
 async def test_change_of_user_opens_a_new_session_or_ends_the_connection() -> None:
-    async with running(users={"svc": "", "crowd": ""}) as (server, log):
-        connection = await connected(server)
+    async with running_server(users={"svc": "", "crowd": ""}) as (server, log):
+        connection = await connect(server)
         await connection._execute_command(0x11, b"svc\0\0depot\0\x2d\0mysql_native_password\0")
         await connection._read_ok_packet()
         opened = [entry for entry in log if isinstance(entry, ConnectionInfo)]
@@ -477,17 +479,17 @@
         with pytest.raises(asyncmy.errors.OperationalError) as failure:
             await connection._read_ok_packet()
         assert failure.value.args[0] == 1045
-        await until(lambda: server.connections == 0)
+        await wait_until(lambda: server.connections == 0)
         assert sum(1 for entry in log if entry == "closed") == 2
 
 
 @settings(max_examples=150, deadline=None)
 @given(st.lists(st.binary(max_size=60), max_size=6), st.booleans())
-def test_any_packets_end_without_a_failure(payloads: list[bytes], handshake: bool) -> None:
+def test_arbitrary_packets_cause_no_internal_error(payloads: list[bytes], handshake: bool) -> None:
     async def send() -> None:
         errors: list[Any] = []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
-        async with running() as (server, log):
+        async with running_server() as (server, log):
             reader, writer = await asyncio.open_connection(*server.address)
             if handshake:
                 writer.write(frame(1, HANDSHAKE))
@@ -498,7 +500,7 @@
                 async with asyncio.timeout(5):
                     await reader.read()
             writer.close()
-            await until(lambda: server.connections == 0)
+            await wait_until(lambda: server.connections == 0)
             opened = sum(1 for entry in log if isinstance(entry, ConnectionInfo))
             assert opened == sum(1 for entry in log if entry == "closed")
         assert not errors
@@ -507,7 +509,7 @@
 
 
 class EchoSession(RecordingSession):
-    """Answers with the statement itself, after some turns of the loop, in several packets."""
+    """Returns rows with the statement itself, after several iterations of the event loop."""
 
     async def execute(self, sql: str, attributes: dict[str, Any]) -> OkResult | RowsResult:
         for _ in range(len(sql) % 4):
@@ -520,24 +522,24 @@
             yield (sql,)
 
 
-async def test_killed_queries_never_shift_answers() -> None:
+async def test_killed_queries_never_shift_responses() -> None:
     log: list[Any] = []
     server = MysqlServer(lambda: EchoSession(log), "127.0.0.1", 0)
     await server.start()
-    connection = await connected(server)
-    chance = random.Random(7)
+    connection = await connect(server)
+    rng = random.Random(7)
     stopped = asyncio.Event()
 
     async def kill() -> None:
         while not stopped.is_set():
-            for _ in range(chance.randrange(12)):
+            for _ in range(rng.randrange(12)):
                 await asyncio.sleep(0)
             server.kill(log[0].id, query_only=True)
 
     killer = asyncio.create_task(kill())
     outcomes = Counter[str]()
     for number in range(1_500):
-        sql = f"SELECT {number} {'x' * chance.randrange(5)}"
+        sql = f"SELECT {number} {'x' * rng.randrange(5)}"
         try:
             await connection.query(sql)
         except asyncmy.errors.MySQLError as error:
