--- a/src/bramblebeam/edges/admin/limits.py
+++ b/src/bramblebeam/edges/admin/limits.py
@@ -1,4 +1,4 @@
-"""Bounds on what one operator may ask."""
+"""Rate limiting of operators' requests."""
 
 from dataclasses import dataclass
 
@@ -9,16 +9,16 @@
     refilled_at: float
 
 
-class RateLimit:
-    """A token bucket an operator: `rate` requests a second, `burst` at once."""
+class RateLimiter:
+    """A token bucket per operator: `rate` requests per second, bursts of up to `burst`."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self._rate = rate
         self._burst = burst
         self._buckets: dict[str, _Bucket] = {}
 
-    def wait_needed(self, name: str, now: float) -> float:
-        """Take one request; return 0, or the seconds after which the next one may come."""
+    def try_acquire(self, name: str, now: float) -> float:
+        """Admit a request of operator `name` and return 0, or return the seconds to wait."""
         bucket = self._buckets.setdefault(name, _Bucket(self._burst, now))
         bucket.tokens = min(self._burst, bucket.tokens + (now - bucket.refilled_at) * self._rate)
         bucket.refilled_at = now
