--- a/src/bramblebeam/platform/answers.py
+++ b/src/bramblebeam/platform/answers.py
@@ -38,7 +38,7 @@
 }
 
 
-def refusal_of(code: str, text: str) -> Refusal:
+def refusal_from_error(code: str, text: str) -> Refusal:
     """Return what a database's error says of the statement."""
     verdict, reason = _DATABASE_REFUSALS.get(code, (Verdict.UNKNOWN, Reason.BACKEND_ERROR))
     return Refusal(verdict, reason, text)
--- a/src/bramblebeam/platform/database_connection.py
+++ b/src/bramblebeam/platform/database_connection.py
@@ -14,7 +14,7 @@
 from bramblebeam.core.verdict import Reason, Refusal
 from bramblebeam.events import log_event
 from bramblebeam.events.catalogue import DATABASE_STATUS_UNREADABLE
-from bramblebeam.platform.answers import refusal_of
+from bramblebeam.platform.answers import refusal_from_error
 from bramblebeam.platform.lines import LineBuffer, LineFormatError, encode_line
 from bramblebeam.platform.statements import (
     StatementFormatError,
@@ -93,7 +93,7 @@
             self._signature = rest
         elif word == "ERR":
             code, _, text = rest.partition(" ")
-            self._refusal = refusal_of(code, text)
+            self._refusal = refusal_from_error(code, text)
         elif word == "READY":
             self._ready(rest)
         else:
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -11,7 +11,7 @@
 from bramblebeam.core.gateway.statements import Action
 from bramblebeam.core.identity import ZERO_POSITION, Position
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
-from bramblebeam.platform.answers import code_of, refusal_of, text_of
+from bramblebeam.platform.answers import code_of, refusal_from_error, text_of
 from bramblebeam.platform.lines import LineBuffer, LineFormatError
 from bramblebeam.platform.settings import SettingsError, parse_settings
 from bramblebeam.platform.statements import (
@@ -93,12 +93,12 @@
 
 @pytest.mark.parametrize("code", ["BUSY", "NOSTMT", "LAGGING", "READONLY"])
 def test_a_database_that_did_not_run_a_statement(code: str) -> None:
-    assert refusal_of(code, "").verdict is Verdict.NOT_RUN
+    assert refusal_from_error(code, "").verdict is Verdict.NOT_RUN
 
 
 @pytest.mark.parametrize("code", ["FAILED", "TIMEOUT", "NEVER-HEARD"])
 def test_a_database_that_may_have_run_a_statement(code: str) -> None:
-    assert refusal_of(code, "").verdict is not Verdict.NOT_RUN
+    assert refusal_from_error(code, "").verdict is not Verdict.NOT_RUN
 
 
 @pytest.mark.parametrize(
