--- a/src/bramblebeam/platform/answers.py
+++ b/src/bramblebeam/platform/answers.py
@@ -44,7 +44,7 @@
     return Refusal(verdict, reason, text)
 
 
-def code_of(refusal: Refusal) -> str:
+def error_code(refusal: Refusal) -> str:
     """Return the code a caller gets for a refusal."""
     if refusal.verdict is Verdict.NOT_RUN:
         return _NOT_RUN_CODES.get(refusal.reason, NOT_RUN_CODE)
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -11,7 +11,7 @@
 from bramblebeam.core.gateway.statements import Action
 from bramblebeam.core.identity import ZERO_POSITION, Position
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
-from bramblebeam.platform.answers import code_of, refusal_from_error, text_of
+from bramblebeam.platform.answers import error_code, refusal_from_error, text_of
 from bramblebeam.platform.lines import LineBuffer, LineFormatError
 from bramblebeam.platform.settings import SettingsError, parse_settings
 from bramblebeam.platform.statements import (
@@ -79,10 +79,10 @@
 
 @pytest.mark.parametrize("reason", Reason)
 def test_a_promise_is_given_only_for_what_has_not_run(reason: Reason) -> None:
-    not_run = code_of(Refusal(Verdict.NOT_RUN, reason))
+    not_run = error_code(Refusal(Verdict.NOT_RUN, reason))
     assert not_run in PROMISES | OTHER_NOT_RUN
     for verdict in (Verdict.RAN, Verdict.UNKNOWN):
-        assert code_of(Refusal(verdict, reason)) in {"FAILED", "INDOUBT", "TIMEOUT"}
+        assert error_code(Refusal(verdict, reason)) in {"FAILED", "INDOUBT", "TIMEOUT"}
 
 
 def test_a_refusal_of_what_has_not_run_tells_when_to_come_back() -> None:
