--- a/src/bramblebeam/platform/answers.py
+++ b/src/bramblebeam/platform/answers.py
@@ -53,7 +53,7 @@
     return RAN_CODE if refusal.verdict is Verdict.RAN else UNKNOWN_CODE
 
 
-def text_of(refusal: Refusal) -> str:
+def error_text(refusal: Refusal) -> str:
     """Return the words of a refusal; where nothing has run they tell when to come back."""
     text = refusal.detail or REASON_TEXT[refusal.reason]
     if refusal.verdict is not Verdict.NOT_RUN or refusal.reason in _NO_USE_TO_REPEAT:
--- a/src/bramblebeam/platform/caller_listener.py
+++ b/src/bramblebeam/platform/caller_listener.py
@@ -13,7 +13,7 @@
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
 from bramblebeam.events import log_event
 from bramblebeam.events.catalogue import CALLER_PROTOCOL_ERROR
-from bramblebeam.platform.answers import error_code, text_of
+from bramblebeam.platform.answers import error_code, error_text
 from bramblebeam.platform.lines import LineBuffer, LineFormatError, encode_line
 from bramblebeam.platform.statements import (
     StatementFormatError,
@@ -144,7 +144,7 @@
         database, _, key = rest.partition(" ")
         opened = self._host.open_session(database, digest_of(key))
         if isinstance(opened, Refusal):
-            self._write(encode_line("ERR", error_code(opened), text_of(opened)))
+            self._write(encode_line("ERR", error_code(opened), error_text(opened)))
             self.close()
             return
         self._session = opened
@@ -173,7 +173,7 @@
         if reply.refusal is None:
             lines.append(encode_line("DONE", reply.signature))
         else:
-            lines = [encode_line("ERR", error_code(reply.refusal), text_of(reply.refusal))]
+            lines = [encode_line("ERR", error_code(reply.refusal), error_text(reply.refusal))]
         state = _STATE_LETTERS[reply.state]
         lines.append(encode_line("READY", state, format_position(reply.position)))
         self._write(b"".join(lines))
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -11,7 +11,7 @@
 from bramblebeam.core.gateway.statements import Action
 from bramblebeam.core.identity import ZERO_POSITION, Position
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
-from bramblebeam.platform.answers import error_code, refusal_from_error, text_of
+from bramblebeam.platform.answers import error_code, error_text, refusal_from_error
 from bramblebeam.platform.lines import LineBuffer, LineFormatError
 from bramblebeam.platform.settings import SettingsError, parse_settings
 from bramblebeam.platform.statements import (
@@ -87,8 +87,8 @@
 
 def test_a_refusal_of_what_has_not_run_tells_when_to_come_back() -> None:
     refusal = Refusal(Verdict.NOT_RUN, Reason.NO_PRIMARY, retry_after_ms=70)
-    assert text_of(refusal).endswith("retry after 70 ms")
-    assert "retry" not in text_of(Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST))
+    assert error_text(refusal).endswith("retry after 70 ms")
+    assert "retry" not in error_text(Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST))
 
 
 @pytest.mark.parametrize("code", ["BUSY", "NOSTMT", "LAGGING", "READONLY"])
