--- a/src/bramblebeam/platform/caller_listener.py
+++ b/src/bramblebeam/platform/caller_listener.py
@@ -65,7 +65,7 @@
         self._first_question_due = float("-inf")
 
     @property
-    def resting(self) -> bool:
+    def idle(self) -> bool:
         """Whether nothing is asked, no transaction is open and no first question is on its way."""
         idle = self._session is None or self._session.idle
         return idle and self._task is None and not self._queue and not self._is_new
@@ -121,7 +121,7 @@
             return
         # A statement may have come after the task's last look at the queue.
         self._work()
-        if self._host.stopping and self.resting:
+        if self._host.stopping and self.idle:
             self.close()
 
     async def _serve(self) -> None:
