--- a/src/bramblebeam/platform/eras.py
+++ b/src/bramblebeam/platform/eras.py
@@ -36,7 +36,7 @@
         self._now = now
         self._told_at = float("-inf")
 
-    def take(self, answer: HttpAnswer, call: str) -> None:
+    def observe(self, answer: HttpAnswer, call: str) -> None:
         """Note the era of the answer to a call. Raises EraFormatError, logged."""
         try:
             era = era_of(answer)
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -262,12 +262,12 @@
 def test_a_store_whose_answers_all_tell_a_lower_era_is_believed_again() -> None:
     now = 0.0
     eras = StoreEras(lambda: now)
-    eras.take(HttpAnswer(200, b"", (("store-era", "700"),)), "list")
+    eras.observe(HttpAnswer(200, b"", (("store-era", "700"),)), "list")
     now = ERA_EXPIRY_SECONDS - 1
     with pytest.raises(EraFormatError):
-        eras.take(HttpAnswer(200, b"", (("store-era", "1"),)), "list")
+        eras.observe(HttpAnswer(200, b"", (("store-era", "1"),)), "list")
     now = ERA_EXPIRY_SECONDS
-    eras.take(HttpAnswer(200, b"", (("store-era", "1"),)), "list")
+    eras.observe(HttpAnswer(200, b"", (("store-era", "1"),)), "list")
     assert eras.newest == 1
 
 
