--- a/src/bramblebeam/platform/eras.py
+++ b/src/bramblebeam/platform/eras.py
@@ -39,7 +39,7 @@
     def observe(self, answer: HttpAnswer, call: str) -> None:
         """Note the era of the answer to a call. Raises EraFormatError, logged."""
         try:
-            era = era_of(answer)
+            era = parse_era(answer)
             if era < self.newest and self._now() - self._told_at < ERA_EXPIRY_SECONDS:
                 raise EraFormatError("the era is over")
         except EraFormatError:
@@ -50,7 +50,7 @@
         self._told_at = self._now()
 
 
-def era_of(answer: HttpAnswer) -> int:
+def parse_era(answer: HttpAnswer) -> int:
     """Return the era that an answer tells. Raises EraFormatError where that is none."""
     told = answer.header(_ERA_HEADER)
     if told is None:
--- a/src/bramblebeam/platform/objects.py
+++ b/src/bramblebeam/platform/objects.py
@@ -10,7 +10,7 @@
 from bramblebeam.core.revision import Revision
 from bramblebeam.events import log_event
 from bramblebeam.events.catalogue import STORE_OBJECT_UNREADABLE
-from bramblebeam.platform.eras import era_of
+from bramblebeam.platform.eras import parse_era
 from bramblebeam.platform.http import HttpAnswer
 
 logger = logging.getLogger(__name__)
@@ -61,7 +61,7 @@
 
 def parse_one(answer: HttpAnswer) -> StoredObject:
     """Return the object of an answer that holds one. Raises StoreFormatError, EraFormatError."""
-    return parse_object(parse_body(answer), era_of(answer))
+    return parse_object(parse_body(answer), parse_era(answer))
 
 
 def parse_object(content: Any, era: int) -> StoredObject:
@@ -81,7 +81,7 @@
     """Return a part of a list. Raises StoreFormatError; one odd object does not cost the others."""
     content = parse_body(answer)
     try:
-        revision = Revision(era_of(answer), int(content["timestamp"]))
+        revision = Revision(parse_era(answer), int(content["timestamp"]))
         found = [_object_or_name(item, revision) for item in content["items"]]
         items = tuple(item for item in found if item is not None)
         return ObjectPage(items, bool(content.get("has_more")), revision)
@@ -93,7 +93,7 @@
     """Return what a watch told. Raises StoreFormatError; an odd change does not cost the others."""
     content = parse_body(answer)
     try:
-        revision = Revision(era_of(answer), int(content["timestamp"]))
+        revision = Revision(parse_era(answer), int(content["timestamp"]))
         found = [_change_or_name(event, revision) for event in content["events"]]
         return ObjectChanges(tuple(change for change in found if change is not None), revision)
     except _MALFORMED as error:
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -28,7 +28,7 @@
     STORE_ERA_UNUSABLE,
     Event,
 )
-from bramblebeam.platform.eras import EraFormatError, StoreEras, era_of
+from bramblebeam.platform.eras import EraFormatError, StoreEras, parse_era
 from bramblebeam.platform.http import HttpAnswer
 from bramblebeam.platform.sources import database_source
 from bramblebeam.platform.store import HistoryGoneError, StoreClient, StoreUnavailableError
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize(("header", "era"), [(None, 0), ("0", 0), ("3", 3), ("0012", 12)])
 def test_an_answer_tells_its_era(header: str | None, era: int) -> None:
     headers = () if header is None else (("store-era", header),)
-    assert era_of(HttpAnswer(200, b"", headers)) == era
+    assert parse_era(HttpAnswer(200, b"", headers)) == era
 
 
 BAD_ERAS = ["", "-1", "+1", "1.0", "one", "1e3", " ", "٣", str(HIGHEST_ERA + 1), "9" * 5_000]
@@ -102,7 +102,7 @@
 @pytest.mark.parametrize("header", BAD_ERAS)
 def test_what_is_no_era_is_refused(header: str) -> None:
     with pytest.raises(EraFormatError):
-        era_of(HttpAnswer(200, b"", (("store-era", header),)))
+        parse_era(HttpAnswer(200, b"", (("store-era", header),)))
 
 
 @pytest.mark.parametrize("header", ["-1", "one", str(HIGHEST_ERA + 1), "9" * 500, "1"])
