--- a/src/bramblebeam/platform/store_calls.py
+++ b/src/bramblebeam/platform/store_calls.py
@@ -27,7 +27,7 @@
         self._made: Counter[str] = Counter()
         self._failed = 0
 
-    def made(self, call: str, kind: str) -> None:
+    def record_call(self, call: str, kind: str) -> None:
         """Count a call; `call`: what was asked, `kind`: the kind of the objects."""
         self._made[f"{call} {kind}"] += 1
 
