--- a/src/bramblebeam/platform/leases.py
+++ b/src/bramblebeam/platform/leases.py
@@ -25,7 +25,7 @@
     parse_position,
 )
 from bramblebeam.platform.store import StoreClient, StoreUnavailableError
-from bramblebeam.platform.store_calls import StoreCalls
+from bramblebeam.platform.store_calls import StoreCallCounter
 from bramblebeam.services.failover.ports import LeaseStoreUnavailableError
 
 LEASE_KIND = "leases"
@@ -46,7 +46,7 @@
 class ObjectLeaseStore:
     """Keeps one lease a group as an object of that name."""
 
-    def __init__(self, address: Address, calls: StoreCalls, eras: StoreEras) -> None:
+    def __init__(self, address: Address, calls: StoreCallCounter, eras: StoreEras) -> None:
         self._address = address
         self._calls = calls
         self._eras = eras
--- a/src/bramblebeam/platform/node.py
+++ b/src/bramblebeam/platform/node.py
@@ -17,7 +17,7 @@
 from bramblebeam.platform.settings import PlatformNodeSettings
 from bramblebeam.platform.sources import database_source, route_source
 from bramblebeam.platform.store import StoreClient
-from bramblebeam.platform.store_calls import StoreCalls
+from bramblebeam.platform.store_calls import StoreCallCounter
 from bramblebeam.services.failover.service import FailoverService
 from bramblebeam.services.feed.service import FeedService
 from bramblebeam.services.gateway.queue_view import queues_as_json
@@ -47,7 +47,7 @@
 
     kernel: Kernel
     gateway: GatewayService
-    store_calls: StoreCalls
+    store_calls: StoreCallCounter
     readiness: HttpServer
     metrics: HttpServer | None
     listener: CallerListener
@@ -73,7 +73,7 @@
 def build_node(settings: PlatformNodeSettings) -> PlatformNode:
     """Return a node with every service registered, none started."""
     kernel = Kernel()
-    calls = StoreCalls()
+    calls = StoreCallCounter()
     eras = StoreEras()
     codec = Codec(GATEWAY_NODE_MESSAGES)
     compresses = settings.overload.enabled
--- a/src/bramblebeam/platform/store.py
+++ b/src/bramblebeam/platform/store.py
@@ -18,7 +18,7 @@
     parse_one,
     parse_page,
 )
-from bramblebeam.platform.store_calls import StoreCalls
+from bramblebeam.platform.store_calls import StoreCallCounter
 
 _ROOT = "/bramblebeam/objects"
 _OK = 200
@@ -47,7 +47,7 @@
 class StoreClient:
     """One connection to the store. `calls`: where they are counted. `eras`: of its answers."""
 
-    def __init__(self, address: Address, calls: StoreCalls, eras: StoreEras) -> None:
+    def __init__(self, address: Address, calls: StoreCallCounter, eras: StoreEras) -> None:
         self._http = HttpClient(address)
         self._calls = calls
         self._eras = eras
--- a/src/bramblebeam/platform/store_calls.py
+++ b/src/bramblebeam/platform/store_calls.py
@@ -20,7 +20,7 @@
 short enough to tell a start from what follows."""
 
 
-class StoreCalls:
+class StoreCallCounter:
     """The calls since the last report, by what was asked of which kind of object."""
 
     def __init__(self) -> None:
--- a/tests/test_database_entries.py
+++ b/tests/test_database_entries.py
@@ -14,7 +14,7 @@
 from bramblebeam.platform.objects import StoredObject, StoreFormatError, parse_changes, parse_page
 from bramblebeam.platform.sources import StoreSource, database_source
 from bramblebeam.platform.store import StoreClient
-from bramblebeam.platform.store_calls import StoreCalls
+from bramblebeam.platform.store_calls import StoreCallCounter
 from bramblebeam.services.feed.followed import FollowedList
 from bramblebeam.services.feed.ports import Batch, Versioned
 from platform_standins.world import World, running_world, until
@@ -40,7 +40,7 @@
 
 
 def source() -> StoreSource[Any]:
-    return database_source(StoreClient(Address("127.0.0.1", 1), StoreCalls(), StoreEras()))
+    return database_source(StoreClient(Address("127.0.0.1", 1), StoreCallCounter(), StoreEras()))
 
 
 def read(spec: Any, name: str = "odd") -> Versioned[Any]:
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -32,7 +32,7 @@
 from bramblebeam.platform.http import HttpAnswer
 from bramblebeam.platform.sources import database_source
 from bramblebeam.platform.store import HistoryGoneError, StoreClient, StoreUnavailableError
-from bramblebeam.platform.store_calls import StoreCalls
+from bramblebeam.platform.store_calls import StoreCallCounter
 from bramblebeam.services.feed.followed import FollowedList
 from bramblebeam.services.feed.peers import PeerSource, Told, follow_reply
 from bramblebeam.services.feed.ports import (
@@ -56,7 +56,7 @@
 async def store() -> AsyncIterator[tuple[PlatformStandIn, StoreClient]]:
     platform = PlatformStandIn()
     await platform.start()
-    client = StoreClient(Address("127.0.0.1", platform.port), StoreCalls(), StoreEras())
+    client = StoreClient(Address("127.0.0.1", platform.port), StoreCallCounter(), StoreEras())
     try:
         yield platform, client
     finally:
--- a/tests/test_feed_sources.py
+++ b/tests/test_feed_sources.py
@@ -16,7 +16,7 @@
 from bramblebeam.platform.objects import StoredObject
 from bramblebeam.platform.sources import StoreSource, database_source, route_source
 from bramblebeam.platform.store import StoreClient
-from bramblebeam.platform.store_calls import StoreCalls
+from bramblebeam.platform.store_calls import StoreCallCounter
 from bramblebeam.services.feed.followed import FollowedList
 from bramblebeam.services.feed.ports import (
     UNKNOWN_AGE,
@@ -160,7 +160,7 @@
 
 
 def client() -> StoreClient:
-    return StoreClient(NOWHERE, StoreCalls(), StoreEras())
+    return StoreClient(NOWHERE, StoreCallCounter(), StoreEras())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_leases_restored.py
+++ b/tests/test_leases_restored.py
@@ -18,7 +18,7 @@
 from bramblebeam.core.identity import Address, GroupId, InstanceId, NodeId
 from bramblebeam.platform.eras import StoreEras
 from bramblebeam.platform.leases import ObjectLeaseStore
-from bramblebeam.platform.store_calls import StoreCalls
+from bramblebeam.platform.store_calls import StoreCallCounter
 from bramblebeam.services.failover.group_lease import GroupLease
 from platform_standins.store import PlatformStandIn
 from platform_standins.world import GROUP, LineClient, World, running_world, until
@@ -79,7 +79,7 @@
         self.node = NodeId(name)
         self.now = FAR_FROM_TROUBLE
         address = Address("127.0.0.1", platform.port)
-        store = ObjectLeaseStore(address, StoreCalls(), StoreEras())
+        store = ObjectLeaseStore(address, StoreCallCounter(), StoreEras())
         timing = FailoverTiming()
         self.lease = GroupLease(GroupId(GROUP), self.node, store, timing, False, lambda: self.now)
 
