--- a/src/bramblebeam/platform/objects.py
+++ b/src/bramblebeam/platform/objects.py
@@ -15,7 +15,7 @@
 
 logger = logging.getLogger(__name__)
 
-MAXIMUM_ERROR = 200
+MAX_ERROR_CHARS = 200
 """Characters of an error that are logged: what can't be read may be huge."""
 _MALFORMED = (AttributeError, KeyError, TypeError, ValueError)
 
@@ -155,6 +155,6 @@
             kind=None,
             object=None,
             revision=str(revision),
-            error=str(error)[:MAXIMUM_ERROR],
+            error=str(error)[:MAX_ERROR_CHARS],
         )
         return None
--- a/src/bramblebeam/platform/sources.py
+++ b/src/bramblebeam/platform/sources.py
@@ -14,7 +14,7 @@
 from bramblebeam.events.catalogue import STORE_OBJECT_UNREADABLE, TABLE_DEFAULT_USED
 from bramblebeam.platform.database_entries import parse_database
 from bramblebeam.platform.objects import (
-    MAXIMUM_ERROR,
+    MAX_ERROR_CHARS,
     StoredObject,
     StoreFormatError,
     require_text,
@@ -111,9 +111,9 @@
             logger,
             STORE_OBJECT_UNREADABLE,
             kind=self._kind,
-            object=found.name[:MAXIMUM_ERROR].encode("ascii", "backslashreplace").decode(),
+            object=found.name[:MAX_ERROR_CHARS].encode("ascii", "backslashreplace").decode(),
             revision=str(found.revision),
-            error=repr(error)[:MAXIMUM_ERROR],
+            error=repr(error)[:MAX_ERROR_CHARS],
         )
 
 
