--- a/src/bramblebeam/platform/objects.py
+++ b/src/bramblebeam/platform/objects.py
@@ -112,7 +112,7 @@
         raise StoreFormatError(f"no JSON: {error}") from error
 
 
-def require_text(content: Any) -> None:
+def require_valid_unicode(content: Any) -> None:
     """Raise ValueError where a text anywhere in a JSON value holds characters that are none."""
     json.dumps(content, ensure_ascii=False).encode()
 
--- a/src/bramblebeam/platform/sources.py
+++ b/src/bramblebeam/platform/sources.py
@@ -17,7 +17,7 @@
     MAX_ERROR_CHARS,
     StoredObject,
     StoreFormatError,
-    require_text,
+    require_valid_unicode,
 )
 from bramblebeam.platform.store import HistoryGoneError, StoreClient, StoreUnavailableError
 from bramblebeam.platform.tenants import parse_tenants
@@ -129,7 +129,7 @@
 
 def parse_table(content: Any) -> RouteTable:
     """Return a route table. Raises KeyError, TypeError, ValueError where it is none."""
-    require_text(content)
+    require_valid_unicode(content)
     listed = [item for item in content["routes"] if item.get("host")]
     routes = [_parse_route(item) for item in listed]
     groups = [_parse_group(item) for item in content["services"]]
