--- a/src/bramblebeam/platform/sources.py
+++ b/src/bramblebeam/platform/sources.py
@@ -119,7 +119,7 @@
 
 def route_source(client: StoreClient) -> StoreSource[RouteTable]:
     """Return the source of the configuration."""
-    return StoreSource(client, CONFIGURATION_KIND, lambda found: parse_table(found.spec))
+    return StoreSource(client, CONFIGURATION_KIND, lambda found: parse_route_table(found.spec))
 
 
 def database_source(client: StoreClient) -> StoreSource[DatabaseEntry]:
@@ -127,7 +127,7 @@
     return StoreSource(client, DATABASE_KIND, parse_database)
 
 
-def parse_table(content: Any) -> RouteTable:
+def parse_route_table(content: Any) -> RouteTable:
     """Return a route table. Raises KeyError, TypeError, ValueError where it is none."""
     require_valid_unicode(content)
     listed = [item for item in content["routes"] if item.get("host")]
--- a/tests/test_overload_gateway.py
+++ b/tests/test_overload_gateway.py
@@ -24,7 +24,7 @@
 from bramblebeam.core.overload.ports import Estimate
 from bramblebeam.core.tenants import NO_TENANT, TenantId
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
-from bramblebeam.platform.sources import parse_table
+from bramblebeam.platform.sources import parse_route_table
 from bramblebeam.services.gateway import transaction_gates
 from bramblebeam.services.gateway.context import GatewayContext
 from bramblebeam.services.gateway.forwarding import Forwarder
@@ -304,7 +304,7 @@
 )
 def test_a_routes_bound_of_attempts_is_read_or_left_out(told: object, kept: int) -> None:
     content = configuration(1, {"latest": {"route_type": "primary", "max_attempts": told}}, 36)
-    assert parse_table(content).routes["latest"].most_attempts == kept
+    assert parse_route_table(content).routes["latest"].most_attempts == kept
 
 
 @pytest.mark.parametrize(("told", "most"), [(0, 3), (1, 1), (2, 2), (9, 3)])
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -13,7 +13,7 @@
 from bramblebeam.core.tenants import NO_TENANT, RateLimit, Tenant, TenantId, TenantTable, digest_of
 from bramblebeam.core.verdict import Reason, Refusal
 from bramblebeam.events.formatting import JsonFormatter
-from bramblebeam.platform.sources import parse_table
+from bramblebeam.platform.sources import parse_route_table
 from bramblebeam.platform.tenants import parse_tenants
 from bramblebeam.services.feed.peers import route_items, told_routes
 from bramblebeam.services.feed.ports import Versioned
@@ -166,7 +166,7 @@
     """Without the tenants in the table that nodes forward, only the store's readers know them."""
     content = configuration(7, {}, 32)
     content["routes"][0]["public"] = True
-    found = parse_table(
+    found = parse_route_table(
         {**content, "tenants": [tenant_entry("acme", SECRET), tenant_entry("bolt")]}
     )
     codec = Codec(GATEWAY_NODE_MESSAGES)
