--- a/src/bramblebeam/platform/database_entries.py
+++ b/src/bramblebeam/platform/database_entries.py
@@ -19,7 +19,7 @@
 _HIGHEST_PORT = 65_535
 
 
-def parse_database(found: StoredObject) -> DatabaseEntry:
+def parse_database_entry(found: StoredObject) -> DatabaseEntry:
     """Return a registered database. Raises KeyError, TypeError, ValueError where it is none."""
     content = found.spec if found.spec is not None else found.status
     if not isinstance(content, dict):
--- a/src/bramblebeam/platform/sources.py
+++ b/src/bramblebeam/platform/sources.py
@@ -12,7 +12,7 @@
 from bramblebeam.core.revision import NO_REVISION, Revision
 from bramblebeam.events import log_event
 from bramblebeam.events.catalogue import STORE_OBJECT_UNREADABLE, TABLE_DEFAULT_USED
-from bramblebeam.platform.database_entries import parse_database
+from bramblebeam.platform.database_entries import parse_database_entry
 from bramblebeam.platform.objects import (
     MAX_ERROR_CHARS,
     StoredObject,
@@ -124,7 +124,7 @@
 
 def database_source(client: StoreClient) -> StoreSource[DatabaseEntry]:
     """Return the source of registered databases."""
-    return StoreSource(client, DATABASE_KIND, parse_database)
+    return StoreSource(client, DATABASE_KIND, parse_database_entry)
 
 
 def parse_route_table(content: Any) -> RouteTable:
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -41,7 +41,7 @@
 from bramblebeam.platform import leases
 from bramblebeam.platform.objects import StoredObject
 from bramblebeam.platform.promotions import PromotionClient
-from bramblebeam.platform.sources import parse_database
+from bramblebeam.platform.sources import parse_database_entry
 from bramblebeam.services.failover.change import ChangeRunner
 from bramblebeam.services.failover.peers import TransportStepDownPeers
 from bramblebeam.services.feed.peers import database_items, told_databases
@@ -80,8 +80,8 @@
 
 def test_the_store_tells_an_instance() -> None:
     told = StoredObject("db-a", 3, {**ENTRY, "born": BORN}, None)
-    assert parse_database(told).instance == FIRST
-    assert parse_database(replace(told, spec=ENTRY)).instance == "db-a"
+    assert parse_database_entry(told).instance == FIRST
+    assert parse_database_entry(replace(told, spec=ENTRY)).instance == "db-a"
 
 
 def test_a_change_of_primary_is_kept_in_the_store_with_the_start_of_its_target() -> None:
