--- a/src/bramblebeam/platform/node.py
+++ b/src/bramblebeam/platform/node.py
@@ -32,7 +32,7 @@
 METRICS_PATH = "/metrics"
 QUEUES_PATH = "/queues"
 TENANTS_PATH = "/tenants"
-QUICK_TIMING = MembershipTiming(join_period=0.25, dead_probe_period=1.5, fast_sync_seconds=2.5)
+FAST_JOIN_TIMING = MembershipTiming(join_period=0.25, dead_probe_period=1.5, fast_sync_seconds=2.5)
 """A node that serves callers is to know the others soon after its start, and after a cut. In
 virtual time 198 nodes that start within 0.6 s know each other after 1.7 s (p50), before after over
 8 s (docs/design/0015-hundreds-of-machines.md)."""
@@ -86,7 +86,7 @@
     gateway.context.expects_others = expects_others
     listener = CallerListener(gateway, settings.callers)
     gateway.listener = listener
-    kernel.register(gateway, MembershipService(kernel, settings, QUICK_TIMING))
+    kernel.register(gateway, MembershipService(kernel, settings, FAST_JOIN_TIMING))
     if settings.store is not None:
         routes = route_source(StoreClient(settings.store, calls, eras))
         databases = database_source(StoreClient(settings.store, calls, eras))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,7 +7,7 @@
 from bramblebeam.core.membership.messages import Seed
 from bramblebeam.core.membership.view import MemberState
 from bramblebeam.lab.simulator.virtual_members import VirtualNetwork, VirtualNode, make_spec
-from bramblebeam.platform.node import QUICK_TIMING
+from bramblebeam.platform.node import FAST_JOIN_TIMING
 from membership_network import REGION_OF, build, dead_everywhere, has_converged, states
 
 
@@ -183,7 +183,7 @@
     probes of dead members reduced that to 5 to 20 s over these seeds, as missed updates arrived
     only by gossip.
     """
-    network = build(seed, {zone: 12 for zone in "abcd"}, timing=QUICK_TIMING)
+    network = build(seed, {zone: 12 for zone in "abcd"}, timing=FAST_JOIN_TIMING)
     first = seed % 4
     alone = {NodeId(f"{zone}{n}") for zone in "abcd" for n in range(first, first + 4)}
     network.run(5)
@@ -200,7 +200,7 @@
     In a run in which all 195 nodes lost power, nodes chose wrong owners of groups for more than
     6 s after the restart, because each knew only some of the members.
     """
-    network = VirtualNetwork(seed, QUICK_TIMING)
+    network = VirtualNetwork(seed, FAST_JOIN_TIMING)
     specs = [
         make_spec(f"{zone}{n}", zone, REGION_OF[zone], ord(zone) * 1000 + n)
         for zone in "abcd"
