--- a/src/bramblebeam/platform/node.py
+++ b/src/bramblebeam/platform/node.py
@@ -107,7 +107,7 @@
     readiness = HttpServer(settings.readiness, lambda method, path: _answer(gateway, path))
     metrics = None
     if settings.metrics is not None:
-        metrics = HttpServer(settings.metrics, lambda method, path: _figures(gateway, path))
+        metrics = HttpServer(settings.metrics, lambda method, path: _handle_metrics(gateway, path))
     return PlatformNode(kernel, gateway, calls, readiness, metrics, listener)
 
 
@@ -117,7 +117,7 @@
     return HttpAnswer(_OK if gateway.ready else _UNAVAILABLE, b"")
 
 
-async def _figures(gateway: GatewayService, path: str) -> HttpAnswer:
+async def _handle_metrics(gateway: GatewayService, path: str) -> HttpAnswer:
     if path == QUEUES_PATH:
         return HttpAnswer(_OK, queues_as_json(gateway.context.placement.pools.values()))
     if path == TENANTS_PATH:
--- a/tests/test_in_force_command.py
+++ b/tests/test_in_force_command.py
@@ -5,7 +5,7 @@
 import pytest
 
 from bramblebeam.cli.in_force import BEHIND, InForce, lines_of, read_in_force
-from bramblebeam.platform.node import METRICS_PATH, _figures
+from bramblebeam.platform.node import METRICS_PATH, _handle_metrics
 from node_answers import ABSENT, asked
 from platform_standins.world import running_world, until
 
@@ -35,7 +35,7 @@
         await until(lambda: gateway.context.table.version == 27)
         # Until then it has taken the routes from a cached list, whose age nobody knows.
         await until(lambda: gateway.context.metrics.store_state().lists[0].age < math.inf)
-        body = (await _figures(gateway, METRICS_PATH)).body
+        body = (await _handle_metrics(gateway, METRICS_PATH)).body
         found = read_in_force("a", body.decode())
         assert found.version == 27
         assert found.routes[0] == 0
--- a/tests/test_queue_view.py
+++ b/tests/test_queue_view.py
@@ -6,7 +6,7 @@
 import pytest
 
 from bramblebeam.cli.queues import table_lines
-from bramblebeam.platform.node import QUEUES_PATH, _figures
+from bramblebeam.platform.node import QUEUES_PATH, _handle_metrics
 from bramblebeam.services.gateway.queue_view import queue_rows
 from node_answers import ABSENT, asked
 from platform_standins.world import running_world
@@ -21,7 +21,7 @@
         client = await world.client("latest")
         assert (await served(client, "BEGIN")).code == ""
         assert (await served(client, "WRITE x 1")).code == ""
-        answer = await _figures(world.nodes[0].gateway, QUEUES_PATH)
+        answer = await _handle_metrics(world.nodes[0].gateway, QUEUES_PATH)
         rows = {row["instance"]: row for row in json.loads(answer.body)}
         assert set(rows) == set(map(str, pools(world)))
         leading = rows[next(name for name in rows if rows[name]["role"] == "primary")]
--- a/tests/test_tenant_view.py
+++ b/tests/test_tenant_view.py
@@ -4,7 +4,7 @@
 
 from bramblebeam.cli.tenants import AT_ITS_LIMIT, table_lines
 from bramblebeam.core.quota.bucket import ADMITTED_SHARE
-from bramblebeam.platform.node import TENANTS_PATH, _figures
+from bramblebeam.platform.node import TENANTS_PATH, _handle_metrics
 from node_answers import ABSENT, asked
 from platform_standins.world import running_world, until
 from test_tenants import (
@@ -30,7 +30,7 @@
             assert (await client.run(f"WRITE k{number} v")).code == ""
         gateway = world.nodes[0].gateway
         await until(lambda: gateway.context.limits.share(ACME) == 1.0)
-        rows = json.loads((await _figures(gateway, TENANTS_PATH)).body)
+        rows = json.loads((await _handle_metrics(gateway, TENANTS_PATH)).body)
         assert rows == [
             {
                 "tenant": ACME,
