--- a/src/bramblebeam/platform/settings.py
+++ b/src/bramblebeam/platform/settings.py
@@ -43,7 +43,7 @@
     store: Address | None
     promotions: Address | None
     fence_checked: bool
-    grace: float
+    grace_period: float
     drain: float
     configuration_bound: float
     overload: OverloadSettings = SWITCHED_OFF
