--- a/src/bramblebeam/platform/settings.py
+++ b/src/bramblebeam/platform/settings.py
@@ -45,7 +45,7 @@
     fence_checked: bool
     grace_period: float
     drain: float
-    configuration_bound: float
+    config_apply_bound: float
     overload: OverloadSettings = SWITCHED_OFF
 
 
