--- a/src/bramblebeam/cli/ask_nodes.py
+++ b/src/bramblebeam/cli/ask_nodes.py
@@ -30,11 +30,11 @@
                 with urlopen(f"http://{node}{self._path}", timeout=ANSWER_SECONDS) as answer:
                     body = answer.read()
             except (OSError, HTTPException, ValueError) as exc:
-                self.note_failed(node, str(exc))
+                self.record_failure(node, str(exc))
                 continue
             yield node, body
 
-    def note_failed(self, node: str, error: str) -> None:
+    def record_failure(self, node: str, error: str) -> None:
         """Name a node whose answer is none, or can't be read."""
         typer.echo(f"{node}: {error}", err=True)
         self.failed = True
@@ -50,7 +50,7 @@
         try:
             rows += [(node, row) for row in json.loads(body)]
         except ValueError as exc:
-            answers.note_failed(node, str(exc))
+            answers.record_failure(node, str(exc))
     for line in lines_of(rows):
         typer.echo(line)
     if answers.failed:
--- a/src/bramblebeam/cli/in_force.py
+++ b/src/bramblebeam/cli/in_force.py
@@ -44,7 +44,7 @@
         try:
             found.append(read_in_force(node, body.decode(errors="replace")))
         except KeyError as exc:
-            answers.note_failed(node, f"its metrics lack {exc}")
+            answers.record_failure(node, f"its metrics lack {exc}")
     for line in lines_of(found):
         typer.echo(line)
     if answers.failed or any(row.is_behind(found) for row in found):
