--- a/src/bramblebeam/cli/ask_nodes.py
+++ b/src/bramblebeam/cli/ask_nodes.py
@@ -15,7 +15,7 @@
 """A node that does not answer for so long is named, and the others are shown."""
 
 
-class NodeAnswers:
+class NodeResponses:
     """The answers of nodes to one path. `failed`: some gave none; they were named on stderr."""
 
     def __init__(self, nodes: Sequence[str], path: str) -> None:
@@ -45,7 +45,7 @@
 ) -> None:
     """Print the rows that nodes answer with at a path. Exits with 1 where one gave no answer."""
     rows: list[NodeRow] = []
-    answers = NodeAnswers(nodes, path)
+    answers = NodeResponses(nodes, path)
     for node, body in answers:
         try:
             rows += [(node, row) for row in json.loads(body)]
--- a/src/bramblebeam/cli/in_force.py
+++ b/src/bramblebeam/cli/in_force.py
@@ -5,7 +5,7 @@
 
 import typer
 
-from bramblebeam.cli.ask_nodes import NodeAnswers, aligned
+from bramblebeam.cli.ask_nodes import NodeResponses, aligned
 from bramblebeam.report.reading.metrics_text import Series, parse_metrics
 
 METRICS_PATH = "/metrics"
@@ -38,7 +38,7 @@
     nodes: Annotated[list[str], typer.Argument(help="HOST:PORT of nodes' metrics addresses.")],
 ) -> None:
     """Print which version, era and revision each node goes by, and mark those that are behind."""
-    answers = NodeAnswers(nodes, METRICS_PATH)
+    answers = NodeResponses(nodes, METRICS_PATH)
     found: list[InForce] = []
     for node, body in answers:
         try:
