--- a/src/bramblebeam/cli/ask_nodes.py
+++ b/src/bramblebeam/cli/ask_nodes.py
@@ -57,7 +57,7 @@
         sys.exit(1)
 
 
-def aligned(cells: Sequence[Sequence[str]]) -> list[str]:
+def align_columns(cells: Sequence[Sequence[str]]) -> list[str]:
     """Return rows as lines whose columns are aligned."""
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     return [
--- a/src/bramblebeam/cli/in_force.py
+++ b/src/bramblebeam/cli/in_force.py
@@ -5,7 +5,7 @@
 
 import typer
 
-from bramblebeam.cli.ask_nodes import NodeResponses, aligned
+from bramblebeam.cli.ask_nodes import NodeResponses, align_columns
 from bramblebeam.report.reading.metrics_text import Series, parse_metrics
 
 METRICS_PATH = "/metrics"
@@ -71,7 +71,7 @@
 def lines_of(rows: list[InForce]) -> list[str]:
     """Return a table, those that are behind first."""
     ordered = sorted(rows, key=lambda row: (not row.is_behind(rows), row.node))
-    return aligned([COLUMNS, *(_cells(row, row.is_behind(rows)) for row in ordered)])
+    return align_columns([COLUMNS, *(_cells(row, row.is_behind(rows)) for row in ordered)])
 
 
 def _cells(row: InForce, is_behind: bool) -> tuple[str, ...]:
--- a/src/bramblebeam/cli/queues.py
+++ b/src/bramblebeam/cli/queues.py
@@ -4,7 +4,7 @@
 
 import typer
 
-from bramblebeam.cli.ask_nodes import NodeRow, aligned, print_rows
+from bramblebeam.cli.ask_nodes import NodeRow, align_columns, print_rows
 
 QUEUES_PATH = "/queues"
 COLUMNS = (
@@ -32,4 +32,4 @@
     ordered = sorted(rows, key=lambda found: -found[1].get("wait_ms", 0))
     cells: list[tuple[str, ...]] = [("node", *COLUMNS)]
     cells += [(node, *(str(row.get(name, "?")) for name in COLUMNS)) for node, row in ordered]
-    return aligned(cells)
+    return align_columns(cells)
--- a/src/bramblebeam/cli/tenants.py
+++ b/src/bramblebeam/cli/tenants.py
@@ -4,7 +4,7 @@
 
 import typer
 
-from bramblebeam.cli.ask_nodes import NodeRow, aligned, print_rows
+from bramblebeam.cli.ask_nodes import NodeRow, align_columns, print_rows
 
 TENANTS_PATH = "/tenants"
 COLUMNS = ("tenant", "share", "counted", "allowed", "nodes", "")
@@ -26,7 +26,7 @@
     for node, row in rows:
         by_tenant.setdefault(str(row.get("tenant", "?")), []).append((node, row))
     ordered = sorted(by_tenant.items(), key=lambda item: (-_used(item[1]), item[0]))
-    return aligned([COLUMNS, *(_cells(tenant, found) for tenant, found in ordered)])
+    return align_columns([COLUMNS, *(_cells(tenant, found) for tenant, found in ordered)])
 
 
 def _used(found: list[NodeRow]) -> float:
