--- a/src/bramblebeam/cli/in_force.py
+++ b/src/bramblebeam/cli/in_force.py
@@ -45,7 +45,7 @@
             found.append(read_in_force(node, body.decode(errors="replace")))
         except KeyError as exc:
             answers.record_failure(node, f"its metrics lack {exc}")
-    for line in lines_of(found):
+    for line in table_lines(found):
         typer.echo(line)
     if answers.failed or any(row.is_behind(found) for row in found):
         sys.exit(1)
@@ -68,7 +68,7 @@
     )
 
 
-def lines_of(rows: list[InForce]) -> list[str]:
+def table_lines(rows: list[InForce]) -> list[str]:
     """Return a table, those that are behind first."""
     ordered = sorted(rows, key=lambda row: (not row.is_behind(rows), row.node))
     return align_columns([COLUMNS, *(_cells(row, row.is_behind(rows)) for row in ordered)])
--- a/tests/test_in_force_command.py
+++ b/tests/test_in_force_command.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bramblebeam.cli.in_force import BEHIND, InForce, lines_of, read_in_force
+from bramblebeam.cli.in_force import BEHIND, InForce, read_in_force, table_lines
 from bramblebeam.platform.node import METRICS_PATH, _handle_metrics
 from node_answers import ABSENT, asked
 from platform_standins.world import running_world, until
@@ -23,7 +23,7 @@
     ],
 )
 def test_nodes_that_are_behind_are_marked_and_come_first(other: InForce, behind: list[str]) -> None:
-    lines = lines_of([WELL, other])[1:]
+    lines = table_lines([WELL, other])[1:]
     assert [line.split()[0] for line in lines if line.endswith(BEHIND)] == behind
     assert [line.split()[0] for line in lines][: len(behind)] == behind
 
