--- a/src/bramblebeam/cli/in_force.py
+++ b/src/bramblebeam/cli/in_force.py
@@ -42,7 +42,7 @@
     found: list[InForce] = []
     for node, body in answers:
         try:
-            found.append(read_in_force(node, body.decode(errors="replace")))
+            found.append(parse_in_force(node, body.decode(errors="replace")))
         except KeyError as exc:
             answers.record_failure(node, f"its metrics lack {exc}")
     for line in table_lines(found):
@@ -51,7 +51,7 @@
         sys.exit(1)
 
 
-def read_in_force(node: str, text: str) -> InForce:
+def parse_in_force(node: str, text: str) -> InForce:
     """Return what a node's metrics tell. Raises KeyError for a figure that is missing."""
     figures = parse_metrics(text)
 
--- a/tests/test_in_force_command.py
+++ b/tests/test_in_force_command.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bramblebeam.cli.in_force import BEHIND, InForce, read_in_force, table_lines
+from bramblebeam.cli.in_force import BEHIND, InForce, parse_in_force, table_lines
 from bramblebeam.platform.node import METRICS_PATH, _handle_metrics
 from node_answers import ABSENT, asked
 from platform_standins.world import running_world, until
@@ -36,7 +36,7 @@
         # Until then it has taken the routes from a cached list, whose age nobody knows.
         await until(lambda: gateway.context.metrics.store_state().lists[0].age < math.inf)
         body = (await _handle_metrics(gateway, METRICS_PATH)).body
-        found = read_in_force("a", body.decode())
+        found = parse_in_force("a", body.decode())
         assert found.version == 27
         assert found.routes[0] == 0
         assert found.routes_age < 60.0
