--- a/src/bramblebeam/cli/in_force.py
+++ b/src/bramblebeam/cli/in_force.py
@@ -13,7 +13,7 @@
 BEHIND = "behind"
 
 
-class InForce(NamedTuple):
+class InForceState(NamedTuple):
     """What one node goes by: the version of its routes, and both lists of the store.
 
     `routes`, `databases`: era and revision of the lists. Ages: seconds since the store confirmed
@@ -39,7 +39,7 @@
 ) -> None:
     """Print which version, era and revision each node goes by, and mark those that are behind."""
     answers = NodeResponses(nodes, METRICS_PATH)
-    found: list[InForce] = []
+    found: list[InForceState] = []
     for node, body in answers:
         try:
             found.append(parse_in_force(node, body.decode(errors="replace")))
@@ -51,14 +51,14 @@
         sys.exit(1)
 
 
-def parse_in_force(node: str, text: str) -> InForce:
+def parse_in_force(node: str, text: str) -> InForceState:
     """Return what a node's metrics tell. Raises KeyError for a figure that is missing."""
     figures = parse_metrics(text)
 
     def of_list(name: str, of: str) -> float:
         return figures[Series(f"bramblebeam_list_{name}", (("list", of),))]
 
-    return InForce(
+    return InForceState(
         node,
         int(figures[Series("bramblebeam_routes_version")]),
         (int(of_list("era", "routes")), int(of_list("revision", "routes"))),
@@ -68,13 +68,13 @@
     )
 
 
-def table_lines(rows: list[InForce]) -> list[str]:
+def table_lines(rows: list[InForceState]) -> list[str]:
     """Return a table, those that are behind first."""
     ordered = sorted(rows, key=lambda row: (not row.is_behind(rows), row.node))
     return align_columns([COLUMNS, *(_cells(row, row.is_behind(rows)) for row in ordered)])
 
 
-def _cells(row: InForce, is_behind: bool) -> tuple[str, ...]:
+def _cells(row: InForceState, is_behind: bool) -> tuple[str, ...]:
     return (
         row.node,
         str(row.version),
--- a/tests/test_in_force_command.py
+++ b/tests/test_in_force_command.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from bramblebeam.cli.in_force import BEHIND, InForce, parse_in_force, table_lines
+from bramblebeam.cli.in_force import BEHIND, InForceState, parse_in_force, table_lines
 from bramblebeam.platform.node import METRICS_PATH, _handle_metrics
 from node_answers import ABSENT, asked
 from platform_standins.world import running_world, until
 
-WELL = InForce("a", 27, (1, 12), 0.4, (1, 15), 0.2)
+WELL = InForceState("a", 27, (1, 12), 0.4, (1, 15), 0.2)
 
 
 @pytest.mark.parametrize(
@@ -22,7 +22,9 @@
         pytest.param(WELL._replace(node="b", version=30), ["a"], id="a newer version"),
     ],
 )
-def test_nodes_that_are_behind_are_marked_and_come_first(other: InForce, behind: list[str]) -> None:
+def test_nodes_that_are_behind_are_marked_and_come_first(
+    other: InForceState, behind: list[str]
+) -> None:
     lines = table_lines([WELL, other])[1:]
     assert [line.split()[0] for line in lines if line.endswith(BEHIND)] == behind
     assert [line.split()[0] for line in lines][: len(behind)] == behind
