--- a/src/bramblebeam/cli/__init__.py
+++ b/src/bramblebeam/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""Command-line interface."""
--- a/src/bramblebeam/cli/client.py
+++ b/src/bramblebeam/cli/client.py
@@ -1,14 +1,14 @@
-"""Requests of operators' commands to the administration API of a node."""
+"""Client of a node's administration API, for operators' commands."""
 
 import asyncio
 from dataclasses import dataclass
 from typing import Any
 
-REQUEST_SECONDS = 20.0
+REQUEST_TIMEOUT_SECONDS = 20.0
 
 
-class RequestFailed(Exception):  # noqa: N818 - it is the end of a request, not of the program
-    """The node refused the request (`status`), or could not be asked (status 0)."""
+class RequestFailed(Exception):  # noqa: N818 - the outcome of a request, not a program error
+    """The node refused the request (HTTP `status`) or gave no answer (status 0)."""
 
     def __init__(self, status: int, problem: dict[str, Any]) -> None:
         super().__init__(problem.get("message", ""))
@@ -18,26 +18,26 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeApi:
-    """The API at `url`, asked with `token` (empty: none); `ca` is a PEM file for a private CA."""
+    """The API at `url`; `token` (empty: none) authenticates, `ca` is a PEM file of a private CA."""
 
     url: str
     token: str = ""
     ca: str = ""
 
     def call(self, method: str, path: str, body: dict[str, Any] | None = None) -> dict[str, Any]:
-        """Return the answer. Raises RequestFailed."""
+        """Send a request and return the answer. Raises RequestFailed."""
         return asyncio.run(self._call(method, path, body))
 
     async def _call(self, method: str, path: str, body: dict[str, Any] | None) -> dict[str, Any]:
-        import aiohttp  # its import takes a quarter of a second, which other commands are spared
+        import aiohttp  # imported here: it takes 0.25 s, which other commands need not spend
 
         headers = {"Authorization": f"Bearer {self.token}"} if self.token else {}
-        timeout = aiohttp.ClientTimeout(total=REQUEST_SECONDS)
+        timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_SECONDS)
         try:
             async with (
                 aiohttp.ClientSession(headers=headers, timeout=timeout) as session,
                 session.request(
-                    method, f"{self.url}/api/v1{path}", json=body, ssl=self._tls()
+                    method, f"{self.url}/api/v1{path}", json=body, ssl=self._ssl_context()
                 ) as response,
             ):
                 found: dict[str, Any] = await response.json(content_type=None)
@@ -48,7 +48,7 @@
             raise RequestFailed(response.status, found)
         return found
 
-    def _tls(self) -> Any:
+    def _ssl_context(self) -> Any:
         if not self.ca:
             return True
         import ssl
--- a/src/bramblebeam/cli/explain.py
+++ b/src/bramblebeam/cli/explain.py
@@ -1,4 +1,4 @@
-"""`bramblebeam explain`: the lines of one request from the logs of many processes."""
+"""`bramblebeam explain`: shows one request's lines from the logs of several processes."""
 
 import sys
 from pathlib import Path
@@ -13,7 +13,7 @@
     identifier: Annotated[str, typer.Argument(help="The id of the request.")],
     files: Annotated[list[Path], typer.Argument(help="Log files of any processes.")],
 ) -> None:
-    """Print a request's log lines in order, and the one that decided its end."""
+    """Print a request's log lines in order and mark the one that decided its outcome."""
     lines: list[LogLine] = []
     for path in files:
         try:
@@ -29,5 +29,5 @@
         fields = " ".join(f"{name}={value}" for name, value in line.fields.items())
         typer.echo(f"{mark} {line.time} {line.source} [{line.event}] {line.message}: {fields}")
     if not found.lines:
-        typer.echo("no line has this id: it was answered without trouble, or its line was left out")
+        typer.echo("no line has this id: the request succeeded, or its line was dropped")
         sys.exit(1)
--- a/src/bramblebeam/cli/in_force.py
+++ b/src/bramblebeam/cli/in_force.py
@@ -1,4 +1,4 @@
-"""`bramblebeam in-force`: which configuration and databases nodes go by, and who is behind."""
+"""`bramblebeam in-force`: shows the lists that nodes use and marks nodes that are behind."""
 
 import sys
 from typing import Annotated, NamedTuple
@@ -14,7 +14,7 @@
 
 
 class InForceState(NamedTuple):
-    """What one node goes by: the version of its routes, and both lists of the store.
+    """The lists of the store that one node uses, and the version of its routes.
 
     `routes`, `databases`: era and revision of the lists. Ages: seconds since the store confirmed
     them.
@@ -27,8 +27,8 @@
     databases: tuple[int, int]
     databases_age: float
 
-    def is_behind(self, others: list["InForce"]) -> bool:
-        """Whether another node has a newer configuration, or knows of a later era."""
+    def is_behind(self, others: list["InForceState"]) -> bool:
+        """Whether another node has a newer configuration or has seen a later era."""
         newest = max(other.version for other in others)
         eras = [era for other in others for era in (other.routes[0], other.databases[0])]
         return self.version < newest or min(self.routes[0], self.databases[0]) < max(eras)
@@ -37,7 +37,7 @@
 def in_force_command(
     nodes: Annotated[list[str], typer.Argument(help="HOST:PORT of nodes' metrics addresses.")],
 ) -> None:
-    """Print which version, era and revision each node goes by, and mark those that are behind."""
+    """Print the version, era and revision that each node uses, and mark nodes that are behind."""
     answers = NodeResponses(nodes, METRICS_PATH)
     found: list[InForceState] = []
     for node, body in answers:
@@ -52,24 +52,24 @@
 
 
 def parse_in_force(node: str, text: str) -> InForceState:
-    """Return what a node's metrics tell. Raises KeyError for a figure that is missing."""
+    """Parse a node's metrics. Raises KeyError if a metric is missing."""
     figures = parse_metrics(text)
 
-    def of_list(name: str, of: str) -> float:
-        return figures[Series(f"bramblebeam_list_{name}", (("list", of),))]
+    def list_metric(name: str, list_name: str) -> float:
+        return figures[Series(f"bramblebeam_list_{name}", (("list", list_name),))]
 
     return InForceState(
         node,
         int(figures[Series("bramblebeam_routes_version")]),
-        (int(of_list("era", "routes")), int(of_list("revision", "routes"))),
-        of_list("age_seconds", "routes"),
-        (int(of_list("era", "databases")), int(of_list("revision", "databases"))),
-        of_list("age_seconds", "databases"),
+        (int(list_metric("era", "routes")), int(list_metric("revision", "routes"))),
+        list_metric("age_seconds", "routes"),
+        (int(list_metric("era", "databases")), int(list_metric("revision", "databases"))),
+        list_metric("age_seconds", "databases"),
     )
 
 
 def table_lines(rows: list[InForceState]) -> list[str]:
-    """Return a table, those that are behind first."""
+    """Return a table with the nodes that are behind first."""
     ordered = sorted(rows, key=lambda row: (not row.is_behind(rows), row.node))
     return align_columns([COLUMNS, *(_cells(row, row.is_behind(rows)) for row in ordered)])
 
--- a/src/bramblebeam/cli/main.py
+++ b/src/bramblebeam/cli/main.py
@@ -1,4 +1,4 @@
-"""The program `bramblebeam`: a node, its settings, its events, operators' commands, the lab."""
+"""The program `bramblebeam`: its own commands, operators' commands and the lab."""
 
 import json
 import sys
@@ -25,7 +25,7 @@
     parse_override,
 )
 
-BAD_SETTINGS = 2
+EXIT_BAD_SETTINGS = 2
 
 application = typer.Typer(
     name="bramblebeam",
@@ -60,7 +60,7 @@
 
 @application.command()
 def events() -> None:
-    """Print the catalogue of log events as the page docs/events.md."""
+    """Print the catalogue of log events in the form of docs/events.md."""
     typer.echo(events_page(), nl=False)
 
 
@@ -79,7 +79,7 @@
     drain_seconds: Annotated[float | None, typer.Option(help="Bound of a planned stop.")] = None,
     overrides: SetOption = None,
 ) -> None:
-    """Run one node until it is told to stop (SIGTERM: a planned stop that cuts nothing)."""
+    """Run one node until it is signalled to stop (SIGTERM: planned stop, aborting nothing)."""
     from bramblebeam.node import run_node
 
     flags: dict[str, Any] = {
@@ -93,8 +93,8 @@
     }
     values = {key: value for key, value in flags.items() if value is not None}
     for section, endpoint in (("client", client), ("peer", peer), ("admin", admin)):
-        values.update(_endpoint(section, endpoint))
-    settings = _settings_or_exit(config, values, overrides or [])
+        values.update(_endpoint_values(section, endpoint))
+    settings = _load_or_exit(config, values, overrides or [])
     configure_logging(settings.log.level, settings.log.format)
     sys.exit(run_node(settings))
 
@@ -104,36 +104,34 @@
     file: Annotated[Path, typer.Argument(help="Settings file (TOML).")],
     as_json: Annotated[bool, typer.Option("--json", help="Problems as JSON.")] = False,
 ) -> None:
-    """Check a settings file; name each wrong value. Exit code 0: good, 2: not."""
+    """Check a settings file and print each invalid value. Exit code 0: valid, 2: invalid."""
     match load_settings(file):
         case Result(tag="ok"):
             typer.echo(json.dumps({"problems": []}) if as_json else f"{file}: good")
         case Result(error=error):
             _show_problems(error, as_json)
-            raise typer.Exit(BAD_SETTINGS)
+            raise typer.Exit(EXIT_BAD_SETTINGS)
 
 
 @config_commands.command("example")
 def config_example() -> None:
-    """Print a settings file with every key explained."""
+    """Print an example settings file that explains every key."""
     typer.echo(example_text(), nl=False)
 
 
 def example_text() -> str:
-    """Return the example settings file that comes with the program."""
+    """Return the text of the example settings file."""
     return files("bramblebeam.settings").joinpath("example.toml").read_text(encoding="utf-8")
 
 
-def _endpoint(section: str, text: str | None) -> dict[str, Any]:
+def _endpoint_values(section: str, text: str | None) -> dict[str, Any]:
     if text is None:
         return {}
     host, _, port = text.rpartition(":")
     return {f"{section}.host": host or text, f"{section}.port": port}
 
 
-def _settings_or_exit(
-    config: Path | None, flags: dict[str, Any], overrides: list[str]
-) -> NodeSettings:
+def _load_or_exit(config: Path | None, flags: dict[str, Any], overrides: list[str]) -> NodeSettings:
     values = dict(flags)
     for text in overrides:
         match parse_override(text):
@@ -146,12 +144,12 @@
             return settings
         case Result(error=error):
             _show_problems(error, as_json=False)
-    raise typer.Exit(BAD_SETTINGS)
+    raise typer.Exit(EXIT_BAD_SETTINGS)
 
 
 def _exit_with(problem: SettingProblem) -> None:
     _show_problems(SettingsError((problem,)), as_json=False)
-    raise typer.Exit(BAD_SETTINGS)
+    raise typer.Exit(EXIT_BAD_SETTINGS)
 
 
 def _show_problems(error: SettingsError, as_json: bool) -> None:
--- a/src/bramblebeam/cli/mount.py
+++ b/src/bramblebeam/cli/mount.py
@@ -1,6 +1,6 @@
-"""Groups of commands that load the modules of other commands only when they are asked for.
+"""Command groups that import the modules of their commands on demand.
 
-So that a node's process holds nothing of the operators' commands and of the laboratory.
+A node's process thus does not load the operators' commands or the lab.
 """
 
 from importlib import import_module
@@ -12,24 +12,24 @@
 
 
 class LazyGroup(TyperGroup):
-    """Commands of its own, and those of other modules, each of which has an `application`.
+    """A group of its own commands and of those in other modules' `application` objects.
 
-    `merged`: modules whose commands stand among the group's own. `named`: modules that are a group
-    of commands of their own, by the group's name.
+    `merged`: modules whose commands are added to this group. `named`: modules that form a subgroup
+    or command, by its name.
     """
 
     merged: ClassVar[tuple[str, ...]] = ()
     named: ClassVar[dict[str, str]] = {}
 
     def list_commands(self, ctx: Any) -> list[str]:
-        """Return every command's name."""
+        """Return the names of all commands; imports all modules."""
         self._load_merged()
         for name in self.named:
             self._load_named(name)
         return super().list_commands(ctx)
 
     def get_command(self, ctx: Any, cmd_name: str) -> Any:
-        """Return a command, loading what it needs; None: there is no such command."""
+        """Return a command, importing its module if needed, or None if it does not exist."""
         if cmd_name not in self.commands:
             if cmd_name in self.named:
                 self._load_named(cmd_name)
@@ -59,7 +59,7 @@
 
 
 class ProgramGroup(LazyGroup):
-    """The program's commands: its own, the operators' at the top, the lab's under `lab`."""
+    """The program's commands: operators' commands at the top level, the lab's under `lab`."""
 
     merged = ("bramblebeam.cli.operator",)
     named = {"lab": "bramblebeam.lab.cli", "report": "bramblebeam.cli.report"}
--- a/src/bramblebeam/cli/operator.py
+++ b/src/bramblebeam/cli/operator.py
@@ -1,6 +1,6 @@
-"""Operators' commands over the administration API of any node.
+"""Operators' commands, which use the administration API of any node.
 
-The node, the token and a private CA come from the environment: `BRAMBLEBEAM_ADMIN` (a URL),
+The node's URL, the token and a private CA come from the environment: `BRAMBLEBEAM_ADMIN`,
 `BRAMBLEBEAM_TOKEN`, `BRAMBLEBEAM_CA` (a PEM file).
 """
 
@@ -9,7 +9,7 @@
 import typer
 
 from bramblebeam.cli import rows
-from bramblebeam.cli.context import node_api, reporting, wants_json
+from bramblebeam.cli.context import exit_on_request_error, node_api, wants_json
 from bramblebeam.cli.output import print_json, print_table
 
 application = typer.Typer(no_args_is_help=True)
@@ -20,8 +20,8 @@
 
 @application.command()
 def status(context: typer.Context, as_json: JsonOption = False) -> None:
-    """Show the system at a glance, as the asked node sees it."""
-    with reporting(context):
+    """Show an overview of the system, as the queried node sees it."""
+    with exit_on_request_error(context):
         found = node_api().call("GET", "/status")
     if wants_json(context):
         print_json(found)
@@ -51,8 +51,8 @@
     limit: Annotated[int, typer.Option(help="Nodes to show.")] = 20,
     as_json: JsonOption = False,
 ) -> None:
-    """Show what nodes have in force, the slowest first."""
-    with reporting(context):
+    """Show the versions that nodes have in force, the slowest node first."""
+    with exit_on_request_error(context):
         found = node_api().call("GET", f"/versions?limit={limit}")
     if wants_json(context):
         print_json(found)
@@ -68,8 +68,8 @@
     zone: Annotated[str, typer.Option(help="Only this zone's.")] = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Show the nodes that the asked node knows."""
-    with reporting(context):
+    """Show the nodes that the queried node knows."""
+    with exit_on_request_error(context):
         found = _pages(context, f"/members?zone={zone}", "members")
     if wants_json(context):
         print_json({"members": found})
@@ -86,7 +86,7 @@
     as_json: JsonOption = False,
 ) -> None:
     """Show database groups: term, primary, positions and lag of their members."""
-    with reporting(context):
+    with exit_on_request_error(context):
         if group:
             found = [node_api().call("GET", f"/groups/{group}")]
         else:
@@ -118,8 +118,8 @@
     group: Annotated[str, typer.Argument(help="Only this group's.")] = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Show slots of back ends: used, borrowed, queued, by service."""
-    with reporting(context):
+    """Show the slots of back ends by service: used, borrowed and queued."""
+    with exit_on_request_error(context):
         missing: list[str] = []
         found = _pages(context, f"/pools?group={group}", "pools", missing)
     if wants_json(context):
@@ -142,11 +142,11 @@
 def change_primary(
     context: typer.Context,
     group: Annotated[str, typer.Argument(help="The group.")],
-    instance: Annotated[str, typer.Argument(help="The member that is to be primary.")],
+    instance: Annotated[str, typer.Argument(help="The member to make primary.")],
     as_json: JsonOption = False,
 ) -> None:
-    """Change a group's primary as planned: writes wait for about a round trip."""
-    with reporting(context):
+    """Change a group's primary as a planned change; writes wait for about one round trip."""
+    with exit_on_request_error(context):
         body = {"instance": instance}
         found = node_api().call("POST", f"/groups/{group}/primary", body)
     if wants_json(context):
@@ -162,39 +162,39 @@
 def drain(
     context: typer.Context,
     kind: Annotated[str, typer.Argument(help="instance or node.")],
-    name: Annotated[str, typer.Argument(help="Which one.")],
-    undo: Annotated[bool, typer.Option("--undo", help="Put the back end into use again.")] = False,
+    name: Annotated[str, typer.Argument(help="Its name.")],
+    undo: Annotated[bool, typer.Option("--undo", help="Return the back end to service.")] = False,
     force: Annotated[
-        bool, typer.Option("--force", help="Also a primary that the group itself must move.")
+        bool, typer.Option("--force", help="Also drain a primary, which the group must then move.")
     ] = False,
     as_json: JsonOption = False,
 ) -> None:
-    """Take a back end out of use, or let a node stop as planned."""
+    """Take a back end out of service, or start a node's planned stop."""
     if kind not in ("instance", "node") or (undo and kind == "node"):
         raise typer.BadParameter("expected: drain instance NAME [--undo], or drain node NAME")
     body: dict[str, Any] | None = (
         {"drain": not undo, "force": force} if kind == "instance" else None
     )
-    with reporting(context):
+    with exit_on_request_error(context):
         found = node_api().call("POST", f"/{kind}s/{name}/drain", body)
     if wants_json(context):
         print_json(found)
     elif kind == "node":
-        typer.echo(f"{name} stops as planned")
+        typer.echo(f"{name} has started its planned stop")
     else:
-        state = "in use again" if undo else "to get no new work"
+        state = "back in service" if undo else "to get no new work"
         typer.echo(f"{name} is {state}, by version {found['version']} of its weight row")
 
 
 def _pages(
     context: typer.Context, path: str, key: str, missing: list[str] | None = None
 ) -> list[dict[str, Any]]:
-    """Return the entries of every page of a list."""
+    """Return the entries of all pages of a list; adds unreachable zones to `missing`."""
     entries: list[dict[str, Any]] = []
     after = ""
-    joint = "&" if "?" in path else "?"
+    separator = "&" if "?" in path else "?"
     while True:
-        page = node_api().call("GET", f"{path}{joint}after={after}")
+        page = node_api().call("GET", f"{path}{separator}after={after}")
         entries += page[key]
         if missing is not None:
             missing += page["unreachable"]
--- a/src/bramblebeam/cli/output.py
+++ b/src/bramblebeam/cli/output.py
@@ -1,4 +1,4 @@
-"""Tables for people, JSON for programs."""
+"""Output of commands: tables for people, JSON for programs."""
 
 import json
 from collections.abc import Iterable, Sequence
@@ -21,30 +21,30 @@
     missing: Sequence[str] = (),
     width: int | None = None,
 ) -> None:
-    """Print rows under their columns, and what could not be reached.
+    """Print a table, then the names in `missing` as not reached.
 
-    `width`: in characters; None: the terminal's, in which long cells are folded.
+    `width`: in characters; None: that of the terminal. Long cells are folded.
     """
     table = Table(title=title, title_justify="left", box=None, header_style="bold")
     for column in columns:
         table.add_column(column, overflow="fold")
     for row in rows:
-        table.add_row(*(_text(cell) for cell in row))
+        table.add_row(*(_cell_text(cell) for cell in row))
     console = Console(soft_wrap=True, width=width)
     console.print(table)
     if missing:
         console.print(f"Not reached: {', '.join(missing)}", style="yellow", highlight=False)
 
 
-def spec_text(spec: dict[str, Any] | None) -> str:
-    """Return a spec on one line."""
+def format_spec(spec: dict[str, Any] | None) -> str:
+    """Return a row's spec on one line; None is a deleted row."""
     if spec is None:
         return "(deleted)"
     parts = (f"{name}={json.dumps(value)}" for name, value in spec.items())
     return " ".join(parts)
 
 
-def _text(cell: Any) -> str:
+def _cell_text(cell: Any) -> str:
     if cell is None:
         return "?"
     if isinstance(cell, bool):
--- a/src/bramblebeam/cli/queues.py
+++ b/src/bramblebeam/cli/queues.py
@@ -1,4 +1,4 @@
-"""`bramblebeam queues`: who waits before which database, asked of many nodes."""
+"""`bramblebeam queues`: shows the databases' queues at many nodes."""
 
 from typing import Annotated
 
@@ -23,12 +23,12 @@
 def queues_command(
     nodes: Annotated[list[str], typer.Argument(help="HOST:PORT of nodes' metrics addresses.")],
 ) -> None:
-    """Print each database's queue at the nodes asked, the longest wait first."""
+    """Print each database's queue at the queried nodes, the longest wait first."""
     print_rows(nodes, QUEUES_PATH, table_lines)
 
 
 def table_lines(rows: list[NodeRow]) -> list[str]:
-    """Return a table with a row for each database and node, the longest wait first."""
+    """Return a table with one row per database and node, the longest wait first."""
     ordered = sorted(rows, key=lambda found: -found[1].get("wait_ms", 0))
     cells: list[tuple[str, ...]] = [("node", *COLUMNS)]
     cells += [(node, *(str(row.get(name, "?")) for name in COLUMNS)) for node, row in ordered]
--- a/src/bramblebeam/cli/report.py
+++ b/src/bramblebeam/cli/report.py
@@ -1,4 +1,4 @@
-"""`bramblebeam report`: what the logs and metrics of many nodes tell of a run together."""
+"""`bramblebeam report`: evaluates the logs and metrics of many nodes over one run."""
 
 from pathlib import Path
 from typing import Annotated, Any
@@ -17,30 +17,30 @@
 EXIT_UNREADABLE = 1
 METRICS_OPTION = "--metrics"
 WIDTH = 180
-"""Of tables: a row that a terminal breaks is easier to read than cells that are folded."""
+"""Of tables, in characters: a row that the terminal wraps is easier to read than folded cells."""
 
 application = typer.Typer(no_args_is_help=True, add_completion=False)
 
 
 class ReportCommand(TyperCommand):
-    """Takes every word after `--metrics` up to the next option as a file of it.
+    """Accepts several files after one `--metrics`, up to the next option.
 
-    So that a shell's pattern can stand there.
+    This allows a shell pattern as its value.
     """
 
     def parse_args(self, ctx: Any, args: list[str]) -> list[str]:
-        """Parse the words after each one was given its own option."""
-        return super().parse_args(ctx, repeat_option(args, METRICS_OPTION))
+        """Parse the arguments after repeating `--metrics` before each of its files."""
+        return super().parse_args(ctx, expand_option(args, METRICS_OPTION))
 
 
-def repeat_option(words: list[str], option: str) -> list[str]:
-    """Return the words with `option` before each value that follows it without one."""
+def expand_option(words: list[str], option: str) -> list[str]:
+    """Return the words with `option` repeated before each of its values."""
     repeated: list[str] = []
-    latest = ""
+    current_option = ""
     for word in words:
         if word.startswith("--"):
-            latest = word
-        elif latest == option and repeated[-1] != option:
+            current_option = word
+        elif current_option == option and repeated[-1] != option:
             repeated.append(option)
         repeated.append(word)
     return repeated
@@ -54,16 +54,16 @@
         typer.Option(
             METRICS_OPTION,
             metavar="FILE...",
-            help="Scraped metrics texts, one file a node; the logs go before this option.",
+            help="Scraped metrics texts, one file per node; the logs go before this option.",
         ),
     ] = None,
     html: Annotated[
-        Path | None, typer.Option(metavar="FILE", help="Write a page with plots as well.")
+        Path | None, typer.Option(metavar="FILE", help="Also write a page with plots.")
     ] = None,
     rows: Annotated[int, typer.Option(min=1, help="Rows to show of each table.")] = 12,
     as_json: Annotated[bool, typer.Option("--json", help="Print one JSON object.")] = False,
 ) -> None:
-    """Report over a run: starts, leaders, refused statements, attempts, errors."""
+    """Report on a run: starts, leaders, refused statements, attempts, errors."""
     try:
         found = report_on(logs, metrics or [])
     except UnreadableError as error:
@@ -74,13 +74,13 @@
         print_json(plain(found))
         return
     summary, *tables = tables_of(found)
-    _show(summary, len(summary.rows))
+    _print(summary, len(summary.rows))
     for table in tables:
-        _show(table, rows)
+        _print(table, rows)
 
 
 def _write_page(found: RunReport, path: Path) -> None:
-    from bramblebeam.report.rendering.page import page_of  # the library of plots is slow to import
+    from bramblebeam.report.rendering.page import page_of  # its plotting library is slow to import
 
     try:
         path.write_text(page_of(found), encoding="utf-8")
@@ -88,7 +88,7 @@
         fail(EXIT_UNREADABLE, f"{path}: {error.strerror}")
 
 
-def _show(table: Table, rows: int) -> None:
+def _print(table: Table, rows: int) -> None:
     shown = [[escape(cell.text) for cell in row] for row in table.rows[:rows]]
     print_table(table.title, table.columns, shown, width=WIDTH)
     if len(table.rows) > rows:
--- a/src/bramblebeam/cli/rows.py
+++ b/src/bramblebeam/cli/rows.py
@@ -1,4 +1,4 @@
-"""`bramblebeam rows …`: read, edit, apply and compare the rows of the shared table."""
+"""`bramblebeam rows …`: reads, edits, applies and compares rows of the shared table."""
 
 import json
 import time
@@ -10,25 +10,27 @@
 
 from bramblebeam.cli.client import NodeApi, RequestFailed
 from bramblebeam.cli.context import (
+    EXIT_BAD_REQUEST,
     EXIT_DIFFERENT,
     EXIT_NOT_IN_FORCE,
-    EXIT_WRONG,
+    exit_on_request_error,
     fail,
     node_api,
-    reporting,
     wants_json,
 )
-from bramblebeam.cli.output import print_json, print_table, spec_text
+from bramblebeam.cli.output import format_spec, print_json, print_table
 
 application = typer.Typer(help="Rows of the shared table.", no_args_is_help=True)
 
-PAGE = 1_000
+PAGE_SIZE = 1_000
 POLL_SECONDS = 0.2
 
 KindArgument = Annotated[str, typer.Argument(help="group, limit or weight.")]
 NameArgument = Annotated[str, typer.Argument(help="The row's name.")]
-WaitOption = Annotated[bool, typer.Option("--wait", help="Follow it until in force everywhere.")]
-TimeoutOption = Annotated[float, typer.Option(help="Longest wait, seconds.")]
+WaitOption = Annotated[
+    bool, typer.Option("--wait", help="Wait until it is in force at every node.")
+]
+TimeoutOption = Annotated[float, typer.Option(help="Maximum wait in seconds.")]
 
 JsonOption = Annotated[bool, typer.Option("--json", help="JSON for programs.")]
 
@@ -37,16 +39,16 @@
 def list_rows(
     context: typer.Context,
     kind: Annotated[str, typer.Option(help="Only this kind.")] = "",
-    prefix: Annotated[str, typer.Option(help="Only names that begin so.")] = "",
+    prefix: Annotated[str, typer.Option(help="Only names with this prefix.")] = "",
     as_json: JsonOption = False,
 ) -> None:
-    """List the rows in force at the asked node."""
-    with reporting(context):
+    """List the rows in force at the queried node."""
+    with exit_on_request_error(context):
         rows = _all_rows(node_api(), kind, prefix)
     if wants_json(context):
         print_json(rows)
         return
-    shown = [(row["kind"], row["name"], row["version"], spec_text(row["spec"])) for row in rows]
+    shown = [(row["kind"], row["name"], row["version"], format_spec(row["spec"])) for row in rows]
     print_table(f"{len(rows)} rows", ("KIND", "NAME", "VERSION", "SPEC"), shown)
 
 
@@ -55,7 +57,7 @@
     context: typer.Context, kind: KindArgument, name: NameArgument, as_json: JsonOption = False
 ) -> None:
     """Show one row in force."""
-    with reporting(context):
+    with exit_on_request_error(context):
         row = node_api().call("GET", f"/rows/{kind}/{name}")
     if wants_json(context):
         print_json(row)
@@ -78,10 +80,10 @@
     timeout: TimeoutOption = 30.0,
     as_json: JsonOption = False,
 ) -> None:
-    """Change fields of a row; a row that does not exist is created."""
+    """Change fields of a row, creating it if it does not exist."""
     api = node_api()
     changes = dict(_assignment(value) for value in values)
-    with reporting(context):
+    with exit_on_request_error(context):
         row = _row_or_none(api, kind, name)
         spec = {**(row["spec"] if row else {}), **changes}
         seen = row["version"] if row else 0
@@ -103,7 +105,7 @@
 ) -> None:
     """Delete a row."""
     api = node_api()
-    with reporting(context):
+    with exit_on_request_error(context):
         if version is None:
             version = api.call("GET", f"/rows/{kind}/{name}")["version"]
         path = f"/rows/{kind}/{name}?expected_version={version}&change_id={uuid.uuid4().hex}"
@@ -118,10 +120,10 @@
     timeout: TimeoutOption = 30.0,
     as_json: JsonOption = False,
 ) -> None:
-    """Write every row of the file that differs from the one in force; the rest stay."""
+    """Write each row of the file that differs from the one in force; keep all other rows."""
     api = node_api()
     wanted = _read_file(file)
-    with reporting(context):
+    with exit_on_request_error(context):
         changes = _differences(api, wanted)
         results = []
         for change in changes:
@@ -146,7 +148,7 @@
     as_json: JsonOption = False,
 ) -> None:
     """Show what `apply` would write. Exit code 1 if anything differs."""
-    with reporting(context):
+    with exit_on_request_error(context):
         changes = _differences(node_api(), _read_file(file))
     if wants_json(context):
         print_json(changes)
@@ -155,8 +157,8 @@
             (
                 change["kind"],
                 change["name"],
-                spec_text(change["current"] or {}),
-                spec_text(change["wanted"]),
+                format_spec(change["current"] or {}),
+                format_spec(change["wanted"]),
             )
             for change in changes
         ]
@@ -172,8 +174,8 @@
     timeout: TimeoutOption = 30.0,
     as_json: JsonOption = False,
 ) -> None:
-    """Wait until a version is in force at every node. Exit code 4: not in time."""
-    with reporting(context):
+    """Wait until a version is in force at every node. Exit code 4: timeout."""
+    with exit_on_request_error(context):
         found = _wait(node_api(), version, timeout)
     if wants_json(context):
         print_json(found)
@@ -185,7 +187,7 @@
     rows: list[dict[str, Any]] = []
     after: str | None = ""
     while after is not None:
-        page = api.call("GET", f"/rows?kind={kind}&prefix={prefix}&after={after}&limit={PAGE}")
+        page = api.call("GET", f"/rows?kind={kind}&prefix={prefix}&after={after}&limit={PAGE_SIZE}")
         rows += page["rows"]
         after = page["next"]
     return rows
@@ -203,7 +205,7 @@
 def _write(
     api: NodeApi, kind: str, name: str, version: int, spec: dict[str, Any]
 ) -> dict[str, Any]:
-    """Write a row; ask again with the same change id when the answer was lost."""
+    """Write a row; retry with the same change id if the answer was lost."""
     body = {"expected_version": version, "spec": spec, "change_id": uuid.uuid4().hex}
     try:
         return api.call("PUT", f"/rows/{kind}/{name}", body)
@@ -216,33 +218,33 @@
 def _show_written(
     context: typer.Context, result: dict[str, Any], wait: bool, timeout: float
 ) -> None:
-    began = time.monotonic()
+    started_at = time.monotonic()
     if wait and result["version"]:
         _wait(node_api(), result["version"], timeout)
-        result["in_force_after_ms"] = round((time.monotonic() - began) * 1000)
+        result["in_force_after_ms"] = round((time.monotonic() - started_at) * 1000)
     if wants_json(context):
         print_json(result)
         return
     typer.echo(f"written as version {result['version']}, change {result['change_id']}")
     if result["overwritten"]:
-        typer.echo("a later edit has taken its place already")
+        typer.echo("a later edit has already overwritten it")
     if "in_force_after_ms" in result:
         typer.echo(f"in force everywhere after {result['in_force_after_ms']} ms")
 
 
 def _wait(api: NodeApi, version: int, timeout: float) -> dict[str, Any]:
-    """Ask until the version is in force everywhere; exit with code 4 when time is up."""
-    until = time.monotonic() + timeout
+    """Poll until the version is in force everywhere; exit with code 4 on timeout."""
+    deadline = time.monotonic() + timeout
     while True:
         found = api.call("GET", f"/in-force?version={version}")
         if found["everywhere"]:
             return found
-        if time.monotonic() >= until:
-            fail(EXIT_NOT_IN_FORCE, _late_text(version, found))
+        if time.monotonic() >= deadline:
+            fail(EXIT_NOT_IN_FORCE, _timeout_message(version, found))
         time.sleep(POLL_SECONDS)
 
 
-def _late_text(version: int, found: dict[str, Any]) -> str:
+def _timeout_message(version: int, found: dict[str, Any]) -> str:
     late = [
         f"{zone['behind']} of {zone['nodes']} nodes of {zone['zone']} "
         f"(slowest {zone['slowest']} at {zone['lowest']})"
@@ -277,13 +279,13 @@
         rows = json.loads(file.read_text(encoding="utf-8"))
         return [{name: row[name] for name in ("kind", "name", "spec")} for row in rows]
     except (OSError, ValueError, KeyError, TypeError) as error:
-        fail(EXIT_WRONG, f"{file}: expected a JSON list of {{kind, name, spec}}: {error!r}")
+        fail(EXIT_BAD_REQUEST, f"{file}: expected a JSON list of {{kind, name, spec}}: {error!r}")
 
 
 def _assignment(text: str) -> tuple[str, Any]:
     name, separator, value = text.partition("=")
     if not separator:
-        fail(EXIT_WRONG, f"{text!r}: expected FIELD=VALUE")
+        fail(EXIT_BAD_REQUEST, f"{text!r}: expected FIELD=VALUE")
     try:
         return name, json.loads(value)
     except ValueError:
--- a/src/bramblebeam/platform/__init__.py
+++ b/src/bramblebeam/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' platform: it translates, and decides nothing.
+"""Adapter to the users' platform: translates its wire formats and names, and makes no decisions.
 
-Nothing outside this package knows the names that the platform uses.
+No code outside this package uses the platform's names.
 """
--- a/src/bramblebeam/platform/answers.py
+++ b/src/bramblebeam/platform/answers.py
@@ -1,4 +1,4 @@
-"""The one table between verdicts with their reasons and the codes on the wire."""
+"""The only mapping between refusals (verdict and reason) and error codes on the wire."""
 
 from bramblebeam.core.session.errors import DEFAULT_RETRY_AFTER_MS, REASON_TEXT
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
@@ -15,16 +15,16 @@
     Reason.UNKNOWN_DATABASE: "NODB",
     Reason.UNKNOWN_KEY: "NOAUTH",
 }
-"""Codes of what has not run; any other reason has NOT_RUN_CODE."""
+"""Codes of statements that did not run; any other reason maps to NOT_RUN_CODE."""
 
-_NO_USE_TO_REPEAT = (Reason.BAD_REQUEST, Reason.UNKNOWN_KEY)
-"""What is refused for good: no time to come back is told."""
+_NOT_RETRYABLE = (Reason.BAD_REQUEST, Reason.UNKNOWN_KEY)
+"""Permanent refusals: their texts suggest no delay for a retry."""
 NOT_RUN_CODE = "BUSY"
 RAN_CODE = "FAILED"
 UNKNOWN_CODE = "INDOUBT"
 TIMED_OUT_CODE = "TIMEOUT"
 
-_DATABASE_REFUSALS = {
+_REFUSALS_BY_CODE = {
     "BUSY": (Verdict.NOT_RUN, Reason.QUEUE_FULL),
     "NOSTMT": (Verdict.NOT_RUN, Reason.UNKNOWN_STATEMENT),
     "LAGGING": (Verdict.NOT_RUN, Reason.REPLICA_BEHIND),
@@ -39,13 +39,13 @@
 
 
 def refusal_from_error(code: str, text: str) -> Refusal:
-    """Return what a database's error says of the statement."""
-    verdict, reason = _DATABASE_REFUSALS.get(code, (Verdict.UNKNOWN, Reason.BACKEND_ERROR))
+    """Return the refusal for a database's error; an unknown code leaves the outcome uncertain."""
+    verdict, reason = _REFUSALS_BY_CODE.get(code, (Verdict.UNKNOWN, Reason.BACKEND_ERROR))
     return Refusal(verdict, reason, text)
 
 
 def error_code(refusal: Refusal) -> str:
-    """Return the code a caller gets for a refusal."""
+    """Return the error code that a caller receives for a refusal."""
     if refusal.verdict is Verdict.NOT_RUN:
         return _NOT_RUN_CODES.get(refusal.reason, NOT_RUN_CODE)
     if refusal.reason is Reason.DEADLINE:
@@ -54,9 +54,9 @@
 
 
 def error_text(refusal: Refusal) -> str:
-    """Return the words of a refusal; where nothing has run they tell when to come back."""
+    """Return the error text of a refusal, with the retry delay if the statement did not run."""
     text = refusal.detail or REASON_TEXT[refusal.reason]
-    if refusal.verdict is not Verdict.NOT_RUN or refusal.reason in _NO_USE_TO_REPEAT:
+    if refusal.verdict is not Verdict.NOT_RUN or refusal.reason in _NOT_RETRYABLE:
         return text
     retry_after = refusal.retry_after_ms or DEFAULT_RETRY_AFTER_MS.get(refusal.reason, 0)
     return f"{text}; retry after {retry_after} ms"
--- a/src/bramblebeam/platform/caller_listener.py
+++ b/src/bramblebeam/platform/caller_listener.py
@@ -1,4 +1,4 @@
-"""Callers' connections over the line wire."""
+"""Accepts callers' connections and serves the line protocol on them."""
 
 from __future__ import annotations
 
@@ -30,29 +30,30 @@
     TransactionState.OPEN: "T",
     TransactionState.FAILED: "E",
 }
-_MAXIMUM_QUEUED = 64
-"""Statements that a caller may send ahead."""
+_MAX_PIPELINED_STATEMENTS = 64
+"""Statements that a caller may send before the previous ones are answered."""
 _BACKLOG = 1024
-_FIRST_QUESTION_SECONDS = 0.3
-"""A caller that has just connected is about to ask: a node that stops does not close it yet."""
+_FIRST_STATEMENT_SECONDS = 0.3
+"""Grace period of a new connection: its first statement is about to arrive, so a stopping node does
+not close it yet."""
 
 
 class SessionHost(Protocol):
-    """What opens sessions."""
+    """Opens and closes callers' sessions."""
 
     def open_session(self, database: str, key: KeyDigest) -> GatewaySession | Refusal:
-        """Return a session of a key's holder on a database, or why there is none."""
+        """Return a session on a database for the tenant that holds the key, or the refusal."""
 
     def close_session(self, session: GatewaySession) -> None:
-        """Forget a session whose caller is gone."""
+        """Forget a session whose caller has disconnected."""
 
     @property
     def stopping(self) -> bool:
-        """Whether idle sessions are to be ended."""
+        """Whether the node is stopping, so that idle connections are to be closed."""
 
 
 class CallerConnection(asyncio.Protocol):
-    """One caller's connection: its lines in, its answers out, one statement at a time."""
+    """One caller's connection; runs its statements one at a time, in order."""
 
     def __init__(self, host: SessionHost, connections: set[CallerConnection]) -> None:
         self._host = host
@@ -62,39 +63,41 @@
         self._session: GatewaySession | None = None
         self._queue: deque[str] = deque()
         self._task: asyncio.Task[None] | None = None
-        self._first_question_due = float("-inf")
+        self._first_statement_deadline = float("-inf")
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is asked, no transaction is open and no first question is on its way."""
+        """Whether no statement is in progress, no transaction open and no first one expected."""
         idle = self._session is None or self._session.idle
-        return idle and self._task is None and not self._queue and not self._is_new
+        return idle and self._task is None and not self._queue and not self._awaits_first_statement
 
     @property
-    def _is_new(self) -> bool:
-        return asyncio.get_running_loop().time() < self._first_question_due
+    def _awaits_first_statement(self) -> bool:
+        return asyncio.get_running_loop().time() < self._first_statement_deadline
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection."""
+        """Start to serve the connection."""
         self._transport = cast(asyncio.Transport, transport)
         watch_far_end(transport, CALLER_STREAM)
-        self._first_question_due = asyncio.get_running_loop().time() + _FIRST_QUESTION_SECONDS
+        self._first_statement_deadline = (
+            asyncio.get_running_loop().time() + _FIRST_STATEMENT_SECONDS
+        )
         self._connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of the caller."""
+        """Queue the received statements, and close the connection on a protocol error."""
         try:
             self._queue.extend(self._buffer.feed(data))
         except LineFormatError as error:
             self._protocol_error(str(error))
             return
-        if len(self._queue) > _MAXIMUM_QUEUED:
-            self._protocol_error("too many statements were sent ahead")
+        if len(self._queue) > _MAX_PIPELINED_STATEMENTS:
+            self._protocol_error("too many pipelined statements")
             return
-        self._work()
+        self._start_task()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Give up what is under way."""
+        """Cancel the statement in progress and close the session."""
         self._connections.discard(self)
         self._queue.clear()
         if self._task is not None:
@@ -105,42 +108,42 @@
             self._session = None
 
     def close(self) -> None:
-        """Close the connection after what has been written."""
+        """Close the connection after sending the data already written."""
         if self._transport is not None:
             self._transport.close()
 
-    def _work(self) -> None:
+    def _start_task(self) -> None:
         if self._task is None and self._queue:
-            self._task = asyncio.get_running_loop().create_task(self._serve())
-            self._task.add_done_callback(self._served)
+            self._task = asyncio.get_running_loop().create_task(self._serve_queue())
+            self._task.add_done_callback(self._on_task_done)
 
-    def _served(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._task = None
         if not task.cancelled() and task.exception() is not None:
             self._protocol_error(repr(task.exception()))
             return
-        # A statement may have come after the task's last look at the queue.
-        self._work()
+        # A statement may have arrived after the task last checked the queue.
+        self._start_task()
         if self._host.stopping and self.idle:
             self.close()
 
-    async def _serve(self) -> None:
+    async def _serve_queue(self) -> None:
         while self._queue:
-            await self._line(self._queue.popleft())
+            await self._handle_line(self._queue.popleft())
 
-    async def _line(self, line: str) -> None:
+    async def _handle_line(self, line: str) -> None:
         word, _, rest = line.partition(" ")
         if word == "QUERY" and self._session is not None:
-            await self._query(self._session, rest)
+            await self._run_statement(self._session, rest)
         elif word == "START" and self._session is None:
-            self._start(rest)
+            self._open_session(rest)
         elif word == "QUIT":
             self._queue.clear()
             self.close()
         else:
-            self._protocol_error(f"{word[:20]} is not expected")
+            self._protocol_error(f"unexpected command {word[:20]}")
 
-    def _start(self, rest: str) -> None:
+    def _open_session(self, rest: str) -> None:
         database, _, key = rest.partition(" ")
         opened = self._host.open_session(database, digest_of(key))
         if isinstance(opened, Refusal):
@@ -150,8 +153,8 @@
         self._session = opened
         self._write(encode_line("READY", "I", "-"))
 
-    async def _query(self, session: GatewaySession, rest: str) -> None:
-        self._first_question_due = float("-inf")
+    async def _run_statement(self, session: GatewaySession, rest: str) -> None:
+        self._first_statement_deadline = float("-inf")
         identifier, _, text = rest.partition(" ")
         try:
             statement = parse_statement(text)
@@ -160,15 +163,15 @@
             state = TransactionState.IDLE if session.idle else TransactionState.FAILED
             if not session.idle:
                 session.abandon()
-            self._answer(Reply(refusal=refusal, state=state))
+            self._send_reply(Reply(refusal=refusal, state=state))
             return
         reply = await session.execute(identifier, statement)
-        self._answer(reply)
+        self._send_reply(reply)
         if reply.refusal is not None and reply.refusal.reason is Reason.UNKNOWN_KEY:
             self._queue.clear()
             self.close()
 
-    def _answer(self, reply: Reply) -> None:
+    def _send_reply(self, reply: Reply) -> None:
         lines = [encode_line("ROW", row) for row in reply.rows]
         if reply.refusal is None:
             lines.append(encode_line("DONE", reply.signature))
@@ -191,7 +194,7 @@
 
 
 class CallerListener:
-    """Accepts callers at an address."""
+    """Accepts callers' connections at an address."""
 
     def __init__(self, host: SessionHost, address: Address) -> None:
         self.connections: set[CallerConnection] = set()
@@ -200,7 +203,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> Address:
-        """Listen; return the bound address. Raises OSError."""
+        """Start to listen; return the bound address. Raises OSError."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: CallerConnection(self._host, self.connections),
@@ -214,23 +217,23 @@
 
     @property
     def has_connections(self) -> bool:
-        """Whether a caller is connected, also one that has not named its database yet."""
+        """Whether a caller is connected, including one that has not opened its session yet."""
         return bool(self.connections)
 
     def stop_accepting(self) -> None:
-        """Close the listening socket; connections stay."""
+        """Close the listening socket; open connections are kept."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
     def close_resting(self) -> None:
-        """Close the connections on which nothing is asked and no transaction is open."""
+        """Close the idle connections."""
         for connection in list(self.connections):
-            if connection.resting:
+            if connection.idle:
                 connection.close()
 
     def close(self) -> None:
-        """Close every connection."""
+        """Close the listening socket and every connection."""
         self.stop_accepting()
         for connection in list(self.connections):
             connection.close()
--- a/src/bramblebeam/platform/database_connection.py
+++ b/src/bramblebeam/platform/database_connection.py
@@ -1,4 +1,4 @@
-"""Connections to databases over the line wire."""
+"""Connections to databases over the line protocol."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 logger = logging.getLogger(__name__)
 
-_STATES = {
+_TRANSACTION_STATES = {
     "I": TransactionState.IDLE,
     "T": TransactionState.OPEN,
     "E": TransactionState.FAILED,
@@ -41,12 +41,12 @@
 
 
 class LineDatabaseConnection(asyncio.Protocol):
-    """One connection to a database. One call at a time."""
+    """One connection to a database; it carries one call at a time."""
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
         self._buffer = LineBuffer()
-        self._expected = 0
+        self._expected_replies = 0
         self._replies: list[Reply] = []
         self._waiter: asyncio.Future[list[Reply]] | None = None
         self._rows: list[str] = []
@@ -58,34 +58,34 @@
 
     @property
     def closed(self) -> bool:
-        """Whether the connection can't be used any more."""
+        """Whether the connection is closed; it cannot be reopened."""
         return self._closed
 
     @property
     def position(self) -> Position:
-        """The position of the database's log, as it was told last; ZERO_POSITION: it was not."""
+        """The database's last reported log position; ZERO_POSITION: none was reported."""
         return self._position
 
-    # The protocol's side.
+    # Callbacks of the transport.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport and have the system notice a far end that is gone."""
+        """Store the transport and let the system detect a lost peer."""
         self._transport = cast(asyncio.Transport, transport)
         watch_far_end(transport, DATABASE_STREAM)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes; a completed reply goes to the waiting call."""
+        """Parse received lines; the last expected reply completes the waiting call."""
         try:
             for line in self._buffer.feed(data):
-                self._line(line)
+                self._handle_line(line)
         except (LineFormatError, StatementFormatError) as error:
-            self._end(f"the database broke the protocol: {error}")
+            self._fail(f"protocol error by the database: {error}")
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail the waiting call."""
-        self._end("the database closed the connection")
+        self._fail("the database closed the connection")
 
-    def _line(self, line: str) -> None:
+    def _handle_line(self, line: str) -> None:
         word, _, rest = line.partition(" ")
         if word == "ROW":
             self._rows.append(rest)
@@ -95,32 +95,32 @@
             code, _, text = rest.partition(" ")
             self._refusal = refusal_from_error(code, text)
         elif word == "READY":
-            self._ready(rest)
+            self._handle_ready(rest)
         else:
-            raise LineFormatError(f"{word} is not expected")
+            raise LineFormatError(f"unexpected line {word}")
 
-    def _ready(self, rest: str) -> None:
+    def _handle_ready(self, rest: str) -> None:
         state, _, position = rest.partition(" ")
-        if state not in _STATES:
-            raise LineFormatError(f"{state} is no state")
+        if state not in _TRANSACTION_STATES:
+            raise LineFormatError(f"unknown transaction state {state}")
         self._position = parse_position(position)
         reply = Reply(
             tuple(self._rows),
             self._signature,
             self._refusal,
-            _STATES[state],
+            _TRANSACTION_STATES[state],
             self._position,
         )
         self._rows = []
         self._signature = ""
         self._refusal = None
         self._replies.append(reply)
-        if len(self._replies) == self._expected and self._waiter is not None:
+        if len(self._replies) == self._expected_replies and self._waiter is not None:
             if not self._waiter.done():
                 self._waiter.set_result(self._replies)
             self._waiter = None
 
-    def _end(self, detail: str) -> None:
+    def _fail(self, detail: str) -> None:
         self._closed = True
         if self._transport is not None:
             self._transport.abort()
@@ -129,13 +129,13 @@
         if waiter is not None and not waiter.done():
             waiter.set_exception(ConnectionLostError(detail))
 
-    # The caller's side.
+    # Calls by the users of the connection.
 
     async def start(self, entry: DatabaseEntry, tenant: TenantId, timeout: float) -> None:
         """Open the session at exactly this instance. Raises ConnectError."""
         try:
-            hello = encode_line("START", entry.group, tenant, server_name(entry.instance))
-            replies = await self._exchange([hello], timeout)
+            start_line = encode_line("START", entry.group, tenant, server_name(entry.instance))
+            replies = await self._exchange([start_line], timeout)
         except ConnectionLostError as error:
             refusal = self._refusal
             reason = refusal.reason if refusal is not None else Reason.UNREACHABLE
@@ -146,30 +146,30 @@
             raise ConnectError(replies[0].refusal.reason, replies[0].refusal.detail)
 
     async def run(self, commands: list[Command], timeout: float) -> list[Reply]:
-        """Send the commands at once; return the reply to each. Raises ConnectionLostError."""
+        """Send all commands together; return the reply to each. Raises ConnectionLostError."""
         return await self._exchange([_encode(command) for command in commands], timeout)
 
     async def status(self, timeout: float) -> MemberStatus | None:
-        """Ask the database for its status. Raises ConnectionLostError."""
-        return await self._order("STATUS", timeout)
+        """Query the database's status. Raises ConnectionLostError."""
+        return await self._run_order("STATUS", timeout)
 
     async def pause_receiving(self, term: int, timeout: float) -> MemberStatus | None:
-        """Stop a replica from receiving. Raises ConnectionLostError."""
-        return await self._order(f"PAUSE {term}", timeout)
+        """Stop a replica from receiving the log. Raises ConnectionLostError."""
+        return await self._run_order(f"PAUSE {term}", timeout)
 
     async def resume_receiving(self, timeout: float) -> None:
-        """Let a paused replica receive again. Raises ConnectionLostError."""
-        await self._order("RESUME", timeout)
+        """Let a paused replica receive the log again. Raises ConnectionLostError."""
+        await self._run_order("RESUME", timeout)
 
     async def step_down(self, term: int, timeout: float) -> MemberStatus | None:
         """Turn a primary of a lower term into a replica. Raises ConnectionLostError."""
-        return await self._order(f"DEMOTE {term}", timeout)
+        return await self._run_order(f"DEMOTE {term}", timeout)
 
     def close(self) -> None:
-        """Close at once."""
-        self._end("the connection was closed")
+        """Abort the connection and fail the waiting call."""
+        self._fail("the connection was closed")
 
-    async def _order(self, text: str, timeout: float) -> MemberStatus | None:
+    async def _run_order(self, text: str, timeout: float) -> MemberStatus | None:
         (reply,) = await self._exchange([encode_line("QUERY", "-", text)], timeout)
         if reply.refusal is not None or not reply.rows:
             return None
@@ -177,37 +177,37 @@
             return _parse_status(reply.rows[0])
         except LineFormatError as error:
             log_event(logger, DATABASE_STATUS_UNREADABLE, order=text, error=str(error))
-            self._end(str(error))
+            self._fail(str(error))
             raise ConnectionLostError(str(error)) from error
 
     async def _exchange(self, lines: list[bytes], timeout: float) -> list[Reply]:
         if self._closed or self._transport is None:
             raise ConnectionLostError("the connection is closed")
         if self._waiter is not None:
-            raise RuntimeError("a call is under way on this connection")
+            raise RuntimeError("another call is in progress on this connection")
         waiter: asyncio.Future[list[Reply]] = asyncio.get_running_loop().create_future()
         self._waiter = waiter
         self._replies = []
-        self._expected = len(lines)
+        self._expected_replies = len(lines)
         self._transport.write(b"".join(lines))
         try:
             async with asyncio.timeout(timeout):
                 return await waiter
         except TimeoutError as error:
-            self._end("no answer came in time")
+            self._fail("no answer came in time")
             raise ConnectionLostError("no answer came in time") from error
         except asyncio.CancelledError:
-            self._end("the statement was given up")
+            self._fail("the call was cancelled")
             raise
 
 
 class LineDatabaseConnector:
-    """Opens connections over the line wire."""
+    """Opens connections to databases over the line protocol."""
 
     async def connect(
         self, entry: DatabaseEntry, tenant: TenantId, timeout: float
     ) -> LineDatabaseConnection:
-        """Connect to exactly this instance, for one tenant's work. Raises ConnectError."""
+        """Connect to exactly this instance on behalf of one tenant. Raises ConnectError."""
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(timeout):
@@ -237,4 +237,4 @@
             role == "primary", int(term), parse_position(received), int(lag) / 1000, int(held)
         )
     except ValueError as error:
-        raise LineFormatError(f"{row} is no status") from error
+        raise LineFormatError(f"invalid status reply {row}") from error
--- a/src/bramblebeam/platform/database_entries.py
+++ b/src/bramblebeam/platform/database_entries.py
@@ -1,7 +1,7 @@
-"""What a database says of itself in the store, as the product's entry of it.
+"""Parses the entry that a database registers in the store.
 
-An entry may come from another writer. One that is not as the platform's pages say names no database
-at all: with a part of it wrong, nothing tells that the rest is right.
+Other programs may write entries too. One that does not follow the platform's documentation is
+rejected as a whole: if one field is wrong, the others cannot be relied on either.
 """
 
 from __future__ import annotations
@@ -14,38 +14,40 @@
 from bramblebeam.platform.objects import StoredObject
 
 _ROLES = {"primary": Role.PRIMARY, "replica": Role.REPLICA}
-_IS_LEAVING = {"ready": False, "draining": True}
-_BORN = "born"
-_HIGHEST_PORT = 65_535
+_LEAVING_BY_STATE = {"ready": False, "draining": True}
+_START_TIME = "born"
+_MAX_PORT = 65_535
 
 
 def parse_database_entry(found: StoredObject) -> DatabaseEntry:
-    """Return a registered database. Raises KeyError, TypeError, ValueError where it is none."""
+    """Return a registered database. Raises KeyError, TypeError, ValueError if it is invalid."""
     content = found.spec if found.spec is not None else found.status
     if not isinstance(content, dict):
-        raise TypeError(f"{type(content).__name__} is no entry")
-    _require_unused_fields(content)
+        raise TypeError(f"{type(content).__name__} instead of an object")
+    _validate_unused_fields(content)
     return DatabaseEntry(
-        instance=instance_id(_word(found.name, "name"), _born(content)),
+        instance=instance_id(_word(found.name, "name"), _start_time(content)),
         group=GroupId(_text(content, "service")),
         address=_address(_text(content, "address")),
         zone=ZoneId(_text(content, "zone")),
         role=_ROLES[_text(content, "db_role")],
-        leaving=_IS_LEAVING[_text(content, "state")],
-        slots=_whole(content, "capacity", least=1),
+        leaving=_LEAVING_BY_STATE[_text(content, "state")],
+        slots=_integer(content, "capacity", minimum=1),
     )
 
 
-def _require_unused_fields(content: dict[str, Any]) -> None:
-    """Check the fields that every database tells and nothing here reads."""
+def _validate_unused_fields(content: dict[str, Any]) -> None:
+    """Validate the fields that every database registers but that are not used here."""
     _text(content, "version")
-    _whole(content, "cold_left_ms", least=0)
-    _whole(content, "sequence", least=0)
+    _integer(content, "cold_left_ms", minimum=0)
+    _integer(content, "sequence", minimum=0)
 
 
-def _born(content: dict[str, Any]) -> int:
-    """Return when the database started; earlier deployments do not tell."""
-    return _whole(content, _BORN, least=1) if _BORN in content else UNKNOWN_INCARNATION
+def _start_time(content: dict[str, Any]) -> int:
+    """Return the database's start time; databases of earlier deployments register none."""
+    return (
+        _integer(content, _START_TIME, minimum=1) if _START_TIME in content else UNKNOWN_INCARNATION
+    )
 
 
 def _text(content: dict[str, Any], key: str) -> str:
@@ -53,25 +55,25 @@
 
 
 def _word(value: Any, key: str) -> str:
-    """Return a text that can stand in a line of the wire as one word."""
+    """Return a text that can be sent as one word of a protocol line."""
     if not isinstance(value, str):
-        raise TypeError(f"{key} is no text")
+        raise TypeError(f"{key} is not a string")
     if not value or not value.isprintable() or " " in value:
-        raise ValueError(f"{key} is no word")
+        raise ValueError(f"{key} is not a single printable word")
     return value
 
 
-def _whole(content: dict[str, Any], key: str, least: int) -> int:
+def _integer(content: dict[str, Any], key: str, minimum: int) -> int:
     value = content[key]
     if type(value) is not int:
-        raise TypeError(f"{key} is no whole number")
-    if value < least:
-        raise ValueError(f"{key} is below {least}")
+        raise TypeError(f"{key} is not an integer")
+    if value < minimum:
+        raise ValueError(f"{key} is below {minimum}")
     return value
 
 
 def _address(text: str) -> Address:
     host, _, port = text.rpartition(":")
-    if not host or not 0 < int(port) <= _HIGHEST_PORT:
-        raise ValueError("address is no host with a port")
+    if not host or not 0 < int(port) <= _MAX_PORT:
+        raise ValueError("address is not HOST:PORT")
     return Address(host, int(port))
--- a/src/bramblebeam/platform/eras.py
+++ b/src/bramblebeam/platform/eras.py
@@ -1,4 +1,4 @@
-"""The era that an answer of the platform's store tells: how often it came back from a copy."""
+"""Era of the platform's store (how often it was restored from a backup), sent with its answers."""
 
 from __future__ import annotations
 
@@ -14,48 +14,49 @@
 logger = logging.getLogger(__name__)
 
 _ERA_HEADER = "store-era"
-_MOST_DIGITS = 10
-"""Longer numbers are not worth being read."""
-_MAXIMUM_TOLD = 40
-"""Characters of a header that are logged: what is no era may be long."""
+_MAX_ERA_DIGITS = 10
+"""Longer numbers are rejected unread."""
+_MAX_LOGGED_CHARS = 40
+"""Characters of the header that are logged: an invalid value may be long."""
 
 
 class EraFormatError(ValueError):
-    """An answer tells an era that is none, or one that is over: nothing of it counts."""
+    """An answer's era is invalid or outdated; the whole answer is discarded."""
 
 
 class StoreEras:
-    """The newest era that any answer to this node told; one that tells an older one comes late.
+    """Tracks the newest era that an answer to this node reported.
 
-    If all tell an older one for ERA_EXPIRY_SECONDS the newest was none: a single bad answer must
-    not make the store unusable. `now`: the steady clock (seconds).
+    An answer with an older era was delayed and is rejected. If the newest era is not reported again
+    for ERA_EXPIRY_SECONDS, it was wrong and an older one replaces it: a single bad answer must not
+    make the store unusable. `now`: the monotonic clock (seconds).
     """
 
     def __init__(self, now: Callable[[], float] = loop_time) -> None:
         self.newest = FIRST_ERA
         self._now = now
-        self._told_at = float("-inf")
+        self._newest_reported_at = float("-inf")
 
     def observe(self, answer: HttpAnswer, call: str) -> None:
-        """Note the era of the answer to a call. Raises EraFormatError, logged."""
+        """Record the era of the answer to a call. Raises EraFormatError, after logging it."""
         try:
             era = parse_era(answer)
-            if era < self.newest and self._now() - self._told_at < ERA_EXPIRY_SECONDS:
-                raise EraFormatError("the era is over")
+            if era < self.newest and self._now() - self._newest_reported_at < ERA_EXPIRY_SECONDS:
+                raise EraFormatError("the era is outdated")
         except EraFormatError:
-            told = (answer.header(_ERA_HEADER) or "")[:_MAXIMUM_TOLD]
-            log_event(logger, STORE_ERA_UNUSABLE, era=told, known_era=self.newest, call=call)
+            reported = (answer.header(_ERA_HEADER) or "")[:_MAX_LOGGED_CHARS]
+            log_event(logger, STORE_ERA_UNUSABLE, era=reported, known_era=self.newest, call=call)
             raise
         self.newest = era
-        self._told_at = self._now()
+        self._newest_reported_at = self._now()
 
 
 def parse_era(answer: HttpAnswer) -> int:
-    """Return the era that an answer tells. Raises EraFormatError where that is none."""
-    told = answer.header(_ERA_HEADER)
-    if told is None:
+    """Return the era in an answer's header, by default FIRST_ERA. Raises EraFormatError."""
+    reported = answer.header(_ERA_HEADER)
+    if reported is None:
         return FIRST_ERA
-    is_number = told.isascii() and told.isdigit() and len(told) <= _MOST_DIGITS
-    if not is_number or int(told) > HIGHEST_ERA:
-        raise EraFormatError("the era is no number in range")
-    return int(told)
+    is_number = reported.isascii() and reported.isdigit() and len(reported) <= _MAX_ERA_DIGITS
+    if not is_number or int(reported) > HIGHEST_ERA:
+        raise EraFormatError("the era is not a number in the allowed range")
+    return int(reported)
--- a/src/bramblebeam/platform/http.py
+++ b/src/bramblebeam/platform/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 by h11 over asyncio streams: a client for one address, and a small server."""
+"""HTTP/1.1 over asyncio streams, with h11: a client for one address, and a small server."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class HttpError(Exception):
-    """No answer came. `sent`: the call may have been carried out."""
+    """No answer was received. `sent`: the request may have been executed."""
 
     def __init__(self, sent: bool, detail: str) -> None:
         super().__init__(detail)
@@ -26,19 +26,19 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpAnswer:
-    """The status, body and headers of an answer; names of headers are in lower case."""
+    """Status, body and headers of an answer; header names are in lower case."""
 
     status: int
     body: bytes
     headers: tuple[tuple[str, str], ...] = ()
 
     def header(self, name: str) -> str | None:
-        """Return the first value of a header, or None where it is missing."""
+        """Return the first value of a header, or None if it is missing."""
         return next((value for found, value in self.headers if found == name), None)
 
 
 class HttpClient:
-    """Calls to one address, one at a time, on a connection that is kept."""
+    """Sends requests to one address, one at a time, over a persistent connection."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
@@ -54,7 +54,7 @@
         body: bytes = b"",
         headers: tuple[tuple[str, str], ...] = (),
     ) -> HttpAnswer:
-        """Return the answer (`timeout` in seconds). Raises HttpError."""
+        """Send a request and return the answer; `timeout` in seconds. Raises HttpError."""
         sent = False
         try:
             async with asyncio.timeout(timeout):
@@ -69,7 +69,7 @@
             raise
 
     def close(self) -> None:
-        """Close the connection; the next call opens another one."""
+        """Close the connection; the next call opens a new one."""
         if self._writer is not None:
             self._writer.transport.abort()
         self._reader = self._writer = self._protocol = None
@@ -114,7 +114,7 @@
                 protocol.receive_data(await reader.read(_READ_BYTES))
             elif isinstance(event, h11.Response):
                 status = event.status_code
-                headers = _as_text(event.headers)
+                headers = _decode_headers(event.headers)
             elif isinstance(event, h11.Data):
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
@@ -123,16 +123,16 @@
                 raise EOFError("the connection was closed")
 
 
-def _as_text(headers: Iterable[tuple[bytes, bytes]]) -> tuple[tuple[str, str], ...]:
+def _decode_headers(headers: Iterable[tuple[bytes, bytes]]) -> tuple[tuple[str, str], ...]:
     return tuple((name.decode("latin-1"), value.decode("latin-1")) for name, value in headers)
 
 
 Handler = Callable[[str, str], Awaitable[HttpAnswer]]
-"""Answers a call by its method and path."""
+"""Returns the answer to a request, given its method and path."""
 
 
 class HttpServer:
-    """Answers calls without bodies: probes and metrics."""
+    """Serves requests without bodies, such as probes and metrics."""
 
     def __init__(self, address: Address, handler: Handler) -> None:
         self._address = address
@@ -140,7 +140,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> Address:
-        """Listen; return the bound address. Raises OSError."""
+        """Start to listen; return the bound address. Raises OSError."""
         self._server = await asyncio.start_server(self._serve, *self._address)
         host, port = self._server.sockets[0].getsockname()[:2]
         return Address(host, port)
--- a/src/bramblebeam/platform/leases.py
+++ b/src/bramblebeam/platform/leases.py
@@ -1,4 +1,4 @@
-"""Leases as objects of the platform's store; the revision of a write is the fencing token."""
+"""Stores leases as objects of the platform's store; a write's revision is the fencing token."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 _LAST_CHANGE = "last_change"
 _UNSETTLED = "unsettled"
 _TARGET = "target"
-_BORN = "born"
+_START_TIME = "born"
 _TERM = "term"
 _CUT = "cut"
 _NONCE_BYTES = 8
@@ -44,7 +44,7 @@
 
 
 class ObjectLeaseStore:
-    """Keeps one lease a group as an object of that name."""
+    """Stores one lease per group, as an object with the group's name."""
 
     def __init__(self, address: Address, calls: StoreCallCounter, eras: StoreEras) -> None:
         self._address = address
@@ -52,23 +52,24 @@
         self._eras = eras
 
     async def read(self, group: GroupId, timeout: float) -> Lease | None:
-        """Return the lease, or None. Raises LeaseStoreUnavailableError."""
+        """Return the lease, or None if there is none. Raises LeaseStoreUnavailableError."""
         found = await self._call(lambda client: client.get(LEASE_KIND, group, timeout))
-        return None if found is None else _lease(group, found)
+        return None if found is None else _parse_lease(group, found)
 
     async def create(self, group: GroupId, holder: NodeId, timeout: float) -> Lease | None:
-        """Create the lease; None: there is one. Raises LeaseStoreUnavailableError."""
-        spec = _spec(Lease(group, holder, NO_REVISION), self._eras.newest)
+        """Create the lease; None: it already exists. Raises LeaseStoreUnavailableError."""
+        spec = _lease_spec(Lease(group, holder, NO_REVISION), self._eras.newest)
         found = await self._call(lambda client: client.create(LEASE_KIND, group, spec, timeout))
-        return None if found is None else _lease(group, found)
+        return None if found is None else _parse_lease(group, found)
 
     async def write(self, lease: Lease, content: Lease, timeout: float) -> Lease | None:
-        """Write the lease if it is unchanged. Raises LeaseStoreUnavailableError.
+        """Write the lease if it is unchanged, else return None.
 
-        Where the answer is lost, the lease is read back: the write is known by its nonce.
+        If the answer is lost, the lease is read back and the write recognized by its nonce.
+        Raises LeaseStoreUnavailableError.
         """
-        # The era of the lease that is replaced: if it is over, the condition holds by chance only.
-        spec = _spec(content, lease.token.era)
+        # The era of the replaced lease: once it has ended, a matching revision is a coincidence.
+        spec = _lease_spec(content, lease.token.era)
         group = lease.group
         try:
             found = await self._call(
@@ -78,7 +79,7 @@
             found = await self._call(lambda client: client.get(LEASE_KIND, group, timeout))
             if found is None or found.spec != spec:
                 raise
-        return None if found is None else _lease(group, found)
+        return None if found is None else _parse_lease(group, found)
 
     async def _call(self, work: Callable[[StoreClient], Awaitable[Found]]) -> Found:
         client = StoreClient(self._address, self._calls, self._eras)
@@ -90,7 +91,7 @@
             client.close()
 
 
-def _spec(content: Lease, era: int) -> dict[str, Any]:
+def _lease_spec(content: Lease, era: int) -> dict[str, Any]:
     return {
         _ERA: era,
         _HOLDER: content.holder,
@@ -105,34 +106,34 @@
         return None
     cut = format_position(change.cut)
     spec = {_TARGET: server_name(change.target), _TERM: change.term, _CUT: cut}
-    born = incarnation_of(change.target)
-    return spec if born == UNKNOWN_INCARNATION else {**spec, _BORN: born}
+    start_time = incarnation_of(change.target)
+    return spec if start_time == UNKNOWN_INCARNATION else {**spec, _START_TIME: start_time}
 
 
-def _lease(group: GroupId, found: StoredObject) -> Lease:
+def _parse_lease(group: GroupId, found: StoredObject) -> Lease:
     spec = found.spec if isinstance(found.spec, dict) else {}
     holder = NodeId(str(spec.get(_HOLDER, "")))
-    last_change = _change(spec.get(_LAST_CHANGE))
-    unsettled = _change(spec.get(_UNSETTLED))
-    return Lease(group, holder, found.revision, last_change, unsettled, _era(spec))
+    last_change = _parse_change(spec.get(_LAST_CHANGE))
+    unsettled = _parse_change(spec.get(_UNSETTLED))
+    return Lease(group, holder, found.revision, last_change, unsettled, _parse_era(spec))
 
 
-def _era(spec: dict[str, Any]) -> int:
-    """Return the era in which a lease was written; nodes of an earlier version know none."""
+def _parse_era(spec: dict[str, Any]) -> int:
+    """Return the era in which a lease was written; nodes of an earlier version write none."""
     era = spec.get(_ERA, FIRST_ERA)
     if type(era) is not int:
-        raise StoreFormatError("the era of a lease is no whole number")
+        raise StoreFormatError("the era of a lease is not an integer")
     return era
 
 
-def _change(content: Any) -> OrderedChange | None:
+def _parse_change(content: Any) -> OrderedChange | None:
     if content is None:
         return None
     try:
         return OrderedChange(
-            instance_id(str(content[_TARGET]), int(content.get(_BORN, UNKNOWN_INCARNATION))),
+            instance_id(str(content[_TARGET]), int(content.get(_START_TIME, UNKNOWN_INCARNATION))),
             int(content[_TERM]),
             parse_position(str(content[_CUT])),
         )
     except (AttributeError, KeyError, TypeError, ValueError, StatementFormatError) as error:
-        raise StoreFormatError(f"no change of primary: {error!r}") from error
+        raise StoreFormatError(f"invalid change of primary: {error!r}") from error
--- a/src/bramblebeam/platform/lines.py
+++ b/src/bramblebeam/platform/lines.py
@@ -1,15 +1,15 @@
-"""The lines of the wire that callers and databases share."""
+"""Framing of the line protocol, used for both callers and databases."""
 
 MAXIMUM_LINE_BYTES = 1 << 20
 LINE_END = b"\r\n"
 
 
 class LineFormatError(ValueError):
-    """Bytes that are no line of the protocol. The connection can't go on."""
+    """Received bytes are not a protocol line; the connection must be closed."""
 
 
 class LineBuffer:
-    """Cuts received bytes into lines."""
+    """Splits received bytes into lines."""
 
     def __init__(self) -> None:
         self._pending = b""
@@ -27,5 +27,5 @@
 
 
 def encode_line(*fields: str) -> bytes:
-    """Return one line of the given fields."""
+    """Return a line of the given fields, separated by spaces."""
     return " ".join(fields).encode() + LINE_END
--- a/src/bramblebeam/platform/main.py
+++ b/src/bramblebeam/platform/main.py
@@ -1,4 +1,4 @@
-"""Runs a node on the users' platform from its start to its planned stop."""
+"""Runs a node on the users' platform, from its start to its planned stop."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 logger = logging.getLogger(__name__)
 
 DRAIN_SHARE = 0.85
-"""The part of the time between the signals to stop and to end that the node uses."""
+"""Fraction of the grace period (from the stop signal to the kill) that the drain may use."""
 
 EXIT_STOPPED = 0
 EXIT_BAD_SETTINGS = 2
@@ -34,7 +34,7 @@
 
 
 def main() -> int:
-    """Run a node until it is told to stop; return the process's exit code."""
+    """Run a node until it is signalled to stop; return the process's exit code."""
     configure_bounded_logging("info", JsonFormatter())
     try:
         settings = load_settings()
@@ -46,7 +46,7 @@
 
 
 async def _run(settings: PlatformNodeSettings) -> int:
-    stop_asked = _watch_signals(settings)
+    stop_requested = _install_signal_handlers(settings)
     node = build_node(settings)
     try:
         await node.start()
@@ -54,34 +54,39 @@
         log_event(logger, START_FAILED, node=settings.node, error=str(error))
         return EXIT_START_FAILED
     log_event(logger, NODE_STARTED, node=settings.node, zone=settings.zone)
-    reports = asyncio.ensure_future(node.store_calls.report_regularly())
+    report_task = asyncio.ensure_future(node.store_calls.report_periodically())
     try:
-        return await _serve(node.kernel, settings, stop_asked)
+        return await _run_until_stopped(node.kernel, settings, stop_requested)
     finally:
-        reports.cancel()
+        report_task.cancel()
         node.store_calls.report()
 
 
-def _watch_signals(settings: PlatformNodeSettings) -> asyncio.Event:
-    """Return the event of a wish to stop. From the start on, as a signal ends a process else."""
+def _install_signal_handlers(settings: PlatformNodeSettings) -> asyncio.Event:
+    """Install the signal handlers; return the event that is set by a signal to stop.
+
+    Called before the node is built, since an unhandled signal ends the process.
+    """
     loop = asyncio.get_running_loop()
-    stop_asked = asyncio.Event()
+    stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop_asked.set)
-    loop.add_signal_handler(signal.SIGHUP, _reload, settings)
-    return stop_asked
+        loop.add_signal_handler(number, stop_requested.set)
+    loop.add_signal_handler(signal.SIGHUP, _reload_settings, settings)
+    return stop_requested
 
 
-async def _serve(kernel: Kernel, settings: PlatformNodeSettings, stop_asked: asyncio.Event) -> int:
+async def _run_until_stopped(
+    kernel: Kernel, settings: PlatformNodeSettings, stop_requested: asyncio.Event
+) -> int:
     failed = asyncio.ensure_future(kernel.wait_failed())
-    asked = asyncio.ensure_future(stop_asked.wait())
-    await asyncio.wait((failed, asked), return_when=asyncio.FIRST_COMPLETED)
+    stopping = asyncio.ensure_future(stop_requested.wait())
+    await asyncio.wait((failed, stopping), return_when=asyncio.FIRST_COMPLETED)
     if failed.done():
         return EXIT_SERVICE_FAILED
-    bound = settings.grace * DRAIN_SHARE
-    log_event(logger, NODE_STOPPING, node=settings.node, bound_seconds=bound)
+    drain_seconds = settings.grace_period * DRAIN_SHARE
+    log_event(logger, NODE_STOPPING, node=settings.node, bound_seconds=drain_seconds)
     try:
-        async with asyncio.timeout(bound):
+        async with asyncio.timeout(drain_seconds):
             await kernel.drain()
     except TimeoutError:
         pass
@@ -90,8 +95,11 @@
     return EXIT_STOPPED
 
 
-def _reload(settings: PlatformNodeSettings) -> None:
-    """Read the settings again. Nothing in them can change while a process runs but its bounds."""
+def _reload_settings(settings: PlatformNodeSettings) -> None:
+    """Read the settings again and log whether they changed; the running node keeps its own.
+
+    Only the bounds can change while a process runs.
+    """
     try:
         changed = load_settings() != settings
     except SettingsError as error:
--- a/src/bramblebeam/platform/node.py
+++ b/src/bramblebeam/platform/node.py
@@ -1,4 +1,4 @@
-"""Puts a node together from the product's services and this package's adapters."""
+"""Assembles a node from the product's services and this package's adapters."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 QUEUES_PATH = "/queues"
 TENANTS_PATH = "/tenants"
 FAST_JOIN_TIMING = MembershipTiming(join_period=0.25, dead_probe_period=1.5, fast_sync_seconds=2.5)
-"""A node that serves callers is to know the others soon after its start, and after a cut. In
-virtual time 198 nodes that start within 0.6 s know each other after 1.7 s (p50), before after over
-8 s (docs/design/0015-hundreds-of-machines.md)."""
+"""Faster than the default: a node that serves callers must know the others soon after its start and
+after a network partition. In virtual time, 198 nodes that start within 0.6 s know each other
+after 1.7 s (p50), previously over 8 s (docs/design/0015-hundreds-of-machines.md)."""
 _OK = 200
 _NOT_FOUND = 404
 _UNAVAILABLE = 503
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class PlatformNode:
-    """One node. `callers`: where it accepts callers, known once it has started."""
+    """One node with its HTTP servers and its listener."""
 
     kernel: Kernel
     gateway: GatewayService
@@ -54,33 +54,33 @@
 
     @property
     def callers(self) -> Address:
-        """Return the address at which callers are accepted."""
+        """Return the address at which callers are accepted; the port is known after the start."""
         return self.listener.address
 
     async def start(self) -> None:
-        """Start every service, then answer the readiness probe. Raises OSError."""
+        """Start every service, then the readiness probe and the metrics. Raises OSError."""
         await self.kernel.start()
         await self.readiness.start()
         if self.metrics is not None:
             await self.metrics.start()
 
     async def stop(self) -> None:
-        """Stop at once."""
+        """Stop without a drain."""
         self.readiness.close()
         await self.kernel.stop()
 
 
 def build_node(settings: PlatformNodeSettings) -> PlatformNode:
-    """Return a node with every service registered, none started."""
+    """Return a node whose services are registered but not started."""
     kernel = Kernel()
     calls = StoreCallCounter()
     eras = StoreEras()
     codec = Codec(GATEWAY_NODE_MESSAGES)
     compresses = settings.overload.enabled
     kernel.register(TransportService(kernel, settings, codec, compresses))
-    place = NodeLocation(settings.node, settings.zone, settings.region)
+    location = NodeLocation(settings.node, settings.zone, settings.region)
     gateway = GatewayService(
-        kernel, place, LineDatabaseConnector(), settings.grace, settings.overload
+        kernel, location, LineDatabaseConnector(), settings.grace_period, settings.overload
     )
     expects_others = any(seed.address != settings.peer for seed in settings.seeds)
     gateway.context.expects_others = expects_others
@@ -90,7 +90,7 @@
     if settings.store is not None:
         routes = route_source(StoreClient(settings.store, calls, eras))
         databases = database_source(StoreClient(settings.store, calls, eras))
-        feed = FeedService(kernel, place, routes, databases, settings.drain, expects_others)
+        feed = FeedService(kernel, location, routes, databases, settings.drain, expects_others)
         gateway.context.metrics.store_state = feed.store_state
         kernel.register(feed)
     if settings.store is not None and settings.promotions is not None:
@@ -104,14 +104,16 @@
                 settings.fence_checked,
             )
         )
-    readiness = HttpServer(settings.readiness, lambda method, path: _answer(gateway, path))
+    readiness = HttpServer(
+        settings.readiness, lambda method, path: _handle_readiness(gateway, path)
+    )
     metrics = None
     if settings.metrics is not None:
         metrics = HttpServer(settings.metrics, lambda method, path: _handle_metrics(gateway, path))
     return PlatformNode(kernel, gateway, calls, readiness, metrics, listener)
 
 
-async def _answer(gateway: GatewayService, path: str) -> HttpAnswer:
+async def _handle_readiness(gateway: GatewayService, path: str) -> HttpAnswer:
     if path != READINESS_PATH:
         return HttpAnswer(_NOT_FOUND, b"")
     return HttpAnswer(_OK if gateway.ready else _UNAVAILABLE, b"")
--- a/src/bramblebeam/platform/objects.py
+++ b/src/bramblebeam/platform/objects.py
@@ -1,4 +1,4 @@
-"""Objects of the platform's store, as typed records."""
+"""Parses answers of the platform's store into typed records."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 logger = logging.getLogger(__name__)
 
 MAX_ERROR_CHARS = 200
-"""Characters of an error that are logged: what can't be read may be huge."""
+"""Characters of an error that are logged: an unreadable value may be huge."""
 _MALFORMED = (AttributeError, KeyError, TypeError, ValueError)
 
 
 class StoreFormatError(ValueError):
-    """An answer of the store that is not as its pages say."""
+    """An answer of the store does not follow its documented format."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredObject:
-    """One object: its name, the revision of its last change, and its content."""
+    """One object; `revision` is that of its last change."""
 
     name: str
     revision: Revision
@@ -36,15 +36,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectChange:
-    """An object after a change; `deleted`: as it was before it went."""
+    """An object after a change, or if `deleted` its last state before."""
 
-    found: StoredObject
+    stored: StoredObject
     deleted: bool
 
 
 @dataclass(frozen=True, slots=True)
 class ObjectPage:
-    """A part of a list. `revision`: of the store when it was read."""
+    """A page of a list. `revision`: the store's revision when the page was read."""
 
     items: tuple[StoredObject, ...]
     has_more: bool
@@ -53,32 +53,35 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectChanges:
-    """What a watch told, up to `revision`."""
+    """Changes that a watch returned, up to `revision`."""
 
     changes: tuple[ObjectChange, ...]
     revision: Revision
 
 
 def parse_one(answer: HttpAnswer) -> StoredObject:
-    """Return the object of an answer that holds one. Raises StoreFormatError, EraFormatError."""
+    """Return the single object in an answer. Raises StoreFormatError, EraFormatError."""
     return parse_object(parse_body(answer), parse_era(answer))
 
 
 def parse_object(content: Any, era: int) -> StoredObject:
-    """Return one object as an answer of that era told it. Raises StoreFormatError."""
+    """Return an object from an answer of the given era. Raises StoreFormatError."""
     try:
         meta = content["meta"]
         number = meta["revision"]
         if type(number) is not int:
-            raise TypeError("the revision is no whole number")
+            raise TypeError("the revision is not an integer")
         revision = Revision(era, number)
         return StoredObject(_name(meta), revision, content.get("spec"), content.get("status"))
     except _MALFORMED as error:
-        raise StoreFormatError(f"no object: {error!r}") from error
+        raise StoreFormatError(f"invalid object: {error!r}") from error
 
 
 def parse_page(answer: HttpAnswer) -> ObjectPage:
-    """Return a part of a list. Raises StoreFormatError; one odd object does not cost the others."""
+    """Return a page of a list. Raises StoreFormatError.
+
+    An object that cannot be read does not affect the others.
+    """
     content = parse_body(answer)
     try:
         revision = Revision(parse_era(answer), int(content["timestamp"]))
@@ -86,48 +89,51 @@
         items = tuple(item for item in found if item is not None)
         return ObjectPage(items, bool(content.get("has_more")), revision)
     except _MALFORMED as error:
-        raise StoreFormatError(f"no list: {error!r}") from error
+        raise StoreFormatError(f"invalid list: {error!r}") from error
 
 
 def parse_changes(answer: HttpAnswer) -> ObjectChanges:
-    """Return what a watch told. Raises StoreFormatError; an odd change does not cost the others."""
+    """Return the changes that a watch reported. Raises StoreFormatError.
+
+    A change that cannot be read does not affect the others.
+    """
     content = parse_body(answer)
     try:
         revision = Revision(parse_era(answer), int(content["timestamp"]))
         found = [_change_or_name(event, revision) for event in content["events"]]
         return ObjectChanges(tuple(change for change in found if change is not None), revision)
     except _MALFORMED as error:
-        raise StoreFormatError(f"no changes: {error!r}") from error
+        raise StoreFormatError(f"invalid list of changes: {error!r}") from error
 
 
 def parse_body(answer: HttpAnswer) -> Any:
     """Return the JSON value of an answer's body. Raises StoreFormatError.
 
-    Bytes that are no text stand for characters that are none (`require_text`), so that they cost
-    the object that holds them and not all others.
+    Invalid UTF-8 is decoded to lone surrogates. They invalidate only the object that holds them
+    (`require_valid_unicode`), not the whole answer.
     """
     try:
         return json.loads(answer.body.decode(errors="surrogateescape"))
     except (ValueError, RecursionError) as error:
-        raise StoreFormatError(f"no JSON: {error}") from error
+        raise StoreFormatError(f"invalid JSON: {error}") from error
 
 
 def require_valid_unicode(content: Any) -> None:
-    """Raise ValueError where a text anywhere in a JSON value holds characters that are none."""
+    """Raise ValueError if any string in a JSON value holds lone surrogates."""
     json.dumps(content, ensure_ascii=False).encode()
 
 
 def _name(meta: Any) -> str:
     name = meta["name"]
     if not isinstance(name, str):
-        raise TypeError("the name is no text")
+        raise TypeError("the name is not a string")
     return name
 
 
 def _object_or_name(content: Any, revision: Revision) -> StoredObject | None:
-    """Return an object; of one that can't be read its name, as of `revision`, with no content.
+    """Return an object; one that cannot be read has no content and the list's `revision`.
 
-    None: not even its name can be read.
+    None: its name cannot be read either.
     """
     try:
         return parse_object(content, revision.era)
@@ -136,7 +142,7 @@
 
 
 def _change_or_name(event: Any, revision: Revision) -> ObjectChange | None:
-    """Return a change; of one that can't be read what `_object_or_name` returns."""
+    """Return a change; one that cannot be read is handled as in `_object_or_name`."""
     try:
         return ObjectChange(parse_object(event["object"], revision.era), bool(event["deleted"]))
     except (*_MALFORMED, StoreFormatError) as error:
--- a/src/bramblebeam/platform/promotions.py
+++ b/src/bramblebeam/platform/promotions.py
@@ -1,4 +1,4 @@
-"""Orders to the platform's promotion service."""
+"""Client of the platform's promotion service."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 class PromotionClient:
-    """Orders promotions over HTTP."""
+    """Orders promotions of databases to primary over HTTP."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
 
     async def promote(self, lease: Lease, target: InstanceId, timeout: float) -> Order:
-        """Order that `target` leads the lease's group, fenced by the lease's token."""
+        """Order that `target` becomes primary of the lease's group, fenced by the lease's token."""
         body = json.dumps({"service": lease.group, "id": server_name(target)}).encode()
-        # The store's own number may be below one that was used before it came back from a copy.
+        # Includes the era: after a restore from a backup the store's number alone may be lower.
         headers = ((_HOLDER_HEADER, lease.holder), (_TOKEN_HEADER, str(lease.token.as_number)))
         client = HttpClient(self._address)
         try:
--- a/src/bramblebeam/platform/settings.py
+++ b/src/bramblebeam/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for a process."""
+"""Settings of a node, from the file that the platform writes for its process."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 DEFAULT_PATH = "/etc/bramblebeam/node.json"
 _METRICS_PORT_INDEX = 0
 _PEER_PORT_INDEX = 1
-_MAXIMUM_PORT = 65_535
+_MAX_PORT = 65_535
 _POOL_POLICY = "pool"
-"""The policy of platforms whose databases refuse what is too much for them."""
+"""Policy of platforms whose databases reject load beyond their capacity."""
 
 
 class SettingsError(ValueError):
-    """The settings file can't be used; the text tells which key is wrong."""
+    """The settings file is missing or invalid; the text names the wrong key."""
 
 
 class PlatformNodeSettings(NamedTuple):
-    """What a node is told at its start. Times in seconds; unknown keys are passed over.
+    """A node's settings. Times are in seconds; unknown keys are ignored.
 
-    `peer`: where the node listens for others. `seeds`: other nodes' addresses for that.
+    `peer`: address at which the node listens for other nodes. `seeds`: peer addresses of others.
     """
 
     node: NodeId
@@ -50,21 +50,21 @@
 
 
 def load_settings() -> PlatformNodeSettings:
-    """Read the file named by the environment. Raises SettingsError."""
+    """Read the settings file that the environment names. Raises SettingsError."""
     path = Path(os.environ.get(SETTINGS_VARIABLE, DEFAULT_PATH))
     try:
         content = json.loads(path.read_text())
     except (OSError, ValueError) as error:
         raise SettingsError(f"{path}: {error}") from error
     if not isinstance(content, dict):
-        raise SettingsError(f"{path}: not an object")
+        raise SettingsError(f"{path}: expected a JSON object")
     return parse_settings(content)
 
 
 def parse_settings(content: Mapping[str, Any]) -> PlatformNodeSettings:
-    """Return the settings of a file's content. Raises SettingsError."""
-    bounds = _table(content, "bounds")
-    listen = _table(content, "bind_addrs")
+    """Return the settings from a file's content. Raises SettingsError."""
+    bounds = _object(content, "bounds")
+    listen = _object(content, "bind_addrs")
     return PlatformNodeSettings(
         node=NodeId(_text(content, "node_name")),
         zone=ZoneId(_text(content, "zone")),
@@ -77,9 +77,9 @@
         store=_service_address(content, "platform"),
         promotions=_service_address(content, "cloud_api"),
         fence_checked=bool(bounds.get("fence_required", True)),
-        grace=_number(bounds, "grace_period_s", 6.0),
+        grace_period=_number(bounds, "grace_period_s", 6.0),
         drain=_number(bounds, "drain_ms", 7_000) / 1_000,
-        configuration_bound=_number(bounds, "config_apply_ms", 4_000) / 1_000,
+        config_apply_bound=_number(bounds, "config_apply_ms", 4_000) / 1_000,
         overload=OverloadSettings(enabled=_POOL_POLICY in _policies(content)),
     )
 
@@ -89,33 +89,33 @@
     return [text for text in listed if isinstance(text, str)] if isinstance(listed, list) else []
 
 
-def _table(content: Mapping[str, Any], key: str) -> Mapping[str, Any]:
+def _object(content: Mapping[str, Any], key: str) -> Mapping[str, Any]:
     value = content.get(key)
     if not isinstance(value, dict):
-        raise SettingsError(f"{key}: a table is needed")
+        raise SettingsError(f"{key}: expected an object")
     return value
 
 
 def _text(content: Mapping[str, Any], key: str) -> str:
     value = content.get(key)
     if not isinstance(value, str) or not value:
-        raise SettingsError(f"{key}: a text is needed")
+        raise SettingsError(f"{key}: expected a non-empty string")
     return value
 
 
 def _number(content: Mapping[str, Any], key: str, default: float) -> float:
     value = content.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise SettingsError(f"{key}: a number is needed")
+        raise SettingsError(f"{key}: expected a number")
     if not isfinite(value) or value < 0:
-        raise SettingsError(f"{key}: {value} is out of range: a finite number from 0 on is needed")
+        raise SettingsError(f"{key}: expected a finite number of at least 0, found {value}")
     return float(value)
 
 
 def _address(content: Mapping[str, Any], key: str) -> Address:
     host, separator, port = _text(content, key).rpartition(":")
-    if not separator or not port.isdigit() or int(port) > _MAXIMUM_PORT:
-        raise SettingsError(f"{key}: HOST:PORT is needed")
+    if not separator or not port.isdigit() or int(port) > _MAX_PORT:
+        raise SettingsError(f"{key}: expected HOST:PORT")
     return Address(host, int(port))
 
 
@@ -127,22 +127,22 @@
 
 
 def _peer_address(content: Mapping[str, Any]) -> Address:
-    """The nodes meet at the second of the ports that are free for their own use."""
-    host = content.get("ip_address") or _address(_table(content, "bind_addrs"), "front").host
-    return Address(str(host), _inner_port(content, _PEER_PORT_INDEX))
+    """Return the address for other nodes, at the second of the ports for the nodes' own use."""
+    host = content.get("ip_address") or _address(_object(content, "bind_addrs"), "front").host
+    return Address(str(host), _node_port(content, _PEER_PORT_INDEX))
 
 
 def _seeds(content: Mapping[str, Any]) -> tuple[Seed, ...]:
-    """Only the hosts matter: the nodes' own ports are the same on all machines of a day."""
-    port = _inner_port(content, _PEER_PORT_INDEX)
+    """Return the seeds. Only hosts are read: peer ports are the same on all machines of a day."""
+    port = _node_port(content, _PEER_PORT_INDEX)
     listed = content.get("seed_nodes")
     texts = [text for text in listed if isinstance(text, str)] if isinstance(listed, list) else []
     hosts = [text.rpartition(":")[0] for text in texts]
     return tuple(Seed(NodeId(host), Address(host, port)) for host in hosts if host)
 
 
-def _inner_port(content: Mapping[str, Any], index: int) -> int:
-    """Return a port of the nodes' own range, or 0 (the system chooses) where there is none."""
+def _node_port(content: Mapping[str, Any], index: int) -> int:
+    """Return a port of the range for the nodes' own use; 0 (any free port) without a range."""
     ports = content.get("inner_ports")
     if not isinstance(ports, list) or not ports or not isinstance(ports[0], int):
         return 0
@@ -150,6 +150,6 @@
 
 
 def _metrics_address(content: Mapping[str, Any]) -> Address | None:
-    """The metrics have the first of the ports that are free for the nodes' own use."""
-    port = _inner_port(content, _METRICS_PORT_INDEX)
+    """Return the address of the metrics, at the first of the ports for the nodes' own use."""
+    port = _node_port(content, _METRICS_PORT_INDEX)
     return Address(_text(content, "ip_address"), port) if port else None
--- a/src/bramblebeam/platform/sources.py
+++ b/src/bramblebeam/platform/sources.py
@@ -1,4 +1,4 @@
-"""The store's lists as the product's routes and databases."""
+"""Reads routes and databases from the lists of the platform's store."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
 CONFIGURATION_KIND = "config"
 DATABASE_KIND = "servers"
-DEFAULT_IDLE_MS = 3_000
-"""For how long a transaction may rest where the table does not tell (milliseconds): what all tables
-have told so far."""
-MAXIMUM_REPORTED = 1_000
-"""So many objects that can't be read are remembered, so that each is reported once."""
-_MILLISECONDS = 1_000
+DEFAULT_TRANSACTION_IDLE_MS = 3_000
+"""Longest idle time of a transaction (milliseconds) if the table sets none. Every table so far has
+set this value."""
+MAX_LOGGED_ONCE = 1_000
+"""Maximum number of unreadable objects that are remembered, so that each is logged once."""
+_MS_PER_SECOND = 1_000
 _MALFORMED = (KeyError, TypeError, ValueError)
 
 _CONSISTENCY = {
@@ -51,7 +51,7 @@
 
 
 class StoreSource(Generic[Item]):
-    """Follows one kind of objects; an object that can't be read is passed over."""
+    """Lists and watches objects of one kind; an object that cannot be read has no item."""
 
     def __init__(
         self, client: StoreClient, kind: str, parse: Callable[[StoredObject], Item]
@@ -59,16 +59,16 @@
         self._client = client
         self._kind = kind
         self._parse = parse
-        self._reported: set[str] = set()
+        self._logged: set[str] = set()
 
     async def list(self) -> Batch[Item]:
         """Return the whole list. Raises SourceUnavailableError."""
         return await self._list(cached=False)
 
     async def list_cached(self) -> Batch[Item]:
-        """Return the list as it was some seconds ago. Raises SourceUnavailableError."""
+        """Return the list as of some seconds ago. Raises SourceUnavailableError."""
         found = await self._list(cached=True)
-        # It may be older than the era that the answer tells: no revision in it is to be relied on.
+        # The list may predate the era in the answer, so its revisions cannot be relied on.
         items = tuple(item._replace(revision=NO_REVISION) for item in found.items)
         return Batch(items, Revision(found.revision.era, 0), UNKNOWN_AGE)
 
@@ -80,15 +80,18 @@
         return Batch(tuple(self._versioned(item, False) for item in found), revision)
 
     async def changes(self, revision: Revision, wait: float) -> Batch[Item]:
-        """Return what changed. Raises HistoryLostError, SourceUnavailableError."""
+        """Return the changes after `revision`, waiting for one for up to `wait` seconds.
+
+        Raises HistoryLostError, SourceUnavailableError.
+        """
         try:
-            told = await self._client.watch(self._kind, revision, wait)
+            watched = await self._client.watch(self._kind, revision, wait)
         except HistoryGoneError as error:
             raise HistoryLostError from error
         except (StoreUnavailableError, StoreFormatError) as error:
             raise SourceUnavailableError(str(error)) from error
-        items = tuple(self._versioned(change.found, change.deleted) for change in told.changes)
-        return Batch(items, told.revision)
+        items = tuple(self._versioned(change.stored, change.deleted) for change in watched.changes)
+        return Batch(items, watched.revision)
 
     def _versioned(self, found: StoredObject, deleted: bool) -> Versioned[Item]:
         item: Item | None = None
@@ -96,17 +99,17 @@
             try:
                 item = self._parse(found)
             except _MALFORMED as error:
-                self._report(found, error)
+                self._log_unreadable(found, error)
         if item is not None or deleted:
-            self._reported.discard(found.name)
+            self._logged.discard(found.name)
         return Versioned(found.name, found.revision, item, deleted)
 
-    def _report(self, found: StoredObject, error: Exception) -> None:
-        """Log an object that can't be read, once: whoever writes it may do so again and again."""
-        if found.name in self._reported:
+    def _log_unreadable(self, found: StoredObject, error: Exception) -> None:
+        """Log an unreadable object, but only once: its writer may update it again and again."""
+        if found.name in self._logged:
             return
-        if len(self._reported) < MAXIMUM_REPORTED:
-            self._reported.add(found.name)
+        if len(self._logged) < MAX_LOGGED_ONCE:
+            self._logged.add(found.name)
         log_event(
             logger,
             STORE_OBJECT_UNREADABLE,
@@ -118,7 +121,7 @@
 
 
 def route_source(client: StoreClient) -> StoreSource[RouteTable]:
-    """Return the source of the configuration."""
+    """Return the source of the route table."""
     return StoreSource(client, CONFIGURATION_KIND, lambda found: parse_route_table(found.spec))
 
 
@@ -128,7 +131,7 @@
 
 
 def parse_route_table(content: Any) -> RouteTable:
-    """Return a route table. Raises KeyError, TypeError, ValueError where it is none."""
+    """Return a route table. Raises KeyError, TypeError, ValueError if it is invalid."""
     require_valid_unicode(content)
     listed = [item for item in content["routes"] if item.get("host")]
     routes = [_parse_route(item) for item in listed]
@@ -136,13 +139,13 @@
     limits = content.get("limits") or {}
     idle = limits.get("tx_idle_ms")
     if idle is None:
-        log_event(logger, TABLE_DEFAULT_USED, key="tx_idle_ms", default=DEFAULT_IDLE_MS)
-        idle = DEFAULT_IDLE_MS
+        log_event(logger, TABLE_DEFAULT_USED, key="tx_idle_ms", default=DEFAULT_TRANSACTION_IDLE_MS)
+        idle = DEFAULT_TRANSACTION_IDLE_MS
     return RouteTable(
         version=int(content["version"]),
         routes={route.database: route for route in routes},
         groups={group.group: group for group in groups},
-        transaction_idle=float(idle) / _MILLISECONDS,
+        transaction_idle=float(idle) / _MS_PER_SECOND,
         tenants=parse_tenants(content.get("tenants")),
         public=frozenset(str(item["host"]) for item in listed if item.get("public")),
     )
@@ -154,21 +157,21 @@
         database=str(content["host"]),
         group=GroupId(content["service"]),
         consistency=_CONSISTENCY[content["route_type"]],
-        timeout=float(content["timeout_ms"]) / _MILLISECONDS,
-        target=float(content["target_ms"]) / _MILLISECONDS,
-        staleness=float(content.get("max_staleness_ms") or 0) / _MILLISECONDS,
+        timeout=float(content["timeout_ms"]) / _MS_PER_SECOND,
+        target=float(content["target_ms"]) / _MS_PER_SECOND,
+        staleness=float(content.get("max_staleness_ms") or 0) / _MS_PER_SECOND,
         priority=int(content.get("priority", 0)),
         most_attempts=_most_attempts(content),
     )
 
 
 def _most_attempts(content: Any) -> int:
-    """Return a route's bound of attempts, or 0 where it tells none that can be used."""
-    told = content.get("max_attempts")
-    is_bound = isinstance(told, int) and not isinstance(told, bool) and told > 0
-    if told is not None and not is_bound:
+    """Return a route's maximum number of attempts, or 0 if it sets none or an invalid one."""
+    limit = content.get("max_attempts")
+    is_valid = isinstance(limit, int) and not isinstance(limit, bool) and limit > 0
+    if limit is not None and not is_valid:
         log_event(logger, TABLE_DEFAULT_USED, key=f"{content['name']}.max_attempts", default=0)
-    return told if is_bound else 0
+    return limit if is_valid else 0
 
 
 def _parse_group(content: Any) -> GroupSettings:
--- a/src/bramblebeam/platform/statements.py
+++ b/src/bramblebeam/platform/statements.py
@@ -1,4 +1,4 @@
-"""Texts of statements on the wire, to and from typed statements."""
+"""Parses and formats statements and log positions of the line protocol."""
 
 from bramblebeam.core.gateway.statements import Action, Statement
 from bramblebeam.core.identity import ZERO_POSITION, Position
@@ -7,17 +7,17 @@
 
 
 class StatementFormatError(ValueError):
-    """A text that is no statement of the protocol."""
+    """A text is not a statement or log position of the protocol."""
 
 
-_PLAIN = {
+_FIXED_STATEMENTS = {
     "BEGIN": Statement(Action.BEGIN),
     "BEGIN READ": Statement(Action.BEGIN_READ),
     "COMMIT": Statement(Action.COMMIT),
     "ROLLBACK": Statement(Action.ROLLBACK),
 }
-_PLAIN_TEXT = {statement.action: text for text, statement in _PLAIN.items()}
-_PLAIN_TEXT[Action.RESET] = "RESET"
+_FIXED_TEXTS = {statement.action: text for text, statement in _FIXED_STATEMENTS.items()}
+_FIXED_TEXTS[Action.RESET] = "RESET"
 _PREPARE_ACTIONS = {"READ": Action.PREPARE_READ, "WRITE": Action.PREPARE_WRITE}
 _BODY_ACTIONS = {"READ": Action.READ, "WRITE": Action.WRITE}
 _NAMED_ACTIONS = {"SET": Action.SET, "EXEC": Action.EXECUTE, "DEALLOC": Action.DEALLOCATE}
@@ -33,10 +33,10 @@
 
 
 def parse_statement(text: str) -> Statement:
-    """Return the statement of a caller's text. Raises StatementFormatError."""
-    plain = _PLAIN.get(text)
-    if plain is not None:
-        return plain
+    """Parse a caller's statement. Raises StatementFormatError."""
+    fixed = _FIXED_STATEMENTS.get(text)
+    if fixed is not None:
+        return fixed
     word, _, rest = text.partition(" ")
     if rest and word in _BODY_ACTIONS:
         return Statement(_BODY_ACTIONS[word], body=rest)
@@ -45,38 +45,38 @@
         return Statement(_NAMED_ACTIONS[word], name, body)
     if name and word == "PREPARE":
         return _parse_prepare(name, body)
-    raise StatementFormatError(f"{word[:20]} is no statement")
+    raise StatementFormatError(f"{word[:20]} is not a statement")
 
 
 def _parse_prepare(name: str, body: str) -> Statement:
     kind, _, shape = body.partition(" ")
     action = _PREPARE_ACTIONS.get(kind)
     if action is None or not shape:
-        raise StatementFormatError("PREPARE needs READ or WRITE and a shape")
+        raise StatementFormatError("PREPARE requires READ or WRITE and a shape")
     return Statement(action, name, shape)
 
 
 def format_statement(statement: Statement) -> str:
-    """Return the text of a statement."""
-    plain = _PLAIN_TEXT.get(statement.action)
-    if plain is not None:
-        return plain
+    """Return a statement's text on the wire."""
+    fixed = _FIXED_TEXTS.get(statement.action)
+    if fixed is not None:
+        return fixed
     return _TEMPLATES[statement.action].format(statement)
 
 
 def parse_position(text: str) -> Position:
-    """Return a log position; the zero position for none. Raises StatementFormatError."""
+    """Parse a log position; NO_POSITION is the zero position. Raises StatementFormatError."""
     if text == NO_POSITION:
         return ZERO_POSITION
     term, _, number = text.partition(".")
-    # What int() takes beside digits (signs, blanks, underscores) is no part of a position.
+    # int() also accepts signs, blanks and underscores, which a position may not hold.
     if not (term.isascii() and term.isdigit() and number.isascii() and number.isdigit()):
-        raise StatementFormatError(f"{text[:40]} is no position")
+        raise StatementFormatError(f"{text[:40]} is not a log position")
     return Position(int(term), int(number))
 
 
 def format_position(position: Position) -> str:
-    """Return the text of a log position."""
+    """Return a log position's text on the wire."""
     if position == ZERO_POSITION:
         return NO_POSITION
     return f"{position.term}.{position.offset}"
--- a/src/bramblebeam/platform/store.py
+++ b/src/bramblebeam/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store."""
+"""Client of the platform's store."""
 
 from __future__ import annotations
 
@@ -26,14 +26,15 @@
 _NOT_FOUND = 404
 _CONFLICT = 409
 _GONE = 410
-_TURNED_AWAY = (429, 503)
-"""Too many calls from all nodes together; the store is out of order, or not for this node."""
-CALL_SECONDS = 1.0
+_REJECTED_STATUSES = (429, 503)
+"""429: too many calls from all nodes together. 503: the store is down, or only for this node."""
+CALL_TIMEOUT_SECONDS = 1.0
 WATCH_MARGIN_SECONDS = 1.0
+"""Time for a watch's answer, in addition to the time that the store may wait for a change."""
 
 
 class StoreUnavailableError(Exception):
-    """The store did not do what was asked, or its answer is lost. `sent`: it may have been done."""
+    """The call failed, or its answer is lost or unusable. `sent`: it may have been executed."""
 
     def __init__(self, sent: bool, detail: str) -> None:
         super().__init__(detail)
@@ -41,11 +42,11 @@
 
 
 class HistoryGoneError(Exception):
-    """The store has forgotten the changes after the watched revision: list again."""
+    """The store no longer has the changes after the watched revision: list again."""
 
 
 class StoreClient:
-    """One connection to the store. `calls`: where they are counted. `eras`: of its answers."""
+    """One connection to the store; records its calls in `calls` and the answers' eras in `eras`."""
 
     def __init__(self, address: Address, calls: StoreCallCounter, eras: StoreEras) -> None:
         self._http = HttpClient(address)
@@ -57,30 +58,32 @@
         self._http.close()
 
     async def list(self, kind: str, cached: bool = False) -> tuple[list[StoredObject], Revision]:
-        """Return all objects of a kind and the revision of the list's first part.
+        """Return all objects of a kind and the revision of the list's first page.
 
-        `cached`: as the store knew them some seconds ago, which costs it less.
+        `cached`: return the state of some seconds ago, which costs the store less.
         Raises StoreUnavailableError, StoreFormatError.
         """
         found: list[StoredObject] = []
-        first = await self._page(kind, cached, "")
+        first = await self._list_page(kind, cached, "")
         page = first
         while True:
             found.extend(page.items)
             if not page.has_more or not page.items:
                 return found, first.revision
-            page = await self._page(kind, cached, page.items[-1].name)
+            page = await self._list_page(kind, cached, page.items[-1].name)
             if page.revision.era != first.revision.era:
-                # The store came back from a copy between the parts: they are of two lists.
+                # The store was restored between the pages, so they belong to different lists.
                 raise StoreUnavailableError(False, "the store's era changed within a list")
 
-    async def get(self, kind: str, name: str, timeout: float = CALL_SECONDS) -> StoredObject | None:
+    async def get(
+        self, kind: str, name: str, timeout: float = CALL_TIMEOUT_SECONDS
+    ) -> StoredObject | None:
         """Return one object, or None. Raises StoreUnavailableError, StoreFormatError."""
-        self._calls.made("get", kind)
+        self._calls.record_call("get", kind)
         answer = await self._call("GET", f"{_ROOT}/{kind}/{quote(name)}", timeout=timeout)
         if answer.status == _NOT_FOUND:
             return None
-        _require(answer, _OK)
+        _require_status(answer, _OK)
         return parse_one(answer)
 
     async def watch(self, kind: str, revision: Revision, wait: float) -> ObjectChanges:
@@ -91,76 +94,82 @@
         if revision.era != self._eras.newest:
             raise HistoryGoneError
         target = f"{_ROOT}/{kind}?watch={revision.number}&wait_ms={int(wait * 1_000)}"
-        self._calls.made("watch", kind)
+        self._calls.record_call("watch", kind)
         answer = await self._call("GET", target, timeout=wait + WATCH_MARGIN_SECONDS)
         if answer.status == _GONE:
             raise HistoryGoneError
-        _require(answer, _OK)
-        told = parse_changes(answer)
-        if told.revision.era != revision.era:
-            # The new count may have overtaken the watched number: what lies before was never told.
+        _require_status(answer, _OK)
+        changes = parse_changes(answer)
+        if changes.revision.era != revision.era:
+            # The restored store's revisions may have passed the watched number already, and the
+            # changes of the new era up to that number are not in this answer.
             raise HistoryGoneError
-        return told
+        return changes
 
     async def create(
-        self, kind: str, name: str, spec: Any, timeout: float = CALL_SECONDS
+        self, kind: str, name: str, spec: Any, timeout: float = CALL_TIMEOUT_SECONDS
     ) -> StoredObject | None:
-        """Create an object; None: there is one already.
+        """Create an object; None: it already exists.
 
         Raises StoreUnavailableError, StoreFormatError.
         """
         body = {"meta": {"name": name}, "spec": spec}
-        self._calls.made("create", kind)
+        self._calls.record_call("create", kind)
         answer = await self._call("POST", f"{_ROOT}/{kind}", body, timeout)
         if answer.status == _CONFLICT:
             return None
-        _require(answer, _OK, _CREATED)
+        _require_status(answer, _OK, _CREATED)
         return parse_one(answer)
 
     async def replace(
-        self, kind: str, name: str, revision: Revision, spec: Any, timeout: float = CALL_SECONDS
+        self,
+        kind: str,
+        name: str,
+        revision: Revision,
+        spec: Any,
+        timeout: float = CALL_TIMEOUT_SECONDS,
     ) -> StoredObject | None:
-        """Replace an object that is at `revision`; None: it is not, or is gone.
+        """Replace an object if it is still at `revision`; None: it has changed or was deleted.
 
         Raises StoreUnavailableError, StoreFormatError.
         """
         body = {"meta": {"name": name, "revision": revision.number}, "spec": spec}
-        self._calls.made("replace", kind)
+        self._calls.record_call("replace", kind)
         answer = await self._call("PUT", f"{_ROOT}/{kind}/{quote(name)}", body, timeout)
         if answer.status in (_CONFLICT, _NOT_FOUND):
             return None
-        _require(answer, _OK)
+        _require_status(answer, _OK)
         return parse_one(answer)
 
-    async def _page(self, kind: str, cached: bool, after: str) -> ObjectPage:
-        self._calls.made("list cached" if cached else "list", kind)
+    async def _list_page(self, kind: str, cached: bool, after: str) -> ObjectPage:
+        self._calls.record_call("list cached" if cached else "list", kind)
         query = {"after": after} if after else {}
         if cached:
-            # The wire's name for a read that may be old.
+            # The store's parameter for a read that may return an older state.
             query["stale"] = "1"
         target = f"{_ROOT}/{kind}?{urlencode(query)}" if query else f"{_ROOT}/{kind}"
         answer = await self._call("GET", target)
-        _require(answer, _OK)
+        _require_status(answer, _OK)
         return parse_page(answer)
 
     async def _call(
-        self, method: str, target: str, content: Any = None, timeout: float = CALL_SECONDS
+        self, method: str, target: str, content: Any = None, timeout: float = CALL_TIMEOUT_SECONDS
     ) -> HttpAnswer:
         body = json.dumps(content).encode() if content is not None else b""
         try:
             answer = await self._http.call(method, target, timeout, body)
         except HttpError as error:
-            self._calls.failed()
+            self._calls.record_failure()
             raise StoreUnavailableError(error.sent, str(error)) from error
-        if answer.status in _TURNED_AWAY:
-            self._calls.failed()
+        if answer.status in _REJECTED_STATUSES:
+            self._calls.record_failure()
         try:
-            self._eras.take(answer, f"{method} {target}")
+            self._eras.observe(answer, f"{method} {target}")
         except EraFormatError as error:
             raise StoreUnavailableError(True, str(error)) from error
         return answer
 
 
-def _require(answer: HttpAnswer, *expected: int) -> None:
+def _require_status(answer: HttpAnswer, *expected: int) -> None:
     if answer.status not in expected:
         raise StoreUnavailableError(False, f"the store answered {answer.status}")
--- a/src/bramblebeam/platform/store_calls.py
+++ b/src/bramblebeam/platform/store_calls.py
@@ -1,7 +1,7 @@
-"""Counts this node's calls to the platform's store, and logs them from time to time.
+"""Counts this node's calls to the platform's store and logs them periodically.
 
-The store bears a bounded rate of calls from all nodes together, and each is priced: which ones a
-node makes is the first thing to look at where there are too many.
+The store limits the rate of calls from all nodes together, and each call is charged. If there are
+too many, the logged counts show which calls a node makes.
 """
 
 from __future__ import annotations
@@ -16,35 +16,35 @@
 logger = logging.getLogger(__name__)
 
 REPORT_INTERVAL = 5.0
-"""Seconds between two lines; a node that made no call writes none. Long enough to cost nothing,
-short enough to tell a start from what follows."""
+"""Seconds between log lines; none is written without a call. Long enough to cost next to nothing,
+short enough to separate the calls of a start from later ones."""
 
 
 class StoreCallCounter:
-    """The calls since the last report, by what was asked of which kind of object."""
+    """Counts calls since the last report, by operation and kind of object."""
 
     def __init__(self) -> None:
-        self._made: Counter[str] = Counter()
+        self._counts: Counter[str] = Counter()
         self._failed = 0
 
     def record_call(self, call: str, kind: str) -> None:
-        """Count a call; `call`: what was asked, `kind`: the kind of the objects."""
-        self._made[f"{call} {kind}"] += 1
+        """Count a call; `call`: the operation, `kind`: the kind of the objects."""
+        self._counts[f"{call} {kind}"] += 1
 
-    def failed(self) -> None:
-        """Count a call that got no answer, or was turned away."""
+    def record_failure(self) -> None:
+        """Count a call that got no answer or was rejected."""
         self._failed += 1
 
     def report(self) -> None:
-        """Log what was counted since the last report, and begin anew."""
-        if not self._made:
+        """Log the counts since the last report and reset them."""
+        if not self._counts:
             return
-        log_event(logger, STORE_CALLED, calls=dict(self._made), failed=self._failed)
-        self._made.clear()
+        log_event(logger, STORE_CALLED, calls=dict(self._counts), failed=self._failed)
+        self._counts.clear()
         self._failed = 0
 
-    async def report_regularly(self) -> None:
-        """Report until cancelled."""
+    async def report_periodically(self) -> None:
+        """Report every REPORT_INTERVAL seconds until cancelled."""
         while True:
             await asyncio.sleep(REPORT_INTERVAL)
             self.report()
--- a/src/bramblebeam/platform/tenants.py
+++ b/src/bramblebeam/platform/tenants.py
@@ -1,6 +1,7 @@
-"""The tenants of the store's configuration as the product's.
+"""Parses the tenants of the store's configuration.
 
-What is wrong is told by the object's place and field; neither a key nor any other value is shown.
+Error texts name the path and the field of an invalid value, but never show a value: it may be a
+key.
 """
 
 from __future__ import annotations
@@ -12,48 +13,50 @@
 
 
 class TenantFormatError(ValueError):
-    """A tenant that can't be taken; the text tells its place and the field."""
+    """A tenant's entry is invalid; the text names its path and the field."""
 
 
 def parse_tenants(listed: Any) -> TenantTable | None:
-    """Return the tenants of a configuration, None where it knows none. Raises ValueError.
+    """Return the tenants of a configuration, None if it lists none. Raises ValueError.
 
-    An empty list is a list: then nobody holds a key.
+    An empty list counts as a list: then no key is valid.
     """
     if listed is None:
         return None
     if not isinstance(listed, list):
-        raise TenantFormatError("tenants: a list is needed")
-    return TenantTable(_parse(f"tenants[{at}]", content) for at, content in enumerate(listed))
+        raise TenantFormatError("tenants: expected a list")
+    return TenantTable(
+        _parse_tenant(f"tenants[{index}]", content) for index, content in enumerate(listed)
+    )
 
 
-def _parse(place: str, content: Any) -> Tenant:
+def _parse_tenant(path: str, content: Any) -> Tenant:
     if not isinstance(content, dict):
-        raise TenantFormatError(f"{place}: an object is needed")
+        raise TenantFormatError(f"{path}: expected an object")
     name = content.get("name")
     if not isinstance(name, str) or name.split() != [name]:
-        # It stands in a line between blanks.
-        raise TenantFormatError(f"{place}.name: a text without blanks is needed")
+        # The name is sent as one word of a protocol line.
+        raise TenantFormatError(f"{path}.name: expected a string without blanks")
     keys = content.get("api_keys")
     if not isinstance(keys, list) or not all(isinstance(key, str) and key for key in keys):
-        raise TenantFormatError(f"{place}.api_keys: a list of texts is needed")
+        raise TenantFormatError(f"{path}.api_keys: expected a list of non-empty strings")
     digests = tuple(digest_of(key) for key in keys)
     if len(set(digests)) < len(digests):
-        raise TenantFormatError(f"{place}.api_keys: a key stands twice")
-    return Tenant(TenantId(name), digests, _parse_limit(place, content))
+        raise TenantFormatError(f"{path}.api_keys: a key is listed twice")
+    return Tenant(TenantId(name), digests, _parse_limit(path, content))
 
 
-def _parse_limit(place: str, content: Any) -> RateLimit | None:
-    """Return the limit; a tenant that tells neither of its two figures has none."""
+def _parse_limit(path: str, content: Any) -> RateLimit | None:
+    """Return the limit, or None if the tenant sets neither of its two fields."""
     if content.get("rate_per_s") is None and content.get("burst_size") is None:
         return None
-    rate = _number(place, content, "rate_per_s")
-    return RateLimit(rate, _number(place, content, "burst_size"))
+    rate = _number(path, content, "rate_per_s")
+    return RateLimit(rate, _number(path, content, "burst_size"))
 
 
-def _number(place: str, content: Any, field: str) -> float:
+def _number(path: str, content: Any, field: str) -> float:
     value = content.get(field)
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or not math.isfinite(value) or value < 0:
-        raise TenantFormatError(f"{place}.{field}: a finite number from 0 on is needed")
+        raise TenantFormatError(f"{path}.{field}: expected a finite number of at least 0")
     return float(value)
--- a/tests/test_caller_listener.py
+++ b/tests/test_caller_listener.py
@@ -1,4 +1,4 @@
-"""A caller's connection on the line wire."""
+"""Tests of a caller's connection on the line protocol."""
 
 import asyncio
 from typing import Any
@@ -8,7 +8,7 @@
 
 
 class QuickSession:
-    """Answers every statement at once."""
+    """Answers each statement immediately."""
 
     idle = True
 
@@ -16,11 +16,11 @@
         return Reply(signature=f"signed-{identifier}", state=TransactionState.IDLE)
 
     def abandon(self) -> None:
-        """Nothing is open."""
+        """Do nothing: no transaction is open."""
 
 
 class Host:
-    """Takes every caller."""
+    """Opens a session for any caller."""
 
     stopping = False
 
@@ -28,11 +28,11 @@
         return QuickSession()
 
     def close_session(self, session: QuickSession) -> None:
-        """Nothing to do."""
+        """Do nothing."""
 
 
-class CallerThatAsksOnAnswer:
-    """A transport whose caller sends its next statement as soon as the last answer is written."""
+class PipeliningCaller:
+    """Transport of a caller that sends its next statement as soon as an answer is written."""
 
     def __init__(self, connection: CallerConnection, statements: list[bytes]) -> None:
         self.written = b""
@@ -42,7 +42,7 @@
     def write(self, data: bytes) -> None:
         self.written += data
         if self._statements:
-            # This runs before the callbacks of the task that is writing, which ends now.
+            # Runs before the done callbacks of the task that is writing, which is about to end.
             loop = asyncio.get_running_loop()
             loop.call_soon(self._connection.data_received, self._statements.pop(0))
 
@@ -53,11 +53,11 @@
         return None
 
 
-async def test_a_statement_that_comes_as_the_last_one_ends_is_answered() -> None:
-    """Found as test runs that stood still: the statement lay in the queue for good."""
+async def test_statement_that_arrives_as_the_previous_one_ends_is_answered() -> None:
+    """The statement used to stay in the queue forever, so that test runs hung."""
     connection = CallerConnection(Host(), set())  # type: ignore[arg-type]
     statements = [f"QUERY id{number} READ parcel\r\n".encode() for number in range(5)]
-    caller = CallerThatAsksOnAnswer(connection, statements)
+    caller = PipeliningCaller(connection, statements)
     connection.connection_made(caller)  # type: ignore[arg-type]
     connection.data_received(b"START session tester\r\n")
     for _ in range(50):
--- a/tests/test_database_entries.py
+++ b/tests/test_database_entries.py
@@ -1,4 +1,4 @@
-"""Entries of databases that come from another writer name no database, and the others hold."""
+"""Tests that an invalid database entry is ignored and does not affect the valid ones."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 }
 TEXTS = ("service", "address", "zone", "version", "state", "db_role")
 NUMBERS = ("capacity", "cold_left_ms", "sequence")
-NOT_TEXTS: list[Any] = [None, 7, True, 1.5, ["a"], {"a": 1}, "", "a\r\nQUIT", "a b", "\udc80"]
-NOT_NUMBERS: list[Any] = [None, "3", True, 1.5, ["a"], {"a": 1}, -1]
+INVALID_TEXTS: list[Any] = [None, 7, True, 1.5, ["a"], {"a": 1}, "", "a\r\nQUIT", "a b", "\udc80"]
+INVALID_NUMBERS: list[Any] = [None, "3", True, 1.5, ["a"], {"a": 1}, -1]
 
 
 def source() -> StoreSource[Any]:
@@ -56,13 +56,17 @@
     return [record.getMessage() for record in found]
 
 
-def broken() -> list[Any]:
-    """Return an entry for each field that is missing or of another type."""
+def invalid_entries() -> list[Any]:
+    """Return entries with one missing or invalid field each, and values that are no objects."""
     cases: list[Any] = [
         pytest.param({key: ENTRY[key] for key in ENTRY if key != name}, id=f"no {name}")
         for name in ENTRY
     ]
-    for names, values in ((TEXTS, NOT_TEXTS), (NUMBERS, NOT_NUMBERS), (("born",), NOT_NUMBERS)):
+    for names, values in (
+        (TEXTS, INVALID_TEXTS),
+        (NUMBERS, INVALID_NUMBERS),
+        (("born",), INVALID_NUMBERS),
+    ):
         cases += [
             pytest.param({**ENTRY, name: value}, id=f"{name} {value!r}")
             for name in names
@@ -82,10 +86,8 @@
     return [*cases, *(pytest.param(spec, id=repr(spec)) for spec in (None, [], "text", 5, {}))]
 
 
-@pytest.mark.parametrize("spec", broken())
-def test_an_entry_of_another_writer_names_no_database(
-    spec: Any, caplog: pytest.LogCaptureFixture
-) -> None:
+@pytest.mark.parametrize("spec", invalid_entries())
+def test_invalid_entry_has_no_database(spec: Any, caplog: pytest.LogCaptureFixture) -> None:
     with caplog.at_level(logging.INFO):
         assert read(spec) == Versioned("odd", at(9), None)
     (line,) = lines(caplog)
@@ -93,16 +95,16 @@
 
 
 @pytest.mark.parametrize("name", ["", "a b", "a\r\nQUIT", "\udc80"])
-def test_a_name_that_the_wire_cannot_carry_names_no_database(name: str) -> None:
+def test_name_that_the_protocol_cannot_carry_has_no_database(name: str) -> None:
     assert read(ENTRY, name).item is None
 
 
-def test_a_whole_entry_is_read_with_fields_that_nobody_knows() -> None:
+def test_entry_with_unknown_fields_is_read() -> None:
     assert read({**ENTRY, "mood": ["fair"]}).item is not None
 
 
-def test_a_huge_entry_gives_a_short_line_once(caplog: pytest.LogCaptureFixture) -> None:
-    """Its writer may change it many times a second."""
+def test_huge_entry_is_logged_once_in_a_short_line(caplog: pytest.LogCaptureFixture) -> None:
+    """Its writer may update it many times a second."""
     reader = source()
     with caplog.at_level(logging.INFO):
         for revision in range(5):
@@ -116,14 +118,14 @@
     assert len(lines(caplog)) == 2
 
 
-# Objects and bytes that can't be read.
+# Objects and bytes that cannot be read.
 
 
 def stored(name: Any, spec: Any, revision: Any = 4) -> dict[str, Any]:
     return {"meta": {"name": name, "revision": revision}, "spec": spec, "status": None}
 
 
-ODD_OBJECTS = [
+UNREADABLE_OBJECTS = [
     pytest.param(None, id="nothing"),
     pytest.param("text", id="a text"),
     pytest.param([1], id="a list"),
@@ -137,8 +139,8 @@
 ]
 
 
-@pytest.mark.parametrize("odd", ODD_OBJECTS)
-def test_an_object_that_cannot_be_read_leaves_the_others(
+@pytest.mark.parametrize("odd", UNREADABLE_OBJECTS)
+def test_unreadable_object_does_not_affect_the_others(
     odd: Any, caplog: pytest.LogCaptureFixture
 ) -> None:
     content = {"items": [stored("a", ENTRY), odd, stored("c", ENTRY)], "timestamp": 9}
@@ -149,21 +151,21 @@
     assert len(lines(caplog)) == 1
 
 
-@pytest.mark.parametrize("odd", ODD_OBJECTS)
-def test_a_change_that_cannot_be_read_leaves_the_others(
+@pytest.mark.parametrize("odd", UNREADABLE_OBJECTS)
+def test_unreadable_change_does_not_affect_the_others(
     odd: Any, caplog: pytest.LogCaptureFixture
 ) -> None:
     events = [{"object": found, "deleted": False} for found in (stored("a", ENTRY), odd)]
     content = {"events": [*events, "text", {"object": stored("c", ENTRY)}], "timestamp": 9}
     with caplog.at_level(logging.INFO):
-        told = parse_changes(HttpAnswer(200, json.dumps(content).encode()))
-        found = [source()._versioned(change.found, False) for change in told.changes]
-    assert told.revision == at(9)
+        watched = parse_changes(HttpAnswer(200, json.dumps(content).encode()))
+        found = [source()._versioned(change.stored, False) for change in watched.changes]
+    assert watched.revision == at(9)
     assert [item.name for item in found if item.item is not None] == ["a"]
     assert len(lines(caplog)) == 3
 
 
-def test_bytes_that_are_no_text_cost_their_own_entry_only() -> None:
+def test_invalid_utf8_invalidates_only_its_own_entry() -> None:
     content = {"items": [stored("a", ENTRY), stored("b", {**ENTRY, "zone": "@"})], "timestamp": 9}
     body = json.dumps(content).encode().replace(b'"@"', b'"z\xff\xfe"')
     page = parse_page(HttpAnswer(200, body))
@@ -172,17 +174,17 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[" * 200_000, b"\xff", b'{"items": 5}', b"[]"])
-def test_a_body_that_is_no_list_is_reported_as_such(body: bytes) -> None:
+def test_body_that_is_not_a_list_is_rejected(body: bytes) -> None:
     with pytest.raises(StoreFormatError):
         parse_page(HttpAnswer(200, body))
 
 
-# A database that was known.
+# A known database whose entry becomes unreadable.
 
 
-def test_a_known_database_whose_entry_cannot_be_read_is_gone_for_all_who_are_told() -> None:
-    reader = FollowedList[str](lambda news: None, keeps_last_good=False)
-    follower = FollowedList[str](lambda news: None, keeps_last_good=False)
+def test_known_database_with_unreadable_entry_is_removed_at_the_reader_and_its_followers() -> None:
+    reader = FollowedList[str](lambda update: None, keeps_last_good=False)
+    follower = FollowedList[str](lambda update: None, keeps_last_good=False)
     good = (Versioned("a", at(5), "a5"), Versioned("b", at(5), "b5"))
     reader.merge(Batch(good, at(5)), True, 0.0)
     follower.merge(reader.whole(), True, 0.0)
@@ -197,7 +199,7 @@
     assert Versioned("a", at(9), "a9") in follower.whole().items
 
 
-async def test_a_known_database_whose_entry_cannot_be_read_gets_no_work() -> None:
+async def test_known_database_with_unreadable_entry_gets_no_work() -> None:
     async with running_world() as world:
         pools = world.nodes[0].gateway.context.placement.pools
         await until(lambda: len(pools) == 3)
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -89,7 +89,7 @@
     spec = leases._change_spec(change)
     assert spec is not None
     assert spec["target"] == "db-b"
-    assert leases._change(spec) == change
+    assert leases._parse_change(spec) == change
     assert "born" not in (leases._change_spec(OrderedChange(InstanceId("db-b"), 4)) or {})
 
 
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter's translations, without sockets."""
+"""Tests of the platform adapter's parsers and formatters; no sockets are opened."""
 
 import ast
 import math
@@ -24,8 +24,8 @@
 from platform_standins.world import node_settings
 
 SOURCES = Path(__file__).parent.parent / "src" / "bramblebeam"
-PROMISES = {"BUSY", "ABORTED", "LAGGING", "READONLY", "MISROUTED", "TOOMANY"}
-OTHER_NOT_RUN = {"MALFORMED", "NOSTMT", "NODB", "NOAUTH"}
+NOT_RUN_CODES = {"BUSY", "ABORTED", "LAGGING", "READONLY", "MISROUTED", "TOOMANY"}
+OTHER_NOT_RUN_CODES = {"MALFORMED", "NOSTMT", "NODB", "NOAUTH"}
 TEXTS = [
     "BEGIN",
     "BEGIN READ",
@@ -42,17 +42,17 @@
 
 
 @pytest.mark.parametrize("text", TEXTS)
-def test_statements_keep_their_text(text: str) -> None:
+def test_statement_round_trip(text: str) -> None:
     assert format_statement(parse_statement(text)) == text
 
 
 @pytest.mark.parametrize("text", ["", "READ", "WRITE", "PREPARE s", "PREPARE s READ", "begin"])
-def test_other_texts_are_no_statements(text: str) -> None:
+def test_invalid_statement_is_rejected(text: str) -> None:
     with pytest.raises(StatementFormatError):
         parse_statement(text)
 
 
-def test_a_write_is_a_write() -> None:
+def test_write_actions() -> None:
     assert parse_statement("WRITE 1a4 x").action is Action.WRITE
     assert parse_statement("PREPARE s WRITE q").action is Action.PREPARE_WRITE
 
@@ -66,7 +66,7 @@
         parse_position("3")
 
 
-def test_lines_are_cut_wherever_the_bytes_break() -> None:
+def test_lines_are_split_across_any_chunk_boundary() -> None:
     buffer = LineBuffer()
     assert buffer.feed(b"READY I") == []
     assert buffer.feed(b" 3.1\r\nROW a\r") == ["READY I 3.1"]
@@ -78,26 +78,26 @@
 
 
 @pytest.mark.parametrize("reason", Reason)
-def test_a_promise_is_given_only_for_what_has_not_run(reason: Reason) -> None:
+def test_not_run_codes_are_sent_only_if_the_statement_did_not_run(reason: Reason) -> None:
     not_run = error_code(Refusal(Verdict.NOT_RUN, reason))
-    assert not_run in PROMISES | OTHER_NOT_RUN
+    assert not_run in NOT_RUN_CODES | OTHER_NOT_RUN_CODES
     for verdict in (Verdict.RAN, Verdict.UNKNOWN):
         assert error_code(Refusal(verdict, reason)) in {"FAILED", "INDOUBT", "TIMEOUT"}
 
 
-def test_a_refusal_of_what_has_not_run_tells_when_to_come_back() -> None:
+def test_error_text_has_retry_delay_only_if_the_statement_did_not_run() -> None:
     refusal = Refusal(Verdict.NOT_RUN, Reason.NO_PRIMARY, retry_after_ms=70)
     assert error_text(refusal).endswith("retry after 70 ms")
     assert "retry" not in error_text(Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST))
 
 
 @pytest.mark.parametrize("code", ["BUSY", "NOSTMT", "LAGGING", "READONLY"])
-def test_a_database_that_did_not_run_a_statement(code: str) -> None:
+def test_database_error_means_not_run(code: str) -> None:
     assert refusal_from_error(code, "").verdict is Verdict.NOT_RUN
 
 
 @pytest.mark.parametrize("code", ["FAILED", "TIMEOUT", "NEVER-HEARD"])
-def test_a_database_that_may_have_run_a_statement(code: str) -> None:
+def test_database_error_means_may_have_run(code: str) -> None:
     assert refusal_from_error(code, "").verdict is not Verdict.NOT_RUN
 
 
@@ -115,7 +115,7 @@
         ("platform", {"address": "127.0.0.1:65536"}),
     ],
 )
-def test_wrong_settings_name_the_key(key: str, value: Any) -> None:
+def test_invalid_settings_are_rejected(key: str, value: Any) -> None:
     content = {**node_settings("n", 1), key: value}
     with pytest.raises(SettingsError):
         parse_settings(content)
@@ -124,17 +124,17 @@
 @pytest.mark.parametrize(
     "text", ["", "3", "3.", ".7", "-1.5", "1.-5", "+1.5", "1. 5", "1_0.5", "x.y", "1.5.6", "1.²"]
 )
-def test_what_is_no_position_is_refused(text: str) -> None:
+def test_invalid_position_is_rejected(text: str) -> None:
     with pytest.raises(StatementFormatError):
         parse_position(text)
 
 
-def test_unknown_settings_are_passed_over() -> None:
+def test_unknown_settings_are_ignored() -> None:
     settings = parse_settings({**node_settings("n", 1), "unheard_of": {"a": 1}})
     assert settings.node == "n"
 
 
-def test_nothing_outside_the_folder_knows_the_platforms_names() -> None:
+def test_platform_names_are_used_only_in_the_adapter() -> None:
     words = {"READONLY", "LAGGING", "MISROUTED", "TOOMANY", "INDOUBT", "NODB", "NOSTMT"}
     words |= {"config_apply_ms", "sync_replicas", "max_staleness_ms", "bind_addrs", "cloud_api"}
     pattern = re.compile("|".join(sorted(words)))
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -497,7 +497,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Found in a hunt: such a caller's first request was under way when the node ended."""
-    monkeypatch.setattr(caller_listener, "_FIRST_QUESTION_SECONDS", FAR_TOO_LONG)
+    monkeypatch.setattr(caller_listener, "_FIRST_STATEMENT_SECONDS", FAR_TOO_LONG)
     # The node listens for long enough that this process may stand still before it connects.
     monkeypatch.setattr(gateway_service, "LAST_ARRIVALS_SHARE", 3.0 / FAR_TOO_LONG)
     async with running_world() as world:
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -1,4 +1,4 @@
-"""A node as the users' platform starts and stops it: a process with a settings file."""
+"""Tests of a node as a process with a settings file, as the users' platform runs it."""
 
 import asyncio
 import contextlib
@@ -38,7 +38,7 @@
 
 
 async def fields_of(started: asyncio.subprocess.Process, event: int) -> dict[str, Any]:
-    """Return the fields of the next line of an event."""
+    """Return the fields of the next log line with this event number."""
     assert started.stdout is not None
     while True:
         line = json.loads(await started.stdout.readline())
@@ -55,7 +55,7 @@
         client.close()
 
 
-async def test_a_planned_stop_answers_what_is_under_way_and_ends_with_0(tmp_path: Path) -> None:
+async def test_planned_stop_finishes_open_transactions_and_exits_with_0(tmp_path: Path) -> None:
     async with running_world(nodes=0) as world:
         settings = node_settings("node-p", world.platform.port)
         async with process(tmp_path / "node.json", settings) as started:
@@ -72,7 +72,7 @@
             assert world.group.primary.read("parcel") == "1"
 
 
-async def test_settings_are_read_again_on_a_signal(tmp_path: Path) -> None:
+async def test_sighup_rereads_the_settings(tmp_path: Path) -> None:
     async with running_world(nodes=0) as world:
         settings = node_settings("node-p", world.platform.port)
         path = tmp_path / "node.json"
@@ -99,26 +99,28 @@
 """
 
 
-async def test_a_signal_about_settings_does_not_end_a_process_that_starts(tmp_path: Path) -> None:
-    """Found by the soak on processes with seeds 4 and 6: the process ended by the signal."""
+async def test_sighup_during_startup_does_not_end_the_process(tmp_path: Path) -> None:
+    """A SIGHUP during startup ended the process (found by the process soak, seeds 4 and 6)."""
     environment = {**os.environ, "BRAMBLEBEAM_NODE_FILE": str(tmp_path / "none.json")}
     command = (sys.executable, "-c", SIGNAL_AT_IMPORT, str(PROGRAM))
     started = await asyncio.create_subprocess_exec(
         *command, env=environment, stdout=asyncio.subprocess.DEVNULL
     )
-    # It has no settings: it got as far as that.
+    # Exit code 2: it survived the signals and found no settings file.
     assert await started.wait() == 2
 
 
 @pytest.mark.parametrize("settings", ["{", "[]", {"node_name": "n"}])
-async def test_wrong_settings_end_the_process_with_a_line(tmp_path: Path, settings: Any) -> None:
+async def test_invalid_settings_end_the_process_with_a_log_line(
+    tmp_path: Path, settings: Any
+) -> None:
     async with process(tmp_path / "node.json", settings) as started:
         assert (await fields_of(started, 1010))["error"] != ""
         assert await started.wait() == 2
 
 
 async def log_of_a_run(world: World, path: Path, stop: signal.Signals) -> str:
-    """Return what a node writes that serves a write, says it is ready, and is stopped."""
+    """Return the log of a node that serves a write, becomes ready and is then stopped."""
     settings = node_settings("node-p", world.platform.port)
     async with process(path, settings) as started:
         assert started.stdout is not None
@@ -135,7 +137,7 @@
 @pytest.mark.parametrize(
     ("stop", "unplanned"), [(signal.SIGTERM, 0), (signal.SIGKILL, 1)], ids=["planned", "killed"]
 )
-async def test_a_report_tells_the_starts_of_a_node(
+async def test_report_counts_the_starts_of_a_node(
     stop: signal.Signals, unplanned: int, tmp_path: Path
 ) -> None:
     async with running_world(nodes=0) as world:
@@ -146,6 +148,6 @@
     assert [(one.node, one.starts, one.unplanned) for one in found.restarted] == [
         ("node-p", 2, unplanned)
     ]
-    for begun in found.starts:
-        assert None not in (begun.accepting_seconds, begun.ready_seconds, begun.leader_seconds)
+    for start in found.starts:
+        assert None not in (start.accepting_seconds, start.ready_seconds, start.leader_seconds)
     assert not found.passed_over
--- a/tests/test_platform_proxy.py
+++ b/tests/test_platform_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy of the tests: connections that go silent, are reset, are late, or pass one way."""
+"""Tests of the tests' TCP proxy: silent, reset, delayed and one-way connections."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -14,26 +14,26 @@
 
 @asynccontextmanager
 async def echo() -> AsyncIterator[tuple[TcpProxy, list[bytes]]]:
-    """A proxy before a server that answers with what it gets, and what that server got."""
-    taken: list[bytes] = []
+    """Yield a proxy in front of an echo server, and the list of chunks the server received."""
+    received: list[bytes] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(1024):
-            taken.append(data)
+            received.append(data)
             writer.write(data)
         writer.close()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     async with proxied(server.sockets[0].getsockname()[1]) as proxy:
-        yield proxy, taken
+        yield proxy, received
     server.close()
 
 
-async def dial(proxy: TcpProxy) -> Stream:
+async def connect(proxy: TcpProxy) -> Stream:
     return await asyncio.open_connection("127.0.0.1", proxy.port)
 
 
-async def ask(stream: Stream, data: bytes) -> bytes:
+async def exchange(stream: Stream, data: bytes) -> bytes:
     stream[1].write(data)
     async with asyncio.timeout(FAR_TOO_LONG):
         return await stream[0].readexactly(len(data))
@@ -41,49 +41,49 @@
 
 async def test_bytes_pass() -> None:
     async with echo() as (proxy, _):
-        assert await ask(await dial(proxy), b"hello") == b"hello"
+        assert await exchange(await connect(proxy), b"hello") == b"hello"
 
 
-async def test_silenced_connections_swallow_while_new_ones_work() -> None:
-    async with echo() as (proxy, taken):
-        old = await dial(proxy)
-        assert await ask(old, b"one") == b"one"
-        (struck,) = proxy.silence()
+async def test_silenced_connections_drop_data_while_new_ones_work() -> None:
+    async with echo() as (proxy, received):
+        old = await connect(proxy)
+        assert await exchange(old, b"one") == b"one"
+        (silenced,) = proxy.silence()
         old[1].write(b"two")
-        assert await ask(await dial(proxy), b"three") == b"three"
-        assert taken == [b"one", b"three"]
-        assert struck.silent
-        assert struck.open
+        assert await exchange(await connect(proxy), b"three") == b"three"
+        assert received == [b"one", b"three"]
+        assert silenced.silent
+        assert silenced.open
 
 
 @pytest.mark.parametrize(
     ("direction", "arrives"), [(Direction.TO_TARGET, False), (Direction.TO_CALLER, True)]
 )
-async def test_one_way(direction: Direction, arrives: bool) -> None:
-    async with echo() as (proxy, taken):
-        old = await dial(proxy)
-        assert await ask(old, b"one") == b"one"
+async def test_cut_of_one_direction(direction: Direction, arrives: bool) -> None:
+    async with echo() as (proxy, received):
+        old = await connect(proxy)
+        assert await exchange(old, b"one") == b"one"
         proxy.cut(direction)
         old[1].write(b"two")
-        assert await ask(await dial(proxy), b"three") == b"three"
+        assert await exchange(await connect(proxy), b"three") == b"three"
         if arrives:
-            await until(lambda: b"two" in taken)
-        assert (b"two" in taken) is arrives
+            await until(lambda: b"two" in received)
+        assert (b"two" in received) is arrives
 
 
 async def test_reset_ends_open_connections() -> None:
     async with echo() as (proxy, _):
-        old = await dial(proxy)
-        assert await ask(old, b"one") == b"one"
+        old = await connect(proxy)
+        assert await exchange(old, b"one") == b"one"
         proxy.reset()
         async with asyncio.timeout(FAR_TOO_LONG):
             assert await old[0].read() == b""
-        assert await ask(await dial(proxy), b"two") == b"two"
+        assert await exchange(await connect(proxy), b"two") == b"two"
 
 
-async def test_a_delay_keeps_the_order() -> None:
+async def test_delay_preserves_the_order() -> None:
     async with echo() as (proxy, _):
         proxy.delay = 0.01
-        stream = await dial(proxy)
+        stream = await connect(proxy)
         stream[1].write(b"a")
-        assert await ask(stream, b"bc") == b"ab"
+        assert await exchange(stream, b"bc") == b"ab"
