--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -1,45 +1,31 @@
 """The store's eras, as reported correctly or wrongly by its answers and by other nodes."""
 
 from __future__ import annotations
-
 import asyncio
 import logging
-from collections.abc import AsyncIterator
-from contextlib import asynccontextmanager
-from typing import Any
-
 import pytest
-
-from bramblebeam.core.feed.messages import (
-    UNKNOWN_ERA,
-    UNKNOWN_REVISION,
-    FollowReply,
-    FollowRequest,
-    ListName,
-)
-from bramblebeam.core.gateway.directory import DatabaseEntry
-from bramblebeam.core.gateway.registry import Registry
-from bramblebeam.core.identity import Address, GroupId, InstanceId, NodeId, ZoneId
-from bramblebeam.core.revision import ERA_EXPIRY_SECONDS, HIGHEST_ERA, NO_REVISION, Revision
-from bramblebeam.core.role import Role
-from bramblebeam.events.catalogue import ITEMS_IGNORED, STORE_ERA_BEGAN, STORE_ERA_UNUSABLE, Event
-from bramblebeam.platform.eras import EraFormatError, StoreEras, era_of
-from bramblebeam.platform.http import HttpAnswer
-from bramblebeam.platform.sources import database_source
-from bramblebeam.platform.store import HistoryGoneError, StoreClient, StoreUnavailableError
-from bramblebeam.platform.store_calls import StoreCalls
-from bramblebeam.services.feed.followed import FollowedList
-from bramblebeam.services.feed.peers import PeerSource, ReplyItems, follow_reply
-from bramblebeam.services.feed.ports import (
-    Batch,
-    HistoryLostError,
-    SourceUnavailableError,
-    Versioned,
-)
-from bramblebeam.wire.codec import Codec
-from bramblebeam.wire.gateway_registry import GATEWAY_NODE_MESSAGES
-from platform_standins.store import PlatformStandIn
-from revisions import at
+from bramblebeam.core.feed.messages import (FollowReply, FollowRequest, ListName, UNKNOWN_ERA, UNKNOWN_REVISION)
+from bramblebeam.core.gateway.directory import (DatabaseEntry)
+from bramblebeam.core.gateway.registry import (Registry)
+from bramblebeam.core.identity import (Address, GroupId, InstanceId, NodeId, ZoneId)
+from bramblebeam.core.revision import (ERA_EXPIRY_SECONDS, HIGHEST_ERA, NO_REVISION, Revision)
+from bramblebeam.core.role import (Role)
+from bramblebeam.events.catalogue import (Event, ITEMS_IGNORED, STORE_ERA_BEGAN, STORE_ERA_UNUSABLE)
+from bramblebeam.platform.eras import (EraFormatError, StoreEras, parse_era)
+from bramblebeam.platform.http import (HttpAnswer)
+from bramblebeam.platform.sources import (database_source)
+from bramblebeam.platform.store import (HistoryGoneError, StoreClient, StoreUnavailableError)
+from bramblebeam.platform.store_calls import (StoreCallCounter)
+from bramblebeam.services.feed.followed import (FollowedList)
+from bramblebeam.services.feed.peers import (PeerSource, ReplyItems, follow_reply)
+from bramblebeam.services.feed.ports import (Batch, HistoryLostError, SourceUnavailableError, Versioned)
+from bramblebeam.wire.codec import (Codec)
+from bramblebeam.wire.gateway_registry import (GATEWAY_NODE_MESSAGES)
+from collections.abc import (AsyncIterator)
+from contextlib import (asynccontextmanager)
+from platform_standins.store import (PlatformStandIn)
+from revisions import (at)
+from typing import (Any)
 
 KIND = "servers"
 ENTRY = DatabaseEntry(
@@ -51,7 +37,7 @@
 async def store() -> AsyncIterator[tuple[PlatformStandIn, StoreClient]]:
     platform = PlatformStandIn()
     await platform.start()
-    client = StoreClient(Address("127.0.0.1", platform.port), StoreCalls(), StoreEras())
+    client = StoreClient(Address("127.0.0.1", platform.port), StoreCallCounter(), StoreEras())
     try:
         yield platform, client
     finally:
@@ -88,7 +74,7 @@
 @pytest.mark.parametrize(("header", "era"), [(None, 0), ("0", 0), ("3", 3), ("0012", 12)])
 def test_an_answer_reports_its_era(header: str | None, era: int) -> None:
     headers = () if header is None else (("store-era", header),)
-    assert era_of(HttpAnswer(200, b"", headers)) == era
+    assert parse_era(HttpAnswer(200, b"", headers)) == era
 
 
 BAD_ERAS = ["", "-1", "+1", "1.0", "one", "1e3", " ", "٣", str(HIGHEST_ERA + 1), "9" * 5_000]
@@ -97,7 +83,7 @@
 @pytest.mark.parametrize("header", BAD_ERAS)
 def test_an_invalid_era_is_refused(header: str) -> None:
     with pytest.raises(EraFormatError):
-        era_of(HttpAnswer(200, b"", (("store-era", header),)))
+        parse_era(HttpAnswer(200, b"", (("store-era", header),)))
 
 
 @pytest.mark.parametrize("header", ["-1", "one", str(HIGHEST_ERA + 1), "9" * 500, "1"])
@@ -259,12 +245,12 @@
 def test_a_store_whose_answers_all_report_a_lower_era_is_accepted_again() -> None:
     now = 0.0
     eras = StoreEras(lambda: now)
-    eras.take(HttpAnswer(200, b"", (("store-era", "700"),)), "list")
+    eras.observe(HttpAnswer(200, b"", (("store-era", "700"),)), "list")
     now = ERA_EXPIRY_SECONDS - 1
     with pytest.raises(EraFormatError):
-        eras.take(HttpAnswer(200, b"", (("store-era", "1"),)), "list")
+        eras.observe(HttpAnswer(200, b"", (("store-era", "1"),)), "list")
     now = ERA_EXPIRY_SECONDS
-    eras.take(HttpAnswer(200, b"", (("store-era", "1"),)), "list")
+    eras.observe(HttpAnswer(200, b"", (("store-era", "1"),)), "list")
     assert eras.newest == 1
 
 
--- a/tests/test_in_force_command.py
+++ b/tests/test_in_force_command.py
@@ -1,15 +1,13 @@
 """The command that shows operators the configuration in force at nodes."""
 
 import math
-
 import pytest
+from bramblebeam.cli.in_force import (BEHIND, InForceState, parse_in_force, table_lines)
+from bramblebeam.platform.node import (METRICS_PATH, _handle_metrics)
+from node_answers import (ABSENT, run_at_nodes)
+from platform_standins.world import (running_world, until)
 
-from bramblebeam.cli.in_force import BEHIND, InForce, lines_of, read_in_force
-from bramblebeam.platform.node import METRICS_PATH, _figures
-from node_answers import ABSENT, run_at_nodes
-from platform_standins.world import running_world, until
-
-WELL = InForce("a", 27, (1, 12), 0.4, (1, 15), 0.2)
+WELL = InForceState("a", 27, (1, 12), 0.4, (1, 15), 0.2)
 
 
 @pytest.mark.parametrize(
@@ -22,8 +20,10 @@
         pytest.param(WELL._replace(node="b", version=30), ["a"], id="a newer version"),
     ],
 )
-def test_nodes_that_are_behind_are_marked_and_come_first(other: InForce, behind: list[str]) -> None:
-    lines = lines_of([WELL, other])[1:]
+def test_nodes_that_are_behind_are_marked_and_come_first(
+    other: InForceState, behind: list[str]
+) -> None:
+    lines = table_lines([WELL, other])[1:]
     assert [line.split()[0] for line in lines if line.endswith(BEHIND)] == behind
     assert [line.split()[0] for line in lines][: len(behind)] == behind
 
@@ -35,8 +35,8 @@
         await until(lambda: gateway.context.table.version == 27)
         # Until then the routes are those of a cached list, whose age is unknown.
         await until(lambda: gateway.context.metrics.store_state().lists[0].age < math.inf)
-        body = (await _figures(gateway, METRICS_PATH)).body
-        found = read_in_force("a", body.decode())
+        body = (await _handle_metrics(gateway, METRICS_PATH)).body
+        found = parse_in_force("a", body.decode())
         assert found.version == 27
         assert found.routes[0] == 0
         assert found.routes_age < 60.0
