--- a/src/bramblebeam/pages/html.py
+++ b/src/bramblebeam/pages/html.py
@@ -19,7 +19,7 @@
     """One cell of a table."""
 
     text: str
-    is_figure: bool = False
+    is_numeric: bool = False
     is_bad: bool = False
 
 
