--- a/src/bramblebeam/report/counting/run.py
+++ b/src/bramblebeam/report/counting/run.py
@@ -27,7 +27,7 @@
 from bramblebeam.report.counting.tenants import TenantCounts
 from bramblebeam.report.model import PassedOverLines
 from bramblebeam.report.reading.files import UnreadableError, read_lines
-from bramblebeam.report.reading.lines import PassedOver, Record, parse_record
+from bramblebeam.report.reading.lines import Record, SkipReason, parse_record
 from bramblebeam.report.reading.metrics_text import OWN_PREFIX
 from bramblebeam.report.reading.prefix import name_in
 
@@ -135,7 +135,7 @@
         self.files += 1
         self.lines += log.lines
         if any(log.passed_over.values()):
-            counts = (log.passed_over[why] for why in PassedOver)
+            counts = (log.passed_over[why] for why in SkipReason)
             self.passed_over.append(PassedOverLines(str(path), *counts))
 
     def new_stream(self, name: str) -> Stream:
@@ -157,7 +157,7 @@
     def __init__(self, name: str, counts: RunCounts) -> None:
         self.lines = 0
         self.has_metrics = False
-        self.passed_over = dict.fromkeys(PassedOver, 0)
+        self.passed_over = dict.fromkeys(SkipReason, 0)
         self._name = name
         self._counts = counts
         self._by_prefix: dict[str, Stream] = {}
@@ -165,7 +165,7 @@
 
     def take(self, line: str) -> None:
         record = parse_record(line)
-        if isinstance(record, PassedOver):
+        if isinstance(record, SkipReason):
             self.passed_over[record] += 1
             self.has_metrics = self.has_metrics or line.startswith(OWN_PREFIX)
             return
--- a/src/bramblebeam/report/reading/lines.py
+++ b/src/bramblebeam/report/reading/lines.py
@@ -13,7 +13,7 @@
 _OWN_BEGIN = '{"time"'
 
 
-class PassedOver(Enum):
+class SkipReason(Enum):
     """Why a line is not counted."""
 
     CUT = "cut"
@@ -51,7 +51,7 @@
         return value if -LARGEST_NUMBER < value < LARGEST_NUMBER else None
 
 
-def parse_record(line: str) -> Record | PassedOver:
+def parse_record(line: str) -> Record | SkipReason:
     """Return what a line holds. Words before the JSON object are its prefix.
 
     Words after it are another line that ran into this one: both count as one that was cut.
@@ -61,13 +61,13 @@
     if not looks_own:
         begin = line.find("{")
     if begin < 0:
-        return PassedOver.NO_JSON
+        return SkipReason.NO_JSON
     try:
         # Takes less than half of the standard library's time, which was a third of all.
         content = from_json(line[begin:])
     except ValueError:
-        return PassedOver.CUT if looks_own else PassedOver.NO_JSON
-    return _record(content, line[:begin]) or PassedOver.FOREIGN
+        return SkipReason.CUT if looks_own else SkipReason.NO_JSON
+    return _record(content, line[:begin]) or SkipReason.FOREIGN
 
 
 def _record(content: Any, prefix: str) -> Record | None:
--- a/tests/test_report_reading.py
+++ b/tests/test_report_reading.py
@@ -7,7 +7,7 @@
 
 from bramblebeam.report.reading import files
 from bramblebeam.report.reading.files import UnreadableError, read_lines
-from bramblebeam.report.reading.lines import PassedOver, Record, parse_record
+from bramblebeam.report.reading.lines import Record, SkipReason, parse_record
 from bramblebeam.report.reading.metrics_text import Series, read_metrics
 from bramblebeam.report.reading.prefix import name_in
 from run_logs import proven
@@ -45,29 +45,29 @@
 @pytest.mark.parametrize(
     ("line", "why"),
     [
-        (OWN[:-1], PassedOver.CUT),
-        (OWN[:60] + "...", PassedOver.CUT),
-        (f"edge-1 {OWN[:30]}", PassedOver.CUT),
-        (OWN + OWN, PassedOver.CUT),
-        ('{"time": "2031-05-06T07:08:09+00:00", "text": "\\ud800"}', PassedOver.CUT),
-        ("", PassedOver.NO_JSON),
-        ("Traceback (most recent call last):", PassedOver.NO_JSON),
-        ("{", PassedOver.NO_JSON),
-        ("{" * 5_000, PassedOver.NO_JSON),
-        ('bramblebeam_reads_total{role="replica"} 2.0', PassedOver.NO_JSON),
-        ("{}", PassedOver.FOREIGN),
-        ('{"ts": 3, "msg": "started"}', PassedOver.FOREIGN),
-        (plain(logger="uvicorn.access"), PassedOver.FOREIGN),
-        (plain(time="2031-05-06T07:08:09"), PassedOver.FOREIGN),
-        (plain(time="soon"), PassedOver.FOREIGN),
-        (plain(time=4), PassedOver.FOREIGN),
-        (plain(event="click", fields={}), PassedOver.FOREIGN),
-        (plain(event=1320, fields=[]), PassedOver.FOREIGN),
-        (plain(event=True, fields={}), PassedOver.FOREIGN),
-        (plain(logger=7), PassedOver.FOREIGN),
+        (OWN[:-1], SkipReason.CUT),
+        (OWN[:60] + "...", SkipReason.CUT),
+        (f"edge-1 {OWN[:30]}", SkipReason.CUT),
+        (OWN + OWN, SkipReason.CUT),
+        ('{"time": "2031-05-06T07:08:09+00:00", "text": "\\ud800"}', SkipReason.CUT),
+        ("", SkipReason.NO_JSON),
+        ("Traceback (most recent call last):", SkipReason.NO_JSON),
+        ("{", SkipReason.NO_JSON),
+        ("{" * 5_000, SkipReason.NO_JSON),
+        ('bramblebeam_reads_total{role="replica"} 2.0', SkipReason.NO_JSON),
+        ("{}", SkipReason.FOREIGN),
+        ('{"ts": 3, "msg": "started"}', SkipReason.FOREIGN),
+        (plain(logger="uvicorn.access"), SkipReason.FOREIGN),
+        (plain(time="2031-05-06T07:08:09"), SkipReason.FOREIGN),
+        (plain(time="soon"), SkipReason.FOREIGN),
+        (plain(time=4), SkipReason.FOREIGN),
+        (plain(event="click", fields={}), SkipReason.FOREIGN),
+        (plain(event=1320, fields=[]), SkipReason.FOREIGN),
+        (plain(event=True, fields={}), SkipReason.FOREIGN),
+        (plain(logger=7), SkipReason.FOREIGN),
     ],
 )
-def test_a_line_that_is_passed_over(line: str, why: PassedOver) -> None:
+def test_a_line_that_is_passed_over(line: str, why: SkipReason) -> None:
     assert parse_record(line) is why
 
 
