--- a/src/bramblebeam/report/counting/run.py
+++ b/src/bramblebeam/report/counting/run.py
@@ -29,7 +29,7 @@
 from bramblebeam.report.reading.files import UnreadableError, read_lines
 from bramblebeam.report.reading.lines import Record, SkipReason, parse_record
 from bramblebeam.report.reading.metrics_text import OWN_PREFIX
-from bramblebeam.report.reading.prefix import name_in
+from bramblebeam.report.reading.prefix import node_name_in_prefix
 
 MAXIMUM_STREAMS = 20_000
 """Nodes told apart by the prefixes of lines; a prefix that changes with each line is none."""
@@ -176,7 +176,7 @@
 
     def _stream(self, prefix: str) -> Stream:
         """Return the stream of a new prefix. Most prefixes hold a time, and differ by it."""
-        name = name_in(prefix)
+        name = node_name_in_prefix(prefix)
         found = self._by_name.get(name) or self._new_stream(name)
         if len(self._by_prefix) >= MAXIMUM_PREFIXES:
             self._by_prefix.clear()
--- a/src/bramblebeam/report/reading/prefix.py
+++ b/src/bramblebeam/report/reading/prefix.py
@@ -6,7 +6,7 @@
 _AROUND = "[](){}<>|:,;=\"'"
 
 
-def name_in(prefix: str) -> str:
+def node_name_in_prefix(prefix: str) -> str:
     """Return the words of a prefix that are no time and no sign; they may be empty."""
     words = (word.strip(_AROUND) for word in prefix.split())
     return " ".join(word for word in words if word and not _TIME.fullmatch(word))
--- a/tests/test_report_reading.py
+++ b/tests/test_report_reading.py
@@ -9,7 +9,7 @@
 from bramblebeam.report.reading.files import UnreadableError, read_lines
 from bramblebeam.report.reading.lines import Record, SkipReason, parse_record
 from bramblebeam.report.reading.metrics_text import Series, read_metrics
-from bramblebeam.report.reading.prefix import name_in
+from bramblebeam.report.reading.prefix import node_name_in_prefix
 from run_logs import proven
 
 OWN = proven(1.0, 2, "db-b")
@@ -103,7 +103,7 @@
     ],
 )
 def test_the_name_in_a_prefix(prefix: str, name: str) -> None:
-    assert name_in(prefix) == name
+    assert node_name_in_prefix(prefix) == name
 
 
 @pytest.mark.parametrize(
