--- a/src/bramblebeam/report/reading/files.py
+++ b/src/bramblebeam/report/reading/files.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-LONGEST_LINE = 1 << 16
+MAX_LINE_LENGTH = 1 << 16
 """Characters; what is longer is no line of ours, and is handed out as its beginning alone."""
 
 
@@ -16,9 +16,9 @@
     try:
         with path.open(encoding="utf-8", errors="replace", newline="\n") as file:
             is_rest = False
-            while line := file.readline(LONGEST_LINE):
+            while line := file.readline(MAX_LINE_LENGTH):
                 if not is_rest:
                     yield line
-                is_rest = len(line) == LONGEST_LINE and not line.endswith("\n")
+                is_rest = len(line) == MAX_LINE_LENGTH and not line.endswith("\n")
     except OSError as error:
         raise UnreadableError(f"{path}: {error.strerror}") from error
