--- a/src/bramblebeam/report/counting/bounded.py
+++ b/src/bramblebeam/report/counting/bounded.py
@@ -54,7 +54,7 @@
         self.longest_ms = max(self.longest_ms, other.longest_ms)
         self._bins.update(other._bins)
 
-    def at_most_ms(self, share: float) -> float:
+    def quantile_bound_ms(self, share: float) -> float:
         """Return a bound that `share` of the durations keep; 0 where there is none."""
         needed = share * self.count
         for number in sorted(self._bins):
--- a/tests/test_report_counting.py
+++ b/tests/test_report_counting.py
@@ -464,9 +464,9 @@
     durations = Durations()
     for milliseconds in range(1, 1_001):
         durations.add(milliseconds)
-    assert 500 <= durations.at_most_ms(0.5) <= 500 * 1.091
-    assert durations.at_most_ms(1.0) == 1_000
-    assert Durations().at_most_ms(0.5) == 0
+    assert 500 <= durations.quantile_bound_ms(0.5) <= 500 * 1.091
+    assert durations.quantile_bound_ms(1.0) == 1_000
+    assert Durations().quantile_bound_ms(0.5) == 0
 
 
 ODD = (
