--- a/src/bramblebeam/report/counting/bounded.py
+++ b/src/bramblebeam/report/counting/bounded.py
@@ -30,7 +30,7 @@
         return self.values.setdefault(key, self._make())
 
 
-class Durations:
+class DurationHistogram:
     """How long things took (milliseconds), in bins of which each is 9% longer than the last."""
 
     def __init__(self) -> None:
--- a/src/bramblebeam/report/counting/build.py
+++ b/src/bramblebeam/report/counting/build.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from bramblebeam.events.catalogue import CATALOGUE
-from bramblebeam.report.counting.bounded import Durations, TimeLine
+from bramblebeam.report.counting.bounded import DurationHistogram, TimeLine
 from bramblebeam.report.counting.leaders import Term, TermCount
 from bramblebeam.report.counting.lives import Life
 from bramblebeam.report.counting.metrics import add_metrics
@@ -112,11 +112,11 @@
     # Statements.
 
     def _refused(self) -> Iterator[Refused]:
-        joined: dict[tuple[RefusedKind, str], Durations] = {}
+        joined: dict[tuple[RefusedKind, str], DurationHistogram] = {}
         for stream, node in zip(self._counts.streams, self._nodes, strict=True):
             zone = self._counts.zone(node)
             for kind, waited in stream.statements.refused.values.items():
-                joined.setdefault((kind, zone), Durations()).join(waited)
+                joined.setdefault((kind, zone), DurationHistogram()).join(waited)
         most_first = sorted(joined.items(), key=lambda item: (-item[1].count, item[0]))
         for (kind, zone), waited in most_first:
             yield Refused(
--- a/src/bramblebeam/report/counting/leaders.py
+++ b/src/bramblebeam/report/counting/leaders.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from bramblebeam.report.counting.bounded import BoundedTable, Durations
+from bramblebeam.report.counting.bounded import BoundedTable, DurationHistogram
 from bramblebeam.report.reading.lines import Record
 
 MAXIMUM_TERMS = 5_000
@@ -30,8 +30,8 @@
         self.follows_another = False
         self.silent_from: float | None = None
         self.longest_gap_ms: float | None = None
-        self.reasons: BoundedTable[str, Durations] = BoundedTable(
-            Durations, OTHERS, MAXIMUM_REASONS
+        self.reasons: BoundedTable[str, DurationHistogram] = BoundedTable(
+            DurationHistogram, OTHERS, MAXIMUM_REASONS
         )
 
     def found(self, record: Record) -> None:
@@ -69,7 +69,7 @@
     """Ordered changes of one kind."""
 
     def __init__(self) -> None:
-        self.took = Durations()
+        self.took = DurationHistogram()
         self.longest_trouble_ms = 0.0
 
 
@@ -87,14 +87,14 @@
         self.terms: BoundedTable[Term, TermCount] = BoundedTable(
             TermCount, Term(OTHERS, 0), MAXIMUM_TERMS
         )
-        self.interruptions: BoundedTable[str, Durations] = BoundedTable(
-            Durations, OTHERS, MAXIMUM_KINDS
+        self.interruptions: BoundedTable[str, DurationHistogram] = BoundedTable(
+            DurationHistogram, OTHERS, MAXIMUM_KINDS
         )
         self.orders: BoundedTable[OrderKind, OrderCount] = BoundedTable(
             OrderCount, OrderKind(OTHERS, OTHERS, OTHERS), MAXIMUM_KINDS
         )
-        self.cut_offs: BoundedTable[CutOffKind, Durations] = BoundedTable(
-            Durations, CutOffKind(OTHERS, OTHERS), MAXIMUM_KINDS
+        self.cut_offs: BoundedTable[CutOffKind, DurationHistogram] = BoundedTable(
+            DurationHistogram, CutOffKind(OTHERS, OTHERS), MAXIMUM_KINDS
         )
 
 
--- a/src/bramblebeam/report/counting/statements.py
+++ b/src/bramblebeam/report/counting/statements.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from bramblebeam.report.counting.bounded import BoundedTable, Durations, TimeLine
+from bramblebeam.report.counting.bounded import BoundedTable, DurationHistogram, TimeLine
 from bramblebeam.report.reading.lines import Record
 
 MAXIMUM_KINDS = 300
@@ -64,8 +64,8 @@
     """The statements of one log."""
 
     def __init__(self, times: StatementTimes) -> None:
-        self.refused: BoundedTable[RefusedKind, Durations] = BoundedTable(
-            Durations, RefusedKind(OTHERS, OTHERS, OTHERS, OTHERS), MAXIMUM_KINDS
+        self.refused: BoundedTable[RefusedKind, DurationHistogram] = BoundedTable(
+            DurationHistogram, RefusedKind(OTHERS, OTHERS, OTHERS, OTHERS), MAXIMUM_KINDS
         )
         self.attempts: BoundedTable[AttemptKind, Total] = BoundedTable(
             Total, AttemptKind(OTHERS, OTHERS, OTHERS), MAXIMUM_KINDS
--- a/tests/test_report_counting.py
+++ b/tests/test_report_counting.py
@@ -20,7 +20,7 @@
     REQUEST_FORWARD_FAILED,
     SERVICE_FAILED,
 )
-from bramblebeam.report.counting.bounded import BoundedTable, Durations, TimeLine
+from bramblebeam.report.counting.bounded import BoundedTable, DurationHistogram, TimeLine
 from bramblebeam.report.counting.build import report_on
 from bramblebeam.report.counting.statements import StatementTimes, Total
 from bramblebeam.report.model import NodeStart, RunReport, plain
@@ -461,12 +461,12 @@
 
 
 def test_shares_of_durations_are_bounds() -> None:
-    durations = Durations()
+    durations = DurationHistogram()
     for milliseconds in range(1, 1_001):
         durations.add(milliseconds)
     assert 500 <= durations.quantile_bound_ms(0.5) <= 500 * 1.091
     assert durations.quantile_bound_ms(1.0) == 1_000
-    assert Durations().quantile_bound_ms(0.5) == 0
+    assert DurationHistogram().quantile_bound_ms(0.5) == 0
 
 
 ODD = (
