--- a/src/bramblebeam/report/counting/bounded.py
+++ b/src/bramblebeam/report/counting/bounded.py
@@ -100,7 +100,7 @@
         while self.width < width:
             self._double()
 
-    def moments(self) -> list[Moment]:
+    def bins(self) -> list[Moment]:
         """Return the bins in order."""
         found = [
             Moment(number * self.width, key, count)
--- a/tests/test_report_counting.py
+++ b/tests/test_report_counting.py
@@ -428,7 +428,7 @@
     times = TimeLine()
     for second in range(seconds):
         times.add(second + 0.5, "reason")
-    moments = times.moments()
+    moments = times.bins()
     assert sum(moment.times for moment in moments) == seconds
     assert len(moments) <= TimeLine.MAXIMUM_BINS
     assert [moment.begin for moment in moments] == list(range(0, seconds, times.width))
@@ -441,16 +441,16 @@
     times.attempts.add(3.0, "reason")
     times.attempts.add(2.0, "reason")
     assert times.even_out() == times.attempts.width == times.refused_actions.width == 2
-    assert times.attempts.moments() == [(2, "reason", 2)]
+    assert times.attempts.bins() == [(2, "reason", 2)]
 
 
 def test_reasons_past_the_bound_are_counted_together() -> None:
     times = TimeLine()
     for number in range(100):
         times.add(1.0, f"reason-{number:03}")
-    keys = [moment.key for moment in times.moments()]
+    keys = [moment.key for moment in times.bins()]
     assert len(keys) <= TimeLine.MAXIMUM_KEYS + 1
-    assert sum(moment.times for moment in times.moments()) == 100
+    assert sum(moment.times for moment in times.bins()) == 100
 
 
 def test_a_prefix_that_changes_with_every_line_makes_few_streams(tmp_path: Path) -> None:
