--- a/src/bramblebeam/report/counting/bounded.py
+++ b/src/bramblebeam/report/counting/bounded.py
@@ -73,7 +73,7 @@
     times: int
 
 
-class TimeLine:
+class TimeSeries:
     """Counts by second and key; seconds are joined to longer bins in a run that is long."""
 
     MAXIMUM_BINS = 1_200
--- a/src/bramblebeam/report/counting/build.py
+++ b/src/bramblebeam/report/counting/build.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from bramblebeam.events.catalogue import CATALOGUE
-from bramblebeam.report.counting.bounded import DurationHistogram, TimeLine
+from bramblebeam.report.counting.bounded import DurationHistogram, TimeSeries
 from bramblebeam.report.counting.leaders import Term, TermCount
 from bramblebeam.report.counting.lives import Life
 from bramblebeam.report.counting.metrics import add_metrics
@@ -161,7 +161,7 @@
                 joined[zone, kind.group, kind.sent] += total.count
         return (ForwardFailures(*key, count) for key, count in joined.most_common())
 
-    def _seconds(self, line: TimeLine) -> Iterator[SecondCount]:
+    def _seconds(self, line: TimeSeries) -> Iterator[SecondCount]:
         """Yield the counts of a time line; the first bin may begin before the run."""
         for begin, key, count in line.moments():
             yield SecondCount(self._since_begin(begin), key, count)
--- a/src/bramblebeam/report/counting/statements.py
+++ b/src/bramblebeam/report/counting/statements.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from bramblebeam.report.counting.bounded import BoundedTable, DurationHistogram, TimeLine
+from bramblebeam.report.counting.bounded import BoundedTable, DurationHistogram, TimeSeries
 from bramblebeam.report.reading.lines import Record
 
 MAXIMUM_KINDS = 300
@@ -47,9 +47,9 @@
     """What happened when, over all nodes: refusals by reason and action, attempts by reason."""
 
     def __init__(self) -> None:
-        self.refused = TimeLine()
-        self.refused_actions = TimeLine()
-        self.attempts = TimeLine()
+        self.refused = TimeSeries()
+        self.refused_actions = TimeSeries()
+        self.attempts = TimeSeries()
 
     def even_out(self) -> int:
         """Give all the same bins; return their width (seconds)."""
--- a/tests/test_report_counting.py
+++ b/tests/test_report_counting.py
@@ -20,7 +20,7 @@
     REQUEST_FORWARD_FAILED,
     SERVICE_FAILED,
 )
-from bramblebeam.report.counting.bounded import BoundedTable, DurationHistogram, TimeLine
+from bramblebeam.report.counting.bounded import BoundedTable, DurationHistogram, TimeSeries
 from bramblebeam.report.counting.build import report_on
 from bramblebeam.report.counting.statements import StatementTimes, Total
 from bramblebeam.report.model import NodeStart, RunReport, plain
@@ -425,12 +425,12 @@
 
 @pytest.mark.parametrize("seconds", [1, 1_200, 1_201, 5_000])
 def test_a_long_run_has_longer_bins(seconds: int) -> None:
-    times = TimeLine()
+    times = TimeSeries()
     for second in range(seconds):
         times.add(second + 0.5, "reason")
     moments = times.bins()
     assert sum(moment.times for moment in moments) == seconds
-    assert len(moments) <= TimeLine.MAXIMUM_BINS
+    assert len(moments) <= TimeSeries.MAXIMUM_BINS
     assert [moment.begin for moment in moments] == list(range(0, seconds, times.width))
 
 
@@ -445,11 +445,11 @@
 
 
 def test_reasons_past_the_bound_are_counted_together() -> None:
-    times = TimeLine()
+    times = TimeSeries()
     for number in range(100):
         times.add(1.0, f"reason-{number:03}")
     keys = [moment.key for moment in times.bins()]
-    assert len(keys) <= TimeLine.MAXIMUM_KEYS + 1
+    assert len(keys) <= TimeSeries.MAXIMUM_KEYS + 1
     assert sum(moment.times for moment in times.bins()) == 100
 
 
