--- a/src/bramblebeam/report/counting/statements.py
+++ b/src/bramblebeam/report/counting/statements.py
@@ -51,7 +51,7 @@
         self.refused_actions = TimeSeries()
         self.attempts = TimeSeries()
 
-    def even_out(self) -> int:
+    def align_bins(self) -> int:
         """Give all the same bins; return their width (seconds)."""
         lines = (self.refused, self.refused_actions, self.attempts)
         width = max(line.width for line in lines)
--- a/tests/test_report_counting.py
+++ b/tests/test_report_counting.py
@@ -440,7 +440,7 @@
         times.refused.add(second, "reason")
     times.attempts.add(3.0, "reason")
     times.attempts.add(2.0, "reason")
-    assert times.even_out() == times.attempts.width == times.refused_actions.width == 2
+    assert times.align_bins() == times.attempts.width == times.refused_actions.width == 2
     assert times.attempts.bins() == [(2, "reason", 2)]
 
 
