--- a/src/bramblebeam/report/counting/statements.py
+++ b/src/bramblebeam/report/counting/statements.py
@@ -36,7 +36,7 @@
     sent: bool
 
 
-class Total:
+class MutableCount:
     """A number that grows."""
 
     def __init__(self) -> None:
@@ -67,11 +67,11 @@
         self.refused: BoundedTable[RefusedKind, DurationHistogram] = BoundedTable(
             DurationHistogram, RefusedKind(OTHERS, OTHERS, OTHERS, OTHERS), MAXIMUM_KINDS
         )
-        self.attempts: BoundedTable[AttemptKind, Total] = BoundedTable(
-            Total, AttemptKind(OTHERS, OTHERS, OTHERS), MAXIMUM_KINDS
+        self.attempts: BoundedTable[AttemptKind, MutableCount] = BoundedTable(
+            MutableCount, AttemptKind(OTHERS, OTHERS, OTHERS), MAXIMUM_KINDS
         )
-        self.forwards: BoundedTable[ForwardKind, Total] = BoundedTable(
-            Total, ForwardKind(OTHERS, False), MAXIMUM_KINDS
+        self.forwards: BoundedTable[ForwardKind, MutableCount] = BoundedTable(
+            MutableCount, ForwardKind(OTHERS, False), MAXIMUM_KINDS
         )
         self.attempt_numbers: Counter[int] = Counter()
         self._times = times
--- a/tests/test_report_counting.py
+++ b/tests/test_report_counting.py
@@ -22,7 +22,7 @@
 )
 from bramblebeam.report.counting.bounded import BoundedTable, DurationHistogram, TimeSeries
 from bramblebeam.report.counting.build import report_on
-from bramblebeam.report.counting.statements import StatementTimes, Total
+from bramblebeam.report.counting.statements import MutableCount, StatementTimes
 from bramblebeam.report.model import NodeStart, RunReport, plain
 from bramblebeam.report.reading.files import UnreadableError
 from bramblebeam.report.rendering.page import page_of
@@ -413,7 +413,7 @@
 
 
 def test_keys_past_the_bound_are_counted_together() -> None:
-    table: BoundedTable[str, Total] = BoundedTable(Total, "others", 2)
+    table: BoundedTable[str, MutableCount] = BoundedTable(MutableCount, "others", 2)
     for key in "abcdab":
         table.at(key).count += 1
     assert {key: total.count for key, total in table.values.items()} == {
