--- a/src/bramblebeam/report/counting/run.py
+++ b/src/bramblebeam/report/counting/run.py
@@ -87,7 +87,7 @@
             FAILOVER_STARTED.number: (leaders.order_began,),
             FAILOVER_COMPLETED.number: (leaders.order_ended,),
             FORMER_LEADER_CUT_OFF.number: (leaders.cut_off,),
-            REQUEST_REFUSED.number: (statements.was_refused,),
+            REQUEST_REFUSED.number: (statements.handle_refused,),
             REQUEST_ATTEMPT_FAILED.number: (statements.attempt_failed,),
             REQUEST_FORWARD_FAILED.number: (statements.forward_failed,),
             TENANT_RATE_SAMPLE.number: (self._tenant_second,),
--- a/src/bramblebeam/report/counting/statements.py
+++ b/src/bramblebeam/report/counting/statements.py
@@ -76,7 +76,7 @@
         self.attempt_numbers: Counter[int] = Counter()
         self._times = times
 
-    def was_refused(self, record: Record) -> None:
+    def handle_refused(self, record: Record) -> None:
         """Take 1120."""
         action = record.word("action")
         reason = record.word("reason")
