--- a/src/bramblebeam/report/counting/statements.py
+++ b/src/bramblebeam/report/counting/statements.py
@@ -85,7 +85,7 @@
         self._times.refused.add(record.time, reason)
         self._times.refused_actions.add(record.time, action)
 
-    def attempt_failed(self, record: Record) -> None:
+    def handle_attempt_failed(self, record: Record) -> None:
         """Take 1121. The first attempt of each statement has number 1."""
         reason = record.word("reason")
         kind = AttemptKind(record.word("instance"), record.word("verdict"), reason)
