--- a/src/bramblebeam/report/counting/run.py
+++ b/src/bramblebeam/report/counting/run.py
@@ -89,7 +89,7 @@
             FORMER_LEADER_CUT_OFF.number: (leaders.cut_off,),
             REQUEST_REFUSED.number: (statements.handle_refused,),
             REQUEST_ATTEMPT_FAILED.number: (statements.handle_attempt_failed,),
-            REQUEST_FORWARD_FAILED.number: (statements.forward_failed,),
+            REQUEST_FORWARD_FAILED.number: (statements.handle_forward_failed,),
             TENANT_RATE_SAMPLE.number: (self._tenant_second,),
             LINES_LEFT_OUT.number: (self._counts.problems.lines_left_out,),
             MEMBER_JOINED.number: (self._counts.note_zone,),
--- a/src/bramblebeam/report/counting/statements.py
+++ b/src/bramblebeam/report/counting/statements.py
@@ -95,7 +95,7 @@
             self.attempt_numbers[int(number)] += 1
         self._times.attempts.add(record.time, reason)
 
-    def forward_failed(self, record: Record) -> None:
+    def handle_forward_failed(self, record: Record) -> None:
         """Take 1124."""
         kind = ForwardKind(record.word("group"), record.fields.get("sent") is True)
         self.forwards.at(kind).count += 1
