--- a/src/bramblebeam/report/counting/lives.py
+++ b/src/bramblebeam/report/counting/lives.py
@@ -14,7 +14,7 @@
         self.node = ""
         self.zone = ""
         self.started: float | None = None
-        self.accepting: float | None = None
+        self.accepting_at: float | None = None
         self.ready: float | None = None
         self.led: float | None = None
         self.stopped = False
@@ -35,7 +35,7 @@
         """Whether 1001 or 1101 is another process than the last one's; begins its life then."""
         life = self.life
         is_start = record.event == NODE_STARTED.number
-        told_before = life.started if is_start else life.accepting
+        told_before = life.started if is_start else life.accepting_at
         is_next = told_before is not None or life.stopped
         if is_next:
             self._begin()
@@ -54,7 +54,7 @@
 
     def accepting(self, record: Record) -> None:
         """Take 1101."""
-        self.life.accepting = record.time
+        self.life.accepting_at = record.time
 
     def readiness(self, record: Record) -> None:
         """Take 1123."""
