--- a/src/bramblebeam/report/counting/lives.py
+++ b/src/bramblebeam/report/counting/lives.py
@@ -16,7 +16,7 @@
         self.started: float | None = None
         self.accepting_at: float | None = None
         self.ready: float | None = None
-        self.led: float | None = None
+        self.leader_proven_at: float | None = None
         self.stopped = False
 
 
@@ -63,8 +63,8 @@
 
     def led(self, record: Record) -> None:
         """Take 1320."""
-        if self.life.led is None:
-            self.life.led = record.time
+        if self.life.leader_proven_at is None:
+            self.life.leader_proven_at = record.time
 
     def stopped(self, _record: Record) -> None:
         """Take 1003."""
