--- a/src/bramblebeam/report/counting/lives.py
+++ b/src/bramblebeam/report/counting/lives.py
@@ -31,7 +31,7 @@
         self.ended: list[Life] = []
         self.life = Life()
 
-    def starts_anew(self, record: Record) -> bool:
+    def begin_if_new(self, record: Record) -> bool:
         """Whether 1001 or 1101 is another process than the last one's; begins its life then."""
         life = self.life
         is_start = record.event == NODE_STARTED.number
--- a/src/bramblebeam/report/counting/run.py
+++ b/src/bramblebeam/report/counting/run.py
@@ -69,7 +69,7 @@
             take(record)
 
     def _look_for_a_start(self, record: Record) -> None:
-        if self.lives.starts_anew(record):
+        if self.lives.begin_if_new(record):
             self._leaders = NodeLeaders(self._counts.leaders)
             self._takers = self._make_takers()
 
