--- a/src/bramblebeam/report/counting/lives.py
+++ b/src/bramblebeam/report/counting/lives.py
@@ -52,7 +52,7 @@
         self.life.node = record.word("node")
         self.life.zone = record.word("zone")
 
-    def accepting(self, record: Record) -> None:
+    def handle_listening(self, record: Record) -> None:
         """Take 1101."""
         self.life.accepting_at = record.time
 
--- a/src/bramblebeam/report/counting/run.py
+++ b/src/bramblebeam/report/counting/run.py
@@ -80,7 +80,7 @@
         return {
             NODE_STARTED.number: (lives.started, self._counts.note_zone),
             NODE_STOPPED.number: (lives.stopped,),
-            EDGE_LISTENING.number: (lives.accepting,),
+            EDGE_LISTENING.number: (lives.handle_listening,),
             READINESS_CHANGED.number: (lives.readiness,),
             LEADER_PROVEN.number: (lives.led, leaders.found),
             LEADER_LOST.number: (leaders.missed,),
