--- a/src/bramblebeam/report/counting/lives.py
+++ b/src/bramblebeam/report/counting/lives.py
@@ -56,7 +56,7 @@
         """Take 1101."""
         self.life.accepting_at = record.time
 
-    def readiness(self, record: Record) -> None:
+    def handle_readiness_changed(self, record: Record) -> None:
         """Take 1123."""
         if self.life.ready is None and record.fields.get("ready") is True:
             self.life.ready = record.time
--- a/src/bramblebeam/report/counting/run.py
+++ b/src/bramblebeam/report/counting/run.py
@@ -81,7 +81,7 @@
             NODE_STARTED.number: (lives.started, self._counts.note_zone),
             NODE_STOPPED.number: (lives.stopped,),
             EDGE_LISTENING.number: (lives.handle_listening,),
-            READINESS_CHANGED.number: (lives.readiness,),
+            READINESS_CHANGED.number: (lives.handle_readiness_changed,),
             LEADER_PROVEN.number: (lives.led, leaders.found),
             LEADER_LOST.number: (leaders.missed,),
             FAILOVER_STARTED.number: (leaders.order_began,),
