--- a/src/bramblebeam/report/counting/lives.py
+++ b/src/bramblebeam/report/counting/lives.py
@@ -61,7 +61,7 @@
         if self.life.ready is None and record.fields.get("ready") is True:
             self.life.ready = record.time
 
-    def led(self, record: Record) -> None:
+    def handle_leader_proven(self, record: Record) -> None:
         """Take 1320."""
         if self.life.leader_proven_at is None:
             self.life.leader_proven_at = record.time
--- a/src/bramblebeam/report/counting/run.py
+++ b/src/bramblebeam/report/counting/run.py
@@ -82,7 +82,7 @@
             NODE_STOPPED.number: (lives.stopped,),
             EDGE_LISTENING.number: (lives.handle_listening,),
             READINESS_CHANGED.number: (lives.handle_readiness_changed,),
-            LEADER_PROVEN.number: (lives.led, leaders.found),
+            LEADER_PROVEN.number: (lives.handle_leader_proven, leaders.found),
             LEADER_LOST.number: (leaders.missed,),
             FAILOVER_STARTED.number: (leaders.order_began,),
             FAILOVER_COMPLETED.number: (leaders.order_ended,),
