--- a/src/bramblebeam/report/counting/build.py
+++ b/src/bramblebeam/report/counting/build.py
@@ -8,7 +8,7 @@
 from bramblebeam.events.catalogue import CATALOGUE
 from bramblebeam.report.counting.bounded import DurationHistogram, TimeSeries
 from bramblebeam.report.counting.leaders import Term, TermCount
-from bramblebeam.report.counting.lives import Life
+from bramblebeam.report.counting.lives import NodeIncarnation
 from bramblebeam.report.counting.metrics import add_metrics
 from bramblebeam.report.counting.run import RunCounts
 from bramblebeam.report.counting.statements import RefusedKind
@@ -254,12 +254,12 @@
             )
 
 
-def _started(life: Life) -> float:
+def _started(life: NodeIncarnation) -> float:
     assert life.started is not None
     return life.started
 
 
-def _after_start(life: Life, time: float | None) -> float | None:
+def _after_start(life: NodeIncarnation, time: float | None) -> float | None:
     return None if time is None else time - _started(life)
 
 
--- a/src/bramblebeam/report/counting/lives.py
+++ b/src/bramblebeam/report/counting/lives.py
@@ -7,7 +7,7 @@
 """Of one log; a node that starts more often is told with these."""
 
 
-class Life:
+class NodeIncarnation:
     """One process of a node. Times: seconds of the epoch, None: not told."""
 
     def __init__(self) -> None:
@@ -28,8 +28,8 @@
     """
 
     def __init__(self) -> None:
-        self.ended: list[Life] = []
-        self.life = Life()
+        self.ended: list[NodeIncarnation] = []
+        self.life = NodeIncarnation()
 
     def begin_if_new(self, record: Record) -> bool:
         """Whether 1001 or 1101 is another process than the last one's; begins its life then."""
@@ -44,7 +44,7 @@
     def _begin(self) -> None:
         if len(self.ended) < MAXIMUM_LIVES:
             self.ended.append(self.life)
-        self.life = Life()
+        self.life = NodeIncarnation()
 
     def started(self, record: Record) -> None:
         """Take 1001."""
@@ -70,6 +70,6 @@
         """Take 1003."""
         self.life.stopped = True
 
-    def all(self) -> list[Life]:
+    def all(self) -> list[NodeIncarnation]:
         """Return the lives that a line 1001 tells of."""
         return [life for life in (*self.ended, self.life) if life.started is not None]
