--- a/src/bramblebeam/report/counting/lives.py
+++ b/src/bramblebeam/report/counting/lives.py
@@ -20,7 +20,7 @@
         self.stopped = False
 
 
-class Lives:
+class NodeIncarnations:
     """Cuts a log into processes.
 
     Each writes one line 1001 and one line 1101, in either order: the second of either kind is the
--- a/src/bramblebeam/report/counting/run.py
+++ b/src/bramblebeam/report/counting/run.py
@@ -21,7 +21,7 @@
     TENANT_RATE_SAMPLE,
 )
 from bramblebeam.report.counting.leaders import LeaderCounts, NodeLeaders
-from bramblebeam.report.counting.lives import Lives
+from bramblebeam.report.counting.lives import NodeIncarnations
 from bramblebeam.report.counting.problems import ERROR_LEVELS, Problems
 from bramblebeam.report.counting.statements import NodeStatements, StatementTimes
 from bramblebeam.report.counting.tenants import TenantCounts
@@ -47,7 +47,7 @@
 
     def __init__(self, number: int, name: str, counts: "RunCounts") -> None:
         self.name = name
-        self.lives = Lives()
+        self.lives = NodeIncarnations()
         self.statements = NodeStatements(counts.times)
         self._number = number
         self._counts = counts
