--- a/src/bramblebeam/report/counting/run.py
+++ b/src/bramblebeam/report/counting/run.py
@@ -47,7 +47,7 @@
 
     def __init__(self, number: int, name: str, counts: "RunCounts") -> None:
         self.name = name
-        self.lives = NodeIncarnations()
+        self.incarnations = NodeIncarnations()
         self.statements = NodeStatements(counts.times)
         self._number = number
         self._counts = counts
@@ -57,7 +57,7 @@
     @property
     def node(self) -> str:
         """The node's name, as its own lines tell it or else the prefix or the file."""
-        return next((life.node for life in reversed(self.lives.all())), self.name)
+        return next((life.node for life in reversed(self.incarnations.all())), self.name)
 
     def take(self, record: Record) -> None:
         """Count one record."""
@@ -69,12 +69,12 @@
             take(record)
 
     def _look_for_a_start(self, record: Record) -> None:
-        if self.lives.begin_if_new(record):
+        if self.incarnations.begin_if_new(record):
             self._leaders = NodeLeaders(self._counts.leaders)
             self._takers = self._make_takers()
 
     def _make_takers(self) -> dict[int, tuple[Take, ...]]:
-        lives = self.lives
+        lives = self.incarnations
         statements = self.statements
         leaders = self._leaders
         return {
