--- a/src/bramblebeam/report/counting/run.py
+++ b/src/bramblebeam/report/counting/run.py
@@ -103,7 +103,7 @@
     """Everything that was counted, over all files."""
 
     def __init__(self) -> None:
-        self.begins = float("inf")
+        self.first_time = float("inf")
         self.ends = float("-inf")
         self.lines = 0
         self.files = 0
@@ -146,8 +146,8 @@
 
     def note_time(self, time: float) -> None:
         """Take the time of a line (seconds of the epoch)."""
-        if not self.begins <= time <= self.ends:
-            self.begins = min(self.begins, time)
+        if not self.first_time <= time <= self.ends:
+            self.first_time = min(self.first_time, time)
             self.ends = max(self.ends, time)
 
 
