--- a/src/bramblebeam/report/counting/run.py
+++ b/src/bramblebeam/report/counting/run.py
@@ -104,7 +104,7 @@
 
     def __init__(self) -> None:
         self.first_time = float("inf")
-        self.ends = float("-inf")
+        self.last_time = float("-inf")
         self.lines = 0
         self.files = 0
         self.streams: list[Stream] = []
@@ -146,9 +146,9 @@
 
     def note_time(self, time: float) -> None:
         """Take the time of a line (seconds of the epoch)."""
-        if not self.first_time <= time <= self.ends:
+        if not self.first_time <= time <= self.last_time:
             self.first_time = min(self.first_time, time)
-            self.ends = max(self.ends, time)
+            self.last_time = max(self.last_time, time)
 
 
 class _Log:
