--- a/src/bramblebeam/report/counting/leaders.py
+++ b/src/bramblebeam/report/counting/leaders.py
@@ -145,7 +145,7 @@
             count.follows_another = True
             count.former = former
 
-    def missed(self, record: Record) -> None:
+    def handle_leader_lost(self, record: Record) -> None:
         """Take 1321."""
         age_ms = record.number("proof_age_ms") or 0.0
         since = record.time - age_ms / 1000
--- a/src/bramblebeam/report/counting/run.py
+++ b/src/bramblebeam/report/counting/run.py
@@ -83,7 +83,7 @@
             EDGE_LISTENING.number: (lives.handle_listening,),
             READINESS_CHANGED.number: (lives.handle_readiness_changed,),
             LEADER_PROVEN.number: (lives.handle_leader_proven, leaders.found),
-            LEADER_LOST.number: (leaders.missed,),
+            LEADER_LOST.number: (leaders.handle_leader_lost,),
             FAILOVER_STARTED.number: (leaders.order_began,),
             FAILOVER_COMPLETED.number: (leaders.order_ended,),
             FORMER_LEADER_CUT_OFF.number: (leaders.cut_off,),
