--- a/src/bramblebeam/report/counting/leaders.py
+++ b/src/bramblebeam/report/counting/leaders.py
@@ -152,7 +152,7 @@
         view = self._views.at(record.word("group"))
         view.missing = Missing(record.word("instance"), since, record.word("reason"))
 
-    def order_began(self, record: Record) -> None:
+    def handle_failover_started(self, record: Record) -> None:
         """Take 1322."""
         view = self._views.at(record.word("group"))
         view.cause = record.word("cause")
--- a/src/bramblebeam/report/counting/run.py
+++ b/src/bramblebeam/report/counting/run.py
@@ -84,7 +84,7 @@
             READINESS_CHANGED.number: (lives.handle_readiness_changed,),
             LEADER_PROVEN.number: (lives.handle_leader_proven, leaders.found),
             LEADER_LOST.number: (leaders.handle_leader_lost,),
-            FAILOVER_STARTED.number: (leaders.order_began,),
+            FAILOVER_STARTED.number: (leaders.handle_failover_started,),
             FAILOVER_COMPLETED.number: (leaders.order_ended,),
             FORMER_LEADER_CUT_OFF.number: (leaders.cut_off,),
             REQUEST_REFUSED.number: (statements.handle_refused,),
