--- a/src/bramblebeam/report/counting/leaders.py
+++ b/src/bramblebeam/report/counting/leaders.py
@@ -158,7 +158,7 @@
         view.cause = record.word("cause")
         view.trouble_ms = record.number("trouble_ms") or 0.0
 
-    def order_ended(self, record: Record) -> None:
+    def handle_failover_completed(self, record: Record) -> None:
         """Take 1323."""
         group = record.word("group")
         view = self._views.at(group)
--- a/src/bramblebeam/report/counting/run.py
+++ b/src/bramblebeam/report/counting/run.py
@@ -85,7 +85,7 @@
             LEADER_PROVEN.number: (lives.handle_leader_proven, leaders.found),
             LEADER_LOST.number: (leaders.handle_leader_lost,),
             FAILOVER_STARTED.number: (leaders.handle_failover_started,),
-            FAILOVER_COMPLETED.number: (leaders.order_ended,),
+            FAILOVER_COMPLETED.number: (leaders.handle_failover_completed,),
             FORMER_LEADER_CUT_OFF.number: (leaders.cut_off,),
             REQUEST_REFUSED.number: (statements.handle_refused,),
             REQUEST_ATTEMPT_FAILED.number: (statements.handle_attempt_failed,),
