--- a/src/bramblebeam/report/counting/leaders.py
+++ b/src/bramblebeam/report/counting/leaders.py
@@ -166,7 +166,7 @@
         count.took.add(record.number("duration_ms") or 0.0)
         count.longest_trouble_ms = max(count.longest_trouble_ms, view.trouble_ms)
 
-    def cut_off(self, record: Record) -> None:
+    def handle_former_leader_cut_off(self, record: Record) -> None:
         """Take 1330."""
         kind = CutOffKind(record.word("group"), record.word("outcome"))
         self._counts.cut_offs.at(kind).add(record.number("duration_ms") or 0.0)
--- a/src/bramblebeam/report/counting/run.py
+++ b/src/bramblebeam/report/counting/run.py
@@ -86,7 +86,7 @@
             LEADER_LOST.number: (leaders.handle_leader_lost,),
             FAILOVER_STARTED.number: (leaders.handle_failover_started,),
             FAILOVER_COMPLETED.number: (leaders.handle_failover_completed,),
-            FORMER_LEADER_CUT_OFF.number: (leaders.cut_off,),
+            FORMER_LEADER_CUT_OFF.number: (leaders.handle_former_leader_cut_off,),
             REQUEST_REFUSED.number: (statements.handle_refused,),
             REQUEST_ATTEMPT_FAILED.number: (statements.handle_attempt_failed,),
             REQUEST_FORWARD_FAILED.number: (statements.handle_forward_failed,),
