--- a/src/bramblebeam/report/counting/leaders.py
+++ b/src/bramblebeam/report/counting/leaders.py
@@ -28,7 +28,7 @@
         self.last = float("-inf")
         self.nodes = 0
         self.follows_another = False
-        self.silent_from: float | None = None
+        self.last_former_proof_at: float | None = None
         self.longest_gap_ms: float | None = None
         self.reasons: BoundedTable[str, DurationHistogram] = BoundedTable(
             DurationHistogram, OTHERS, MAXIMUM_REASONS
@@ -43,7 +43,7 @@
 
     def missed(self, missing: "Missing", found_at: float) -> None:
         """Note that the node missed the former leader before."""
-        self.silent_from = max(self.silent_from or 0.0, missing.since)
+        self.last_former_proof_at = max(self.last_former_proof_at or 0.0, missing.since)
         gap_ms = 1000 * max(0.0, found_at - missing.since)
         self.longest_gap_ms = max(self.longest_gap_ms or 0.0, gap_ms)
         self.reasons.at(missing.reason).add(gap_ms)
