--- a/src/bramblebeam/report/counting/leaders.py
+++ b/src/bramblebeam/report/counting/leaders.py
@@ -69,7 +69,7 @@
     """Ordered changes of one kind."""
 
     def __init__(self) -> None:
-        self.took = DurationHistogram()
+        self.durations = DurationHistogram()
         self.longest_trouble_ms = 0.0
 
 
