--- a/src/bramblebeam/report/counting/build.py
+++ b/src/bramblebeam/report/counting/build.py
@@ -7,7 +7,7 @@
 
 from bramblebeam.events.catalogue import CATALOGUE
 from bramblebeam.report.counting.bounded import DurationHistogram, TimeSeries
-from bramblebeam.report.counting.leaders import Term, TermCount
+from bramblebeam.report.counting.leaders import GroupTerm, TermCount
 from bramblebeam.report.counting.lives import NodeIncarnation
 from bramblebeam.report.counting.metrics import add_metrics
 from bramblebeam.report.counting.run import RunCounts
@@ -181,7 +181,7 @@
         for term, count in sorted(found, key=lambda item: (item[1].first, item[0])):
             yield self._change(term, count)
 
-    def _change(self, term: Term, count: TermCount) -> LeaderChange:
+    def _change(self, term: GroupTerm, count: TermCount) -> LeaderChange:
         since = count.silent_from
         began = count.first if since is None else min(since, count.first)
         return LeaderChange(
--- a/src/bramblebeam/report/counting/leaders.py
+++ b/src/bramblebeam/report/counting/leaders.py
@@ -11,7 +11,7 @@
 OTHERS = "others"
 
 
-class Term(NamedTuple):
+class GroupTerm(NamedTuple):
     """One term of one group."""
 
     group: str
@@ -84,8 +84,8 @@
     """The sums over all nodes."""
 
     def __init__(self) -> None:
-        self.terms: BoundedTable[Term, TermCount] = BoundedTable(
-            TermCount, Term(OTHERS, 0), MAXIMUM_TERMS
+        self.terms: BoundedTable[GroupTerm, TermCount] = BoundedTable(
+            TermCount, GroupTerm(OTHERS, 0), MAXIMUM_TERMS
         )
         self.interruptions: BoundedTable[str, DurationHistogram] = BoundedTable(
             DurationHistogram, OTHERS, MAXIMUM_KINDS
@@ -124,7 +124,7 @@
         if view.term == term or _is_missed_one(view, record):
             self._found_again(group, view, record)
         else:
-            self._found_next(Term(group, term), view, record)
+            self._found_next(GroupTerm(group, term), view, record)
         view.term = term
         view.instance = record.word("instance")
         view.missing = None
@@ -134,7 +134,7 @@
             gap_ms = 1000 * (record.time - view.missing.since)
             self._counts.interruptions.at(group).add(gap_ms)
 
-    def _found_next(self, term: Term, view: _GroupView, record: Record) -> None:
+    def _found_next(self, term: GroupTerm, view: _GroupView, record: Record) -> None:
         count = self._counts.terms.at(term)
         count.found(record)
         missing = view.missing
