--- a/src/bramblebeam/report/counting/problems.py
+++ b/src/bramblebeam/report/counting/problems.py
@@ -53,7 +53,7 @@
         text = record.text if record.event else record.logger
         self.errors.at(ErrorKind(record.event, record.level, text)).take(stream, record)
 
-    def lines_left_out(self, record: Record) -> None:
+    def handle_lines_left_out(self, record: Record) -> None:
         """Take 1012."""
         events = record.fields.get("events")
         if not isinstance(events, dict):
