--- a/src/bramblebeam/report/counting/problems.py
+++ b/src/bramblebeam/report/counting/problems.py
@@ -39,7 +39,7 @@
             self.example = _example(record)
 
 
-class Problems:
+class ProblemCounts:
     """The sums over all nodes."""
 
     def __init__(self) -> None:
--- a/src/bramblebeam/report/counting/run.py
+++ b/src/bramblebeam/report/counting/run.py
@@ -22,7 +22,7 @@
 )
 from bramblebeam.report.counting.leaders import LeaderCounts, NodeLeaders
 from bramblebeam.report.counting.lives import NodeIncarnations
-from bramblebeam.report.counting.problems import ERROR_LEVELS, Problems
+from bramblebeam.report.counting.problems import ERROR_LEVELS, ProblemCounts
 from bramblebeam.report.counting.statements import NodeStatements, StatementTimes
 from bramblebeam.report.counting.tenants import TenantCounts
 from bramblebeam.report.model import PassedOverLines
@@ -111,7 +111,7 @@
         self.passed_over: list[PassedOverLines] = []
         self.times = StatementTimes()
         self.leaders = LeaderCounts()
-        self.problems = Problems()
+        self.problems = ProblemCounts()
         self.tenants = TenantCounts()
         self.zones: dict[str, str] = {}
 
