--- a/src/bramblebeam/report/counting/tenants.py
+++ b/src/bramblebeam/report/counting/tenants.py
@@ -81,7 +81,7 @@
             TenantCount, OTHERS, MAXIMUM_TENANTS
         )
 
-    def second(self, stream: int, record: Record) -> None:
+    def handle_rate_sample(self, stream: int, record: Record) -> None:
         """Take 1127."""
         self._tenants.at(record.word("tenant")).take(stream, record)
 
