--- a/src/bramblebeam/report/counting/build.py
+++ b/src/bramblebeam/report/counting/build.py
@@ -9,7 +9,7 @@
 from bramblebeam.report.counting.bounded import DurationHistogram, TimeSeries
 from bramblebeam.report.counting.leaders import GroupTerm, TermCount
 from bramblebeam.report.counting.lives import NodeIncarnation
-from bramblebeam.report.counting.metrics import add_metrics
+from bramblebeam.report.counting.metrics import aggregate_metrics
 from bramblebeam.report.counting.run import RunCounts
 from bramblebeam.report.counting.statements import RefusedKind
 from bramblebeam.report.model import (
@@ -42,7 +42,7 @@
     counts = RunCounts()
     for path in dict.fromkeys(logs):
         counts.read_log(path)
-    figures = add_metrics(read_metrics(path) for path in dict.fromkeys(metrics))
+    figures = aggregate_metrics(read_metrics(path) for path in dict.fromkeys(metrics))
     return _Builder(counts).report(figures)
 
 
--- a/src/bramblebeam/report/counting/metrics.py
+++ b/src/bramblebeam/report/counting/metrics.py
@@ -32,7 +32,7 @@
     statements: float
 
 
-def add_metrics(texts: Iterable[MetricsText]) -> MetricsFigures | None:
+def aggregate_metrics(texts: Iterable[MetricsText]) -> MetricsFigures | None:
     """Return the figures of all nodes together, or None where there is no text."""
     totals: Counter[Series] = Counter()
     files = 0
