--- a/src/bramblebeam/cli/report.py
+++ b/src/bramblebeam/cli/report.py
@@ -9,10 +9,10 @@
 
 from bramblebeam.cli.context import fail
 from bramblebeam.cli.output import print_json, print_table
-from bramblebeam.report.counting.build import report_on
-from bramblebeam.report.model import RunReport, plain
+from bramblebeam.report.counting.build import build_report
+from bramblebeam.report.model import RunReport, to_json_value
 from bramblebeam.report.reading.files import UnreadableError
-from bramblebeam.report.rendering.tables import Table, tables_of
+from bramblebeam.report.rendering.tables import Table, build_tables
 
 EXIT_UNREADABLE = 1
 METRICS_OPTION = "--metrics"
@@ -65,25 +65,26 @@
 ) -> None:
     """Report over a run: starts, leaders, refused statements, attempts, errors."""
     try:
-        found = report_on(logs, metrics or [])
+        found = build_report(logs, metrics or [])
     except UnreadableError as error:
         fail(EXIT_UNREADABLE, str(error))
     if html is not None:
         _write_page(found, html)
     if as_json:
-        print_json(plain(found))
+        print_json(to_json_value(found))
         return
-    summary, *tables = tables_of(found)
+    summary, *tables = build_tables(found)
     _show(summary, len(summary.rows))
     for table in tables:
         _show(table, rows)
 
 
 def _write_page(found: RunReport, path: Path) -> None:
-    from bramblebeam.report.rendering.page import page_of  # the library of plots is slow to import
+    # the library of plots is slow to import
+    from bramblebeam.report.rendering.page import render_page
 
     try:
-        path.write_text(page_of(found), encoding="utf-8")
+        path.write_text(render_page(found), encoding="utf-8")
     except OSError as error:
         fail(EXIT_UNREADABLE, f"{path}: {error.strerror}")
 
--- a/src/bramblebeam/lab/demo.py
+++ b/src/bramblebeam/lab/demo.py
@@ -13,7 +13,7 @@
 from bramblebeam.lab.run import Run, open_run
 from bramblebeam.lab.scenario import load_scenario
 from bramblebeam.lab.setup import SetupError
-from bramblebeam.pages.text import number, share
+from bramblebeam.pages.text import format_number, format_percentage
 
 SEED = 1
 SETTLE_SECONDS = 3.0
@@ -84,12 +84,12 @@
 def _report(result: RunResult, seconds: float) -> None:
     print()
     print(f"{result.statements} statements, {result.moves} moves of sessions between nodes")
-    print(f"reads served by replicas   {share(result.replica_read_share)}")
+    print(f"reads served by replicas   {format_percentage(result.replica_read_share)}")
     gaps = ", ".join(f"{gap:.0f}" for gap in result.failover_gap_ms)
     print(f"failover gap               {gaps or 'none seen'} ms")
-    print(f"edit in force everywhere   {number(result.config_in_force_ms.max)} ms")
-    print(f"latency p50, p99           {number(result.latency_ms.p50)}, ", end="")
-    print(f"{number(result.latency_ms.p99)} ms")
+    print(f"edit in force everywhere   {format_number(result.config_in_force_ms.max)} ms")
+    print(f"latency p50, p99           {format_number(result.latency_ms.p50)}, ", end="")
+    print(f"{format_number(result.latency_ms.p99)} ms")
     errors = result.errors
     print(f"errors                     {errors.not_run} not run, {errors.ran} ran, ", end="")
     print(f"{errors.unknown} may have run, {errors.lost} connections lost")
--- a/src/bramblebeam/lab/report/page.py
+++ b/src/bramblebeam/lab/report/page.py
@@ -30,14 +30,14 @@
 
 
 def _pairs(name: str, value: str, rows: Sequence[tuple[str, str]]) -> str:
-    return table((name, value), [(Cell(key), Cell(text, is_figure=True)) for key, text in rows])
+    return table((name, value), [(Cell(key), Cell(text, is_numeric=True)) for key, text in rows])
 
 
 def _invariants(result: RunResult) -> str:
     rows = []
     for name, count in result.invariant_violations.items():
-        examined = Cell(str(result.examined.get(name, 0)), is_figure=True)
-        violated = Cell(str(count), is_figure=True, is_bad=count > 0)
+        examined = Cell(str(result.examined.get(name, 0)), is_numeric=True)
+        violated = Cell(str(count), is_numeric=True, is_bad=count > 0)
         rows.append((Cell(name), examined, violated))
     return table(("Invariant", "Observations", "Violations"), rows)
 
--- a/src/bramblebeam/lab/report/summary.py
+++ b/src/bramblebeam/lab/report/summary.py
@@ -1,7 +1,7 @@
 """A run's figures as lines of text, shared by the page, the comparison and the terminal."""
 
 from bramblebeam.lab.result import RunResult
-from bramblebeam.pages.text import NOT_MEASURED, number, share
+from bramblebeam.pages.text import NOT_MEASURED, format_number, format_percentage
 
 
 def figures_of(result: RunResult) -> list[tuple[str, str]]:
@@ -15,19 +15,19 @@
         ("nodes", str(result.nodes)),
         ("moves of sessions between nodes", str(result.moves)),
         ("violations of invariants", str(result.violated)),
-        ("reads served by replicas", share(result.replica_read_share)),
+        ("reads served by replicas", format_percentage(result.replica_read_share)),
         ("failover gap (ms)", gaps),
-        ("edit in force, p50 (ms)", number(in_force.p50)),
-        ("edit in force, p99 (ms)", number(in_force.p99)),
-        ("edit in force, slowest (ms)", number(in_force.max)),
-        ("latency, p50 (ms)", number(latency.p50)),
-        ("latency, p99 (ms)", number(latency.p99)),
+        ("edit in force, p50 (ms)", format_number(in_force.p50)),
+        ("edit in force, p99 (ms)", format_number(in_force.p99)),
+        ("edit in force, slowest (ms)", format_number(in_force.max)),
+        ("latency, p50 (ms)", format_number(latency.p50)),
+        ("latency, p99 (ms)", format_number(latency.p99)),
         ("errors: not run", str(errors.not_run)),
         ("errors: ran", str(errors.ran)),
         ("errors: may have run", str(errors.unknown)),
         ("errors: connection lost", str(errors.lost)),
         ("conflicts shown to operators", str(result.conflicts_shown)),
-        ("control: CPU a node (%)", number(result.control.cpu_percent_per_node)),
-        ("control: bytes a second a node", number(result.control.bytes_per_second_per_node)),
-        ("control: memory a node (MB)", number(result.control.rss_mb_per_node)),
+        ("control: CPU a node (%)", format_number(result.control.cpu_percent_per_node)),
+        ("control: bytes a second a node", format_number(result.control.bytes_per_second_per_node)),
+        ("control: memory a node (MB)", format_number(result.control.rss_mb_per_node)),
     ]
--- a/src/bramblebeam/pages/__init__.py
+++ b/src/bramblebeam/pages/__init__.py
@@ -1,1 +1,1 @@
-"""Parts of pages and tables that the product's reports and the lab's share."""
+"""HTML and number formatting shared by `bramblebeam report` and the lab's reports."""
--- a/src/bramblebeam/pages/html.py
+++ b/src/bramblebeam/pages/html.py
@@ -1,4 +1,4 @@
-"""Pieces of a self-contained HTML page. Every text is escaped here."""
+"""Builds self-contained HTML pages. Texts are escaped here, so callers pass them as they are."""
 
 import base64
 import html
@@ -16,7 +16,7 @@
 
 
 class Cell(NamedTuple):
-    """One cell of a table."""
+    """A table cell. Numeric cells are aligned right, bad ones are highlighted."""
 
     text: str
     is_numeric: bool = False
@@ -24,14 +24,14 @@
 
 
 def document(title: str, parts: Iterable[str]) -> str:
-    """Return a whole page of parts that are HTML already; empty ones are left out."""
-    shown = html.escape(title)
-    head = f"<!doctype html><meta charset='utf-8'><title>{shown}</title><style>{STYLE}</style>"
-    return "\n".join([head, f"<h1>{shown}</h1>", *(part for part in parts if part)])
+    """Return a page. Unlike texts, `parts` are HTML and are not escaped; empty ones are left out."""
+    escaped = html.escape(title)
+    head = f"<!doctype html><meta charset='utf-8'><title>{escaped}</title><style>{STYLE}</style>"
+    return "\n".join([head, f"<h1>{escaped}</h1>", *(part for part in parts if part)])
 
 
 def heading(text: str) -> str:
-    """Return the title of a section."""
+    """Return a section heading."""
     return f"<h2>{html.escape(text)}</h2>"
 
 
@@ -41,26 +41,28 @@
 
 
 def table(columns: Sequence[str], rows: Iterable[Sequence[Cell]]) -> str:
-    """Return a table."""
+    """Return a table with a header row."""
     head = "".join(f"<th>{html.escape(column)}</th>" for column in columns)
-    lines = [f"<tr>{head}</tr>"]
+    row_tags = [f"<tr>{head}</tr>"]
     for row in rows:
         cells = "".join(_cell(cell) for cell in row)
-        lines.append(f"<tr>{cells}</tr>")
-    return "<table>" + "".join(lines) + "</table>"
+        row_tags.append(f"<tr>{cells}</tr>")
+    return "<table>" + "".join(row_tags) + "</table>"
 
 
 def bullets(items: Sequence[str]) -> str:
-    """Return a list."""
+    """Return a bulleted list."""
     return "<ul>" + "".join(f"<li>{html.escape(item)}</li>" for item in items) + "</ul>"
 
 
 def image(png: bytes) -> str:
-    """Return a picture that is inside the page, so that the one file can be sent on."""
+    """Return an image embedded as a data URI, so that the page stays a single file."""
     return f"<img alt='' src='data:image/png;base64,{base64.b64encode(png).decode()}'>"
 
 
 def _cell(cell: Cell) -> str:
-    names = [name for name, is_so in (("figure", cell.is_figure), ("bad", cell.is_bad)) if is_so]
-    style = f" class='{' '.join(names)}'" if names else ""
-    return f"<td{style}>{html.escape(cell.text)}</td>"
+    classes = [
+        name for name, applies in (("figure", cell.is_numeric), ("bad", cell.is_bad)) if applies
+    ]
+    attribute = f" class='{' '.join(classes)}'" if classes else ""
+    return f"<td{attribute}>{html.escape(cell.text)}</td>"
--- a/src/bramblebeam/report/__init__.py
+++ b/src/bramblebeam/report/__init__.py
@@ -1,4 +1,4 @@
-"""The report over a run: what the logs and metrics of many nodes tell together.
+"""Builds a report on a run from the logs and metrics of many nodes.
 
-`reading` turns lines into records, `counting` adds them up, `rendering` shows the sums.
+`reading` parses lines into records, `counting` aggregates them, `rendering` presents the result.
 """
--- a/src/bramblebeam/report/counting/__init__.py
+++ b/src/bramblebeam/report/counting/__init__.py
@@ -1,1 +1,1 @@
-"""Sums over records that are read one by one; memory is bounded whatever is read."""
+"""Aggregates records as they are read; memory is bounded whatever the input."""
--- a/src/bramblebeam/report/counting/build.py
+++ b/src/bramblebeam/report/counting/build.py
@@ -1,4 +1,4 @@
-"""The report, worked out from what was counted."""
+"""Builds the report from the aggregates."""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator, Sequence
@@ -37,8 +37,8 @@
 WRITE_ACTIONS = ("write", "commit")
 
 
-def report_on(logs: Sequence[Path], metrics: Sequence[Path]) -> RunReport:
-    """Read logs and metrics texts, each once, and report. Raises UnreadableError."""
+def build_report(logs: Sequence[Path], metrics: Sequence[Path]) -> RunReport:
+    """Read logs and metrics texts, each file once, and report. Raises UnreadableError."""
     counts = RunCounts()
     for path in dict.fromkeys(logs):
         counts.read_log(path)
@@ -47,7 +47,7 @@
 
 
 class _Builder:
-    """Turns counts into the parts of a report."""
+    """Converts the aggregates to the parts of a report."""
 
     def __init__(self, counts: RunCounts) -> None:
         self._counts = counts
@@ -55,12 +55,12 @@
 
     def report(self, metrics: MetricsFigures | None) -> RunReport:
         counts = self._counts
-        bin_seconds = counts.times.even_out()
+        bin_seconds = counts.times.align_bins()
         refused = tuple(self._refused())
         starts = tuple(self._starts())
         return RunReport(
-            begins=datetime.fromtimestamp(counts.begins, UTC).isoformat(),
-            seconds=counts.ends - counts.begins,
+            begins=datetime.fromtimestamp(counts.first_time, UTC).isoformat(),
+            seconds=counts.last_time - counts.first_time,
             logs=counts.files,
             nodes=len(set(self._nodes)),
             lines=counts.lines,
@@ -86,8 +86,8 @@
             metrics=metrics,
         )
 
-    def _since_begin(self, time: float) -> float:
-        return time - self._counts.begins
+    def _since_first_line(self, time: float) -> float:
+        return time - self._counts.first_time
 
     def _left_out(self) -> Iterator[LeftOut]:
         for number, lines in self._counts.problems.left_out.most_common():
@@ -97,27 +97,27 @@
     # Nodes.
 
     def _starts(self) -> Iterator[NodeStart]:
-        lives = [life for stream in self._counts.streams for life in stream.lives.all()]
-        for life in sorted(lives, key=_started):
+        incarnations = [one for stream in self._counts.streams for one in stream.incarnations.all()]
+        for one in sorted(incarnations, key=_started_at):
             yield NodeStart(
-                node=life.node,
-                zone=life.zone,
-                at=self._since_begin(_started(life)),
-                accepting_seconds=_after_start(life, life.accepting),
-                ready_seconds=_after_start(life, life.ready),
-                leader_seconds=_after_start(life, life.led),
-                stopped=life.stopped,
+                node=one.node,
+                zone=one.zone,
+                at=self._since_first_line(_started_at(one)),
+                accepting_seconds=_after_start(one, one.accepting_at),
+                ready_seconds=_after_start(one, one.ready_at),
+                leader_seconds=_after_start(one, one.leader_proven_at),
+                stopped=one.stopped,
             )
 
     # Statements.
 
     def _refused(self) -> Iterator[Refused]:
-        joined: dict[tuple[RefusedKind, str], DurationHistogram] = {}
+        totals: dict[tuple[RefusedKind, str], DurationHistogram] = {}
         for stream, node in zip(self._counts.streams, self._nodes, strict=True):
             zone = self._counts.zone(node)
             for kind, waited in stream.statements.refused.values.items():
-                joined.setdefault((kind, zone), DurationHistogram()).join(waited)
-        most_first = sorted(joined.items(), key=lambda item: (-item[1].count, item[0]))
+                totals.setdefault((kind, zone), DurationHistogram()).merge(waited)
+        most_first = sorted(totals.items(), key=lambda item: (-item[1].count, item[0]))
         for (kind, zone), waited in most_first:
             yield Refused(
                 database=kind.database,
@@ -127,44 +127,44 @@
                 reason=kind.reason,
                 statements=waited.count,
                 waited_seconds=waited.total_ms / 1000,
-                p50_ms=waited.at_most_ms(0.5),
-                p99_ms=waited.at_most_ms(0.99),
+                p50_ms=waited.quantile_bound_ms(0.5),
+                p99_ms=waited.quantile_bound_ms(0.99),
                 longest_ms=waited.longest_ms,
             )
 
     def _attempts(self) -> Iterator[FailedAttempts]:
-        joined: Counter[tuple[str, str, str]] = Counter()
+        totals: Counter[tuple[str, str, str]] = Counter()
         for stream, node in zip(self._counts.streams, self._nodes, strict=True):
             zone = self._counts.zone(node)
             for kind, total in stream.statements.attempts.values.items():
-                joined[zone, kind.verdict, kind.reason] += total.count
-        return (FailedAttempts(*key, count) for key, count in joined.most_common())
+                totals[zone, kind.verdict, kind.reason] += total.count
+        return (FailedAttempts(*key, count) for key, count in totals.most_common())
 
     def _attempts_by_instance(self) -> Iterator[InstanceAttempts]:
-        joined: Counter[tuple[str, str]] = Counter()
+        totals: Counter[tuple[str, str]] = Counter()
         for stream in self._counts.streams:
             for kind, total in stream.statements.attempts.values.items():
-                joined[kind.instance, kind.reason] += total.count
-        return (InstanceAttempts(*key, count) for key, count in joined.most_common())
+                totals[kind.instance, kind.reason] += total.count
+        return (InstanceAttempts(*key, count) for key, count in totals.most_common())
 
     def _attempt_numbers(self) -> Iterator[AttemptNumber]:
-        joined: Counter[int] = Counter()
+        totals: Counter[int] = Counter()
         for stream in self._counts.streams:
-            joined.update(stream.statements.attempt_numbers)
-        return (AttemptNumber(number, count) for number, count in sorted(joined.items()))
+            totals.update(stream.statements.attempt_numbers)
+        return (AttemptNumber(number, count) for number, count in sorted(totals.items()))
 
     def _forward_failures(self) -> Iterator[ForwardFailures]:
-        joined: Counter[tuple[str, str, bool]] = Counter()
+        totals: Counter[tuple[str, str, bool]] = Counter()
         for stream, node in zip(self._counts.streams, self._nodes, strict=True):
             zone = self._counts.zone(node)
             for kind, total in stream.statements.forwards.values.items():
-                joined[zone, kind.group, kind.sent] += total.count
-        return (ForwardFailures(*key, count) for key, count in joined.most_common())
+                totals[zone, kind.group, kind.sent] += total.count
+        return (ForwardFailures(*key, count) for key, count in totals.most_common())
 
-    def _seconds(self, line: TimeSeries) -> Iterator[SecondCount]:
-        """Yield the counts of a time line; the first bin may begin before the run."""
-        for begin, key, count in line.moments():
-            yield SecondCount(self._since_begin(begin), key, count)
+    def _seconds(self, series: TimeSeries) -> Iterator[SecondCount]:
+        """Yield the counts of a time series; the first bin may begin before the run."""
+        for begin, key, count in series.bins():
+            yield SecondCount(self._since_first_line(begin), key, count)
 
     # Leaders.
 
@@ -178,45 +178,49 @@
             for term, count in terms.items()
             if count.follows_another or term.term > lowest[term.group]
         ]
-        for term, count in sorted(found, key=lambda item: (item[1].first, item[0])):
+        for term, count in sorted(found, key=lambda item: (item[1].first_proven_at, item[0])):
             yield self._change(term, count)
 
     def _change(self, term: GroupTerm, count: TermCount) -> LeaderChange:
-        since = count.silent_from
-        began = count.first if since is None else min(since, count.first)
+        since = count.last_former_proof_at
+        began = count.first_proven_at if since is None else min(since, count.first_proven_at)
         return LeaderChange(
             group=term.group,
             term=term.term,
             instance=count.instance,
             former=count.former or "?",
-            reason=_usual_reason(count),
-            at=self._since_begin(count.first),
-            gap_ms=None if since is None else 1000 * (count.first - began),
+            reason=_most_common_reason(count),
+            at=self._since_first_line(count.first_proven_at),
+            gap_ms=None if since is None else 1000 * (count.first_proven_at - began),
             longest_gap_ms=count.longest_gap_ms,
             nodes=count.nodes,
-            last_node_at=self._since_begin(count.last),
-            refused_writes=self._refused_writes(began, count.last),
+            last_node_at=self._since_first_line(count.last_proven_at),
+            refused_writes=self._refused_writes(began, count.last_proven_at),
         )
 
     def _refused_writes(self, begin: float, end: float) -> int:
-        line = self._counts.times.refused_actions
+        series = self._counts.times.refused_actions
         return sum(
-            moment.times
-            for moment in line.moments()
-            if moment.key in WRITE_ACTIONS and begin - line.width < moment.begin <= end
+            one_bin.times
+            for one_bin in series.bins()
+            if one_bin.key in WRITE_ACTIONS and begin - series.width < one_bin.begin <= end
         )
 
     def _interruptions(self) -> Iterator[Interruption]:
-        for group, took in sorted(self._counts.leaders.interruptions.values.items()):
-            yield Interruption(group, took.count, took.at_most_ms(0.5), took.longest_ms)
+        for group, histogram in sorted(self._counts.leaders.interruptions.values.items()):
+            yield Interruption(
+                group, histogram.count, histogram.quantile_bound_ms(0.5), histogram.longest_ms
+            )
 
     def _orders(self) -> Iterator[Order]:
-        for kind, count in sorted(self._counts.leaders.orders.values.items()):
-            yield Order(*kind, count.took.count, count.took.longest_ms, count.longest_trouble_ms)
+        for kind, count in sorted(self._counts.leaders.failovers.values.items()):
+            yield Order(
+                *kind, count.durations.count, count.durations.longest_ms, count.longest_trouble_ms
+            )
 
     def _cut_offs(self) -> Iterator[CutOff]:
-        for kind, took in sorted(self._counts.leaders.cut_offs.values.items()):
-            yield CutOff(*kind, took.count, took.longest_ms)
+        for kind, histogram in sorted(self._counts.leaders.cut_offs.values.items()):
+            yield CutOff(*kind, histogram.count, histogram.longest_ms)
 
     # Tenants.
 
@@ -232,7 +236,7 @@
                 sent=count.totals["sent"],
                 counting_nodes=len(count.counting_nodes),
                 running_nodes=len(count.running_nodes),
-                span_at=self._since_begin(worst.begin),
+                span_at=self._since_first_line(worst.begin),
                 span_sent=worst.sent,
                 span_counted=worst.counted,
                 span_allowed=worst.allowed,
@@ -249,22 +253,26 @@
                 text=kind.text,
                 lines=count.lines,
                 nodes=len({self._nodes[stream] for stream in count.streams}),
-                first_at=self._since_begin(count.first),
+                first_at=self._since_first_line(count.first_at),
                 example=count.example,
             )
 
 
-def _started(life: NodeIncarnation) -> float:
-    assert life.started is not None
-    return life.started
+def _started_at(incarnation: NodeIncarnation) -> float:
+    assert incarnation.started_at is not None
+    return incarnation.started_at
 
 
-def _after_start(life: NodeIncarnation, time: float | None) -> float | None:
-    return None if time is None else time - _started(life)
+def _after_start(incarnation: NodeIncarnation, time: float | None) -> float | None:
+    return None if time is None else time - _started_at(incarnation)
 
 
 def _restarted(starts: Iterable[NodeStart]) -> Iterator[Restarted]:
-    """Yield the nodes that started again, in whichever files; the last start is not over yet."""
+    """Yield the nodes that started more than once, whichever files hold their lines.
+
+    A start is unplanned if the process before it did not log its stop; the last process may
+    still run, so it is not considered.
+    """
     by_node: dict[str, list[NodeStart]] = {}
     for start in starts:
         by_node.setdefault(start.node, []).append(start)
@@ -274,7 +282,7 @@
             yield Restarted(node, own[-1].zone, len(own), unplanned)
 
 
-def _usual_reason(count: TermCount) -> str:
+def _most_common_reason(count: TermCount) -> str:
     reasons = count.reasons.values
     return max(reasons, key=lambda reason: reasons[reason].count, default="?")
 
--- a/src/bramblebeam/report/counting/leaders.py
+++ b/src/bramblebeam/report/counting/leaders.py
@@ -1,4 +1,4 @@
-"""Leaders of groups as nodes found and missed them, and what was ordered."""
+"""Aggregates leader changes as nodes observed them, and the failovers that were ordered."""
 
 from typing import NamedTuple
 
@@ -19,13 +19,13 @@
 
 
 class TermCount:
-    """How the leader of one term was found, over all nodes. Times: seconds of the epoch."""
+    """When and how nodes proved the leader of one term. Times: seconds since the epoch."""
 
     def __init__(self) -> None:
         self.instance = "?"
         self.former = ""
-        self.first = float("inf")
-        self.last = float("-inf")
+        self.first_proven_at = float("inf")
+        self.last_proven_at = float("-inf")
         self.nodes = 0
         self.follows_another = False
         self.last_former_proof_at: float | None = None
@@ -34,39 +34,39 @@
             DurationHistogram, OTHERS, MAXIMUM_REASONS
         )
 
-    def found(self, record: Record) -> None:
-        """Note that a node found the leader."""
-        self.instance = record.word("instance")
-        self.first = min(self.first, record.time)
-        self.last = max(self.last, record.time)
+    def record_proven(self, record: Record) -> None:
+        """Record that a node proved the leader."""
+        self.instance = record.text_field("instance")
+        self.first_proven_at = min(self.first_proven_at, record.time)
+        self.last_proven_at = max(self.last_proven_at, record.time)
         self.nodes += 1
 
-    def missed(self, missing: "Missing", found_at: float) -> None:
-        """Note that the node missed the former leader before."""
-        self.last_former_proof_at = max(self.last_former_proof_at or 0.0, missing.since)
-        gap_ms = 1000 * max(0.0, found_at - missing.since)
+    def record_former_lost(self, lost: "LostLeader", proven_at: float) -> None:
+        """Record that the node had lost the former leader before it proved this one."""
+        self.last_former_proof_at = max(self.last_former_proof_at or 0.0, lost.since)
+        gap_ms = 1000 * max(0.0, proven_at - lost.since)
         self.longest_gap_ms = max(self.longest_gap_ms or 0.0, gap_ms)
-        self.reasons.at(missing.reason).add(gap_ms)
+        self.reasons.get_or_create(lost.reason).add(gap_ms)
 
 
-class Missing(NamedTuple):
-    """A node misses a leader. `since`: its last proof, seconds of the epoch."""
+class LostLeader(NamedTuple):
+    """A leader that a node lost. `since`: the node's last proof of it, seconds since the epoch."""
 
     instance: str
     since: float
     reason: str
 
 
-class OrderKind(NamedTuple):
-    """Ordered changes that are counted together."""
+class FailoverKind(NamedTuple):
+    """Key by which ordered failovers are counted."""
 
     group: str
     cause: str
     outcome: str
 
 
-class OrderCount:
-    """Ordered changes of one kind."""
+class FailoverCount:
+    """Ordered failovers of one kind."""
 
     def __init__(self) -> None:
         self.durations = DurationHistogram()
@@ -74,14 +74,14 @@
 
 
 class CutOffKind(NamedTuple):
-    """Ends of former leaders that are counted together."""
+    """Key by which cut-offs of former leaders are counted."""
 
     group: str
     outcome: str
 
 
 class LeaderCounts:
-    """The sums over all nodes."""
+    """Totals over all nodes."""
 
     def __init__(self) -> None:
         self.terms: BoundedTable[GroupTerm, TermCount] = BoundedTable(
@@ -90,8 +90,8 @@
         self.interruptions: BoundedTable[str, DurationHistogram] = BoundedTable(
             DurationHistogram, OTHERS, MAXIMUM_KINDS
         )
-        self.orders: BoundedTable[OrderKind, OrderCount] = BoundedTable(
-            OrderCount, OrderKind(OTHERS, OTHERS, OTHERS), MAXIMUM_KINDS
+        self.failovers: BoundedTable[FailoverKind, FailoverCount] = BoundedTable(
+            FailoverCount, FailoverKind(OTHERS, OTHERS, OTHERS), MAXIMUM_KINDS
         )
         self.cut_offs: BoundedTable[CutOffKind, DurationHistogram] = BoundedTable(
             DurationHistogram, CutOffKind(OTHERS, OTHERS), MAXIMUM_KINDS
@@ -99,80 +99,85 @@
 
 
 class _GroupView:
-    """What one node believes of one group."""
+    """One node's latest knowledge of one group's leader and failover."""
 
     def __init__(self) -> None:
         self.term: int | None = None
         self.instance = ""
-        self.missing: Missing | None = None
+        self.lost: LostLeader | None = None
         self.cause = "?"
         self.trouble_ms = 0.0
 
 
 class NodeLeaders:
-    """Follows what one process of a node tells, and adds it to the sums."""
+    """Follows the leader events of one process of a node and adds them to the totals."""
 
     def __init__(self, counts: LeaderCounts) -> None:
         self._counts = counts
         self._views: BoundedTable[str, _GroupView] = BoundedTable(_GroupView, OTHERS, MAXIMUM_KINDS)
 
-    def found(self, record: Record) -> None:
-        """Take 1320."""
-        group = record.word("group")
-        term = int(record.number("term") or 0)
-        view = self._views.at(group)
-        if view.term == term or _is_missed_one(view, record):
-            self._found_again(group, view, record)
+    def handle_leader_proven(self, record: Record) -> None:
+        """Handle event 1320."""
+        group = record.text_field("group")
+        term = int(record.number_field("term") or 0)
+        view = self._views.get_or_create(group)
+        if view.term == term or _is_lost_leader(view, record):
+            self._record_recovered(group, view, record)
         else:
-            self._found_next(GroupTerm(group, term), view, record)
+            self._record_next(GroupTerm(group, term), view, record)
         view.term = term
-        view.instance = record.word("instance")
-        view.missing = None
-
-    def _found_again(self, group: str, view: _GroupView, record: Record) -> None:
-        if view.missing is not None:
-            gap_ms = 1000 * (record.time - view.missing.since)
-            self._counts.interruptions.at(group).add(gap_ms)
-
-    def _found_next(self, term: GroupTerm, view: _GroupView, record: Record) -> None:
-        count = self._counts.terms.at(term)
-        count.found(record)
-        missing = view.missing
-        if missing is not None:
-            count.missed(missing, record.time)
-        former = missing.instance if missing is not None else view.instance
+        view.instance = record.text_field("instance")
+        view.lost = None
+
+    def _record_recovered(self, group: str, view: _GroupView, record: Record) -> None:
+        if view.lost is not None:
+            gap_ms = 1000 * (record.time - view.lost.since)
+            self._counts.interruptions.get_or_create(group).add(gap_ms)
+
+    def _record_next(self, term: GroupTerm, view: _GroupView, record: Record) -> None:
+        count = self._counts.terms.get_or_create(term)
+        count.record_proven(record)
+        lost = view.lost
+        if lost is not None:
+            count.record_former_lost(lost, record.time)
+        former = lost.instance if lost is not None else view.instance
         if former:
             count.follows_another = True
             count.former = former
 
     def handle_leader_lost(self, record: Record) -> None:
-        """Take 1321."""
-        age_ms = record.number("proof_age_ms") or 0.0
+        """Handle event 1321."""
+        age_ms = record.number_field("proof_age_ms") or 0.0
         since = record.time - age_ms / 1000
-        view = self._views.at(record.word("group"))
-        view.missing = Missing(record.word("instance"), since, record.word("reason"))
+        view = self._views.get_or_create(record.text_field("group"))
+        view.lost = LostLeader(record.text_field("instance"), since, record.text_field("reason"))
 
     def handle_failover_started(self, record: Record) -> None:
-        """Take 1322."""
-        view = self._views.at(record.word("group"))
-        view.cause = record.word("cause")
-        view.trouble_ms = record.number("trouble_ms") or 0.0
+        """Handle event 1322."""
+        view = self._views.get_or_create(record.text_field("group"))
+        view.cause = record.text_field("cause")
+        view.trouble_ms = record.number_field("trouble_ms") or 0.0
 
     def handle_failover_completed(self, record: Record) -> None:
-        """Take 1323."""
-        group = record.word("group")
-        view = self._views.at(group)
-        count = self._counts.orders.at(OrderKind(group, view.cause, record.word("outcome")))
-        count.took.add(record.number("duration_ms") or 0.0)
+        """Handle event 1323."""
+        group = record.text_field("group")
+        view = self._views.get_or_create(group)
+        count = self._counts.failovers.get_or_create(
+            FailoverKind(group, view.cause, record.text_field("outcome"))
+        )
+        count.durations.add(record.number_field("duration_ms") or 0.0)
         count.longest_trouble_ms = max(count.longest_trouble_ms, view.trouble_ms)
 
     def handle_former_leader_cut_off(self, record: Record) -> None:
-        """Take 1330."""
-        kind = CutOffKind(record.word("group"), record.word("outcome"))
-        self._counts.cut_offs.at(kind).add(record.number("duration_ms") or 0.0)
+        """Handle event 1330."""
+        kind = CutOffKind(record.text_field("group"), record.text_field("outcome"))
+        self._counts.cut_offs.get_or_create(kind).add(record.number_field("duration_ms") or 0.0)
+
 
+def _is_lost_leader(view: _GroupView, record: Record) -> bool:
+    """Whether the proven database is the one that was lost, in a log that begins mid-term.
 
-def _is_missed_one(view: _GroupView, record: Record) -> bool:
-    """Whether a log that begins in the middle of a term finds the database again that it missed."""
-    missing = view.missing
-    return view.term is None and missing is not None and missing.instance == record.word("instance")
+    Such a log has no earlier proof, so the term of the lost leader is not known.
+    """
+    lost = view.lost
+    return view.term is None and lost is not None and lost.instance == record.text_field("instance")
--- a/src/bramblebeam/report/counting/lives.py
+++ b/src/bramblebeam/report/counting/lives.py
@@ -1,75 +1,76 @@
-"""The starts of one node, from the lines of one log."""
+"""Splits the lines of one node into the node's incarnations, one per process."""
 
 from bramblebeam.events.catalogue import NODE_STARTED
 from bramblebeam.report.reading.lines import Record
 
-MAXIMUM_LIVES = 200
-"""Of one log; a node that starts more often is told with these."""
+MAX_ENDED = 200
+"""Ended incarnations kept per log. A node that restarts more often is reported with the first
+ones and the current one."""
 
 
 class NodeIncarnation:
-    """One process of a node. Times: seconds of the epoch, None: not told."""
+    """One process of a node. Times: seconds since the epoch, None if no line reports them."""
 
     def __init__(self) -> None:
         self.node = ""
         self.zone = ""
-        self.started: float | None = None
+        self.started_at: float | None = None
         self.accepting_at: float | None = None
-        self.ready: float | None = None
+        self.ready_at: float | None = None
         self.leader_proven_at: float | None = None
         self.stopped = False
 
 
 class NodeIncarnations:
-    """Cuts a log into processes.
+    """The incarnations of one node in one log.
 
-    Each writes one line 1001 and one line 1101, in either order: the second of either kind is the
-    next process's.
+    Each process writes one line 1001 and one line 1101, in either order, so a second line of
+    either kind belongs to the next process.
     """
 
     def __init__(self) -> None:
         self.ended: list[NodeIncarnation] = []
-        self.life = NodeIncarnation()
+        self.current = NodeIncarnation()
 
     def begin_if_new(self, record: Record) -> bool:
-        """Whether 1001 or 1101 is another process than the last one's; begins its life then."""
-        life = self.life
+        """Begin a new incarnation if this line 1001 or 1101 is of a new process; return whether."""
+        current = self.current
         is_start = record.event == NODE_STARTED.number
-        told_before = life.started if is_start else life.accepting_at
-        is_next = told_before is not None or life.stopped
-        if is_next:
+        earlier = current.started_at if is_start else current.accepting_at
+        is_new = earlier is not None or current.stopped
+        if is_new:
             self._begin()
-        return is_next
+        return is_new
 
     def _begin(self) -> None:
-        if len(self.ended) < MAXIMUM_LIVES:
-            self.ended.append(self.life)
-        self.life = NodeIncarnation()
+        if len(self.ended) < MAX_ENDED:
+            self.ended.append(self.current)
+        self.current = NodeIncarnation()
 
-    def started(self, record: Record) -> None:
-        """Take 1001."""
-        self.life.started = record.time
-        self.life.node = record.word("node")
-        self.life.zone = record.word("zone")
+    def handle_started(self, record: Record) -> None:
+        """Handle event 1001."""
+        self.current.started_at = record.time
+        self.current.node = record.text_field("node")
+        self.current.zone = record.text_field("zone")
 
     def handle_listening(self, record: Record) -> None:
-        """Take 1101."""
-        self.life.accepting_at = record.time
+        """Handle event 1101."""
+        self.current.accepting_at = record.time
 
     def handle_readiness_changed(self, record: Record) -> None:
-        """Take 1123."""
-        if self.life.ready is None and record.fields.get("ready") is True:
-            self.life.ready = record.time
+        """Handle event 1123; only the first time that the node is ready is kept."""
+        if self.current.ready_at is None and record.fields.get("ready") is True:
+            self.current.ready_at = record.time
 
     def handle_leader_proven(self, record: Record) -> None:
-        """Take 1320."""
-        if self.life.leader_proven_at is None:
-            self.life.leader_proven_at = record.time
+        """Handle event 1320; only the first is kept."""
+        if self.current.leader_proven_at is None:
+            self.current.leader_proven_at = record.time
 
-    def stopped(self, _record: Record) -> None:
-        """Take 1003."""
-        self.life.stopped = True
+    def handle_stopped(self, _record: Record) -> None:
+        """Handle event 1003."""
+        self.current.stopped = True
 
     def all(self) -> list[NodeIncarnation]:
-        """Return the lives that a line 1001 tells of."""
-        return [life for life in (*self.ended, self.life) if life.started is not None]
+        """Return the incarnations whose start, a line 1001, was read."""
+        return [one for one in (*self.ended, self.current) if one.started_at is not None]
--- a/src/bramblebeam/report/counting/problems.py
+++ b/src/bramblebeam/report/counting/problems.py
@@ -1,4 +1,4 @@
-"""Lines that tell of errors, and lines that nodes left out."""
+"""Counts error lines, and lines that nodes left out because there were too many."""
 
 import json
 from collections import Counter
@@ -14,7 +14,7 @@
 
 
 class ErrorKind(NamedTuple):
-    """Error lines that are counted together. A line without an event goes by its logger."""
+    """Key by which error lines are counted. `text` of a line without an event is its logger."""
 
     event: int
     level: str
@@ -27,20 +27,20 @@
     def __init__(self) -> None:
         self.lines = 0
         self.streams: set[int] = set()
-        self.first = float("inf")
+        self.first_at = float("inf")
         self.example = ""
 
-    def take(self, stream: int, record: Record) -> None:
-        """Count a line of the log with this number."""
+    def add(self, stream: int, record: Record) -> None:
+        """Count a line of the stream with this number."""
         self.lines += 1
         self.streams.add(stream)
-        if record.time < self.first:
-            self.first = record.time
+        if record.time < self.first_at:
+            self.first_at = record.time
             self.example = _example(record)
 
 
 class ProblemCounts:
-    """The sums over all nodes."""
+    """Totals over all nodes."""
 
     def __init__(self) -> None:
         self.errors: BoundedTable[ErrorKind, ErrorCount] = BoundedTable(
@@ -48,19 +48,19 @@
         )
         self.left_out: Counter[int] = Counter()
 
-    def error(self, stream: int, record: Record) -> None:
-        """Take a line of level error or above."""
+    def handle_error(self, stream: int, record: Record) -> None:
+        """Handle a line of level error or above."""
         text = record.text if record.event else record.logger
-        self.errors.at(ErrorKind(record.event, record.level, text)).take(stream, record)
+        self.errors.get_or_create(ErrorKind(record.event, record.level, text)).add(stream, record)
 
     def handle_lines_left_out(self, record: Record) -> None:
-        """Take 1012."""
+        """Handle event 1012, which gives the number of suppressed lines by event number."""
         events = record.fields.get("events")
         if not isinstance(events, dict):
             return
         for number, count in events.items():
-            is_known = number.isascii() and number.isdigit() and len(number) <= 4
-            if is_known and type(count) is int:
+            is_event_number = number.isascii() and number.isdigit() and len(number) <= 4
+            if is_event_number and type(count) is int:
                 self.left_out[int(number)] += count
 
 
--- a/src/bramblebeam/report/counting/run.py
+++ b/src/bramblebeam/report/counting/run.py
@@ -1,4 +1,4 @@
-"""Counts the records of a run as they are read."""
+"""Reads logs and passes each record to the aggregates that count its event."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -32,18 +32,19 @@
 from bramblebeam.report.reading.prefix import node_name_in_prefix
 
 MAXIMUM_STREAMS = 20_000
-"""Nodes told apart by the prefixes of lines; a prefix that changes with each line is none."""
+"""Over all files. Nodes are distinguished by the prefixes of their lines; prefixes that change with
+each line, and so are no names, would otherwise make a stream per line."""
 MAXIMUM_PREFIXES = 1_000
-"""Of one file."""
+"""Per file."""
 MAXIMUM_ZONES = 20_000
 
-_OF_A_START = (NODE_STARTED.number, EDGE_LISTENING.number)
+_START_EVENTS = (NODE_STARTED.number, EDGE_LISTENING.number)
 
-Take = Callable[[Record], None]
+Handler = Callable[[Record], None]
 
 
 class Stream:
-    """The lines of one node in one file."""
+    """The lines of one node in one file, and what is counted by node."""
 
     def __init__(self, number: int, name: str, counts: "RunCounts") -> None:
         self.name = name
@@ -52,37 +53,37 @@
         self._number = number
         self._counts = counts
         self._leaders = NodeLeaders(counts.leaders)
-        self._takers = self._make_takers()
+        self._handlers = self._make_handlers()
 
     @property
     def node(self) -> str:
-        """The node's name, as its own lines tell it or else the prefix or the file."""
-        return next((life.node for life in reversed(self.incarnations.all())), self.name)
+        """The node's name from its latest line 1001, else from the prefix or the file name."""
+        return next((one.node for one in reversed(self.incarnations.all())), self.name)
 
-    def take(self, record: Record) -> None:
-        """Count one record."""
-        if record.event in _OF_A_START:
-            self._look_for_a_start(record)
+    def handle(self, record: Record) -> None:
+        """Count one record of the node."""
+        if record.event in _START_EVENTS:
+            self._check_for_new_process(record)
         if record.level in ERROR_LEVELS:
-            self._counts.problems.error(self._number, record)
-        for take in self._takers.get(record.event, ()):
-            take(record)
+            self._counts.problems.handle_error(self._number, record)
+        for handle in self._handlers.get(record.event, ()):
+            handle(record)
 
-    def _look_for_a_start(self, record: Record) -> None:
+    def _check_for_new_process(self, record: Record) -> None:
         if self.incarnations.begin_if_new(record):
             self._leaders = NodeLeaders(self._counts.leaders)
-            self._takers = self._make_takers()
+            self._handlers = self._make_handlers()
 
-    def _make_takers(self) -> dict[int, tuple[Take, ...]]:
-        lives = self.incarnations
+    def _make_handlers(self) -> dict[int, tuple[Handler, ...]]:
+        incarnations = self.incarnations
         statements = self.statements
         leaders = self._leaders
         return {
-            NODE_STARTED.number: (lives.started, self._counts.note_zone),
-            NODE_STOPPED.number: (lives.stopped,),
-            EDGE_LISTENING.number: (lives.handle_listening,),
-            READINESS_CHANGED.number: (lives.handle_readiness_changed,),
-            LEADER_PROVEN.number: (lives.handle_leader_proven, leaders.found),
+            NODE_STARTED.number: (incarnations.handle_started, self._counts.record_zone),
+            NODE_STOPPED.number: (incarnations.handle_stopped,),
+            EDGE_LISTENING.number: (incarnations.handle_listening,),
+            READINESS_CHANGED.number: (incarnations.handle_readiness_changed,),
+            LEADER_PROVEN.number: (incarnations.handle_leader_proven, leaders.handle_leader_proven),
             LEADER_LOST.number: (leaders.handle_leader_lost,),
             FAILOVER_STARTED.number: (leaders.handle_failover_started,),
             FAILOVER_COMPLETED.number: (leaders.handle_failover_completed,),
@@ -90,17 +91,17 @@
             REQUEST_REFUSED.number: (statements.handle_refused,),
             REQUEST_ATTEMPT_FAILED.number: (statements.handle_attempt_failed,),
             REQUEST_FORWARD_FAILED.number: (statements.handle_forward_failed,),
-            TENANT_RATE_SAMPLE.number: (self._tenant_second,),
-            LINES_LEFT_OUT.number: (self._counts.problems.lines_left_out,),
-            MEMBER_JOINED.number: (self._counts.note_zone,),
+            TENANT_RATE_SAMPLE.number: (self._handle_rate_sample,),
+            LINES_LEFT_OUT.number: (self._counts.problems.handle_lines_left_out,),
+            MEMBER_JOINED.number: (self._counts.record_zone,),
         }
 
-    def _tenant_second(self, record: Record) -> None:
-        self._counts.tenants.second(self._number, record)
+    def _handle_rate_sample(self, record: Record) -> None:
+        self._counts.tenants.handle_rate_sample(self._number, record)
 
 
 class RunCounts:
-    """Everything that was counted, over all files."""
+    """The aggregates over all files. Times: seconds since the epoch."""
 
     def __init__(self) -> None:
         self.first_time = float("inf")
@@ -115,44 +116,44 @@
         self.tenants = TenantCounts()
         self.zones: dict[str, str] = {}
 
-    def note_zone(self, record: Record) -> None:
-        """Take a line that tells a node's zone."""
+    def record_zone(self, record: Record) -> None:
+        """Record the zone of the node that a line reports."""
         if len(self.zones) < MAXIMUM_ZONES:
-            self.zones[record.word("node")] = record.word("zone")
+            self.zones[record.text_field("node")] = record.text_field("zone")
 
     def zone(self, node: str) -> str:
-        """Return a node's zone; "?" where no line tells it."""
+        """Return a node's zone; "?" if no line reports it."""
         return self.zones.get(node, "?")
 
     def read_log(self, path: Path) -> None:
-        """Count a log. Raises UnreadableError."""
-        log = _Log(path.stem, self)
+        """Count the lines of a log. Raises UnreadableError."""
+        log = _LogReader(path.stem, self)
         for line in read_lines(path):
-            log.take(line)
+            log.handle_line(line)
         if not log.lines:
-            hint = " (it is a metrics text: give it by --metrics)" if log.has_metrics else ""
-            raise UnreadableError(f"{path}: no line of ours is in this log{hint}")
+            hint = " (it is a metrics text: pass it with --metrics)" if log.has_metrics else ""
+            raise UnreadableError(f"{path}: no bramblebeam lines in this log{hint}")
         self.files += 1
         self.lines += log.lines
         if any(log.passed_over.values()):
-            counts = (log.passed_over[why] for why in SkipReason)
+            counts = (log.passed_over[reason] for reason in SkipReason)
             self.passed_over.append(PassedOverLines(str(path), *counts))
 
     def new_stream(self, name: str) -> Stream:
-        """Return a new stream for a node's lines."""
+        """Add a stream for a node's lines."""
         stream = Stream(len(self.streams), name, self)
         self.streams.append(stream)
         return stream
 
-    def note_time(self, time: float) -> None:
-        """Take the time of a line (seconds of the epoch)."""
+    def record_time(self, time: float) -> None:
+        """Extend the run to the time of a line (seconds since the epoch)."""
         if not self.first_time <= time <= self.last_time:
             self.first_time = min(self.first_time, time)
             self.last_time = max(self.last_time, time)
 
 
-class _Log:
-    """One file while it is read: which stream a line belongs to, and lines passed over."""
+class _LogReader:
+    """Assigns the lines of one file to streams and counts the lines that are skipped."""
 
     def __init__(self, name: str, counts: RunCounts) -> None:
         self.lines = 0
@@ -163,19 +164,22 @@
         self._by_prefix: dict[str, Stream] = {}
         self._by_name: dict[str, Stream] = {}
 
-    def take(self, line: str) -> None:
+    def handle_line(self, line: str) -> None:
         record = parse_record(line)
         if isinstance(record, SkipReason):
             self.passed_over[record] += 1
             self.has_metrics = self.has_metrics or line.startswith(OWN_PREFIX)
             return
         self.lines += 1
-        self._counts.note_time(record.time)
+        self._counts.record_time(record.time)
         stream = self._by_prefix.get(record.prefix) or self._stream(record.prefix)
-        stream.take(record)
+        stream.handle(record)
 
     def _stream(self, prefix: str) -> Stream:
-        """Return the stream of a new prefix. Most prefixes hold a time, and differ by it."""
+        """Return the stream of a new prefix, by the node's name in it.
+
+        Most prefixes contain a time, so many of them belong to one node.
+        """
         name = node_name_in_prefix(prefix)
         found = self._by_name.get(name) or self._new_stream(name)
         if len(self._by_prefix) >= MAXIMUM_PREFIXES:
--- a/src/bramblebeam/report/counting/statements.py
+++ b/src/bramblebeam/report/counting/statements.py
@@ -1,4 +1,4 @@
-"""Statements that were refused, and attempts that did not serve one."""
+"""Counts refused statements, failed attempts and forwarded statements without an answer."""
 
 from collections import Counter
 from typing import NamedTuple
@@ -7,13 +7,13 @@
 from bramblebeam.report.reading.lines import Record
 
 MAXIMUM_KINDS = 300
-"""Of one log."""
+"""Per log."""
 MAXIMUM_ATTEMPTS = 100
 OTHERS = "others"
 
 
 class RefusedKind(NamedTuple):
-    """Refused statements that are counted together."""
+    """Key by which refused statements are counted."""
 
     database: str
     action: str
@@ -22,7 +22,7 @@
 
 
 class AttemptKind(NamedTuple):
-    """Failed attempts that are counted together."""
+    """Key by which failed attempts are counted."""
 
     instance: str
     verdict: str
@@ -30,21 +30,21 @@
 
 
 class ForwardKind(NamedTuple):
-    """Forwarded statements without an answer that are counted together."""
+    """Key by which forwarded statements without an answer are counted."""
 
     group: str
     sent: bool
 
 
 class MutableCount:
-    """A number that grows."""
+    """A count that can be incremented in a BoundedTable."""
 
     def __init__(self) -> None:
         self.count = 0
 
 
 class StatementTimes:
-    """What happened when, over all nodes: refusals by reason and action, attempts by reason."""
+    """Time series over all nodes: refusals by reason and by action, failed attempts by reason."""
 
     def __init__(self) -> None:
         self.refused = TimeSeries()
@@ -52,11 +52,11 @@
         self.attempts = TimeSeries()
 
     def align_bins(self) -> int:
-        """Give all the same bins; return their width (seconds)."""
-        lines = (self.refused, self.refused_actions, self.attempts)
-        width = max(line.width for line in lines)
-        for line in lines:
-            line.widen_to(width)
+        """Widen the bins of all series to the widest; return their width (seconds)."""
+        all_series = (self.refused, self.refused_actions, self.attempts)
+        width = max(series.width for series in all_series)
+        for series in all_series:
+            series.widen_to(width)
         return width
 
 
@@ -77,25 +77,27 @@
         self._times = times
 
     def handle_refused(self, record: Record) -> None:
-        """Take 1120."""
-        action = record.word("action")
-        reason = record.word("reason")
-        kind = RefusedKind(record.word("database"), action, record.word("verdict"), reason)
-        self.refused.at(kind).add(record.number("waited_ms") or 0.0)
+        """Handle event 1120."""
+        action = record.text_field("action")
+        reason = record.text_field("reason")
+        kind = RefusedKind(
+            record.text_field("database"), action, record.text_field("verdict"), reason
+        )
+        self.refused.get_or_create(kind).add(record.number_field("waited_ms") or 0.0)
         self._times.refused.add(record.time, reason)
         self._times.refused_actions.add(record.time, action)
 
     def handle_attempt_failed(self, record: Record) -> None:
-        """Take 1121. The first attempt of each statement has number 1."""
-        reason = record.word("reason")
-        kind = AttemptKind(record.word("instance"), record.word("verdict"), reason)
-        self.attempts.at(kind).count += 1
-        number = record.number("attempt")
+        """Handle event 1121. The first attempt of each statement has number 1."""
+        reason = record.text_field("reason")
+        kind = AttemptKind(record.text_field("instance"), record.text_field("verdict"), reason)
+        self.attempts.get_or_create(kind).count += 1
+        number = record.number_field("attempt")
         if number is not None and 1 <= number <= MAXIMUM_ATTEMPTS:
             self.attempt_numbers[int(number)] += 1
         self._times.attempts.add(record.time, reason)
 
     def handle_forward_failed(self, record: Record) -> None:
-        """Take 1124."""
-        kind = ForwardKind(record.word("group"), record.fields.get("sent") is True)
-        self.forwards.at(kind).count += 1
+        """Handle event 1124."""
+        kind = ForwardKind(record.text_field("group"), record.fields.get("sent") is True)
+        self.forwards.get_or_create(kind).count += 1
--- a/src/bramblebeam/report/counting/tenants.py
+++ b/src/bramblebeam/report/counting/tenants.py
@@ -1,4 +1,4 @@
-"""What tenants that met their limits asked for, added up over all nodes by the second."""
+"""Adds up, by second and over all nodes, the operations of tenants that reached their limits."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -8,19 +8,20 @@
 from bramblebeam.report.reading.lines import Record
 
 SPAN_SECONDS = 5
-"""A limit is a rate and what may be saved up; it is judged in spans of so many seconds."""
+"""A limit is a rate plus a burst, so operations are compared with it over spans of this length."""
 MAXIMUM_TENANTS = 1_000
 MAXIMUM_SECONDS = 3_600
-"""Of one tenant; what comes later is left out."""
+"""Per tenant; further seconds are left out."""
 OTHERS = "others"
-PARTS = ("counted", "refused", "returned", "uncounted", "sent")
+COUNT_FIELDS = ("counted", "refused", "returned", "uncounted", "sent")
+"""Fields of event 1127 that are added up. `returned`: operations refunded to the limit."""
 
 
 class WorstSpan(NamedTuple):
     """The span in which most operations of a tenant were sent to databases.
 
-    `begin`: seconds of the epoch. `counted`: less those returned. `allowed`: by the limit told last
-    in it, None where no node knew one.
+    `begin`: seconds since the epoch. `counted`: without refunded operations. `allowed`: by the
+    limit that was reported last in the span, None if no node knew one.
     """
 
     begin: int
@@ -30,7 +31,7 @@
 
 
 class TenantCount:
-    """One tenant, over all nodes."""
+    """One tenant's operations over all nodes. Nodes are given by the numbers of their streams."""
 
     def __init__(self) -> None:
         self.totals: Counter[str] = Counter()
@@ -39,26 +40,26 @@
         self._seconds: dict[int, Counter[str]] = {}
         self._allowed: dict[int, float] = {}
 
-    def take(self, stream: int, record: Record) -> None:
-        """Count 1127 of one node. It tells of the second before it."""
+    def add_sample(self, stream: int, record: Record) -> None:
+        """Add a node's event 1127, which reports on the second before it."""
         second = int(record.time) - 1
         if second not in self._seconds and len(self._seconds) >= MAXIMUM_SECONDS:
             return
         counts = self._seconds.setdefault(second, Counter())
-        for part in PARTS:
-            told = int(record.number(part) or 0)
-            counts[part] += told
-            self.totals[part] += told
-        if record.number("counted") or record.number("refused"):
+        for field in COUNT_FIELDS:
+            operations = int(record.number_field(field) or 0)
+            counts[field] += operations
+            self.totals[field] += operations
+        if record.number_field("counted") or record.number_field("refused"):
             self.counting_nodes.add(stream)
-        if record.number("sent"):
+        if record.number_field("sent"):
             self.running_nodes.add(stream)
-        rate, burst = record.number("rate"), record.number("burst")
+        rate, burst = record.number_field("rate"), record.number_field("burst")
         if rate is not None and burst is not None:
             self._allowed[second] = rate * SPAN_SECONDS + burst
 
     def worst_span(self) -> WorstSpan:
-        """Return the worst span that begins with one of the seconds that were told of."""
+        """Return the worst of the spans that begin with a reported second."""
         return max(map(self._span, sorted(self._seconds)), key=lambda span: span.sent)
 
     def _span(self, begin: int) -> WorstSpan:
@@ -74,7 +75,7 @@
 
 
 class TenantCounts:
-    """All tenants that met their limits."""
+    """All tenants that reached their limits."""
 
     def __init__(self) -> None:
         self._tenants: BoundedTable[str, TenantCount] = BoundedTable(
@@ -82,9 +83,9 @@
         )
 
     def handle_rate_sample(self, stream: int, record: Record) -> None:
-        """Take 1127."""
-        self._tenants.at(record.word("tenant")).take(stream, record)
+        """Handle event 1127."""
+        self._tenants.get_or_create(record.text_field("tenant")).add_sample(stream, record)
 
     def all(self) -> Iterator[tuple[str, TenantCount]]:
-        """Yield the tenants by name."""
+        """Yield the tenants ordered by name."""
         yield from sorted(self._tenants.values.items())
--- a/src/bramblebeam/report/model.py
+++ b/src/bramblebeam/report/model.py
@@ -1,13 +1,14 @@
-"""What a report over a run says. Times are seconds since the first line of any log.
+"""The parts of a report on a run. Field names are keys of `bramblebeam report --json`.
 
-Nodes tell the time by their own clocks: what is reckoned between two nodes is as exact as these.
+Times are seconds since the earliest line of all logs. Each node uses its own clock, so intervals
+between two nodes are only as accurate as their clocks agree.
 """
 
 from typing import Any, NamedTuple
 
 
 class PassedOverLines(NamedTuple):
-    """Lines of one file that were not counted."""
+    """Lines of one file that were skipped, by reason (see `SkipReason`)."""
 
     source: str
     cut: int
@@ -16,7 +17,7 @@
 
 
 class LeftOut(NamedTuple):
-    """Lines of one event that nodes did not write, as there were too many a second."""
+    """Lines of one event that nodes did not write because there were too many per second."""
 
     event: int
     text: str
@@ -24,9 +25,9 @@
 
 
 class NodeStart(NamedTuple):
-    """One start of a node. The seconds count from its line 1001; None: no line tells.
+    """One start of a node. Durations count from its line 1001; None if no line reports the end.
 
-    They are negative for what came before 1001, which is written once all services run.
+    They are negative for what happened before line 1001, which is written once all services run.
     """
 
     node: str
@@ -39,7 +40,7 @@
 
 
 class Restarted(NamedTuple):
-    """A node that started more than once. `unplanned`: starts that no line 1003 came before."""
+    """A node that started more than once. `unplanned`: starts without a line 1003 before them."""
 
     node: str
     zone: str
@@ -48,7 +49,7 @@
 
 
 class Refused(NamedTuple):
-    """Statements that got a final answer without success; they waited for it.
+    """Statements whose final answer was not a success, and how long they waited for it.
 
     `p50_ms` and `p99_ms` are upper bounds, at most 9% above the true ones.
     """
@@ -66,7 +67,7 @@
 
 
 class FailedAttempts(NamedTuple):
-    """Attempts at databases that did not serve a statement, as nodes of one zone made them."""
+    """Attempts at databases that did not serve a statement. `zone`: of the nodes making them."""
 
     zone: str
     verdict: str
@@ -83,14 +84,17 @@
 
 
 class AttemptNumber(NamedTuple):
-    """How many statements had at least so many attempts in vain."""
+    """How many statements had at least `attempts` failed attempts."""
 
     attempts: int
     statements: int
 
 
 class ForwardFailures(NamedTuple):
-    """Statements that a node serving their group did not answer. `sent`: it may have run them."""
+    """Forwarded statements that the node serving their group did not answer.
+
+    `sent`: that node may have run them.
+    """
 
     zone: str
     group: str
@@ -99,7 +103,7 @@
 
 
 class SecondCount(NamedTuple):
-    """What happened in one second of the clock, or in `bin_seconds` of a long run."""
+    """Count of one key in one second of the clock, or in `bin_seconds` seconds of a long run."""
 
     at: float
     key: str
@@ -109,10 +113,10 @@
 class LeaderChange(NamedTuple):
     """One change of a group's leader.
 
-    `gap_ms`: from the last moment at which any node had the former leader's proof to the first
-    moment at which any node had the next one's; None where no line tells. No write can be
-    acknowledged in it. `longest_gap_ms`: the same on the node that missed a leader for longest.
-    `refused_writes`: of all databases, in the seconds that the change touches.
+    `gap_ms`: from the last time that any node had proof of the former leader to the first time
+    that any node had proof of the new one; None if no line reports it. No write can be
+    acknowledged in the gap. `longest_gap_ms`: the gap on the node that had no leader for longest.
+    `refused_writes`: on all databases, in the seconds that the change touches.
     """
 
     group: str
@@ -129,7 +133,7 @@
 
 
 class Interruption(NamedTuple):
-    """Times that nodes missed a leader and found the same one in the same term again."""
+    """How often nodes lost a group's leader and then proved the same one in the same term."""
 
     group: str
     times: int
@@ -138,7 +142,7 @@
 
 
 class Order(NamedTuple):
-    """Ordered changes of primary. `longest_trouble_ms`: how long the trouble lasted before."""
+    """Ordered failovers. `longest_trouble_ms`: the longest time that trouble lasted before one."""
 
     group: str
     cause: str
@@ -149,7 +153,7 @@
 
 
 class CutOff(NamedTuple):
-    """How former leaders were cut off."""
+    """Cut-offs of former leaders, by outcome."""
 
     group: str
     outcome: str
@@ -158,11 +162,12 @@
 
 
 class TenantAtLimit(NamedTuple):
-    """A tenant that met its limit, over all nodes, while they told of it.
+    """Operations of a tenant that reached its limit, over all nodes, in the seconds they reported.
 
-    `span_at`: begin of the 5 s in which most of its operations were sent to databases, with those
-    sent and counted then and those that its limit allows (None: no node knew one). What was sent
-    holds further attempts, what was counted is less what was given back.
+    `returned`: refunded operations. `span_at`: start of the 5 s in which most of the operations
+    were sent to databases; the other `span_` fields are for these 5 s. Sent operations include
+    further attempts. `span_counted` excludes refunded operations. `span_allowed` is what the limit
+    allows (None if no node knew one).
     """
 
     tenant: str
@@ -180,7 +185,7 @@
 
 
 class ErrorLines(NamedTuple):
-    """Lines of level error or critical. `example`: the fields of the first."""
+    """Lines of level error or critical. `example`: the fields of the earliest line."""
 
     event: int
     level: str
@@ -192,7 +197,7 @@
 
 
 class Answered(NamedTuple):
-    """Statements by route, as metrics count them."""
+    """Statements by route and outcome, from metrics."""
 
     consistency: str
     action: str
@@ -201,7 +206,7 @@
 
 
 class Took(NamedTuple):
-    """How long statements took, refused ones too. The bounds are those of histogram buckets."""
+    """Latencies of statements, refused ones included. Bounds are those of histogram buckets."""
 
     consistency: str
     action: str
@@ -214,14 +219,14 @@
 
 
 class ReasonCount(NamedTuple):
-    """Failed attempts by reason, as metrics count them."""
+    """Failed attempts by reason, from metrics."""
 
     reason: str
     attempts: int
 
 
 class MetricsFigures(NamedTuple):
-    """What scraped metrics texts tell. `failed_attempts_a_statement`: None without statements."""
+    """Figures from metrics texts. `failed_attempts_a_statement`: None without statements."""
 
     files: int
     passed_over: int
@@ -237,9 +242,10 @@
 
 
 class Waiting(NamedTuple):
-    """Time spent on statements that were refused, against all time spent on statements.
+    """Time spent on refused statements compared with the time spent on all statements.
 
-    `all_seconds` and `share` need metrics, and the logs of the nodes that they are of.
+    `all_statements`, `all_seconds` and `share` need metrics; `share` is correct only if logs and
+    metrics are of the same nodes.
     """
 
     refused_statements: int
@@ -250,7 +256,7 @@
 
 
 class RunReport(NamedTuple):
-    """Everything. `begins`: UTC, as the first line tells it. `metrics`: None if none were given."""
+    """The whole report. `begins`: UTC time of the earliest line. `metrics`: None if not given."""
 
     begins: str
     seconds: float
@@ -279,10 +285,10 @@
     metrics: MetricsFigures | None
 
 
-def plain(value: Any) -> Any:
-    """Return a record as what JSON has: objects by their fields, and lists."""
+def to_json_value(value: Any) -> Any:
+    """Convert a value for JSON: named tuples to objects by field name, other tuples to lists."""
     if hasattr(value, "_asdict"):
-        return {name: plain(field) for name, field in value._asdict().items()}
+        return {name: to_json_value(field) for name, field in value._asdict().items()}
     if isinstance(value, tuple):
-        return [plain(item) for item in value]
+        return [to_json_value(item) for item in value]
     return value
--- a/src/bramblebeam/report/reading/__init__.py
+++ b/src/bramblebeam/report/reading/__init__.py
@@ -1,1 +1,1 @@
-"""Log lines and metrics texts as records; what is none of ours is told apart."""
+"""Parses log lines and metrics texts; lines of other programs are recognised and skipped."""
--- a/src/bramblebeam/report/reading/files.py
+++ b/src/bramblebeam/report/reading/files.py
@@ -1,24 +1,24 @@
-"""Files of lines, read one by one."""
+"""Reads text files line by line."""
 
 from collections.abc import Iterator
 from pathlib import Path
 
 MAX_LINE_LENGTH = 1 << 16
-"""Characters; what is longer is no line of ours, and is handed out as its beginning alone."""
+"""Characters. bramblebeam writes no longer lines; of a longer one only the start is returned."""
 
 
 class UnreadableError(Exception):
-    """A file that cannot be read, or that holds nothing of ours; the text names it."""
+    """A file cannot be read or has no usable content; the message names the file."""
 
 
 def read_lines(path: Path) -> Iterator[str]:
     """Yield the lines of a text file. Raises UnreadableError."""
     try:
         with path.open(encoding="utf-8", errors="replace", newline="\n") as file:
-            is_rest = False
+            is_continuation = False
             while line := file.readline(MAX_LINE_LENGTH):
-                if not is_rest:
+                if not is_continuation:
                     yield line
-                is_rest = len(line) == MAX_LINE_LENGTH and not line.endswith("\n")
+                is_continuation = len(line) == MAX_LINE_LENGTH and not line.endswith("\n")
     except OSError as error:
         raise UnreadableError(f"{path}: {error.strerror}") from error
--- a/src/bramblebeam/report/reading/lines.py
+++ b/src/bramblebeam/report/reading/lines.py
@@ -1,4 +1,4 @@
-"""One line of a log: a record of ours, or why it is none."""
+"""Parses one log line into a record, or returns why it is skipped."""
 
 from datetime import datetime
 from enum import Enum
@@ -7,10 +7,10 @@
 from pydantic_core import from_json
 
 OWN_LOGGERS = ("bramblebeam", "asyncio", "aiomisc")
-"""Lines without an event's number are ours if they come from one of these."""
-LARGEST_NUMBER = 1e15
-"""No field of ours is beyond it."""
-_OWN_BEGIN = '{"time"'
+"""Lines without an event number are counted only if they come from one of these loggers."""
+MAX_MAGNITUDE = 1e15
+"""Every numeric field of bramblebeam's events is below this; other values are ignored."""
+_RECORD_START = '{"time"'
 
 
 class SkipReason(Enum):
@@ -22,10 +22,11 @@
 
 
 class Record(NamedTuple):
-    """One line of ours.
+    """One log line of bramblebeam.
 
-    `time`: seconds of the epoch, by the node's clock. `event`: 0 where the line has no number.
+    `time`: seconds since the epoch, by the node's clock. `event`: 0 if the line has no number.
     `text`: the event's text, or the message of a line without a number.
+    `prefix`: the text before the JSON object.
     """
 
     time: float
@@ -36,34 +37,34 @@
     fields: dict[str, Any]
     prefix: str = ""
 
-    def word(self, name: str) -> str:
-        """Return a field as text; "?" where the line lacks it."""
+    def text_field(self, name: str) -> str:
+        """Return a field as text; "?" if the line lacks it."""
         value = self.fields.get(name)
         if type(value) is str:
             return value
         return "?" if value is None else str(value)
 
-    def number(self, name: str) -> float | None:
-        """Return a field that is a finite number."""
+    def number_field(self, name: str) -> float | None:
+        """Return a numeric field; None if it is missing, no number or out of range."""
         value = self.fields.get(name)
         if type(value) is not int and type(value) is not float:
             return None
-        return value if -LARGEST_NUMBER < value < LARGEST_NUMBER else None
+        return value if -MAX_MAGNITUDE < value < MAX_MAGNITUDE else None
 
 
 def parse_record(line: str) -> Record | SkipReason:
-    """Return what a line holds. Words before the JSON object are its prefix.
+    """Parse a log line. Text before the JSON object becomes the record's prefix.
 
-    Words after it are another line that ran into this one: both count as one that was cut.
+    Text after the object means that another line ran into this one: both count as one cut line.
     """
-    begin = line.find(_OWN_BEGIN)
+    begin = line.find(_RECORD_START)
     looks_own = begin >= 0
     if not looks_own:
         begin = line.find("{")
     if begin < 0:
         return SkipReason.NO_JSON
     try:
-        # Takes less than half of the standard library's time, which was a third of all.
+        # Takes less than half the time of json.loads, which was a third of the total run time.
         content = from_json(line[begin:])
     except ValueError:
         return SkipReason.CUT if looks_own else SkipReason.NO_JSON
--- a/src/bramblebeam/report/reading/metrics_text.py
+++ b/src/bramblebeam/report/reading/metrics_text.py
@@ -1,4 +1,4 @@
-"""Counters in scraped metrics texts."""
+"""Parses counters from scraped metrics texts."""
 
 import re
 from pathlib import Path
@@ -8,78 +8,81 @@
 
 OWN_PREFIX = "bramblebeam_"
 MAXIMUM_SERIES = 20_000
-"""Of one file; a node has some hundreds."""
+"""Per file; a node exports a few hundred."""
 _SAMPLE = re.compile(r"([a-zA-Z_:][\w:]*)(?:\{([^}]*)\})?\s+(\S+)(?:\s+\S+)?\s*")
 _LABEL = re.compile(r'(\w+)="((?:[^"\\]|\\.)*)"')
 
 
 class Series(NamedTuple):
-    """What names one counter: its name, and its labels by their names."""
+    """Identity of a time series: its metric name and its (name, value) label pairs."""
 
     name: str
     labels: tuple[tuple[str, str], ...] = ()
 
     def label(self, name: str) -> str:
-        """Return a label; "?" where there is none."""
+        """Return a label's value; "?" if the series lacks it."""
         return dict(self.labels).get(name, "?")
 
 
 class MetricsText(NamedTuple):
-    """The counters of one file at its end."""
+    """The counters of one file after its last scrape."""
 
     source: str
     counters: dict[Series, float]
     passed_over: int
 
 
-class _Count:
-    """A counter over the scrapes of one file. One that falls began again, with its node."""
+class _RestartableCounter:
+    """Total of a counter over the scrapes of one file.
+
+    A decrease means that the node restarted and its counter began again from zero.
+    """
 
     def __init__(self) -> None:
-        self._before = 0.0
+        self._before_restarts = 0.0
         self._latest = 0.0
 
-    def take(self, value: float) -> None:
+    def observe(self, value: float) -> None:
         if value < self._latest:
-            self._before += self._latest
+            self._before_restarts += self._latest
         self._latest = value
 
     @property
     def total(self) -> float:
-        return self._before + self._latest
+        return self._before_restarts + self._latest
 
 
 def read_metrics(path: Path) -> MetricsText:
-    """Read one node's texts, one or several scrapes in turn. Raises UnreadableError."""
-    counts: dict[Series, _Count] = {}
+    """Read one node's file, which holds one or several scrapes in turn. Raises UnreadableError."""
+    counters: dict[Series, _RestartableCounter] = {}
     passed_over = 0
     for line in read_lines(path):
         if line.startswith("#") or not line.strip():
             continue
         sample = _sample(line)
-        if sample is None or len(counts) >= MAXIMUM_SERIES:
+        if sample is None or len(counters) >= MAXIMUM_SERIES:
             passed_over += 1
             continue
         series, value = sample
         if series.name.startswith(OWN_PREFIX):
-            counts.setdefault(series, _Count()).take(value)
-    if not counts:
-        raise UnreadableError(f"{path}: no figure of ours is in this metrics text")
-    totals = {series: count.total for series, count in counts.items()}
+            counters.setdefault(series, _RestartableCounter()).observe(value)
+    if not counters:
+        raise UnreadableError(f"{path}: no bramblebeam metrics in this file")
+    totals = {series: counter.total for series, counter in counters.items()}
     return MetricsText(path.name, totals, passed_over)
 
 
 def parse_metrics(text: str) -> dict[Series, float]:
-    """Return the figures of one scrape; lines that are none are passed over."""
+    """Return the samples of one scrape; lines that are not samples are skipped."""
     samples = (_sample(line) for line in text.splitlines() if not line.startswith("#"))
     return dict(sample for sample in samples if sample is not None)
 
 
 def _sample(line: str) -> tuple[Series, float] | None:
-    found = _SAMPLE.fullmatch(line)
-    if found is None:
+    match = _SAMPLE.fullmatch(line)
+    if match is None:
         return None
-    name, labels, text = found.groups()
+    name, labels, text = match.groups()
     try:
         value = float(text)
     except ValueError:
--- a/src/bramblebeam/report/rendering/__init__.py
+++ b/src/bramblebeam/report/rendering/__init__.py
@@ -1,1 +1,1 @@
-"""A report as a table, as a page, and as JSON."""
+"""Presents a report as tables and as an HTML page with plots."""
--- a/src/bramblebeam/report/rendering/tables.py
+++ b/src/bramblebeam/report/rendering/tables.py
@@ -1,19 +1,24 @@
-"""The tables of a report, for the terminal and the page alike."""
+"""Arranges a report as tables, which the terminal and the HTML page both show.
+
+Titles, column names and row labels are read by operators' tools.
+"""
 
 from collections.abc import Iterable, Iterator, Sequence
 from typing import NamedTuple
 
 from bramblebeam.pages.html import Cell
-from bramblebeam.pages.text import number, share
+from bramblebeam.pages.text import format_number, format_percentage
 from bramblebeam.report.model import MetricsFigures, NodeStart, RunReport, SecondCount
 
-NOT_TOLD = "?"
+UNKNOWN = "?"
 NOT_GIVEN = "no metrics given"
-SECONDS_NOTE = "The worst first. Seconds of the clock: the first may begin before the run."
+SECONDS_NOTE = (
+    "Worst first. Bins start at whole seconds of the clock: the first may begin before the run."
+)
 
 
 class Table(NamedTuple):
-    """One table with what there is to know about reading it."""
+    """One table; the note explains how to read it."""
 
     title: str
     note: str
@@ -21,9 +26,9 @@
     rows: tuple[tuple[Cell, ...], ...]
 
 
-def tables_of(report: RunReport) -> list[Table]:
-    """Return every table that has rows."""
-    drawn = [
+def build_tables(report: RunReport) -> list[Table]:
+    """Return the tables that have rows; the summary comes first."""
+    tables = [
         _summary(report),
         *_nodes(report),
         *_leaders(report),
@@ -32,7 +37,7 @@
         *(_metrics(report.metrics) if report.metrics is not None else ()),
         *_lines(report),
     ]
-    return [table for table in drawn if table.rows]
+    return [table for table in tables if table.rows]
 
 
 def _table(
@@ -43,16 +48,16 @@
 
 def _cell(value: object) -> Cell:
     if value is None:
-        return Cell(NOT_TOLD)
+        return Cell(UNKNOWN)
     if isinstance(value, bool):
         return Cell("yes" if value else "no")
     if isinstance(value, int):
-        return Cell(str(value), is_figure=True)
+        return Cell(str(value), is_numeric=True)
     if isinstance(value, float):
-        # A small figure below zero is shown as 0.00, not -0.00.
-        return Cell(number(round(value, 2) + 0.0), is_figure=True)
+        # Adding 0.0 turns -0.0 into 0.0, so that small negative values are shown as 0.00.
+        return Cell(format_number(round(value, 2) + 0.0), is_numeric=True)
     text = str(value)
-    return Cell("".join(sign if sign.isprintable() else " " for sign in text))
+    return Cell("".join(char if char.isprintable() else " " for char in text))
 
 
 def _summary(report: RunReport) -> Table:
@@ -72,16 +77,16 @@
         ("lines of level error", sum(item.lines for item in report.errors)),
         ("lines left out by nodes", sum(item.lines for item in report.left_out)),
         ("lines passed over", sum(sum(item[1:]) for item in report.passed_over)),
-        ("statements answered", _given(metrics, waiting.all_statements)),
-        ("seconds of all statements", _given(metrics, waiting.all_seconds)),
-        ("part of them waited in vain", _given(metrics, share(waiting.share))),
-        ("attempts in vain a statement", _given(metrics, _attempts_a_statement(metrics))),
-        ("reads served by replicas", _given(metrics, _replica_share(metrics))),
+        ("statements answered", _if_metrics(metrics, waiting.all_statements)),
+        ("seconds of all statements", _if_metrics(metrics, waiting.all_seconds)),
+        ("part of them waited in vain", _if_metrics(metrics, format_percentage(waiting.share))),
+        ("attempts in vain a statement", _if_metrics(metrics, _attempts_a_statement(metrics))),
+        ("reads served by replicas", _if_metrics(metrics, _replica_share(metrics))),
     ]
     return _table("Run", ("FIGURE", "VALUE"), rows)
 
 
-def _given(metrics: MetricsFigures | None, value: object) -> object:
+def _if_metrics(metrics: MetricsFigures | None, value: object) -> object:
     return NOT_GIVEN if metrics is None else value
 
 
@@ -90,7 +95,7 @@
 
 
 def _replica_share(metrics: MetricsFigures | None) -> str:
-    return share(None if metrics is None else metrics.replica_read_share)
+    return format_percentage(None if metrics is None else metrics.replica_read_share)
 
 
 def _nodes(report: RunReport) -> Iterator[Table]:
@@ -98,13 +103,13 @@
         "Starts of nodes, the slowest first",
         ("NODE", "ZONE", "AT s", "ACCEPTS s", "READY s", "LEADER s", "STOPPED"),
         _slowest_first(report.starts),
-        "Seconds from 1001 to 1101, 1123 and the first 1320; below zero: before 1001.",
+        "Seconds from event 1001 to 1101, 1123 and the first 1320; negative: before 1001.",
     )
     yield _table("Restarted", ("NODE", "ZONE", "STARTS", "UNPLANNED"), report.restarted)
 
 
 def _slowest_first(starts: Iterable[NodeStart]) -> list[NodeStart]:
-    """Return starts, those that found no leader in front."""
+    """Sort starts by the time to the first leader; those without a leader come first."""
 
     def slowness(start: NodeStart) -> float:
         return float("inf") if start.leader_seconds is None else start.leader_seconds
@@ -133,7 +138,7 @@
             "WRITES REFUSED",
         ),
         report.changes,
-        "GAP: from the last proof of the former leader on any node to the first of the next.",
+        "GAP: from the last proof of the former leader on any node to the first proof of the next.",
     )
     yield _table(
         "Leaders missed and found again",
@@ -189,7 +194,7 @@
         "Attempts a statement",
         ("ATTEMPTS IN VAIN, AT LEAST", "STATEMENTS"),
         report.attempt_numbers,
-        "Of statements with one attempt in vain or more; lines left out lack.",
+        "Statements with at least one failed attempt; lines that nodes left out are missing.",
     )
     yield _table(
         "Forwarded without an answer",
@@ -216,7 +221,7 @@
             "ALLOWED THEN",
         ),
         report.tenants,
-        "Operations. SENT: to databases, further attempts included. ALLOWED: rate x 5 + burst.",
+        "Operations. SENT: to databases, including further attempts. ALLOWED: rate x 5 + burst.",
     )
 
 
@@ -239,7 +244,7 @@
             "SLOWEST AT MOST ms",
         ),
         metrics.took,
-        "From arrival to answer, waiting included. ?: beyond the last bucket.",
+        "From arrival to answer, including waiting. ?: beyond the last bucket.",
     )
     yield _table("Attempts in vain, by metrics", ("REASON", "ATTEMPTS"), metrics.failed_attempts)
     rows = [
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from bramblebeam.report.counting.build import report_on
+from bramblebeam.report.counting.build import build_report
 from platform_standins.world import LineClient, World, node_settings, running_world
 
 PROGRAM = Path(__file__).parent.parent / "src" / "platform_node.py"
@@ -142,7 +142,7 @@
         logs = [await log_of_a_run(world, tmp_path / "node.json", stop) for _ in range(2)]
     file = tmp_path / "node-p.log"
     file.write_text("".join(logs))
-    found = report_on([file], [])
+    found = build_report([file], [])
     assert [(one.node, one.starts, one.unplanned) for one in found.restarted] == [
         ("node-p", 2, unplanned)
     ]
--- a/tests/test_report_command.py
+++ b/tests/test_report_command.py
@@ -1,4 +1,4 @@
-"""`bramblebeam report` as it is called."""
+"""`bramblebeam report` on the command line."""
 
 import json
 import subprocess
@@ -73,7 +73,7 @@
     assert shown in found.output
 
 
-def test_rows_beyond_the_bound_are_told(tmp_path: Path) -> None:
+def test_number_of_hidden_rows_is_shown(tmp_path: Path) -> None:
     file = tmp_path / "a.log"
     file.write_text("\n".join(refused(float(second)) for second in range(20)))
     assert " ... 15 more rows" in run(file, "--rows", 5).output
@@ -82,16 +82,16 @@
 def test_json_is_one_object(log: Path, metrics: list[Path]) -> None:
     found = run(log, "--json", "--metrics", *metrics)
     assert found.exit_code == 0, found.output
-    told = json.loads(found.stdout)
-    assert told["starts"][0]["node"] == "edge-1"
-    assert told["changes"][0]["gap_ms"] == pytest.approx(2_300)
+    output = json.loads(found.stdout)
+    assert output["starts"][0]["node"] == "edge-1"
+    assert output["changes"][0]["gap_ms"] == pytest.approx(2_300)
     passed_over = {"source": str(log), "cut": 0, "foreign": 0, "no_json": 1}
-    assert told["passed_over"] == [passed_over]
-    assert told["metrics"]["replica_read_share"] == 0.75
-    assert (told["metrics"]["files"], told["metrics"]["replica_reads"]) == (3, 9)
+    assert output["passed_over"] == [passed_over]
+    assert output["metrics"]["replica_read_share"] == 0.75
+    assert (output["metrics"]["files"], output["metrics"]["replica_reads"]) == (3, 9)
 
 
-def test_the_page_holds_plots_and_escapes_what_logs_say(log: Path, tmp_path: Path) -> None:
+def test_page_has_plots_and_escapes_log_texts(log: Path, tmp_path: Path) -> None:
     page = tmp_path / "run.html"
     found = run(log, "--html", page)
     assert found.exit_code == 0, found.output
@@ -99,22 +99,25 @@
     assert text.count("data:image/png;base64,") == 3
     assert "&lt;script&gt;" in text
     assert "<script" not in text
-    assert not any(outside in text for outside in ("http://", "https://", "href="))
+    assert not any(reference in text for reference in ("http://", "https://", "href="))
 
 
 @pytest.mark.parametrize(
     ("words", "message"),
     [
         (["none.log"], "none.log: No such file or directory"),
-        (["edge-1.log", "edge-1.prom"], "edge-1.prom: no line of ours is in this log (it is a"),
-        (["edge-1.log", "--metrics", "edge-1.log"], "edge-1.log: no figure of ours"),
+        (["edge-1.log", "edge-1.prom"], "edge-1.prom: no bramblebeam lines in this log (it is a"),
+        (
+            ["edge-1.log", "--metrics", "edge-1.log"],
+            "edge-1.log: no bramblebeam metrics in this file",
+        ),
         (["edge-1.log", "--metrics", "edge-1.prom", "none"], "none: No such file or directory"),
         (["edge-1.log", "--html", "none/run.html"], "none/run.html: No such file or directory"),
         (["."], ".: Is a directory"),
     ],
 )
 @pytest.mark.usefixtures("log", "metrics")
-def test_what_cannot_be_read_is_refused_in_one_line(
+def test_unreadable_files_are_reported_in_one_line(
     words: list[str], message: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.chdir(tmp_path)
@@ -138,12 +141,12 @@
         ("--metrics", "--metrics"),
     ],
 )
-def test_several_files_after_one_option(words: str, repeated: str) -> None:
+def test_option_accepts_several_files(words: str, repeated: str) -> None:
     assert repeat_option(words.split(), "--metrics") == repeated.split()
 
 
 @pytest.mark.parametrize("module", ["matplotlib", "bramblebeam.lab", "bramblebeam.services"])
-def test_a_report_without_a_page_needs_little(module: str) -> None:
+def test_report_without_page_does_not_import(module: str) -> None:
     code = (
         "import sys, bramblebeam.cli.report as _;"
         f"sys.exit(any(name.startswith({module!r}) for name in sys.modules))"
--- a/tests/test_report_counting.py
+++ b/tests/test_report_counting.py
@@ -1,4 +1,4 @@
-"""The sums of a report, on small logs."""
+"""Aggregation of small logs and metrics texts into a report."""
 
 import json
 from collections.abc import Iterator
@@ -21,15 +21,15 @@
     SERVICE_FAILED,
 )
 from bramblebeam.report.counting.bounded import BoundedTable, DurationHistogram, TimeSeries
-from bramblebeam.report.counting.build import report_on
+from bramblebeam.report.counting.build import build_report
 from bramblebeam.report.counting.statements import MutableCount, StatementTimes
-from bramblebeam.report.model import NodeStart, RunReport, plain
+from bramblebeam.report.model import NodeStart, RunReport, to_json_value
 from bramblebeam.report.reading.files import UnreadableError
-from bramblebeam.report.rendering.page import page_of
+from bramblebeam.report.rendering.page import render_page
 from run_logs import attempt, line, long_log, missed, proven, refused, start
 
 Logs = dict[str, list[str]]
-FIRST = line(0.0, MEMBER_JOINED, node="edge-9", zone="loja", incarnation=1)
+JOINED = line(0.0, MEMBER_JOINED, node="edge-9", zone="loja", incarnation=1)
 
 
 def report(directory: Path, logs: Logs, metrics: dict[str, str] | None = None) -> RunReport:
@@ -40,16 +40,16 @@
 
     log_files = [written(name, "\n".join(lines)) for name, lines in logs.items()]
     metrics_files = [written(name, text) for name, text in (metrics or {}).items()]
-    return report_on(log_files, metrics_files)
+    return build_report(log_files, metrics_files)
 
 
 def rounded(value: float | None) -> float | None:
     return None if value is None else round(value, 3)
 
 
-def told(begun: NodeStart) -> tuple[object, ...]:
-    seconds = (begun.at, begun.accepting_seconds, begun.ready_seconds, begun.leader_seconds)
-    return (begun.node, begun.zone, *map(rounded, seconds), begun.stopped)
+def start_row(found: NodeStart) -> tuple[object, ...]:
+    seconds = (found.at, found.accepting_seconds, found.ready_seconds, found.leader_seconds)
+    return (found.node, found.zone, *map(rounded, seconds), found.stopped)
 
 
 @pytest.mark.parametrize(
@@ -58,7 +58,7 @@
         pytest.param(
             [*start(1.0, "n1", "z"), proven(1.9, 1, "db-a"), proven(2.5, 1, "db-z", "other")],
             [("n1", "z", 1.0, -0.01, 0.5, 0.9, False)],
-            id="one start, the first leader counts",
+            id="one start, the first proven leader is used",
         ),
         pytest.param(
             [*start(1.0, "n1", "z"), line(5.0, NODE_STOPPED, node="n1"), *start(6.0, "n1", "z")],
@@ -84,7 +84,7 @@
                 line(3.3, EDGE_LISTENING, host="h", port=1),
             ],
             [("n1", "z", 1.0, 0.2, None, None, False), ("n1", "z", 3.0, 0.3, None, None, False)],
-            id="callers are accepted after the start",
+            id="connections are accepted after the start",
         ),
         pytest.param([proven(1.0, 1, "db-a")], [], id="a log that begins later"),
         pytest.param(
@@ -100,8 +100,8 @@
     ],
 )
 def test_starts(lines: list[str], starts: list[tuple[object, ...]], tmp_path: Path) -> None:
-    found = report(tmp_path, {"a.log": [FIRST, *lines]})
-    assert [told(begun) for begun in found.starts] == starts
+    found = report(tmp_path, {"a.log": [JOINED, *lines]})
+    assert [start_row(one) for one in found.starts] == starts
 
 
 @pytest.mark.parametrize(
@@ -149,46 +149,49 @@
             },
             [("g", 2, "db-b", "db-a", 1700, 2300, 2)],
             [],
-            id="the last proof and the first one count over all nodes",
+            id="last and first proof are taken over all nodes",
         ),
         pytest.param(
             {"a.log": [*BEGIN, missed(5.0, "db-a", None), proven(6.5, 2, "db-b")]},
             [("g", 2, "db-b", "db-a", 1500, 1500, 1)],
             [],
-            id="no age of the proof",
+            id="the proof age is missing",
         ),
         pytest.param(
             {"a.log": [*BEGIN, proven(6.5, 2, "db-b")]},
             [("g", 2, "db-b", "db-a", None, None, 1)],
             [],
-            id="nobody missed the former one",
+            id="no node lost the former leader",
         ),
         pytest.param(
             {"a.log": [*BEGIN, missed(5.0, "db-a", 800), proven(6.0, 1, "db-a")]},
             [],
             [("g", 1, 1800)],
-            id="found again",
+            id="the same leader again",
         ),
         pytest.param(
             {"a.log": [missed(5.0, "db-a", 800), proven(6.0, 1, "db-a")]},
             [],
             [("g", 1, 1800)],
-            id="found again in a log that begins later",
+            id="the same leader again in a log that begins later",
         ),
         pytest.param(
             {"a.log": [*BEGIN, missed(5.0, "db-a", 0), *start(8, "n1"), proven(9, 1, "db-a")]},
             [],
             [],
-            id="missed by a process that ended",
+            id="lost by a process that ended",
         ),
         pytest.param(
             {"a.log": [*BEGIN], "b.log": [*start(7, "n2"), proven(8.0, 2, "db-b")]},
             [("g", 2, "db-b", "?", None, None, 1)],
             [],
-            id="seen by a later node alone",
+            id="seen only by a node that started later",
         ),
         pytest.param(
-            {"a.log": [*BEGIN, proven(2.0, 9, "db-x", "other")]}, [], [], id="groups are apart"
+            {"a.log": [*BEGIN, proven(2.0, 9, "db-x", "other")]},
+            [],
+            [],
+            id="groups are independent",
         ),
     ],
 )
@@ -211,11 +214,11 @@
         )
         for change in found.changes
     ] == changes
-    missed_ones = [(one.group, one.times, round(one.longest_ms)) for one in found.interruptions]
-    assert missed_ones == interruptions
+    interrupted = [(one.group, one.times, round(one.longest_ms)) for one in found.interruptions]
+    assert interrupted == interruptions
 
 
-def test_writes_refused_in_a_change_are_counted_with_it(tmp_path: Path) -> None:
+def test_leader_change_counts_writes_refused_during_it(tmp_path: Path) -> None:
     lines = [
         *BEGIN,
         refused(2.0),
@@ -230,7 +233,7 @@
     assert change.refused_writes == 2
 
 
-def test_orders_and_ends_of_former_leaders(tmp_path: Path) -> None:
+def test_failovers_and_cut_offs_of_former_leaders(tmp_path: Path) -> None:
     begun = {"group": "g", "cause": "lost", "leader": None, "token": 14, "taken_over": False}
     ended = {"group": "g", "target": "db-b", "outcome": "accepted", "token": 16}
     lines = [
@@ -288,8 +291,8 @@
     assert seconds == [(0.91, "deadline", 1), (0.91, "replica_behind", 3)]
 
 
-def test_a_zone_is_known_from_what_other_nodes_tell(tmp_path: Path) -> None:
-    logs = {"edge-9.log": [refused(1.0)], "b.log": [FIRST]}
+def test_zone_is_taken_from_lines_of_other_nodes(tmp_path: Path) -> None:
+    logs = {"edge-9.log": [refused(1.0)], "b.log": [JOINED]}
     (found,) = report(tmp_path, logs).refused
     assert found.zone == "loja"
 
@@ -308,7 +311,7 @@
         '{"time": "2031-05-06T07:08:10+00:00", "level": "error", "logger": "asyncio",'
         ' "message": "Task exception was never retrieved"}'
     )
-    logs = {"a.log": [FIRST, error, left_out], "b.log": [error, plain]}
+    logs = {"a.log": [JOINED, error, left_out], "b.log": [error, plain]}
     found = report(tmp_path, logs)
     text = "service failed and is restarted"
     assert [one[:5] for one in found.errors] == [
@@ -320,7 +323,7 @@
     assert list(found.left_out) == [(1121, CATALOGUE[1121].text, 7), (0, "", 2)]
 
 
-def test_lines_that_are_passed_over_are_counted_by_file(tmp_path: Path) -> None:
+def test_skipped_lines_are_counted_by_file(tmp_path: Path) -> None:
     logs = {
         "a.log": [
             refused(1.0),
@@ -339,12 +342,12 @@
 @pytest.mark.parametrize(
     ("content", "message"),
     [
-        ("", "no line of ours is in this log$"),
-        ('{"msg": "hello"}\n', "no line of ours is in this log$"),
-        ('bramblebeam_reads_total{role="replica"} 2.0\n', "give it by --metrics"),
+        ("", "no bramblebeam lines in this log$"),
+        ('{"msg": "hello"}\n', "no bramblebeam lines in this log$"),
+        ('bramblebeam_reads_total{role="replica"} 2.0\n', "pass it with --metrics"),
     ],
 )
-def test_a_log_without_a_line_of_ours_is_refused(
+def test_log_without_bramblebeam_lines_is_rejected(
     content: str, message: str, tmp_path: Path
 ) -> None:
     with pytest.raises(UnreadableError, match=message):
@@ -391,7 +394,7 @@
     assert found.waiting == (1, 5.0, 200, 20.0, 0.25)
 
 
-def test_metrics_of_nodes_without_reads_tell_no_share(tmp_path: Path) -> None:
+def test_shares_are_none_without_reads_and_statements(tmp_path: Path) -> None:
     text = "bramblebeam_leader_changes_total 2.0\n"
     metrics = report(tmp_path, {"a.log": [refused(1.0)]}, {"n1.prom": text}).metrics
     assert metrics is not None
@@ -409,13 +412,13 @@
     assert [(change.term, change.nodes) for change in found.changes] == [(2, 3)]
 
 
-# What bounds the memory.
+# Bounds on memory.
 
 
 def test_keys_past_the_bound_are_counted_together() -> None:
     table: BoundedTable[str, MutableCount] = BoundedTable(MutableCount, "others", 2)
     for key in "abcdab":
-        table.at(key).count += 1
+        table.get_or_create(key).count += 1
     assert {key: total.count for key, total in table.values.items()} == {
         "a": 2,
         "b": 2,
@@ -424,17 +427,17 @@
 
 
 @pytest.mark.parametrize("seconds", [1, 1_200, 1_201, 5_000])
-def test_a_long_run_has_longer_bins(seconds: int) -> None:
+def test_long_run_has_wider_bins(seconds: int) -> None:
     times = TimeSeries()
     for second in range(seconds):
         times.add(second + 0.5, "reason")
-    moments = times.bins()
-    assert sum(moment.times for moment in moments) == seconds
-    assert len(moments) <= TimeSeries.MAXIMUM_BINS
-    assert [moment.begin for moment in moments] == list(range(0, seconds, times.width))
+    bins = times.bins()
+    assert sum(one.times for one in bins) == seconds
+    assert len(bins) <= TimeSeries.MAXIMUM_BINS
+    assert [one.begin for one in bins] == list(range(0, seconds, times.width))
 
 
-def test_time_lines_get_the_same_bins() -> None:
+def test_aligned_time_series_have_the_same_bins() -> None:
     times = StatementTimes()
     for second in range(1_300):
         times.refused.add(second, "reason")
@@ -448,19 +451,19 @@
     times = TimeSeries()
     for number in range(100):
         times.add(1.0, f"reason-{number:03}")
-    keys = [moment.key for moment in times.bins()]
+    keys = [one.key for one in times.bins()]
     assert len(keys) <= TimeSeries.MAXIMUM_KEYS + 1
-    assert sum(moment.times for moment in times.bins()) == 100
+    assert sum(one.times for one in times.bins()) == 100
 
 
-def test_a_prefix_that_changes_with_every_line_makes_few_streams(tmp_path: Path) -> None:
+def test_prefixes_that_change_with_every_line_make_few_streams(tmp_path: Path) -> None:
     lines = [f"request-{chr(97 + n % 26)}x{n:x}y {refused(1.0)}" for n in range(3_000)]
     found = report(tmp_path, {"a.log": lines})
     assert found.nodes <= 1_001
     assert sum(one.statements for one in found.refused) == 3_000
 
 
-def test_shares_of_durations_are_bounds() -> None:
+def test_quantile_bounds_of_durations() -> None:
     durations = DurationHistogram()
     for milliseconds in range(1, 1_001):
         durations.add(milliseconds)
@@ -469,7 +472,7 @@
     assert DurationHistogram().quantile_bound_ms(0.5) == 0
 
 
-ODD = (
+INVALID_VALUES = (
     None,
     True,
     -1,
@@ -487,19 +490,21 @@
 )
 
 
-def odd_lines(random: Random) -> Iterator[str]:
-    """Yield lines of every event with fields that are missing or hold what they never should."""
+def lines_with_invalid_fields(random: Random) -> Iterator[str]:
+    """Yield a line of every event, with fields that are missing or hold invalid values."""
     for event in CATALOGUE.values():
-        fields = {name: random.choice(ODD) for name in event.fields if random.random() < 0.9}
+        fields = {
+            name: random.choice(INVALID_VALUES) for name in event.fields if random.random() < 0.9
+        }
         yield line(random.uniform(0.0, 40.0), event, **fields)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_no_field_makes_a_report_fail(seed: int, tmp_path: Path) -> None:
+def test_invalid_field_values_do_not_fail_the_report(seed: int, tmp_path: Path) -> None:
     random = Random(seed)
-    lines = [told for _ in range(10) for told in odd_lines(random)]
+    lines = [one for _ in range(10) for one in lines_with_invalid_fields(random)]
     random.shuffle(lines)
     found = report(tmp_path, {"a.log": lines})
     assert found.lines == len(lines)
-    assert json.dumps(plain(found))
-    assert page_of(found)
+    assert json.dumps(to_json_value(found))
+    assert render_page(found)
--- a/tests/test_report_reading.py
+++ b/tests/test_report_reading.py
@@ -1,4 +1,4 @@
-"""Lines of logs and metrics texts: what is ours, and what is passed over."""
+"""Parsing of log lines and metrics texts; lines of other programs are skipped."""
 
 import json
 from pathlib import Path
@@ -36,7 +36,7 @@
         (plain(logger="bramblebeam.kernel"), "", 0),
     ],
 )
-def test_a_line_of_ours(line: str, prefix: str, event: int) -> None:
+def test_own_line_is_parsed(line: str, prefix: str, event: int) -> None:
     record = parse_record(line)
     assert isinstance(record, Record)
     assert (record.prefix, record.event) == (prefix, event)
@@ -67,7 +67,7 @@
         (plain(logger=7), SkipReason.FOREIGN),
     ],
 )
-def test_a_line_that_is_passed_over(line: str, why: SkipReason) -> None:
+def test_other_line_is_skipped(line: str, why: SkipReason) -> None:
     assert parse_record(line) is why
 
 
@@ -84,10 +84,10 @@
         (10**400, None, str(10**400)),
     ],
 )
-def test_a_field(value: object, number: float | None, word: str) -> None:
+def test_field_access(value: object, number: float | None, word: str) -> None:
     record = Record(0.0, "info", "bramblebeam", 1320, "", {"field": value})
-    assert (record.number("field"), record.word("field")) == (number, word)
-    assert (record.number("other"), record.word("other")) == (None, "?")
+    assert (record.number_field("field"), record.text_field("field")) == (number, word)
+    assert (record.number_field("other"), record.text_field("other")) == (None, "?")
 
 
 @pytest.mark.parametrize(
@@ -102,7 +102,7 @@
         ("17 ", ""),
     ],
 )
-def test_the_name_in_a_prefix(prefix: str, name: str) -> None:
+def test_node_name_in_prefix(prefix: str, name: str) -> None:
     assert node_name_in_prefix(prefix) == name
 
 
@@ -118,16 +118,16 @@
         (b"1234567\ntwo\n", ["1234567\n", "two\n"]),
     ],
 )
-def test_lines_are_bounded(
+def test_long_lines_are_truncated(
     content: bytes, lines: list[str], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(files, "LONGEST_LINE", 8)
+    monkeypatch.setattr(files, "MAX_LINE_LENGTH", 8)
     file = tmp_path / "node.log"
     file.write_bytes(content)
     assert list(read_lines(file)) == lines
 
 
-def test_a_file_that_cannot_be_read_is_named(tmp_path: Path) -> None:
+def test_error_names_the_unreadable_file(tmp_path: Path) -> None:
     for path in (tmp_path, tmp_path / "none.log"):
         with pytest.raises(UnreadableError, match=str(path)):
             list(read_lines(path))
@@ -148,7 +148,7 @@
     ],
     ids=["one", "others", "cut", "no number", "two scrapes", "a restart between scrapes"],
 )
-def test_counters_of_a_metrics_text(
+def test_counters_of_metrics_text(
     text: str, value: float, passed_over: int, tmp_path: Path
 ) -> None:
     file = tmp_path / "node.prom"
@@ -157,8 +157,8 @@
     assert (found.counters, found.passed_over) == ({READS: value}, passed_over)
 
 
-def test_a_text_without_a_figure_of_ours_is_refused(tmp_path: Path) -> None:
+def test_text_without_bramblebeam_metrics_is_rejected(tmp_path: Path) -> None:
     file = tmp_path / "node.prom"
     file.write_text("process_cpu_seconds_total 4\n")
-    with pytest.raises(UnreadableError, match=r"node\.prom: no figure of ours"):
+    with pytest.raises(UnreadableError, match=r"node\.prom: no bramblebeam metrics in this file"):
         read_metrics(file)
--- a/tests/test_tenant_records.py
+++ b/tests/test_tenant_records.py
@@ -9,7 +9,7 @@
 from bramblebeam.core.tenants import RateLimit, TenantId
 from bramblebeam.events.catalogue import TENANT_RATE_SAMPLE
 from bramblebeam.events.formatting import JsonFormatter
-from bramblebeam.report.counting.build import report_on
+from bramblebeam.report.counting.build import build_report
 from bramblebeam.services.gateway.tenant_records import (
     FOLLOWED_SECONDS,
     MOST_LINES,
@@ -83,7 +83,7 @@
     }
     for name, lines in logs.items():
         (tmp_path / f"{name}.log").write_text("\n".join(lines))
-    (found,) = report_on(sorted(tmp_path.glob("*.log")), ()).tenants
+    (found,) = build_report(sorted(tmp_path.glob("*.log")), ()).tenants
     assert (found.counted, found.sent, found.returned) == (88, 126, 6)
     assert (found.counting_nodes, found.running_nodes) == (3, 2)
     assert (found.span_sent, found.span_counted, found.span_allowed) == (96, 82, 110.0)
