--- a/src/bramblebeam/pages/html.py
+++ b/src/bramblebeam/pages/html.py
@@ -24,7 +24,7 @@
 
 
 def document(title: str, parts: Iterable[str]) -> str:
-    """Return a page. Unlike texts, `parts` are HTML and are not escaped; empty ones are left out."""
+    """Return a page. `parts` are HTML already and are not escaped; empty ones are left out."""
     escaped = html.escape(title)
     head = f"<!doctype html><meta charset='utf-8'><title>{escaped}</title><style>{STYLE}</style>"
     return "\n".join([head, f"<h1>{escaped}</h1>", *(part for part in parts if part)])
--- a/src/bramblebeam/report/counting/build.py
+++ b/src/bramblebeam/report/counting/build.py
@@ -97,16 +97,20 @@
     # Nodes.
 
     def _starts(self) -> Iterator[NodeStart]:
-        incarnations = [one for stream in self._counts.streams for one in stream.incarnations.all()]
-        for one in sorted(incarnations, key=_started_at):
+        incarnations = [
+            incarnation
+            for stream in self._counts.streams
+            for incarnation in stream.incarnations.all()
+        ]
+        for incarnation in sorted(incarnations, key=_started_at):
             yield NodeStart(
-                node=one.node,
-                zone=one.zone,
-                at=self._since_first_line(_started_at(one)),
-                accepting_seconds=_after_start(one, one.accepting_at),
-                ready_seconds=_after_start(one, one.ready_at),
-                leader_seconds=_after_start(one, one.leader_proven_at),
-                stopped=one.stopped,
+                node=incarnation.node,
+                zone=incarnation.zone,
+                at=self._since_first_line(_started_at(incarnation)),
+                accepting_seconds=_after_start(incarnation, incarnation.accepting_at),
+                ready_seconds=_after_start(incarnation, incarnation.ready_at),
+                leader_seconds=_after_start(incarnation, incarnation.leader_proven_at),
+                stopped=incarnation.stopped,
             )
 
     # Statements.
@@ -201,9 +205,9 @@
     def _refused_writes(self, begin: float, end: float) -> int:
         series = self._counts.times.refused_actions
         return sum(
-            one_bin.times
-            for one_bin in series.bins()
-            if one_bin.key in WRITE_ACTIONS and begin - series.width < one_bin.begin <= end
+            time_bin.times
+            for time_bin in series.bins()
+            if time_bin.key in WRITE_ACTIONS and begin - series.width < time_bin.begin <= end
         )
 
     def _interruptions(self) -> Iterator[Interruption]:
--- a/src/bramblebeam/report/counting/lives.py
+++ b/src/bramblebeam/report/counting/lives.py
@@ -73,4 +73,4 @@
 
     def all(self) -> list[NodeIncarnation]:
         """Return the incarnations whose start, a line 1001, was read."""
-        return [one for one in (*self.ended, self.current) if one.started_at is not None]
+        return [each for each in (*self.ended, self.current) if each.started_at is not None]
--- a/src/bramblebeam/report/counting/run.py
+++ b/src/bramblebeam/report/counting/run.py
@@ -58,7 +58,9 @@
     @property
     def node(self) -> str:
         """The node's name from its latest line 1001, else from the prefix or the file name."""
-        return next((one.node for one in reversed(self.incarnations.all())), self.name)
+        return next(
+            (incarnation.node for incarnation in reversed(self.incarnations.all())), self.name
+        )
 
     def handle(self, record: Record) -> None:
         """Count one record of the node."""
