--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -4,16 +4,14 @@
 import contextlib
 import json
 import os
+import pytest
 import signal
 import sys
-from collections.abc import AsyncIterator
-from pathlib import Path
-from typing import Any
-
-import pytest
-
-from bramblebeam.report.counting.build import report_on
-from platform_standins.world import LineClient, World, node_settings, running_world
+from bramblebeam.report.counting.build import (build_report)
+from collections.abc import (AsyncIterator)
+from pathlib import (Path)
+from platform_standins.world import (LineClient, World, node_settings, running_world)
+from typing import (Any)
 
 PROGRAM = Path(__file__).parent.parent / "src" / "platform_node.py"
 
@@ -144,7 +142,7 @@
         logs = [await log_of_a_run(world, tmp_path / "node.json", stop) for _ in range(2)]
     file = tmp_path / "node-p.log"
     file.write_text("".join(logs))
-    found = report_on([file], [])
+    found = build_report([file], [])
     assert [(one.node, one.starts, one.unplanned) for one in found.restarted] == [
         ("node-p", 2, unplanned)
     ]
--- a/tests/test_report_reading.py
+++ b/tests/test_report_reading.py
@@ -1,4 +1,4 @@
-"""Lines of logs and metrics texts: what is ours, and what is passed over."""
+"""Parsing of log lines and metrics texts; lines of other programs are skipped."""
 
 import json
 from pathlib import Path
@@ -7,9 +7,9 @@
 
 from bramblebeam.report.reading import files
 from bramblebeam.report.reading.files import UnreadableError, read_lines
-from bramblebeam.report.reading.lines import PassedOver, Record, parse_record
+from bramblebeam.report.reading.lines import Record, SkipReason, parse_record
 from bramblebeam.report.reading.metrics_text import Series, read_metrics
-from bramblebeam.report.reading.prefix import name_in
+from bramblebeam.report.reading.prefix import node_name_in_prefix
 from run_logs import proven
 
 OWN = proven(1.0, 2, "db-b")
@@ -36,7 +36,7 @@
         (plain(logger="bramblebeam.kernel"), "", 0),
     ],
 )
-def test_a_line_of_ours(line: str, prefix: str, event: int) -> None:
+def test_own_line_is_parsed(line: str, prefix: str, event: int) -> None:
     record = parse_record(line)
     assert isinstance(record, Record)
     assert (record.prefix, record.event) == (prefix, event)
@@ -45,29 +45,29 @@
 @pytest.mark.parametrize(
     ("line", "why"),
     [
-        (OWN[:-1], PassedOver.CUT),
-        (OWN[:60] + "...", PassedOver.CUT),
-        (f"edge-1 {OWN[:30]}", PassedOver.CUT),
-        (OWN + OWN, PassedOver.CUT),
-        ('{"time": "2031-05-06T07:08:09+00:00", "text": "\\ud800"}', PassedOver.CUT),
-        ("", PassedOver.NO_JSON),
-        ("Traceback (most recent call last):", PassedOver.NO_JSON),
-        ("{", PassedOver.NO_JSON),
-        ("{" * 5_000, PassedOver.NO_JSON),
-        ('bramblebeam_reads_total{role="replica"} 2.0', PassedOver.NO_JSON),
-        ("{}", PassedOver.FOREIGN),
-        ('{"ts": 3, "msg": "started"}', PassedOver.FOREIGN),
-        (plain(logger="uvicorn.access"), PassedOver.FOREIGN),
-        (plain(time="2031-05-06T07:08:09"), PassedOver.FOREIGN),
-        (plain(time="soon"), PassedOver.FOREIGN),
-        (plain(time=4), PassedOver.FOREIGN),
-        (plain(event="click", fields={}), PassedOver.FOREIGN),
-        (plain(event=1320, fields=[]), PassedOver.FOREIGN),
-        (plain(event=True, fields={}), PassedOver.FOREIGN),
-        (plain(logger=7), PassedOver.FOREIGN),
+        (OWN[:-1], SkipReason.CUT),
+        (OWN[:60] + "...", SkipReason.CUT),
+        (f"edge-1 {OWN[:30]}", SkipReason.CUT),
+        (OWN + OWN, SkipReason.CUT),
+        ('{"time": "2031-05-06T07:08:09+00:00", "text": "\\ud800"}', SkipReason.CUT),
+        ("", SkipReason.NO_JSON),
+        ("Traceback (most recent call last):", SkipReason.NO_JSON),
+        ("{", SkipReason.NO_JSON),
+        ("{" * 5_000, SkipReason.NO_JSON),
+        ('bramblebeam_reads_total{role="replica"} 2.0', SkipReason.NO_JSON),
+        ("{}", SkipReason.FOREIGN),
+        ('{"ts": 3, "msg": "started"}', SkipReason.FOREIGN),
+        (plain(logger="uvicorn.access"), SkipReason.FOREIGN),
+        (plain(time="2031-05-06T07:08:09"), SkipReason.FOREIGN),
+        (plain(time="soon"), SkipReason.FOREIGN),
+        (plain(time=4), SkipReason.FOREIGN),
+        (plain(event="click", fields={}), SkipReason.FOREIGN),
+        (plain(event=1320, fields=[]), SkipReason.FOREIGN),
+        (plain(event=True, fields={}), SkipReason.FOREIGN),
+        (plain(logger=7), SkipReason.FOREIGN),
     ],
 )
-def test_a_line_that_is_passed_over(line: str, why: PassedOver) -> None:
+def test_other_line_is_skipped(line: str, why: SkipReason) -> None:
     assert parse_record(line) is why
 
 
@@ -84,10 +84,10 @@
         (10**400, None, str(10**400)),
     ],
 )
-def test_a_field(value: object, number: float | None, word: str) -> None:
+def test_field_access(value: object, number: float | None, word: str) -> None:
     record = Record(0.0, "info", "bramblebeam", 1320, "", {"field": value})
-    assert (record.number("field"), record.word("field")) == (number, word)
-    assert (record.number("other"), record.word("other")) == (None, "?")
+    assert (record.number_field("field"), record.text_field("field")) == (number, word)
+    assert (record.number_field("other"), record.text_field("other")) == (None, "?")
 
 
 @pytest.mark.parametrize(
@@ -102,8 +102,8 @@
         ("17 ", ""),
     ],
 )
-def test_the_name_in_a_prefix(prefix: str, name: str) -> None:
-    assert name_in(prefix) == name
+def test_node_name_in_prefix(prefix: str, name: str) -> None:
+    assert node_name_in_prefix(prefix) == name
 
 
 @pytest.mark.parametrize(
@@ -118,16 +118,16 @@
         (b"1234567\ntwo\n", ["1234567\n", "two\n"]),
     ],
 )
-def test_lines_are_bounded(
+def test_long_lines_are_truncated(
     content: bytes, lines: list[str], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(files, "LONGEST_LINE", 8)
+    monkeypatch.setattr(files, "MAX_LINE_LENGTH", 8)
     file = tmp_path / "node.log"
     file.write_bytes(content)
     assert list(read_lines(file)) == lines
 
 
-def test_a_file_that_cannot_be_read_is_named(tmp_path: Path) -> None:
+def test_error_names_the_unreadable_file(tmp_path: Path) -> None:
     for path in (tmp_path, tmp_path / "none.log"):
         with pytest.raises(UnreadableError, match=str(path)):
             list(read_lines(path))
@@ -148,7 +148,7 @@
     ],
     ids=["one", "others", "cut", "no number", "two scrapes", "a restart between scrapes"],
 )
-def test_counters_of_a_metrics_text(
+def test_counters_of_metrics_text(
     text: str, value: float, passed_over: int, tmp_path: Path
 ) -> None:
     file = tmp_path / "node.prom"
@@ -157,8 +157,8 @@
     assert (found.counters, found.passed_over) == ({READS: value}, passed_over)
 
 
-def test_a_text_without_a_figure_of_ours_is_refused(tmp_path: Path) -> None:
+def test_text_without_bramblebeam_metrics_is_rejected(tmp_path: Path) -> None:
     file = tmp_path / "node.prom"
     file.write_text("process_cpu_seconds_total 4\n")
-    with pytest.raises(UnreadableError, match=r"node\.prom: no figure of ours"):
+    with pytest.raises(UnreadableError, match=r"node\.prom: no bramblebeam metrics in this file"):
         read_metrics(file)
