--- a/src/bramblebeam/cli/report.py
+++ b/src/bramblebeam/cli/report.py
@@ -1,16 +1,18 @@
 """`bramblebeam report`: evaluates the logs and metrics of many nodes over one run."""
 
+from pathlib import Path
+from typing import Annotated, Any
+
 import typer
-from bramblebeam.cli.context import (fail)
-from bramblebeam.cli.output import (print_json, print_table)
-from bramblebeam.report.counting.build import (build_report)
-from bramblebeam.report.model import (RunReport, to_json_value)
-from bramblebeam.report.reading.files import (UnreadableError)
-from bramblebeam.report.rendering.tables import (Table, build_tables)
-from pathlib import (Path)
-from rich.markup import (escape)
-from typer.core import (TyperCommand)
-from typing import (Annotated, Any)
+from rich.markup import escape
+from typer.core import TyperCommand
+
+from bramblebeam.cli.context import fail
+from bramblebeam.cli.output import print_json, print_table
+from bramblebeam.report.counting.build import build_report
+from bramblebeam.report.model import RunReport, to_json_value
+from bramblebeam.report.reading.files import UnreadableError
+from bramblebeam.report.rendering.tables import Table, build_tables
 
 EXIT_UNREADABLE = 1
 METRICS_OPTION = "--metrics"
--- a/src/bramblebeam/platform/caller_listener.py
+++ b/src/bramblebeam/platform/caller_listener.py
@@ -1,21 +1,23 @@
 """Accepts callers' connections and serves the line protocol on them."""
 
 from __future__ import annotations
+
 import asyncio
 import logging
-from bramblebeam.core.gateway.replies import (Reply, TransactionState)
-from bramblebeam.core.identity import (Address)
-from bramblebeam.core.tenants import (KeyDigest, digest_of)
-from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (CALLER_PROTOCOL_ERROR)
-from bramblebeam.platform.answers import (error_code, error_text)
-from bramblebeam.platform.lines import (LineBuffer, LineFormatError, encode_line)
-from bramblebeam.platform.statements import (StatementFormatError, format_position, parse_statement)
-from bramblebeam.services.far_end import (CALLER_STREAM, set_keepalive)
-from bramblebeam.services.gateway.session import (GatewaySession)
-from collections import (deque)
-from typing import (Protocol, cast)
+from collections import deque
+from typing import Protocol, cast
+
+from bramblebeam.core.gateway.replies import Reply, TransactionState
+from bramblebeam.core.identity import Address
+from bramblebeam.core.tenants import KeyDigest, digest_of
+from bramblebeam.core.verdict import Reason, Refusal, Verdict
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import CALLER_PROTOCOL_ERROR
+from bramblebeam.platform.answers import error_code, error_text
+from bramblebeam.platform.lines import LineBuffer, LineFormatError, encode_line
+from bramblebeam.platform.statements import StatementFormatError, format_position, parse_statement
+from bramblebeam.services.far_end import CALLER_STREAM, set_keepalive
+from bramblebeam.services.gateway.session import GatewaySession
 
 logger = logging.getLogger(__name__)
 
--- a/src/bramblebeam/platform/database_connection.py
+++ b/src/bramblebeam/platform/database_connection.py
@@ -1,22 +1,34 @@
 """Connections to databases over the line protocol."""
 
 from __future__ import annotations
+
 import asyncio
 import logging
-from bramblebeam.core.gateway.directory import (DatabaseEntry)
-from bramblebeam.core.gateway.replies import (Reply, TransactionState)
-from bramblebeam.core.identity import (Position, ZERO_POSITION, server_name)
-from bramblebeam.core.tenants import (TenantId)
-from bramblebeam.core.verdict import (Reason, Refusal)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (DATABASE_STATUS_UNREADABLE)
-from bramblebeam.platform.answers import (refusal_from_error)
-from bramblebeam.platform.lines import (LineBuffer, LineFormatError, encode_line)
-from bramblebeam.platform.statements import (StatementFormatError, format_position, format_statement, parse_position)
-from bramblebeam.services.far_end import (DATABASE_STREAM, set_keepalive)
-from bramblebeam.services.gateway.ports import (Command, ConnectError, ConnectionLostError, MemberStatus)
-from collections import (deque)
-from typing import (cast)
+from collections import deque
+from typing import cast
+
+from bramblebeam.core.gateway.directory import DatabaseEntry
+from bramblebeam.core.gateway.replies import Reply, TransactionState
+from bramblebeam.core.identity import ZERO_POSITION, Position, server_name
+from bramblebeam.core.tenants import TenantId
+from bramblebeam.core.verdict import Reason, Refusal
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import DATABASE_STATUS_UNREADABLE
+from bramblebeam.platform.answers import refusal_from_error
+from bramblebeam.platform.lines import LineBuffer, LineFormatError, encode_line
+from bramblebeam.platform.statements import (
+    StatementFormatError,
+    format_position,
+    format_statement,
+    parse_position,
+)
+from bramblebeam.services.far_end import DATABASE_STREAM, set_keepalive
+from bramblebeam.services.gateway.ports import (
+    Command,
+    ConnectError,
+    ConnectionLostError,
+    MemberStatus,
+)
 
 logger = logging.getLogger(__name__)
 
--- a/src/bramblebeam/platform/http.py
+++ b/src/bramblebeam/platform/http.py
@@ -1,12 +1,15 @@
 """HTTP/1.1 over asyncio streams, with h11: a client for one address, and a small server."""
 
 from __future__ import annotations
+
 import asyncio
+from collections.abc import Awaitable, Callable, Iterable
+from dataclasses import dataclass
+
 import h11
-from bramblebeam.core.identity import (Address)
-from bramblebeam.services.far_end import (CALLER_STREAM, STORE_STREAM, set_keepalive)
-from collections.abc import (Awaitable, Callable, Iterable)
-from dataclasses import (dataclass)
+
+from bramblebeam.core.identity import Address
+from bramblebeam.services.far_end import CALLER_STREAM, STORE_STREAM, set_keepalive
 
 _READ_BYTES = 65_536
 _CONNECT_SECONDS = 1.0
--- a/tests/test_in_force_command.py
+++ b/tests/test_in_force_command.py
@@ -1,11 +1,13 @@
 """The command that shows operators the configuration in force at nodes."""
 
 import math
+
 import pytest
-from bramblebeam.cli.in_force import (BEHIND, InForceState, parse_in_force, table_lines)
-from bramblebeam.platform.node import (METRICS_PATH, _handle_metrics)
-from node_answers import (ABSENT, run_at_nodes)
-from platform_standins.world import (running_world, until)
+
+from bramblebeam.cli.in_force import BEHIND, InForceState, parse_in_force, table_lines
+from bramblebeam.platform.node import METRICS_PATH, _handle_metrics
+from node_answers import ABSENT, run_at_nodes
+from platform_standins.world import running_world, until
 
 WELL = InForceState("a", 27, (1, 12), 0.4, (1, 15), 0.2)
 
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -4,14 +4,16 @@
 import contextlib
 import json
 import os
-import pytest
 import signal
 import sys
-from bramblebeam.report.counting.build import (build_report)
-from collections.abc import (AsyncIterator)
-from pathlib import (Path)
-from platform_standins.world import (LineClient, World, node_settings, running_world)
-from typing import (Any)
+from collections.abc import AsyncIterator
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from bramblebeam.report.counting.build import build_report
+from platform_standins.world import LineClient, World, node_settings, running_world
 
 PROGRAM = Path(__file__).parent.parent / "src" / "platform_node.py"
 
--- a/tests/test_queue_view.py
+++ b/tests/test_queue_view.py
@@ -1,15 +1,17 @@
 """The queues before databases, as shown to an operator."""
 
 import json
+from typing import Any
+
 import pytest
-from bramblebeam.cli.queues import (table_lines)
-from bramblebeam.platform.node import (QUEUES_PATH, _handle_metrics)
-from bramblebeam.services.gateway.queue_view import (queue_rows)
-from node_answers import (ABSENT, run_at_nodes)
-from platform_standins.world import (running_world)
-from test_silent_connections import (pools, served)
-from test_slot_queue import (ordered_world)
-from typing import (Any)
+
+from bramblebeam.cli.queues import table_lines
+from bramblebeam.platform.node import QUEUES_PATH, _handle_metrics
+from bramblebeam.services.gateway.queue_view import queue_rows
+from node_answers import ABSENT, run_at_nodes
+from platform_standins.world import running_world
+from test_silent_connections import pools, served
+from test_slot_queue import ordered_world
 
 
 async def test_a_node_shows_a_row_for_each_database_whose_statements_it_queues(
