--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -78,7 +78,7 @@
         self.slots = slots
         self.kept_idle = KEPT_IDLE
         self.latency = 0.0
-        self.heard_at = loop_time()
+        self.received_at = loop_time()
         self.silent_since: float | None = None
         self.is_gone = False
         self.open_seconds = 0.0
@@ -197,7 +197,7 @@
 
         A refusal comes fast, and tells nothing of how long a statement takes that is served.
         """
-        self.heard_at = loop_time()
+        self.received_at = loop_time()
         self.silent_since = None
         if refusal is None:
             self.latency += SMOOTHING * (seconds - self.latency)
@@ -331,10 +331,10 @@
         if self._closed:
             connection.close()
             return
-        self.heard_at = loop_time()
+        self.received_at = loop_time()
         self.silent_since = None
         self.is_gone = False
-        self._note_opened(self.heard_at - began)
+        self._note_opened(self.received_at - began)
         self._offer(PooledConnection(self, connection, tenant, began), is_fresh=True)
 
     def _note_opened(self, seconds: float) -> None:
