--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -79,7 +79,7 @@
         self.kept_idle = KEPT_IDLE
         self.latency = 0.0
         self.received_at = loop_time()
-        self.silent_since: float | None = None
+        self.unresponsive_since: float | None = None
         self.is_gone = False
         self.open_seconds = 0.0
         self._connector = connector
@@ -118,9 +118,9 @@
     @property
     def unresponsive(self) -> bool:
         """Whether the database was silent a moment ago."""
-        if self.silent_since is None:
+        if self.unresponsive_since is None:
             return False
-        return loop_time() - self.silent_since < SILENCE_SECONDS
+        return loop_time() - self.unresponsive_since < SILENCE_SECONDS
 
     def has_resting(self, tenant: TenantId) -> bool:
         """Whether a connection of the tenant rests here, so that none needs to be opened."""
@@ -198,7 +198,7 @@
         A refusal comes fast, and tells nothing of how long a statement takes that is served.
         """
         self.received_at = loop_time()
-        self.silent_since = None
+        self.unresponsive_since = None
         if refusal is None:
             self.latency += SMOOTHING * (seconds - self.latency)
         elif refusal.reason is Reason.QUEUE_FULL and self.slots is not None:
@@ -206,7 +206,7 @@
 
     def was_silent(self) -> None:
         """Note that the database did not answer in time."""
-        self.silent_since = loop_time()
+        self.unresponsive_since = loop_time()
 
     def distrust_idle(self, asked_at: float) -> None:
         """Close idle connections not heard of since one was asked that has not answered yet."""
@@ -332,7 +332,7 @@
             connection.close()
             return
         self.received_at = loop_time()
-        self.silent_since = None
+        self.unresponsive_since = None
         self.is_gone = False
         self._note_opened(self.received_at - began)
         self._offer(PooledConnection(self, connection, tenant, began), is_fresh=True)
@@ -356,6 +356,6 @@
                 return
         else:
             self._refused_until = now + FAILED_PAUSE
-            self.silent_since = now
+            self.unresponsive_since = now
             self.is_gone = error.is_gone
         self._waiters.fail(error)
