--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -204,7 +204,7 @@
         elif refusal.reason is Reason.QUEUE_FULL and self.slots is not None:
             self.slots.refused()
 
-    def was_silent(self) -> None:
+    def record_unresponsive(self) -> None:
         """Note that the database did not answer in time."""
         self.unresponsive_since = loop_time()
 
