--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -213,7 +213,7 @@
         self._trusted_since = max(self._trusted_since, asked_at)
         self._resting.close_unheard(self._trusted_since)
 
-    def silenced(self, asked_at: float) -> None:
+    def suspect_connections(self, asked_at: float) -> None:
         """Note that something asked then has no answer, though it would have come at once."""
         self.distrust_idle(asked_at)
         self._silent_before = max(self._silent_before, asked_at)
