--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -217,7 +217,7 @@
         """Note that something asked then has no answer, though it would have come at once."""
         self.distrust_idle(asked_at)
         self._silent_before = max(self._silent_before, asked_at)
-        suspects = [lent for lent in self._lent if self.is_silent(lent)]
+        suspects = [lent for lent in self._lent if self.is_suspect(lent)]
         for lent in suspects:
             if lent.asked_at is not None:
                 self.give_up_late(lent)
@@ -230,7 +230,7 @@
         instance = self.entry.instance
         log_event(logger, DATABASE_CONNECTIONS_SILENT, instance=instance, lent=lent)
 
-    def is_silent(self, lent: PooledConnection) -> bool:
+    def is_suspect(self, lent: PooledConnection) -> bool:
         """Whether a connection has not been heard of since connections were found to be silent."""
         return lent.heard_at < self._silent_before
 
@@ -292,7 +292,7 @@
             self._open_later()
             return
         # A silent connection that is waited for must not keep others from being opened.
-        held = sum(not self.is_silent(lent) for lent in self._lent)
+        held = sum(not self.is_suspect(lent) for lent in self._lent)
         room = self.budget.limit(now) - held - len(self._resting) - len(self._opening)
         for waiter in self._waiters.without_connection(self._opening.values(), self._held()):
             if room > 0:
@@ -351,7 +351,7 @@
             self._refused_until = now + REFUSED_PAUSE
             self.budget.record_refusal(now)
             is_room_made = self._resting.close_for_room(self._usage, now)
-            if is_room_made or any(not self.is_silent(lent) for lent in self._lent):
+            if is_room_made or any(not self.is_suspect(lent) for lent in self._lent):
                 self._open_more()
                 return
         else:
