--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -222,10 +222,10 @@
             if lent.asked_at is not None:
                 self.give_up_late(lent)
         if suspects:
-            self.log_silent(len(suspects))
+            self.log_suspects(len(suspects))
         self._open_more()
 
-    def log_silent(self, lent: int) -> None:
+    def log_suspects(self, lent: int) -> None:
         """Log how many connections in use are silent."""
         instance = self.entry.instance
         log_event(logger, DATABASE_CONNECTIONS_SILENT, instance=instance, lent=lent)
