--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -208,14 +208,14 @@
         """Note that the database did not answer in time."""
         self.unresponsive_since = loop_time()
 
-    def distrust_idle(self, asked_at: float) -> None:
+    def expire_connections(self, asked_at: float) -> None:
         """Close idle connections not heard of since one was asked that has not answered yet."""
         self._trusted_since = max(self._trusted_since, asked_at)
         self._resting.close_unheard(self._trusted_since)
 
     def suspect_connections(self, asked_at: float) -> None:
         """Note that something asked then has no answer, though it would have come at once."""
-        self.distrust_idle(asked_at)
+        self.expire_connections(asked_at)
         self._silent_before = max(self._silent_before, asked_at)
         suspects = [lent for lent in self._lent if self.is_suspect(lent)]
         for lent in suspects:
