--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -220,7 +220,7 @@
         suspects = [lent for lent in self._lent if self.is_suspect(lent)]
         for lent in suspects:
             if lent.asked_at is not None:
-                self.give_up_late(lent)
+                self.close_when_late(lent)
         if suspects:
             self.log_suspects(len(suspects))
         self._open_more()
@@ -234,7 +234,7 @@
         """Whether a connection has not been heard of since connections were found to be silent."""
         return lent.heard_at < self._silent_before
 
-    def give_up_late(self, lent: PooledConnection) -> None:
+    def close_when_late(self, lent: PooledConnection) -> None:
         """Close a silent connection once its answer is late, unless that must be waited for."""
         asked_at = lent.asked_at
         assert asked_at is not None
