--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -95,7 +95,7 @@
         self._closed = False
 
     @property
-    def patience(self) -> float:
+    def late_after(self) -> float:
         """After how long an answer is late (seconds)."""
         return max(PATIENCE, PATIENCE_FACTOR * self.latency)
 
@@ -243,7 +243,7 @@
             if lent.asked_at == asked_at and not lent.must_wait:
                 lent.connection.close()
 
-        due = asked_at + max(ANSWER_SECONDS, self.patience)
+        due = asked_at + max(ANSWER_SECONDS, self.late_after)
         asyncio.get_running_loop().call_at(max(due, loop_time()), give_up)
 
     def close_idle(self, now: float) -> None:
