--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -100,7 +100,7 @@
         return max(PATIENCE, PATIENCE_FACTOR * self.latency)
 
     @property
-    def long_patience(self) -> float:
+    def grace_period(self) -> float:
         """After how long more a late answer does not come any more (seconds)."""
         return max(LONG_PATIENCE, LONG_PATIENCE_FACTOR * self.latency)
 
