--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -192,7 +192,7 @@
         lent.connection.close()
         self.release(lent)
 
-    def answered(self, seconds: float, refusal: Refusal | None) -> None:
+    def record_reply(self, seconds: float, refusal: Refusal | None) -> None:
         """Note that the database answered a statement within `seconds`.
 
         A refusal comes fast, and tells nothing of how long a statement takes that is served.
--- a/tests/test_gateway_pool.py
+++ b/tests/test_gateway_pool.py
@@ -84,5 +84,5 @@
     """Found on grown days: a database that was full refused fast, and was chosen for that."""
     pool = make_pool(1)
     refusal = None if reason is None else Refusal(Verdict.NOT_RUN, reason)
-    pool.answered(1.0, refusal)
+    pool.record_reply(1.0, refusal)
     assert (pool.latency > 0.0) is counts
