--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -122,7 +122,7 @@
             return False
         return loop_time() - self.unresponsive_since < SILENCE_SECONDS
 
-    def has_resting(self, tenant: TenantId) -> bool:
+    def has_idle(self, tenant: TenantId) -> bool:
         """Whether a connection of the tenant rests here, so that none needs to be opened."""
         return self._resting.has(tenant)
 
