--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -105,7 +105,7 @@
         return max(LONG_PATIENCE, LONG_PATIENCE_FACTOR * self.latency)
 
     @property
-    def lent(self) -> int:
+    def checked_out(self) -> int:
         """Connections in use by statements and transactions."""
         return len(self._lent)
 
