--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -85,7 +85,7 @@
         self._connector = connector
         self._usage = TenantUsage()
         self._resting = RestingConnections()
-        self._lent: set[PooledConnection] = set()
+        self._checked_out: set[PooledConnection] = set()
         self._opening: dict[asyncio.Task[None], TenantId] = {}
         self._waiters = Waiters()
         self._retry: asyncio.TimerHandle | None = None
@@ -107,13 +107,13 @@
     @property
     def checked_out(self) -> int:
         """Connections in use by statements and transactions."""
-        return len(self._lent)
+        return len(self._checked_out)
 
     @property
     def load(self) -> int:
         """Statements and transactions that hold a connection, or wait for one or for a slot."""
         waiting = 0 if self.slots is None else self.slots.waiting
-        return len(self._lent) + len(self._waiters) + waiting
+        return len(self._checked_out) + len(self._waiters) + waiting
 
     @property
     def unresponsive(self) -> bool:
@@ -176,7 +176,7 @@
 
     def release(self, lent: PooledConnection) -> None:
         """Take a connection back; a closed one is forgotten."""
-        self._lent.discard(lent)
+        self._checked_out.discard(lent)
         if lent.connection.closed:
             self._open_more()
             return
@@ -217,7 +217,7 @@
         """Note that something asked then has no answer, though it would have come at once."""
         self.expire_connections(asked_at)
         self._silent_before = max(self._silent_before, asked_at)
-        suspects = [lent for lent in self._lent if self.is_suspect(lent)]
+        suspects = [lent for lent in self._checked_out if self.is_suspect(lent)]
         for lent in suspects:
             if lent.asked_at is not None:
                 self.close_when_late(lent)
@@ -276,10 +276,10 @@
 
     def _held(self) -> Counter[TenantId]:
         """Return how many connections each tenant uses."""
-        return Counter(lent.tenant for lent in self._lent)
+        return Counter(lent.tenant for lent in self._checked_out)
 
     def _lend(self, free: PooledConnection, is_fresh: bool) -> PooledConnection:
-        self._lent.add(free)
+        self._checked_out.add(free)
         free.is_fresh = is_fresh
         return free
 
@@ -292,7 +292,7 @@
             self._open_later()
             return
         # A silent connection that is waited for must not keep others from being opened.
-        held = sum(not self.is_suspect(lent) for lent in self._lent)
+        held = sum(not self.is_suspect(lent) for lent in self._checked_out)
         room = self.budget.limit(now) - held - len(self._resting) - len(self._opening)
         for waiter in self._waiters.without_connection(self._opening.values(), self._held()):
             if room > 0:
@@ -351,7 +351,7 @@
             self._refused_until = now + REFUSED_PAUSE
             self.budget.record_refusal(now)
             is_room_made = self._resting.close_for_room(self._usage, now)
-            if is_room_made or any(not self.is_suspect(lent) for lent in self._lent):
+            if is_room_made or any(not self.is_suspect(lent) for lent in self._checked_out):
                 self._open_more()
                 return
         else:
