--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -84,7 +84,7 @@
         self.open_seconds = 0.0
         self._connector = connector
         self._usage = TenantUsage()
-        self._resting = RestingConnections()
+        self._idle = RestingConnections()
         self._checked_out: set[PooledConnection] = set()
         self._opening: dict[asyncio.Task[None], TenantId] = {}
         self._waiters = Waiters()
@@ -124,7 +124,7 @@
 
     def has_idle(self, tenant: TenantId) -> bool:
         """Whether a connection of the tenant rests here, so that none needs to be opened."""
-        return self._resting.has(tenant)
+        return self._idle.has(tenant)
 
     async def enter(self, work: Work) -> Permit:
         """Wait until a statement may be under way. Raises NoSlotError, ConnectError."""
@@ -138,7 +138,7 @@
         Raises ConnectError, TimeoutError (`timeout` in seconds).
         """
         self._usage.record(tenant, loop_time())
-        found = self._resting.take(tenant, session)
+        found = self._idle.take(tenant, session)
         if found is not None:
             found.turn_since = loop_time()
             return self._lend(found, is_fresh=False)
@@ -149,7 +149,7 @@
 
         Raises ConnectError, TimeoutError (`timeout` in seconds).
         """
-        found = self._resting.take_any(NO_STATE)
+        found = self._idle.take_any(NO_STATE)
         if found is not None:
             return self._lend(found, is_fresh=False)
         return await self._wait(None, timeout)
@@ -211,7 +211,7 @@
     def expire_connections(self, asked_at: float) -> None:
         """Close idle connections not heard of since one was asked that has not answered yet."""
         self._trusted_since = max(self._trusted_since, asked_at)
-        self._resting.close_unheard(self._trusted_since)
+        self._idle.close_unheard(self._trusted_since)
 
     def suspect_connections(self, asked_at: float) -> None:
         """Note that something asked then has no answer, though it would have come at once."""
@@ -248,12 +248,12 @@
 
     def close_idle(self, now: float) -> None:
         """Close connections that have rested for long."""
-        self._resting.close_rested(self.kept_idle, now)
+        self._idle.close_rested(self.kept_idle, now)
 
     def close(self) -> None:
         """Close idle connections; lent ones close when they come back."""
         self._closed = True
-        self._resting.close_all()
+        self._idle.close_all()
         self._waiters.fail(ConnectError(Reason.LEAVING, "the database has left"))
         if self.slots is not None:
             self.slots.close()
@@ -265,7 +265,7 @@
         if waiter is not None:
             waiter.future.set_result(self._lend(free, is_fresh))
             return
-        self._resting.add(free)
+        self._idle.add(free)
         if self._waiters:
             self._open_more()
 
@@ -293,11 +293,11 @@
             return
         # A silent connection that is waited for must not keep others from being opened.
         held = sum(not self.is_suspect(lent) for lent in self._checked_out)
-        room = self.budget.limit(now) - held - len(self._resting) - len(self._opening)
+        room = self.budget.limit(now) - held - len(self._idle) - len(self._opening)
         for waiter in self._waiters.without_connection(self._opening.values(), self._held()):
             if room > 0:
                 room -= 1
-            elif not self._resting.close_for_room(self._usage, now):
+            elif not self._idle.close_for_room(self._usage, now):
                 return
             self._start_opening(waiter.opens_for)
 
@@ -350,7 +350,7 @@
         if error.reason is Reason.TOO_MANY_CONNECTIONS:
             self._refused_until = now + REFUSED_PAUSE
             self.budget.record_refusal(now)
-            is_room_made = self._resting.close_for_room(self._usage, now)
+            is_room_made = self._idle.close_for_room(self._usage, now)
             if is_room_made or any(not self.is_suspect(lent) for lent in self._checked_out):
                 self._open_more()
                 return
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -470,14 +470,14 @@
         lent = [await pool.acquire(NO_TENANT, NO_STATE, IN_VAIN) for _ in range(3)]
         lent.pop().give_back()
         lent.pop().give_back()
-        heard_at = max(idle.heard_at for idle in pool._resting)
+        heard_at = max(idle.heard_at for idle in pool._idle)
         await until(lambda: asyncio.get_running_loop().time() > heard_at)
         questions = [Command(BEGIN), Command(ROLLBACK)]
         asked = asyncio.ensure_future(lent[0].run(questions, IN_VAIN))
         await asyncio.sleep(0)
         stand_still()
         answers = len(await asked)
-        idle = len(pool._resting)
+        idle = len(pool._idle)
         pool.close()
         await group.members[MEMBER].crash()
         return answers, idle
--- a/tests/test_slot_queue.py
+++ b/tests/test_slot_queue.py
@@ -249,7 +249,7 @@
     async with ordered_world(monkeypatch) as world:
         client = await world.client("latest")
         assert (await served(client, "WRITE x 1")).code == ""
-        pool: DatabasePool = next(pool for pool in pools(world).values() if pool._resting)
+        pool: DatabasePool = next(pool for pool in pools(world).values() if pool._idle)
 
         async def fail(*args: object) -> None:
             raise ConnectError(Reason.TOO_MANY_CONNECTIONS, "made up")
