--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -17,7 +17,7 @@
 from bramblebeam.events.catalogue import DATABASE_CONNECTIONS_SILENT
 from bramblebeam.services.gateway.pooled import ANSWER_SECONDS, CLOCK_STEP, PooledConnection
 from bramblebeam.services.gateway.ports import ConnectError, DatabaseConnector
-from bramblebeam.services.gateway.resting import RestingConnections
+from bramblebeam.services.gateway.resting import IdleConnections
 from bramblebeam.services.gateway.slot_queue import Permit, SlotQueue, unbounded
 from bramblebeam.services.gateway.waiters import Waiter, Waiters
 from bramblebeam.services.waiting import loop_time
@@ -84,7 +84,7 @@
         self.open_seconds = 0.0
         self._connector = connector
         self._usage = TenantUsage()
-        self._idle = RestingConnections()
+        self._idle = IdleConnections()
         self._checked_out: set[PooledConnection] = set()
         self._opening: dict[asyncio.Task[None], TenantId] = {}
         self._waiters = Waiters()
--- a/src/bramblebeam/services/gateway/resting.py
+++ b/src/bramblebeam/services/gateway/resting.py
@@ -17,7 +17,7 @@
 """Beside those that are kept, a connection that rested for so long is closed (seconds)."""
 
 
-class RestingConnections:
+class IdleConnections:
     """Connections that nobody uses; those that have closed are left out of all that is told."""
 
     def __init__(self) -> None:
