--- a/src/bramblebeam/services/gateway/pooled.py
+++ b/src/bramblebeam/services/gateway/pooled.py
@@ -75,7 +75,7 @@
         self.dialled_at = dialled_at
         self.state = ConnectionState()
         self.opened_at = asyncio.get_running_loop().time()
-        self.heard_at = self.idle_since = self.turn_since = self.opened_at
+        self.received_at = self.idle_since = self.turn_since = self.opened_at
         self.is_fresh = True
         self.asked_at: float | None = None
         self.must_wait = False
@@ -119,7 +119,7 @@
             self._timer.cancel()
             self.asked_at = None
             self.must_wait = False
-        self.heard_at = self.pool.heard_at = loop.time()
+        self.received_at = self.pool.heard_at = loop.time()
         return answer
 
     def _wait(self, seconds: float, look: Callable[[], None]) -> None:
