--- a/src/bramblebeam/services/gateway/pooled.py
+++ b/src/bramblebeam/services/gateway/pooled.py
@@ -77,7 +77,7 @@
         self.opened_at = asyncio.get_running_loop().time()
         self.received_at = self.idle_since = self.turn_since = self.opened_at
         self.is_fresh = True
-        self.asked_at: float | None = None
+        self.waiting_since: float | None = None
         self.must_wait = False
         self._timer: asyncio.TimerHandle
 
@@ -109,7 +109,7 @@
     async def ask(self, question: Callable[[DatabaseConnection], Awaitable[Answer]]) -> Answer:
         """Ask something. When the answer is late, the pool is told. Raises ConnectionLostError."""
         loop = asyncio.get_running_loop()
-        self.asked_at = loop.time()
+        self.waiting_since = loop.time()
         self._wait(self.pool.patience, self._answer_is_late)
         if self.pool.is_silent(self):
             self.pool.give_up_late(self)
@@ -117,7 +117,7 @@
             answer = await question(self.connection)
         finally:
             self._timer.cancel()
-            self.asked_at = None
+            self.waiting_since = None
             self.must_wait = False
         self.received_at = self.pool.heard_at = loop.time()
         return answer
@@ -141,8 +141,8 @@
 
     def _answer_is_late(self) -> None:
         """Have those connections closed that may have gone silent together with this one."""
-        assert self.asked_at is not None
-        self.pool.distrust_idle(self.asked_at)
+        assert self.waiting_since is not None
+        self.pool.distrust_idle(self.waiting_since)
         self._wait(self.pool.long_patience, self._give_up_if_others_answer)
 
     def _give_up_if_others_answer(self) -> None:
@@ -150,8 +150,8 @@
 
         What may run once only is waited for all the same.
         """
-        assert self.asked_at is not None
-        answers_others = self.pool.heard_at > self.asked_at + self.pool.patience
+        assert self.waiting_since is not None
+        answers_others = self.pool.heard_at > self.waiting_since + self.pool.patience
         if answers_others and not self.must_wait:
             self.pool.log_silent(1)
             self.connection.close()
