--- a/src/bramblebeam/services/gateway/pooled.py
+++ b/src/bramblebeam/services/gateway/pooled.py
@@ -163,6 +163,6 @@
         """The database at the other end."""
         return self.pool.entry.instance
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Return the connection to its pool; a closed pool closes it."""
         self.pool.release(self)
--- a/tests/test_tenant_connections.py
+++ b/tests/test_tenant_connections.py
@@ -151,7 +151,7 @@
     lent: PooledConnection = await pool.acquire(tenant, NO_STATE, FAR_TOO_LONG)
     await asyncio.sleep(0.002)
     served.append(tenant)
-    lent.give_back()
+    lent.release()
 
 
 @pytest.mark.parametrize(
