--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -211,7 +211,7 @@
         self._publish(FormerLeaderFound(self.group, instance, newer))
         self.refused(instance, "its log lacks what it had")
 
-    def heard(
+    def record_position(
         self, instance: InstanceId, position: Position, asked_at: float, opened_at: float
     ) -> None:
         """Note the position of a member that answered something at some moment after `asked_at`.
@@ -684,7 +684,7 @@
         status = answer.status
         instance = answer.instance
         if status is None:
-            self.heard(instance, answer.position, answer.asked_at, answer.opened_at)
+            self.record_position(instance, answer.position, answer.asked_at, answer.opened_at)
             return
         self._take_position(instance, status.received, answer.asked_at)
         if self.lease.is_contradicted_by(status.term, status.held_term):
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -206,7 +206,7 @@
     tracker.take(claim(FIRST, 1))
     register(tracker, FIRST, SECOND_AGAIN, THIRD, again=SECOND_AGAIN)
     if is_read:
-        tracker.heard(SECOND_AGAIN, Position(1, 9), now(), LONG_OPEN)
+        tracker.record_position(SECOND_AGAIN, Position(1, 9), now(), LONG_OPEN)
     else:
         tracker.take(word(SECOND_AGAIN, 1))
     assert not tracker.may_use(FIRST)
@@ -268,7 +268,7 @@
     published: list[LeaderNews] = []
     tracker = make_tracker(published)
     register(tracker, FIRST, SECOND, THIRD)
-    tracker.heard(SECOND, Position(3, 9), now(), LONG_OPEN)
+    tracker.record_position(SECOND, Position(3, 9), now(), LONG_OPEN)
     tracker.take(claim(FIRST, 3, 0))
     assert tracker.leader is None
     assert FormerLeaderFound(GROUP, FIRST, 4) in published
--- a/tests/test_gateway_leaders.py
+++ b/tests/test_gateway_leaders.py
@@ -154,9 +154,9 @@
 async def test_a_read_at_a_replica_confirms_what_was_committed_after_a_proof() -> None:
     tracker = make_tracker([])
     tracker.take(claim(FIRST, 1, 5))
-    tracker.heard(SECOND, Position(1, 5), now(), LONG_OPEN)
+    tracker.record_position(SECOND, Position(1, 5), now(), LONG_OPEN)
     assert not tracker.may_use(FIRST)
-    tracker.heard(SECOND, Position(1, 6), now(), LONG_OPEN)
+    tracker.record_position(SECOND, Position(1, 6), now(), LONG_OPEN)
     assert tracker.may_use(FIRST)
 
 
@@ -166,7 +166,7 @@
     tracker = make_tracker(published)
     take_all(tracker, [claim(FIRST, 1), word(SECOND, 1)])
     if is_read:
-        tracker.heard(THIRD, Position(2, 7), now(), LONG_OPEN)
+        tracker.record_position(THIRD, Position(2, 7), now(), LONG_OPEN)
     else:
         tracker.take(claim(THIRD, 2))
     assert not tracker.may_use(FIRST)
--- a/tests/test_witness_lives.py
+++ b/tests/test_witness_lives.py
@@ -102,7 +102,7 @@
     tracker.take(claim(FIRST, 1))
     tracker.take(word(THIRD, 1, held=2)._replace(opened_at=now()))
     tracker.take(word(SECOND, 1)._replace(opened_at=now()))
-    tracker.heard(SECOND, Position(1, 9), now(), now())
+    tracker.record_position(SECOND, Position(1, 9), now(), now())
     assert not tracker.may_use(FIRST)
 
 
@@ -155,9 +155,9 @@
     opened_at = now()
     tracker.take(claim(FIRST, 1))
     tracker.proven(FIRST, Position(1, 6), now())
-    tracker.heard(SECOND, Position(1, 7), now(), opened_at)
+    tracker.record_position(SECOND, Position(1, 7), now(), opened_at)
     assert not tracker.may_use(FIRST)
-    tracker.heard(THIRD, Position(1, 7), now(), opened_at)
+    tracker.record_position(THIRD, Position(1, 7), now(), opened_at)
     assert tracker.may_use(FIRST)
 
 
@@ -166,7 +166,7 @@
     register(tracker, FIRST, SECOND, THIRD)
     tracker.take(claim(FIRST, 1))
     tracker.proven(FIRST, Position(1, 6), now())
-    tracker.heard(SECOND, Position(1, 9), now(), now())
+    tracker.record_position(SECOND, Position(1, 9), now(), now())
     assert not tracker.may_use(FIRST)
-    tracker.heard(SECOND, Position(1, 9), now(), now() - SETTLED_SECONDS - 0.1)
+    tracker.record_position(SECOND, Position(1, 9), now(), now() - SETTLED_SECONDS - 0.1)
     assert tracker.may_use(FIRST)
