--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -144,8 +144,8 @@
         return self._memory.has_caught_up(instance, received)
 
     def _may_confirm(self, instance: InstanceId) -> bool:
-        proven = self._newest_proof.position
-        return self._memory.may_confirm(instance, self.lease.term, proven)
+        record_proof = self._newest_proof.position
+        return self._memory.may_confirm(instance, self.lease.term, record_proof)
 
     @property
     def in_use(self) -> bool:
