--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -166,13 +166,13 @@
         """
         if instance != self.leader or position == ZERO_POSITION:
             return True
-        if not self.has_its_log(instance, position, asked_at):
+        if not self.has_expected_log(instance, position, asked_at):
             return False
         self._served.observe(position, loop_time())
         self._take_proof(position, asked_at)
         return True
 
-    def has_its_log(self, instance: InstanceId, position: Position, asked_at: float) -> bool:
+    def has_expected_log(self, instance: InstanceId, position: Position, asked_at: float) -> bool:
         """Whether the leader's position, told after `asked_at`, reaches what it has served.
 
         False: it is not used until its status tells whether it has started again.
