--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -253,7 +253,7 @@
         told = ReportedPosition(position, loop_time())
         self._memory.observe_position(instance, told, asked_at, self._newest_known_term())
 
-    def contradicted(self, instance: InstanceId, observed: Position) -> None:
+    def record_missing_commit(self, instance: InstanceId, observed: Position) -> None:
         """Note that a session has observed what the log of the leader lacks, in its term or later.
 
         Either a newer leader committed that, or this one leads a newer term than it was known to,
