--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -267,7 +267,7 @@
         else:
             self.start_asking(instance)
 
-    def write_answered(self) -> None:
+    def record_write_reply(self) -> None:
         """Note that the leader acknowledged or refused a write."""
         self._lost_writes = 0
         self._write_answered_at = loop_time()
@@ -665,7 +665,7 @@
         self._confirmer = None
         self._newest_proof = Watermark()
         self.watermarks.forget_former()
-        self.write_answered()
+        self.record_write_reply()
         self._take_proof(answer.position, answer.asked_at)
         log_event(
             logger,
--- a/tests/test_gateway_leaders.py
+++ b/tests/test_gateway_leaders.py
@@ -119,7 +119,7 @@
     assert tracker.stalled_since is None
     tracker.write_unanswered(FIRST, now())
     assert tracker.stalled_since is not None
-    tracker.write_answered()
+    tracker.record_write_reply()
     assert tracker.stalled_since is None
 
 
