--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -277,7 +277,7 @@
         """Note a commit that the leader acknowledged to a caller of this node."""
         self.last_commit = max(self.last_commit, position)
 
-    def write_unanswered(self, instance: InstanceId, asked_at: float) -> None:
+    def record_write_timeout(self, instance: InstanceId, asked_at: float) -> None:
         """Note that a write asked then got no answer in its time although the leader may be well.
 
         Where another write was answered since, it is the connection that was at fault.
--- a/tests/test_gateway_leaders.py
+++ b/tests/test_gateway_leaders.py
@@ -115,9 +115,9 @@
 async def test_a_leader_that_acknowledges_no_writes_is_stalled_until_one_is_answered() -> None:
     tracker = make_tracker([])
     tracker.take(claim(FIRST, 1))
-    tracker.write_unanswered(FIRST, now())
+    tracker.record_write_timeout(FIRST, now())
     assert tracker.stalled_since is None
-    tracker.write_unanswered(FIRST, now())
+    tracker.record_write_timeout(FIRST, now())
     assert tracker.stalled_since is not None
     tracker.record_write_reply()
     assert tracker.stalled_since is None
