--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -315,7 +315,7 @@
         self._notify()
         self._wanted.set()
 
-    def denied(self, instance: InstanceId, reason: str) -> None:
+    def record_denial(self, instance: InstanceId, reason: str) -> None:
         """Note that `instance` says itself that it leads no more, or never did.
 
         Of the leader it shows that somebody has replaced it, or is about to.
@@ -530,7 +530,7 @@
         if answer is not None and answer.leads:
             self.proven(instance, answer.position, answer.asked_at)
         elif answer is not None:
-            self.denied(instance, "it refused to begin a transaction")
+            self.record_denial(instance, "it refused to begin a transaction")
 
     def start_asking(self, instance: InstanceId) -> None:
         """Ask a member other than the leader for its status."""
@@ -573,7 +573,7 @@
         if answer.leads:
             self._take_claim(answer, term)
         elif answer.instance == self.leader:
-            self.denied(answer.instance, "it says that it is a replica")
+            self.record_denial(answer.instance, "it says that it is a replica")
         elif self.leader is None:
             self.refused(answer.instance, "it is a replica")
         else:
