--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -324,7 +324,7 @@
             self.denied_term = self.lease.term
         self.refused(instance, reason)
 
-    def give_up(self, name: ServerName | None, term: int) -> None:
+    def relinquish(self, name: ServerName | None, term: int) -> None:
         """Use a database no more, nor any other leader of a term below `term`: one is ordered.
 
         The same database may come back under another name.
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -533,5 +533,5 @@
 async def test_a_node_gives_a_leader_up_whichever_start_of_it_is_meant(asked: str) -> None:
     tracker = make_tracker([])
     take_all(tracker, [claim(FIRST, 1), word(THIRD, 1)])
-    tracker.give_up(ServerName(asked), 0)
+    tracker.relinquish(ServerName(asked), 0)
     assert tracker.may_use(FIRST) is (asked != "db-a")
--- a/tests/test_gateway_leaders.py
+++ b/tests/test_gateway_leaders.py
@@ -212,7 +212,7 @@
     await asyncio.sleep(0)
     before_the_pause = word(SECOND, 1)
     if lost_meanwhile:
-        tracker.give_up(server_name(FIRST), 0)
+        tracker.relinquish(server_name(FIRST), 0)
         tracker.take(claim(FIRST, 1))
     said.set_result(before_the_pause)
     await tracker._asking[SECOND]
