--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -247,7 +247,7 @@
         if unpaused_at > self.lease.confirmed_at:
             self._log_confirmer(instance, "received", opened_at)
         self.lease.record_received(position)
-        self.confirmed()
+        self.record_renewal()
 
     def _take_position(self, instance: InstanceId, position: Position, asked_at: float) -> None:
         told = ReportedPosition(position, loop_time())
@@ -356,7 +356,7 @@
 
     # The lease.
 
-    def confirmed(self) -> None:
+    def record_renewal(self) -> None:
         """Note that the lease was renewed."""
         self._keeper.renewed()
         self._take_watermark()
@@ -697,4 +697,4 @@
             return
         self.lease.record_status(status.term, status.held_term, answer.asked_at)
         self._log_confirmer(instance, "status", answer.opened_at)
-        self.confirmed()
+        self.record_renewal()
