--- a/src/bramblebeam/services/gateway/lease_keeper.py
+++ b/src/bramblebeam/services/gateway/lease_keeper.py
@@ -44,7 +44,7 @@
     def start_glancing(self, instance: InstanceId) -> None:
         """Ask a member how far it is, which costs it less."""
 
-    def confirmed(self) -> None:
+    def record_renewal(self) -> None:
         """Take note that the lease was renewed."""
 
     def lapsed(self) -> None:
