--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -402,7 +402,7 @@
             connection_ms=age_ms(opened_at, now),
         )
 
-    def lapsed(self) -> None:
+    def record_lapse(self) -> None:
         """Note that the lease has run out; nothing is sent to the leader until it is renewed."""
         now = loop_time()
         if self.unconfirmed_since is None:
@@ -445,7 +445,7 @@
     async def _wait_usable(self, deadline: float) -> bool:
         """Wait for another leader or for the lease on this one; False at the deadline."""
         if self.leader is not None:
-            self.lapsed()
+            self.record_lapse()
             self._keeper.wake()
         return await self.wait_change(deadline)
 
