--- a/src/bramblebeam/services/gateway/lease_keeper.py
+++ b/src/bramblebeam/services/gateway/lease_keeper.py
@@ -47,7 +47,7 @@
     def record_renewal(self) -> None:
         """Take note that the lease was renewed."""
 
-    def lapsed(self) -> None:
+    def record_lapse(self) -> None:
         """Take note that the lease has run out."""
 
 
