--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -265,7 +265,7 @@
         if self.highest_term > self.lease.term:
             self.refused(instance, "a session has observed a newer term")
         else:
-            self.start_asking(instance)
+            self.start_status_query(instance)
 
     def record_write_reply(self) -> None:
         """Note that the leader acknowledged or refused a write."""
@@ -375,7 +375,7 @@
         if loop_time() - self.lease.confirmed_at < POSITION_RENEWAL_SECONDS:
             return
         for missing in self._lives.not_seen_unpaused(instance, opened_at, self._others(instance)):
-            self.start_asking(missing)
+            self.start_status_query(missing)
 
     def _others(self, instance: InstanceId) -> list[InstanceId]:
         """Return the members beside the leader and one other, lapsed ones included."""
@@ -532,7 +532,7 @@
         elif answer is not None:
             self.record_denial(instance, "it refused to begin a transaction")
 
-    def start_asking(self, instance: InstanceId) -> None:
+    def start_status_query(self, instance: InstanceId) -> None:
         """Ask a member other than the leader for its status."""
         self._start(instance, self._probes.ask)
 
--- a/tests/test_gateway_leaders.py
+++ b/tests/test_gateway_leaders.py
@@ -208,7 +208,7 @@
         return await said
 
     tracker._probes.ask = ask  # type: ignore[method-assign]
-    tracker.start_asking(SECOND)
+    tracker.start_status_query(SECOND)
     await asyncio.sleep(0)
     before_the_pause = word(SECOND, 1)
     if lost_meanwhile:
