--- a/src/bramblebeam/services/gateway/lease_keeper.py
+++ b/src/bramblebeam/services/gateway/lease_keeper.py
@@ -38,7 +38,7 @@
     def witnesses(self) -> list[InstanceId]:
         """Return the members that may confirm it, the one to ask first in front."""
 
-    def start_asking(self, instance: InstanceId) -> None:
+    def start_status_query(self, instance: InstanceId) -> None:
         """Ask a member for its status; its word is taken when it comes."""
 
     def start_glancing(self, instance: InstanceId) -> None:
