--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -557,11 +557,11 @@
             self.refused(instance, str(error))
             return
         if answer is not None:
-            self.take(answer, may_confirm=losses == self._losses)
+            self.handle_answer(answer, may_confirm=losses == self._losses)
 
     # Answers of members.
 
-    def take(self, answer: MemberAnswer, may_confirm: bool = True) -> None:
+    def handle_answer(self, answer: MemberAnswer, may_confirm: bool = True) -> None:
         """Take what a member said of itself.
 
         `may_confirm` False: it was asked before a leader was lost. Another node may rely on that
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -203,23 +203,23 @@
     """It may have been paused for a change of primary, and knows nothing of that."""
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
-    tracker.take(claim(FIRST, 1))
+    tracker.handle_answer(claim(FIRST, 1))
     register(tracker, FIRST, SECOND_AGAIN, THIRD, again=SECOND_AGAIN)
     if is_read:
         tracker.record_position(SECOND_AGAIN, Position(1, 9), now(), LONG_OPEN)
     else:
-        tracker.take(word(SECOND_AGAIN, 1))
+        tracker.handle_answer(word(SECOND_AGAIN, 1))
     assert not tracker.may_use(FIRST)
     assert tracker.witnesses() == [THIRD, SECOND_AGAIN]
     assert tracker.has_witness
-    tracker.take(word(THIRD, 1))
+    tracker.handle_answer(word(THIRD, 1))
     assert tracker.may_use(FIRST)
 
 
 async def test_a_member_confirms_a_leader_that_was_promoted_since_it_started_again() -> None:
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
-    tracker.take(claim(FIRST, 1))
+    tracker.handle_answer(claim(FIRST, 1))
     register(tracker, FIRST, SECOND_AGAIN, THIRD, again=SECOND_AGAIN)
     take_all(tracker, [claim(THIRD, 2), word(SECOND_AGAIN, 2)])
     assert tracker.may_use(THIRD)
@@ -228,7 +228,7 @@
 async def test_where_all_started_again_no_witness_is_left() -> None:
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND)
-    tracker.take(claim(FIRST, 1))
+    tracker.handle_answer(claim(FIRST, 1))
     register(tracker, FIRST, SECOND_AGAIN, again=SECOND_AGAIN)
     assert not tracker.has_witness
 
@@ -241,9 +241,9 @@
     empty = word(SECOND, 1)
     status = empty.status
     assert status is not None
-    tracker.take(empty._replace(status=status._replace(received=Position(1, 0))))
+    tracker.handle_answer(empty._replace(status=status._replace(received=Position(1, 0))))
     assert not tracker.may_use(FIRST)
-    tracker.take(word(SECOND, 1))
+    tracker.handle_answer(word(SECOND, 1))
     assert not tracker.may_use(FIRST), "it has received again, and forgotten all the same"
 
 
@@ -258,7 +258,7 @@
     await asyncio.sleep(0.005)
     if again != FIRST:
         register(tracker, again, SECOND, THIRD, again=again)
-    tracker.take(claim(again, 3, 2))
+    tracker.handle_answer(claim(again, 3, 2))
     assert tracker.leader is None
     assert FormerLeaderFound(GROUP, again, 4) in published
 
@@ -269,7 +269,7 @@
     tracker = make_tracker(published)
     register(tracker, FIRST, SECOND, THIRD)
     tracker.record_position(SECOND, Position(3, 9), now(), LONG_OPEN)
-    tracker.take(claim(FIRST, 3, 0))
+    tracker.handle_answer(claim(FIRST, 3, 0))
     assert tracker.leader is None
     assert FormerLeaderFound(GROUP, FIRST, 4) in published
 
--- a/tests/test_gateway_leaders.py
+++ b/tests/test_gateway_leaders.py
@@ -114,7 +114,7 @@
 
 async def test_a_leader_that_acknowledges_no_writes_is_stalled_until_one_is_answered() -> None:
     tracker = make_tracker([])
-    tracker.take(claim(FIRST, 1))
+    tracker.handle_answer(claim(FIRST, 1))
     tracker.record_write_timeout(FIRST, now())
     assert tracker.stalled_since is None
     tracker.record_write_timeout(FIRST, now())
@@ -138,22 +138,22 @@
     words: list[tuple[InstanceId, int, int]], may_use: bool
 ) -> None:
     tracker = make_tracker([])
-    tracker.take(claim(FIRST, 1))
+    tracker.handle_answer(claim(FIRST, 1))
     take_all(tracker, [word(*fields) for fields in words])
     assert tracker.may_use(FIRST) is may_use
 
 
 async def test_a_proof_that_no_member_confirms_is_no_watermark() -> None:
     tracker = make_tracker([])
-    tracker.take(claim(FIRST, 1, 5))
+    tracker.handle_answer(claim(FIRST, 1, 5))
     assert tracker.watermarks.newest.position == Position(0, 0)
-    tracker.take(word(SECOND, 1))
+    tracker.handle_answer(word(SECOND, 1))
     assert tracker.watermarks.newest.position == Position(1, 5)
 
 
 async def test_a_read_at_a_replica_confirms_what_was_committed_after_a_proof() -> None:
     tracker = make_tracker([])
-    tracker.take(claim(FIRST, 1, 5))
+    tracker.handle_answer(claim(FIRST, 1, 5))
     tracker.record_position(SECOND, Position(1, 5), now(), LONG_OPEN)
     assert not tracker.may_use(FIRST)
     tracker.record_position(SECOND, Position(1, 6), now(), LONG_OPEN)
@@ -168,9 +168,9 @@
     if is_read:
         tracker.record_position(THIRD, Position(2, 7), now(), LONG_OPEN)
     else:
-        tracker.take(claim(THIRD, 2))
+        tracker.handle_answer(claim(THIRD, 2))
     assert not tracker.may_use(FIRST)
-    tracker.take(claim(FIRST, 1))
+    tracker.handle_answer(claim(FIRST, 1))
     assert tracker.leader != FIRST
     assert FormerLeaderFound(GROUP, FIRST, 2) in published
 
@@ -201,7 +201,7 @@
 ) -> None:
     """Another node pauses the members and relies on this one's word that it has no lease."""
     tracker = make_tracker([])
-    tracker.take(claim(FIRST, 1))
+    tracker.handle_answer(claim(FIRST, 1))
     said: asyncio.Future[MemberAnswer] = asyncio.get_running_loop().create_future()
 
     async def ask(instance: InstanceId, timeout: float) -> MemberAnswer:
@@ -213,7 +213,7 @@
     before_the_pause = word(SECOND, 1)
     if lost_meanwhile:
         tracker.relinquish(server_name(FIRST), 0)
-        tracker.take(claim(FIRST, 1))
+        tracker.handle_answer(claim(FIRST, 1))
     said.set_result(before_the_pause)
     await tracker._asking[SECOND]
     assert tracker.leader == FIRST
--- a/tests/test_witness_lives.py
+++ b/tests/test_witness_lives.py
@@ -88,20 +88,20 @@
 async def test_a_restart_delays_nothing_if_every_member_replies() -> None:
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
-    tracker.take(claim(FIRST, 1))
+    tracker.handle_answer(claim(FIRST, 1))
     opened_at = now()
-    tracker.take(word(SECOND, 1)._replace(opened_at=opened_at))
+    tracker.handle_answer(word(SECOND, 1)._replace(opened_at=opened_at))
     assert not tracker.may_use(FIRST)
-    tracker.take(word(THIRD, 1)._replace(opened_at=opened_at))
+    tracker.handle_answer(word(THIRD, 1)._replace(opened_at=opened_at))
     assert tracker.may_use(FIRST)
 
 
 async def test_the_target_of_a_change_keeps_a_restarted_member_from_confirming() -> None:
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
-    tracker.take(claim(FIRST, 1))
-    tracker.take(word(THIRD, 1, held=2)._replace(opened_at=now()))
-    tracker.take(word(SECOND, 1)._replace(opened_at=now()))
+    tracker.handle_answer(claim(FIRST, 1))
+    tracker.handle_answer(word(THIRD, 1, held=2)._replace(opened_at=now()))
+    tracker.handle_answer(word(SECOND, 1)._replace(opened_at=now()))
     tracker.record_position(SECOND, Position(1, 9), now(), now())
     assert not tracker.may_use(FIRST)
 
@@ -112,7 +112,7 @@
     register(tracker, FIRST, SECOND, THIRD)
     opened_at = now()
     take_all(tracker, [claim(SECOND, 2), claim(FIRST, 1)])
-    tracker.take(word(THIRD, 2)._replace(opened_at=opened_at))
+    tracker.handle_answer(word(THIRD, 2)._replace(opened_at=opened_at))
     assert tracker.may_use(SECOND)
 
 
@@ -122,14 +122,14 @@
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
     opened_at = now()
-    tracker.take(claim(FIRST, 1))
+    tracker.handle_answer(claim(FIRST, 1))
 
     async def refuse_connection(instance: InstanceId, timeout: float) -> None:
         raise ProbeFailedError("connection refused", is_gone=True)
 
     monkeypatch.setattr(tracker._probes, "ask", refuse_connection)
     await tracker._ask(SECOND, tracker._probes.ask)
-    tracker.take(word(THIRD, 1)._replace(opened_at=opened_at))
+    tracker.handle_answer(word(THIRD, 1)._replace(opened_at=opened_at))
     assert tracker.may_use(FIRST)
 
 
@@ -138,13 +138,13 @@
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND_AGAIN, THIRD)
     opened_at = now()
-    tracker.take(claim(FIRST, 1))
+    tracker.handle_answer(claim(FIRST, 1))
     empty = word(SECOND_AGAIN, 1)._replace(opened_at=opened_at)
     assert empty.status is not None
     nothing = empty.status._replace(received=Position(1, 0))
-    tracker.take(empty._replace(position=Position(1, 0), status=nothing))
+    tracker.handle_answer(empty._replace(position=Position(1, 0), status=nothing))
     assert not tracker.may_use(FIRST)
-    tracker.take(word(THIRD, 1)._replace(opened_at=opened_at))
+    tracker.handle_answer(word(THIRD, 1)._replace(opened_at=opened_at))
     assert tracker.may_use(FIRST)
 
 
@@ -153,7 +153,7 @@
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
     opened_at = now()
-    tracker.take(claim(FIRST, 1))
+    tracker.handle_answer(claim(FIRST, 1))
     tracker.proven(FIRST, Position(1, 6), now())
     tracker.record_position(SECOND, Position(1, 7), now(), opened_at)
     assert not tracker.may_use(FIRST)
@@ -164,7 +164,7 @@
 async def test_the_position_of_a_restarted_member_confirms_nothing() -> None:
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
-    tracker.take(claim(FIRST, 1))
+    tracker.handle_answer(claim(FIRST, 1))
     tracker.proven(FIRST, Position(1, 6), now())
     tracker.record_position(SECOND, Position(1, 9), now(), now())
     assert not tracker.may_use(FIRST)
