--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -110,7 +110,7 @@
         self._confirmer_told_at = float("-inf")
         self._placement = placement
         self._probes = MemberProbes(placement)
-        self._asking: dict[InstanceId, asyncio.Task[None]] = {}
+        self._queries: dict[InstanceId, asyncio.Task[None]] = {}
         self._used_at = asyncio.get_running_loop().time()
         self._publish = publish
         self._spawn = spawn
@@ -542,10 +542,10 @@
 
     def _start(self, instance: InstanceId, question: Question) -> None:
         """Ask a member; one question a member is under way at a time."""
-        if instance not in self._asking:
+        if instance not in self._queries:
             task = self._spawn(self._ask(instance, question))
-            self._asking[instance] = task
-            task.add_done_callback(lambda _: self._asking.pop(instance, None))
+            self._queries[instance] = task
+            task.add_done_callback(lambda _: self._queries.pop(instance, None))
 
     async def _ask(self, instance: InstanceId, question: Question) -> None:
         losses, began = self._losses, loop_time()
--- a/tests/test_gateway_leaders.py
+++ b/tests/test_gateway_leaders.py
@@ -215,7 +215,7 @@
         tracker.relinquish(server_name(FIRST), 0)
         tracker.handle_answer(claim(FIRST, 1))
     said.set_result(before_the_pause)
-    await tracker._asking[SECOND]
+    await tracker._queries[SECOND]
     assert tracker.leader == FIRST
     assert tracker.may_use(FIRST) is may_use
 
