--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -14,7 +14,7 @@
 from bramblebeam.core.overload.settings import SWITCHED_OFF, OverloadSettings
 from bramblebeam.core.tenants import NO_TENANT, RateLimit, TenantId
 from bramblebeam.services.gateway.forwarding import Forwarder, Peers
-from bramblebeam.services.gateway.leader_news import LeaderNews
+from bramblebeam.services.gateway.leader_news import LeaderEvent
 from bramblebeam.services.gateway.leaders import LeaderTracker
 from bramblebeam.services.gateway.limits import TenantLimits
 from bramblebeam.services.gateway.load_control import LoadControl
@@ -48,7 +48,7 @@
         place: NodeLocation,
         connector: DatabaseConnector,
         peers: Peers,
-        publish: Callable[[LeaderNews], None],
+        publish: Callable[[LeaderEvent], None],
         spawn: Callable[..., asyncio.Task[None]],
         overload: OverloadSettings = SWITCHED_OFF,
     ) -> None:
--- a/src/bramblebeam/services/gateway/leader_news.py
+++ b/src/bramblebeam/services/gateway/leader_news.py
@@ -32,5 +32,5 @@
     newest_term: int
 
 
-LeaderNews = LeaderSuspected | LeaderProven | FormerLeaderFound
+LeaderEvent = LeaderSuspected | LeaderProven | FormerLeaderFound
 """What a node publishes of the leaders that it follows."""
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -39,7 +39,7 @@
 )
 from bramblebeam.services.gateway.leader_news import (
     FormerLeaderFound,
-    LeaderNews,
+    LeaderEvent,
     LeaderProven,
     LeaderSuspected,
 )
@@ -80,7 +80,7 @@
         self,
         group: GroupId,
         placement: Placement,
-        publish: Callable[[LeaderNews], None],
+        publish: Callable[[LeaderEvent], None],
         spawn: Callable[..., asyncio.Task[None]],
     ) -> None:
         self.group = group
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -46,7 +46,7 @@
 from bramblebeam.services.failover.peers import TransportStepDownPeers
 from bramblebeam.services.feed.peers import database_items, told_databases
 from bramblebeam.services.feed.ports import Versioned
-from bramblebeam.services.gateway.leader_news import FormerLeaderFound, LeaderNews
+from bramblebeam.services.gateway.leader_news import FormerLeaderFound, LeaderEvent
 from bramblebeam.services.gateway.leaders import LeaderTracker
 from bramblebeam.wire.codec import Codec
 from bramblebeam.wire.gateway_registry import GATEWAY_NODE_MESSAGES
@@ -249,7 +249,7 @@
 
 @pytest.mark.parametrize("again", [FIRST_AGAIN, FIRST], ids=["its entry tells", "its log tells"])
 async def test_a_primary_that_started_again_does_not_lead_on(again: InstanceId) -> None:
-    published: list[LeaderNews] = []
+    published: list[LeaderEvent] = []
     tracker = make_tracker(published)
     register(tracker, FIRST, SECOND, THIRD)
     take_all(tracker, [claim(FIRST, 3, 5), word(THIRD, 3)])
@@ -265,7 +265,7 @@
 
 async def test_a_primary_without_a_log_does_not_lead_where_another_member_has_one() -> None:
     """To a node that has just started and never knew its former start."""
-    published: list[LeaderNews] = []
+    published: list[LeaderEvent] = []
     tracker = make_tracker(published)
     register(tracker, FIRST, SECOND, THIRD)
     tracker.record_position(SECOND, Position(3, 9), now(), LONG_OPEN)
--- a/tests/test_gateway_leaders.py
+++ b/tests/test_gateway_leaders.py
@@ -16,7 +16,7 @@
     server_name,
 )
 from bramblebeam.platform.database_connection import LineDatabaseConnector
-from bramblebeam.services.gateway.leader_news import FormerLeaderFound, LeaderNews, LeaderProven
+from bramblebeam.services.gateway.leader_news import FormerLeaderFound, LeaderEvent, LeaderProven
 from bramblebeam.services.gateway.leaders import LeaderTracker
 from bramblebeam.services.gateway.member_probes import MemberAnswer
 from bramblebeam.services.gateway.placement import Placement
@@ -49,7 +49,7 @@
         return slots
 
 
-def make_tracker(published: list[LeaderNews]) -> LeaderTracker:
+def make_tracker(published: list[LeaderEvent]) -> LeaderTracker:
     placement = Placement(LineDatabaseConnector(), SoleOwner())
     placement.configure(RouteTable(1, {}, {GROUP: GroupSettings(GROUP, 36)}))
     return LeaderTracker(GROUP, placement, published.append, asyncio.ensure_future)
@@ -102,7 +102,7 @@
 
 
 async def test_a_proof_that_was_asked_for_earlier_does_not_replace_a_later_one() -> None:
-    published: list[LeaderNews] = []
+    published: list[LeaderEvent] = []
     tracker = make_tracker(published)
     take_all(tracker, [claim(SECOND, 2, 6), word(THIRD, 2)])
     tracker.proven(SECOND, Position(2, 5), now() - 1)
@@ -162,7 +162,7 @@
 
 @pytest.mark.parametrize("is_read", [True, False], ids=["a read", "a status"])
 async def test_a_newer_term_ends_the_use_of_a_leader_for_good(is_read: bool) -> None:
-    published: list[LeaderNews] = []
+    published: list[LeaderEvent] = []
     tracker = make_tracker(published)
     take_all(tracker, [claim(FIRST, 1), word(SECOND, 1)])
     if is_read:
