--- a/src/bramblebeam/services/gateway/member_probes.py
+++ b/src/bramblebeam/services/gateway/member_probes.py
@@ -45,7 +45,7 @@
 
     instance: InstanceId
     opened_at: float
-    asked_at: float
+    queried_at: float
     leads: bool
     position: Position
     status: MemberStatus | None = None
