--- a/src/bramblebeam/services/gateway/placement.py
+++ b/src/bramblebeam/services/gateway/placement.py
@@ -212,7 +212,7 @@
         """Make pools for the databases last known."""
         self.update(self._directory)
 
-    def was_behind(self, instance: InstanceId) -> None:
+    def record_behind(self, instance: InstanceId) -> None:
         """Note that a database lacked a read's floor."""
         if self.targets is not None:
             if instance in self.pools:
