--- a/src/bramblebeam/services/gateway/placement.py
+++ b/src/bramblebeam/services/gateway/placement.py
@@ -269,7 +269,7 @@
         """Return what other nodes are told of the group's databases, where load decides."""
         return NO_LOADS if self.targets is None else self.targets.loads(self.members(group))
 
-    def served(self, pool: DatabasePool, seconds: float) -> None:
+    def record_served(self, pool: DatabasePool, seconds: float) -> None:
         """Note a read that was served within `seconds`."""
         if self.targets is not None:
             self.targets.served(pool, seconds)
