--- a/src/bramblebeam/services/gateway/placement.py
+++ b/src/bramblebeam/services/gateway/placement.py
@@ -279,7 +279,7 @@
         if self.targets is not None:
             self.targets.failed(pool, refusal, began)
 
-    def is_silent(self, pool: DatabasePool) -> bool:
+    def is_unresponsive(self, pool: DatabasePool) -> bool:
         """Whether a database gets no reads as it gave no answers, where load decides."""
         return self.targets is not None and self.targets.is_silent(pool)
 
