--- a/src/bramblebeam/services/gateway/placement.py
+++ b/src/bramblebeam/services/gateway/placement.py
@@ -283,7 +283,7 @@
         """Whether a database gets no reads as it gave no answers, where load decides."""
         return self.targets is not None and self.targets.is_silent(pool)
 
-    def take_told(self, loads: tuple[DatabaseLoad, ...]) -> None:
+    def handle_reported_loads(self, loads: tuple[DatabaseLoad, ...]) -> None:
         """Take what another node told of databases."""
         if self.targets is not None:
             self.targets.take_told(loads)
