--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -135,10 +135,10 @@
     async def run(self) -> None:
         """Ask for grants as long as this node counts tenants."""
         while True:
-            self.look()
+            self.request_grants()
             await asyncio.sleep(LOOK_SECONDS)
 
-    def look(self) -> None:
+    def request_grants(self) -> None:
         """Ask the grantors whose turn it is, and let the buckets follow what is held."""
         now = self._context.now()
         if now - self._followed_at >= REQUEST_INTERVAL:
