--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -176,7 +176,7 @@
         if member is not None:
             self._messages.send(member.spec.peer_address, message)
 
-    def requested(self, holder: NodeId, request: GrantRequest, source: Address) -> None:
+    def handle_grant_request(self, holder: NodeId, request: GrantRequest, source: Address) -> None:
         """Answer a node that asks for this one's part of limits."""
         grant = self._grantor.answer(holder, request, self._fleet, self._context.now())
         self._messages.send(source, grant)
--- a/src/bramblebeam/services/gateway/service.py
+++ b/src/bramblebeam/services/gateway/service.py
@@ -149,7 +149,7 @@
             case PeerDelivery(_, AdmissionReturned() as returned):
                 self.context.limits.give_back(returned)
             case PeerDelivery(sender, GrantRequest() as request, Address() as source):
-                self.context.limits.requested(sender, request, source)
+                self.context.limits.handle_grant_request(sender, request, source)
             case PeerDelivery(sender, Grant() as grant):
                 self.context.limits.granted(sender, grant)
             case PeerDelivery(sender, GrantReturned() as returned):
