--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -181,7 +181,7 @@
         grant = self._grantor.answer(holder, request, self._fleet, self._context.now())
         self._messages.send(source, grant)
 
-    def granted(self, grantor: NodeId, grant: Grant) -> None:
+    def handle_grant(self, grantor: NodeId, grant: Grant) -> None:
         """Take another node's part of limits."""
         if not self._counts:
             return
--- a/src/bramblebeam/services/gateway/service.py
+++ b/src/bramblebeam/services/gateway/service.py
@@ -151,7 +151,7 @@
             case PeerDelivery(sender, GrantRequest() as request, Address() as source):
                 self.context.limits.handle_grant_request(sender, request, source)
             case PeerDelivery(sender, Grant() as grant):
-                self.context.limits.granted(sender, grant)
+                self.context.limits.handle_grant(sender, grant)
             case PeerDelivery(sender, GrantReturned() as returned):
                 self.context.limits.returned_by(sender, returned)
             case DirectoryChanged(directory):
