--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -190,7 +190,7 @@
         if grantor in self._holdings.pending_grantors((grantor,), now):
             self._ask(grantor, now)
 
-    def returned_by(self, holder: NodeId, returned: GrantReturned) -> None:
+    def handle_grant_returned(self, holder: NodeId, returned: GrantReturned) -> None:
         """Take back what another node counts by no more."""
         self._grantor.release(holder, returned.number)
         if self._counts:
--- a/src/bramblebeam/services/gateway/service.py
+++ b/src/bramblebeam/services/gateway/service.py
@@ -153,7 +153,7 @@
             case PeerDelivery(sender, Grant() as grant):
                 self.context.limits.handle_grant(sender, grant)
             case PeerDelivery(sender, GrantReturned() as returned):
-                self.context.limits.returned_by(sender, returned)
+                self.context.limits.handle_grant_returned(sender, returned)
             case DirectoryChanged(directory):
                 self._has_databases = bool(directory.entries)
                 self.context.update(directory)
