--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -231,7 +231,7 @@
                 counted = self._counter.counted_operations(tenant, now)
                 yield CountedTenant(tenant, limit, self.share(tenant), counted)
 
-    def give_back(self, returned: AdmissionReturned) -> None:
+    def refund(self, returned: AdmissionReturned) -> None:
         """Count an operation as never begun, as no database can have run it."""
         now = self._context.now()
         counted = self._counter.refund(returned.tenant, returned.receipt, now)
--- a/src/bramblebeam/services/gateway/service.py
+++ b/src/bramblebeam/services/gateway/service.py
@@ -147,7 +147,7 @@
             case PeerDelivery(_, AdmissionRequest() as request):
                 answer(envelope, self.context.limits.count(request))
             case PeerDelivery(_, AdmissionReturned() as returned):
-                self.context.limits.give_back(returned)
+                self.context.limits.refund(returned)
             case PeerDelivery(sender, GrantRequest() as request, Address() as source):
                 self.context.limits.handle_grant_request(sender, request, source)
             case PeerDelivery(sender, Grant() as grant):
