--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -131,7 +131,7 @@
     def update(self, directory: DatabaseDirectory) -> None:
         """Follow the directory."""
         self.owners.update_databases(directory)
-        self.limits.follow_serving()
+        self.limits.update_serving()
         self.placement.update(directory)
         self._review_leaders()
         for tracker in self._leaders.values():
--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -92,7 +92,7 @@
         """Follow the configuration in force."""
         version = self._context.table.version
         self._told = {tenant: told for tenant, told in self._told.items() if told.version > version}
-        self.follow_serving()
+        self.update_serving()
 
     def take_members(self, members: MembersView) -> None:
         """Follow the members: over whom limits are divided, and who counts."""
@@ -102,9 +102,9 @@
             self._known = known
             grantors = select_grantors(known) or (self._node,)
             self._fleet = self._fleet._replace(grantors=grantors)
-        self.follow_serving()
+        self.update_serving()
 
-    def follow_serving(self) -> None:
+    def update_serving(self) -> None:
         """Follow which nodes serve tenants: one that does not any more lets go of what it holds."""
         serving = self._context.serving_tenants()
         # A node that has met nobody can't know how many there are.
