--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -90,7 +90,7 @@
             if len(members.members) > 1 and not self._members_known.is_set():
                 self._await_quiet()
         self.owners.update(members)
-        self.limits.take_members(members)
+        self.limits.update_members(members)
         self.placement.review()
         self._review_leaders()
 
--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -94,7 +94,7 @@
         self._told = {tenant: told for tenant, told in self._told.items() if told.version > version}
         self.update_serving()
 
-    def take_members(self, members: MembersView) -> None:
+    def update_members(self, members: MembersView) -> None:
         """Follow the members: over whom limits are divided, and who counts."""
         self._members = members
         known = frozenset(members.members)
