--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -32,7 +32,7 @@
 """How often a node that counts tenants looks for grantors to ask."""
 MOST_TOLD = 1_000
 """Limits of tenants that are kept of newer configurations of other nodes."""
-TOLD_SECONDS = 10.0
+REPORTED_LIMIT_SECONDS = 10.0
 """A newer configuration is here within so long, or whoever told of it was wrong."""
 _NUMBER_BITS = 48
 
@@ -245,7 +245,7 @@
         """
         own = self._context.limit_of(tenant)
         told = self._told.get(tenant)
-        if told is None or self._context.now() - told.told_at > TOLD_SECONDS:
+        if told is None or self._context.now() - told.told_at > REPORTED_LIMIT_SECONDS:
             return own
         return told.limit if own is None else min(own, told.limit)
 
--- a/tests/test_limits_over_nodes.py
+++ b/tests/test_limits_over_nodes.py
@@ -15,7 +15,7 @@
 from bramblebeam.core.tenants import RateLimit, TenantId
 from bramblebeam.services.gateway.admission import count_here
 from bramblebeam.services.gateway.context import GatewayContext
-from bramblebeam.services.gateway.limits import TOLD_SECONDS
+from bramblebeam.services.gateway.limits import REPORTED_LIMIT_SECONDS
 from bramblebeam.services.gateway.tenant_records import Part
 from counting_fleet import Fleet, table
 from platform_standins.world import FAR_TOO_LONG, World, running_world, until
@@ -181,7 +181,7 @@
         assert home.limits.count(asked).admitted is admitted
         uncounted = home.metrics.tenants.totals[Part.UNCOUNTED]
         assert uncounted == int(admitted)
-        clock[0] += TOLD_SECONDS + 1.0
+        clock[0] += REPORTED_LIMIT_SECONDS + 1.0
         assert home.limits.limit_of(HOT) == limit
 
 
