--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -23,7 +23,7 @@
     GrantReturned,
 )
 from bramblebeam.core.tenants import RateLimit, TenantId
-from bramblebeam.services.gateway.tenant_records import Part
+from bramblebeam.services.gateway.tenant_records import Outcome
 
 if TYPE_CHECKING:
     from bramblebeam.services.gateway.context import GatewayContext
@@ -217,7 +217,7 @@
             return admission
         if is_new and self._counter.has_bucket(tenant):
             records.began(tenant)
-        records.note(tenant, Part.COUNTED if admission.admitted else Part.REFUSED)
+        records.note(tenant, Outcome.COUNTED if admission.admitted else Outcome.REFUSED)
         if not admission.admitted:
             records.met_limit(tenant, self._context.now())
         return admission
@@ -235,7 +235,7 @@
         """Count an operation as never begun, as no database can have run it."""
         now = self._context.now()
         counted = self._counter.refund(returned.tenant, returned.receipt, now)
-        part = Part.RETURNED if counted else Part.RETURN_IGNORED
+        part = Outcome.RETURNED if counted else Outcome.RETURN_IGNORED
         self._context.metrics.tenants.note(returned.tenant, part)
 
     def limit_of(self, tenant: TenantId) -> RateLimit | None:
--- a/src/bramblebeam/services/gateway/request.py
+++ b/src/bramblebeam/services/gateway/request.py
@@ -20,7 +20,7 @@
 from bramblebeam.services.gateway.metrics import GatewayMetrics
 from bramblebeam.services.gateway.ports import Command
 from bramblebeam.services.gateway.slot_queue import Permit
-from bramblebeam.services.gateway.tenant_records import Part
+from bramblebeam.services.gateway.tenant_records import Outcome
 
 logger = logging.getLogger(__name__)
 
@@ -121,7 +121,7 @@
     def note_sent(self) -> None:
         """Note that the operation goes to a database, perhaps once more."""
         self.account.charge()
-        self.metrics.tenants.note(self.tenant, Part.SENT)
+        self.metrics.tenants.note(self.tenant, Outcome.SENT)
 
     def note_refused(self, refusal: Refusal) -> None:
         """Note a database's answer to an attempt: one that has not run pays for the next one."""
--- a/src/bramblebeam/services/gateway/tenant_records.py
+++ b/src/bramblebeam/services/gateway/tenant_records.py
@@ -24,7 +24,7 @@
 """A tenant that met its limit has a line for so long after: a limit holds in spans of 5 s."""
 
 
-class Part(StrEnum):
+class Outcome(StrEnum):
     """What became of an operation, at the node that counts it or at the one that runs it."""
 
     COUNTED = "counted"
@@ -43,14 +43,14 @@
     """Counts since the last line, and in all."""
 
     def __init__(self) -> None:
-        self.totals = Counter(dict.fromkeys(Part, 0))
-        self._second: dict[TenantId, Counter[Part]] = {}
+        self.totals = Counter(dict.fromkeys(Outcome, 0))
+        self._second: dict[TenantId, Counter[Outcome]] = {}
         self._met_limit_at: dict[TenantId, float] = {}
         self._begun: list[TenantId] = []
         self._uncounted_why: dict[TenantId, str] = {}
         self._reported_at = float("-inf")
 
-    def note(self, tenant: TenantId, part: Part) -> None:
+    def note(self, tenant: TenantId, part: Outcome) -> None:
         """Count one operation."""
         self.totals[part] += 1
         counts = self._second.get(tenant)
@@ -64,7 +64,7 @@
 
     def uncounted(self, tenant: TenantId, why: str) -> None:
         """Count one operation that was let through without a count."""
-        self.note(tenant, Part.UNCOUNTED)
+        self.note(tenant, Outcome.UNCOUNTED)
         self._uncounted_why[tenant] = why
 
     def began(self, tenant: TenantId) -> None:
@@ -100,7 +100,7 @@
             tenant=tenant,
             rate=None if limit is None else limit.rate,
             burst=None if limit is None else limit.burst,
-            **{part.value: counts[part] for part in Part},
+            **{part.value: counts[part] for part in Outcome},
         )
 
     def _log_rest(self) -> None:
@@ -108,5 +108,5 @@
             first = self._begun[0]
             log_event(logger, COUNTING_BEGAN, tenants=len(self._begun), first=first)
         for tenant, why in list(self._uncounted_why.items())[:MOST_LINES]:
-            operations = self._second[tenant][Part.UNCOUNTED]
+            operations = self._second[tenant][Outcome.UNCOUNTED]
             log_event(logger, ADMITTED_UNCOUNTED, tenant=tenant, operations=operations, why=why)
--- a/tests/test_limits_over_nodes.py
+++ b/tests/test_limits_over_nodes.py
@@ -16,7 +16,7 @@
 from bramblebeam.services.gateway.admission import count_here
 from bramblebeam.services.gateway.context import GatewayContext
 from bramblebeam.services.gateway.limits import REPORTED_LIMIT_SECONDS
-from bramblebeam.services.gateway.tenant_records import Part
+from bramblebeam.services.gateway.tenant_records import Outcome
 from counting_fleet import Fleet, table
 from platform_standins.world import FAR_TOO_LONG, World, running_world, until
 from quota_search import SPAN, allowed, most_in_any_span
@@ -179,7 +179,7 @@
         home = fleet.contexts[fleet.homes(HOT)[0]]
         asked = AdmissionRequest(HOT, told[1], told[0])
         assert home.limits.count(asked).admitted is admitted
-        uncounted = home.metrics.tenants.totals[Part.UNCOUNTED]
+        uncounted = home.metrics.tenants.totals[Outcome.UNCOUNTED]
         assert uncounted == int(admitted)
         clock[0] += REPORTED_LIMIT_SECONDS + 1.0
         assert home.limits.limit_of(HOT) == limit
@@ -209,7 +209,7 @@
             answer, _ = await asyncio.gather(client.run("READ k"), replicas_are_busy(world))
         assert answer.code
         assert sum(run.action == "READ" for run in world.group.runs) == 1
-        assert records.totals[Part.COUNTED] - records.totals[Part.RETURNED] == 1
+        assert records.totals[Outcome.COUNTED] - records.totals[Outcome.RETURNED] == 1
 
 
 # A read whose answer is lost is sent once more, and runs twice: each run takes a database's time,
@@ -228,4 +228,4 @@
         assert not answer.code
         runs = sum(run.action == "READ" for run in world.group.runs)
         assert runs > 1
-        assert records.totals[Part.COUNTED] == runs
+        assert records.totals[Outcome.COUNTED] == runs
--- a/tests/test_tenant_records.py
+++ b/tests/test_tenant_records.py
@@ -14,7 +14,7 @@
     FOLLOWED_SECONDS,
     MOST_LINES,
     REPORT_SECONDS,
-    Part,
+    Outcome,
     TenantRecords,
 )
 from run_logs import line, start
@@ -36,19 +36,19 @@
 ) -> None:
     records = TenantRecords()
     for tenant in (ACME, BOLT):
-        records.note(tenant, Part.COUNTED)
-        records.note(tenant, Part.SENT)
+        records.note(tenant, Outcome.COUNTED)
+        records.note(tenant, Outcome.SENT)
     records.met_limit(ACME, 10.0)
     (event,) = told(records, 10.0, caplog)
     assert event["event"] == TENANT_SECOND.number
     expected = {"tenant": ACME, "rate": 20.0, "burst": 10.0, "counted": 1, "sent": 1}
     assert event["fields"].items() >= expected.items()
-    records.note(ACME, Part.SENT)
+    records.note(ACME, Outcome.SENT)
     assert not told(records, 10.0 + REPORT_SECONDS / 2, caplog)
     assert told(records, 10.0 + REPORT_SECONDS, caplog)[0]["fields"]["sent"] == 1
-    records.note(ACME, Part.SENT)
+    records.note(ACME, Outcome.SENT)
     assert not told(records, 11.0 + FOLLOWED_SECONDS, caplog)
-    assert records.totals[Part.SENT] == 4
+    assert records.totals[Outcome.SENT] == 4
 
 
 def test_lines_are_bounded_however_many_tenants_meet_their_limits(
@@ -60,7 +60,7 @@
         records.met_limit(tenant, 1.0)
         records.began(tenant)
         for _ in range(number):
-            records.note(tenant, Part.REFUSED)
+            records.note(tenant, Outcome.REFUSED)
         records.uncounted(tenant, "its limit is not known here")
     events = told(records, 1.0, caplog)
     assert len(events) == 2 * MOST_LINES + 1
