--- a/src/bramblebeam/services/gateway/tenant_records.py
+++ b/src/bramblebeam/services/gateway/tenant_records.py
@@ -62,7 +62,7 @@
         """Note that a tenant was refused, here or by the node that counts it."""
         self._met_limit_at[tenant] = now
 
-    def uncounted(self, tenant: TenantId, why: str) -> None:
+    def record_uncounted(self, tenant: TenantId, why: str) -> None:
         """Count one operation that was let through without a count."""
         self.note(tenant, Outcome.UNCOUNTED)
         self._uncounted_why[tenant] = why
--- a/tests/test_tenant_records.py
+++ b/tests/test_tenant_records.py
@@ -61,7 +61,7 @@
         records.began(tenant)
         for _ in range(number):
             records.note(tenant, Outcome.REFUSED)
-        records.uncounted(tenant, "its limit is not known here")
+        records.record_uncounted(tenant, "its limit is not known here")
     events = told(records, 1.0, caplog)
     assert len(events) == 2 * MOST_LINES + 1
     assert events[0]["fields"]["tenant"] == "tenant-299"
