--- a/src/bramblebeam/services/gateway/tenant_records.py
+++ b/src/bramblebeam/services/gateway/tenant_records.py
@@ -58,7 +58,7 @@
             counts = self._second[tenant] = Counter()
         counts[part] += 1
 
-    def met_limit(self, tenant: TenantId, now: float) -> None:
+    def record_limit_reached(self, tenant: TenantId, now: float) -> None:
         """Note that a tenant was refused, here or by the node that counts it."""
         self._met_limit_at[tenant] = now
 
--- a/tests/test_tenant_records.py
+++ b/tests/test_tenant_records.py
@@ -38,7 +38,7 @@
     for tenant in (ACME, BOLT):
         records.note(tenant, Outcome.COUNTED)
         records.note(tenant, Outcome.SENT)
-    records.met_limit(ACME, 10.0)
+    records.record_limit_reached(ACME, 10.0)
     (event,) = told(records, 10.0, caplog)
     assert event["event"] == TENANT_SECOND.number
     expected = {"tenant": ACME, "rate": 20.0, "burst": 10.0, "counted": 1, "sent": 1}
@@ -57,7 +57,7 @@
     records = TenantRecords()
     for number in range(300):
         tenant = TenantId(f"tenant-{number}")
-        records.met_limit(tenant, 1.0)
+        records.record_limit_reached(tenant, 1.0)
         records.began(tenant)
         for _ in range(number):
             records.note(tenant, Outcome.REFUSED)
