--- a/src/bramblebeam/services/gateway/tenant_records.py
+++ b/src/bramblebeam/services/gateway/tenant_records.py
@@ -18,7 +18,7 @@
 logger = logging.getLogger(__name__)
 
 REPORT_SECONDS = 1.0
-MOST_LINES = 16
+MAXIMUM_LINES = 16
 """So many tenants have a line a second; those who asked for most go first."""
 FOLLOWED_SECONDS = 6.0
 """A tenant that met its limit has a line for so long after: a limit holds in spans of 5 s."""
@@ -90,7 +90,7 @@
         }
         followed = [tenant for tenant in self._met_limit_at if tenant in self._second]
         followed.sort(key=lambda tenant: -self._second[tenant].total())
-        yield from followed[:MOST_LINES]
+        yield from followed[:MAXIMUM_LINES]
 
     def _log_second(self, tenant: TenantId, limit: RateLimit | None) -> None:
         counts = self._second[tenant]
@@ -107,6 +107,6 @@
         if self._begun:
             first = self._begun[0]
             log_event(logger, COUNTING_BEGAN, tenants=len(self._begun), first=first)
-        for tenant, why in list(self._uncounted_why.items())[:MOST_LINES]:
+        for tenant, why in list(self._uncounted_why.items())[:MAXIMUM_LINES]:
             operations = self._second[tenant][Outcome.UNCOUNTED]
             log_event(logger, ADMITTED_UNCOUNTED, tenant=tenant, operations=operations, why=why)
--- a/tests/test_tenant_records.py
+++ b/tests/test_tenant_records.py
@@ -12,7 +12,7 @@
 from bramblebeam.report.counting.build import report_on
 from bramblebeam.services.gateway.tenant_records import (
     FOLLOWED_SECONDS,
-    MOST_LINES,
+    MAXIMUM_LINES,
     REPORT_SECONDS,
     Outcome,
     TenantRecords,
@@ -63,7 +63,7 @@
             records.note(tenant, Outcome.REFUSED)
         records.record_uncounted(tenant, "its limit is not known here")
     events = told(records, 1.0, caplog)
-    assert len(events) == 2 * MOST_LINES + 1
+    assert len(events) == 2 * MAXIMUM_LINES + 1
     assert events[0]["fields"]["tenant"] == "tenant-299"
     assert [event["fields"]["tenants"] for event in events if event["event"] == 1128] == [300]
 
