--- a/src/bramblebeam/services/gateway/load_control.py
+++ b/src/bramblebeam/services/gateway/load_control.py
@@ -108,7 +108,7 @@
 
     # Returns.
 
-    def tell_return(self, request: Request, reply: Reply) -> Reply:
+    def add_retry_delay(self, request: Request, reply: Reply) -> Reply:
         """Add to a refusal for want of room when its caller comes back.
 
         One of another node holds that node's moment already.
