--- a/src/bramblebeam/services/gateway/load_control.py
+++ b/src/bramblebeam/services/gateway/load_control.py
@@ -92,7 +92,7 @@
     ) -> Refusal:
         cause = RefusalCause.TOO_LATE
         self._context.metrics.refused_early(cause)
-        retry_after_ms = self.come_back(request, refused.room_in)
+        retry_after_ms = self.schedule_retry(request, refused.room_in)
         log_event(
             logger,
             STATEMENT_REFUSED_EARLY,
@@ -121,10 +121,10 @@
         if request.no_slot is not None:
             self._context.metrics.refused_early(RefusalCause.TOO_LATE)
         told_ms = refusal.retry_after_ms or DEFAULT_RETRY_AFTER_MS.get(refusal.reason, 0)
-        retry_after_ms = self.come_back(request, told_ms / _MILLISECONDS)
+        retry_after_ms = self.schedule_retry(request, told_ms / _MILLISECONDS)
         return reply._replace(refusal=refusal._replace(retry_after_ms=retry_after_ms))
 
-    def come_back(self, request: Request, room_in: float) -> int:
+    def schedule_retry(self, request: Request, room_in: float) -> int:
         """Return after how long a refused caller comes back (milliseconds, at least 1).
 
         `room_in`: until there is room for it, as far as that is known (seconds).
