--- a/src/bramblebeam/services/gateway/load_control.py
+++ b/src/bramblebeam/services/gateway/load_control.py
@@ -145,7 +145,7 @@
         databases = 1 if at_leader else max(1, len(members))
         return service / (self._context.placement.slots(group) * databases)
 
-    def answered(
+    def record_reply(
         self, session: StatementSession, route: Route | None, reply: Reply, arrived: float
     ) -> None:
         """Note what a caller was told, and whether it waited for that in vain."""
