--- a/src/bramblebeam/services/gateway/load_control.py
+++ b/src/bramblebeam/services/gateway/load_control.py
@@ -163,7 +163,7 @@
 
     # Second attempts.
 
-    def first_attempt(self, request: Request) -> None:
+    def record_first_attempt(self, request: Request) -> None:
         """Note that a statement goes to a database for the first time."""
         self._budgets.of(request.route.group).record_first_attempt()
 
