--- a/src/bramblebeam/services/gateway/leader_reads.py
+++ b/src/bramblebeam/services/gateway/leader_reads.py
@@ -10,7 +10,7 @@
 from bramblebeam.core.identity import InstanceId
 from bramblebeam.core.role import Role
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
-from bramblebeam.services.gateway.lending import at_leader, time_left
+from bramblebeam.services.gateway.lending import run_at_leader, time_left
 from bramblebeam.services.gateway.pool import DatabasePool
 from bramblebeam.services.gateway.pooled import ANSWER_SECONDS, PooledConnection
 from bramblebeam.services.gateway.ports import Command, ConnectionLostError
@@ -29,7 +29,7 @@
         return await _until_replaced(context, request, lent)
 
     try:
-        return await at_leader(context, request, read, Reason.NO_PRIMARY)
+        return await run_at_leader(context, request, read, Reason.NO_PRIMARY)
     finally:
         request.leave_slot()
 
--- a/src/bramblebeam/services/gateway/lending.py
+++ b/src/bramblebeam/services/gateway/lending.py
@@ -26,7 +26,7 @@
 """One try on a connection to the leader. None: nothing has run, and it may be tried again."""
 
 
-async def at_leader(
+async def run_at_leader(
     context: GatewayContext, request: Request, attempt: Attempt, reason: Reason
 ) -> Reply:
     """Try at the leader, as long as this node may use it, until there is an answer.
--- a/src/bramblebeam/services/gateway/transaction.py
+++ b/src/bramblebeam/services/gateway/transaction.py
@@ -16,7 +16,7 @@
 from bramblebeam.core.identity import InstanceId
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
 from bramblebeam.services.gateway.admission import admit, settle
-from bramblebeam.services.gateway.lending import BUSY_PAUSE, at_leader, time_left, time_to_hold
+from bramblebeam.services.gateway.lending import BUSY_PAUSE, run_at_leader, time_left, time_to_hold
 from bramblebeam.services.gateway.pool import DatabasePool
 from bramblebeam.services.gateway.pooled import CLOCK_STEP, PooledConnection
 from bramblebeam.services.gateway.ports import Command, ConnectError, ConnectionLostError
@@ -268,7 +268,7 @@
         async def begin(lent: PooledConnection) -> Reply | None:
             return await self._begin_at_leader(request, lent)
 
-        reply = await at_leader(self._context, request, begin, Reason.NO_PRIMARY)
+        reply = await run_at_leader(self._context, request, begin, Reason.NO_PRIMARY)
         return self._context.load.tell_return(request, reply).refusal
 
     async def _take_place(self, request: Request, instance: InstanceId | None) -> Refusal | None:
--- a/src/bramblebeam/services/gateway/writes.py
+++ b/src/bramblebeam/services/gateway/writes.py
@@ -6,7 +6,7 @@
 
 from bramblebeam.core.gateway.replies import Reply
 from bramblebeam.core.verdict import Reason, Refusal, Verdict
-from bramblebeam.services.gateway.lending import at_leader, time_left
+from bramblebeam.services.gateway.lending import run_at_leader, time_left
 from bramblebeam.services.gateway.pooled import CLOCK_STEP, PooledConnection
 from bramblebeam.services.gateway.ports import ConnectionLostError
 from bramblebeam.services.gateway.request import Request
@@ -22,7 +22,7 @@
         return await _send(context, request, lent)
 
     try:
-        return await at_leader(context, request, send, Reason.QUEUE_TIMEOUT)
+        return await run_at_leader(context, request, send, Reason.QUEUE_TIMEOUT)
     finally:
         request.leave_slot()
 
