--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -54,7 +54,7 @@
 from platform_standins.world import LineClient, World, running_world, until
 from revisions import at
 from test_database_entries import ENTRY
-from test_gateway_leaders import GROUP, LONG_OPEN, claim, make_tracker, now, take_all, word
+from test_gateway_leaders import GROUP, LONG_OPEN, make_tracker, now, primary_answer, take_all, word
 
 BORN = 1_764_720_000_000
 FIRST, SECOND, THIRD = (instance_id(name, BORN) for name in ("db-a", "db-b", "db-c"))
@@ -191,7 +191,7 @@
 async def test_a_leader_that_started_again_is_used_no_more() -> None:
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
-    take_all(tracker, [claim(FIRST, 1), word(THIRD, 1)])
+    take_all(tracker, [primary_answer(FIRST, 1), word(THIRD, 1)])
     assert tracker.may_use(FIRST)
     register(tracker, FIRST_AGAIN, SECOND, THIRD, again=FIRST_AGAIN)
     assert tracker.leader is None
@@ -203,7 +203,7 @@
     """It may have been paused for a change of primary, and knows nothing of that."""
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
-    tracker.handle_answer(claim(FIRST, 1))
+    tracker.handle_answer(primary_answer(FIRST, 1))
     register(tracker, FIRST, SECOND_AGAIN, THIRD, again=SECOND_AGAIN)
     if is_read:
         tracker.record_position(SECOND_AGAIN, Position(1, 9), now(), LONG_OPEN)
@@ -219,16 +219,16 @@
 async def test_a_member_confirms_a_leader_that_was_promoted_since_it_started_again() -> None:
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
-    tracker.handle_answer(claim(FIRST, 1))
+    tracker.handle_answer(primary_answer(FIRST, 1))
     register(tracker, FIRST, SECOND_AGAIN, THIRD, again=SECOND_AGAIN)
-    take_all(tracker, [claim(THIRD, 2), word(SECOND_AGAIN, 2)])
+    take_all(tracker, [primary_answer(THIRD, 2), word(SECOND_AGAIN, 2)])
     assert tracker.may_use(THIRD)
 
 
 async def test_where_all_started_again_no_witness_is_left() -> None:
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND)
-    tracker.handle_answer(claim(FIRST, 1))
+    tracker.handle_answer(primary_answer(FIRST, 1))
     register(tracker, FIRST, SECOND_AGAIN, again=SECOND_AGAIN)
     assert not tracker.has_witness
 
@@ -236,7 +236,7 @@
 async def test_a_member_whose_log_is_gone_confirms_nothing_before_its_entry_tells() -> None:
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
-    take_all(tracker, [claim(FIRST, 1, 5), word(SECOND, 1)])
+    take_all(tracker, [primary_answer(FIRST, 1, 5), word(SECOND, 1)])
     tracker.lease.confirmed_at = float("-inf")
     empty = word(SECOND, 1)
     status = empty.status
@@ -252,13 +252,13 @@
     published: list[LeaderEvent] = []
     tracker = make_tracker(published)
     register(tracker, FIRST, SECOND, THIRD)
-    take_all(tracker, [claim(FIRST, 3, 5), word(THIRD, 3)])
+    take_all(tracker, [primary_answer(FIRST, 3, 5), word(THIRD, 3)])
     tracker.proven(FIRST, Position(3, 6), now())
     tracker.refused(FIRST, "the connection was lost")
     await asyncio.sleep(0.005)
     if again != FIRST:
         register(tracker, again, SECOND, THIRD, again=again)
-    tracker.handle_answer(claim(again, 3, 2))
+    tracker.handle_answer(primary_answer(again, 3, 2))
     assert tracker.leader is None
     assert FormerLeaderFound(GROUP, again, 4) in published
 
@@ -269,19 +269,19 @@
     tracker = make_tracker(published)
     register(tracker, FIRST, SECOND, THIRD)
     tracker.record_position(SECOND, Position(3, 9), now(), LONG_OPEN)
-    tracker.handle_answer(claim(FIRST, 3, 0))
+    tracker.handle_answer(primary_answer(FIRST, 3, 0))
     assert tracker.leader is None
     assert FormerLeaderFound(GROUP, FIRST, 4) in published
 
 
 async def test_a_leader_that_serves_from_a_shorter_log_is_asked_what_it_has() -> None:
     tracker = make_tracker([])
-    take_all(tracker, [claim(FIRST, 3, 5), word(THIRD, 3)])
+    take_all(tracker, [primary_answer(FIRST, 3, 5), word(THIRD, 3)])
     tracker.proven(FIRST, Position(3, 6), now())
     await asyncio.sleep(0.005)
     tracker.proven(FIRST, Position(3, 2), now())
     assert tracker.leader is None
-    take_all(tracker, [claim(FIRST, 3, 6), word(THIRD, 3)])
+    take_all(tracker, [primary_answer(FIRST, 3, 6), word(THIRD, 3)])
     assert tracker.may_use(FIRST), "its status shows that it has all"
 
 
@@ -532,6 +532,6 @@
 @pytest.mark.parametrize("asked", ["db-a", "db-x"])
 async def test_a_node_gives_a_leader_up_whichever_start_of_it_is_meant(asked: str) -> None:
     tracker = make_tracker([])
-    take_all(tracker, [claim(FIRST, 1), word(THIRD, 1)])
+    take_all(tracker, [primary_answer(FIRST, 1), word(THIRD, 1)])
     tracker.relinquish(ServerName(asked), 0)
     assert tracker.may_use(FIRST) is (asked != "db-a")
--- a/tests/test_gateway_leaders.py
+++ b/tests/test_gateway_leaders.py
@@ -59,7 +59,7 @@
     return asyncio.get_running_loop().time()
 
 
-def claim(instance: InstanceId, term: int, offset: int = 5) -> MemberAnswer:
+def primary_answer(instance: InstanceId, term: int, offset: int = 5) -> MemberAnswer:
     """Return the answer of a member that says that it leads."""
     position = Position(term, offset)
     status = MemberStatus(True, term, position, 0.0)
@@ -81,7 +81,7 @@
 async def test_a_statement_that_waits_for_a_new_leader_lets_the_others_run() -> None:
     """Found in a day's log: waiting right after a loss, the loop turned without a pause."""
     tracker = make_tracker([])
-    take_all(tracker, [claim(FIRST, 1), word(THIRD, 1)])
+    take_all(tracker, [primary_answer(FIRST, 1), word(THIRD, 1)])
     tracker.refused(FIRST, "it lost the lead")
     asked = 0
     wait_proof = tracker.wait_proof
@@ -97,14 +97,14 @@
         await asyncio.sleep(0)
     assert asked == 0
     assert not waiting.done()
-    take_all(tracker, [claim(SECOND, 2), word(THIRD, 2)])
+    take_all(tracker, [primary_answer(SECOND, 2), word(THIRD, 2)])
     assert await waiting == SECOND
 
 
 async def test_a_proof_that_was_asked_for_earlier_does_not_replace_a_later_one() -> None:
     published: list[LeaderEvent] = []
     tracker = make_tracker(published)
-    take_all(tracker, [claim(SECOND, 2, 6), word(THIRD, 2)])
+    take_all(tracker, [primary_answer(SECOND, 2, 6), word(THIRD, 2)])
     tracker.proven(SECOND, Position(2, 5), now() - 1)
     tracker.proven(FIRST, Position(1, 9), now() + 1)
     assert tracker.leader == SECOND
@@ -114,7 +114,7 @@
 
 async def test_a_leader_that_acknowledges_no_writes_is_stalled_until_one_is_answered() -> None:
     tracker = make_tracker([])
-    tracker.handle_answer(claim(FIRST, 1))
+    tracker.handle_answer(primary_answer(FIRST, 1))
     tracker.record_write_timeout(FIRST, now())
     assert tracker.stalled_since is None
     tracker.record_write_timeout(FIRST, now())
@@ -138,14 +138,14 @@
     words: list[tuple[InstanceId, int, int]], may_use: bool
 ) -> None:
     tracker = make_tracker([])
-    tracker.handle_answer(claim(FIRST, 1))
+    tracker.handle_answer(primary_answer(FIRST, 1))
     take_all(tracker, [word(*fields) for fields in words])
     assert tracker.may_use(FIRST) is may_use
 
 
 async def test_a_proof_that_no_member_confirms_is_no_watermark() -> None:
     tracker = make_tracker([])
-    tracker.handle_answer(claim(FIRST, 1, 5))
+    tracker.handle_answer(primary_answer(FIRST, 1, 5))
     assert tracker.watermarks.newest.position == Position(0, 0)
     tracker.handle_answer(word(SECOND, 1))
     assert tracker.watermarks.newest.position == Position(1, 5)
@@ -153,7 +153,7 @@
 
 async def test_a_read_at_a_replica_confirms_what_was_committed_after_a_proof() -> None:
     tracker = make_tracker([])
-    tracker.handle_answer(claim(FIRST, 1, 5))
+    tracker.handle_answer(primary_answer(FIRST, 1, 5))
     tracker.record_position(SECOND, Position(1, 5), now(), LONG_OPEN)
     assert not tracker.may_use(FIRST)
     tracker.record_position(SECOND, Position(1, 6), now(), LONG_OPEN)
@@ -164,24 +164,24 @@
 async def test_a_newer_term_ends_the_use_of_a_leader_for_good(is_read: bool) -> None:
     published: list[LeaderEvent] = []
     tracker = make_tracker(published)
-    take_all(tracker, [claim(FIRST, 1), word(SECOND, 1)])
+    take_all(tracker, [primary_answer(FIRST, 1), word(SECOND, 1)])
     if is_read:
         tracker.record_position(THIRD, Position(2, 7), now(), LONG_OPEN)
     else:
-        tracker.handle_answer(claim(THIRD, 2))
+        tracker.handle_answer(primary_answer(THIRD, 2))
     assert not tracker.may_use(FIRST)
-    tracker.handle_answer(claim(FIRST, 1))
+    tracker.handle_answer(primary_answer(FIRST, 1))
     assert tracker.leader != FIRST
     assert FormerLeaderFound(GROUP, FIRST, 2) in published
 
 
 async def test_of_two_leaders_of_one_term_neither_is_used() -> None:
     tracker = make_tracker([])
-    take_all(tracker, [claim(FIRST, 2), word(THIRD, 2), claim(SECOND, 2)])
+    take_all(tracker, [primary_answer(FIRST, 2), word(THIRD, 2), primary_answer(SECOND, 2)])
     assert tracker.leader is None
-    take_all(tracker, [claim(FIRST, 2), claim(SECOND, 2), word(THIRD, 2)])
+    take_all(tracker, [primary_answer(FIRST, 2), primary_answer(SECOND, 2), word(THIRD, 2)])
     assert tracker.leader is None
-    take_all(tracker, [claim(SECOND, 3), word(THIRD, 3)])
+    take_all(tracker, [primary_answer(SECOND, 3), word(THIRD, 3)])
     assert tracker.may_use(SECOND)
 
 
@@ -201,7 +201,7 @@
 ) -> None:
     """Another node pauses the members and relies on this one's word that it has no lease."""
     tracker = make_tracker([])
-    tracker.handle_answer(claim(FIRST, 1))
+    tracker.handle_answer(primary_answer(FIRST, 1))
     said: asyncio.Future[MemberAnswer] = asyncio.get_running_loop().create_future()
 
     async def ask(instance: InstanceId, timeout: float) -> MemberAnswer:
@@ -213,7 +213,7 @@
     before_the_pause = word(SECOND, 1)
     if lost_meanwhile:
         tracker.relinquish(server_name(FIRST), 0)
-        tracker.handle_answer(claim(FIRST, 1))
+        tracker.handle_answer(primary_answer(FIRST, 1))
     said.set_result(before_the_pause)
     await tracker._queries[SECOND]
     assert tracker.leader == FIRST
@@ -226,7 +226,7 @@
 async def test_a_proof_never_lowers_the_position_of_its_leader(told: Position) -> None:
     """Without one, any position of a member would confirm the lease, and reads have no floor."""
     tracker = make_tracker([])
-    take_all(tracker, [claim(FIRST, 1, 9), word(THIRD, 1)])
+    take_all(tracker, [primary_answer(FIRST, 1, 9), word(THIRD, 1)])
     tracker.proven(FIRST, told, now() + 0.01)
     assert tracker.watermarks.newest.position == Position(1, 9)
 
--- a/tests/test_witness_lives.py
+++ b/tests/test_witness_lives.py
@@ -10,7 +10,16 @@
 from bramblebeam.core.identity import InstanceId, Position
 from bramblebeam.services.gateway.member_probes import ProbeFailedError
 from test_database_lives import SECOND_AGAIN, register
-from test_gateway_leaders import FIRST, SECOND, THIRD, claim, make_tracker, now, take_all, word
+from test_gateway_leaders import (
+    FIRST,
+    SECOND,
+    THIRD,
+    make_tracker,
+    now,
+    primary_answer,
+    take_all,
+    word,
+)
 
 FOURTH = InstanceId("db-d")
 OTHERS = [THIRD, FOURTH]
@@ -88,7 +97,7 @@
 async def test_a_restart_delays_nothing_if_every_member_replies() -> None:
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
-    tracker.handle_answer(claim(FIRST, 1))
+    tracker.handle_answer(primary_answer(FIRST, 1))
     opened_at = now()
     tracker.handle_answer(word(SECOND, 1)._replace(opened_at=opened_at))
     assert not tracker.may_use(FIRST)
@@ -99,7 +108,7 @@
 async def test_the_target_of_a_change_keeps_a_restarted_member_from_confirming() -> None:
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
-    tracker.handle_answer(claim(FIRST, 1))
+    tracker.handle_answer(primary_answer(FIRST, 1))
     tracker.handle_answer(word(THIRD, 1, held=2)._replace(opened_at=now()))
     tracker.handle_answer(word(SECOND, 1)._replace(opened_at=now()))
     tracker.record_position(SECOND, Position(1, 9), now(), now())
@@ -111,7 +120,7 @@
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
     opened_at = now()
-    take_all(tracker, [claim(SECOND, 2), claim(FIRST, 1)])
+    take_all(tracker, [primary_answer(SECOND, 2), primary_answer(FIRST, 1)])
     tracker.handle_answer(word(THIRD, 2)._replace(opened_at=opened_at))
     assert tracker.may_use(SECOND)
 
@@ -122,7 +131,7 @@
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
     opened_at = now()
-    tracker.handle_answer(claim(FIRST, 1))
+    tracker.handle_answer(primary_answer(FIRST, 1))
 
     async def refuse_connection(instance: InstanceId, timeout: float) -> None:
         raise ProbeFailedError("connection refused", is_gone=True)
@@ -138,7 +147,7 @@
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND_AGAIN, THIRD)
     opened_at = now()
-    tracker.handle_answer(claim(FIRST, 1))
+    tracker.handle_answer(primary_answer(FIRST, 1))
     empty = word(SECOND_AGAIN, 1)._replace(opened_at=opened_at)
     assert empty.status is not None
     nothing = empty.status._replace(received=Position(1, 0))
@@ -153,7 +162,7 @@
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
     opened_at = now()
-    tracker.handle_answer(claim(FIRST, 1))
+    tracker.handle_answer(primary_answer(FIRST, 1))
     tracker.proven(FIRST, Position(1, 6), now())
     tracker.record_position(SECOND, Position(1, 7), now(), opened_at)
     assert not tracker.may_use(FIRST)
@@ -164,7 +173,7 @@
 async def test_the_position_of_a_restarted_member_confirms_nothing() -> None:
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
-    tracker.handle_answer(claim(FIRST, 1))
+    tracker.handle_answer(primary_answer(FIRST, 1))
     tracker.proven(FIRST, Position(1, 6), now())
     tracker.record_position(SECOND, Position(1, 9), now(), now())
     assert not tracker.may_use(FIRST)
