--- a/tests/counting_fleet.py
+++ b/tests/counting_fleet.py
@@ -117,7 +117,7 @@
         apart = self.sides.get(node, 0) != self.sides.get(other, 0)
         return not apart and not {node, other} & self.silent
 
-    def look(self) -> None:
+    def request_grants(self) -> None:
         """Let every node ask for the grants that it is to ask for."""
         for node, context in list(self.contexts.items()):
             if node not in self.silent:
--- a/tests/test_limits_over_nodes.py
+++ b/tests/test_limits_over_nodes.py
@@ -57,7 +57,7 @@
         moments: list[float] = []
         for step in range(round(4 * SPAN / STEP_SECONDS)):
             clock[0] += STEP_SECONDS
-            fleet.look()
+            fleet.request_grants()
             for context in stand_ins:
                 if step % CHANGE_STEPS == 0 and changes == "members":
                     context.take_members(fleet.view)
@@ -94,7 +94,7 @@
                     context.take_members(MembersView(fleet.view.members, seen))
         for _ in range(300):
             clock[0] += STEP_SECONDS
-            fleet.look()
+            fleet.request_grants()
             assert sum(fleet.shares(HOT).values()) <= 1.0 + 1e-9
         shares = sorted(fleet.shares(HOT).values(), reverse=True)
         assert sum(shares) >= 0.99
@@ -112,7 +112,7 @@
         clock[0] += 60.0
         for _ in range(100):
             clock[0] += STEP_SECONDS
-            fleet.look()
+            fleet.request_grants()
         assert sum(fleet.shares(HOT).values()) <= 1 / MAXIMUM_GRANTORS
 
 
@@ -127,14 +127,14 @@
         clock[0] += 60.0
         for _ in range(100):
             clock[0] += STEP_SECONDS
-            fleet.look()
+            fleet.request_grants()
         home, *others = fleet.homes(HOT)
         assert fleet.shares(HOT) == {home: 1.0}
         fleet.contexts[home].limits.leave()
         assert not fleet.shares(HOT)
         for _ in range(20):
             clock[0] += STEP_SECONDS
-            fleet.look()
+            fleet.request_grants()
         assert fleet.shares(HOT) == {others[0]: 1.0}
 
 
@@ -175,7 +175,7 @@
         clock[0] += 60.0
         for _ in range(100):
             clock[0] += STEP_SECONDS
-            fleet.look()
+            fleet.request_grants()
         home = fleet.contexts[fleet.homes(HOT)[0]]
         asked = AdmissionRequest(HOT, told[1], told[0])
         assert home.limits.count(asked).admitted is admitted
