--- a/src/bramblebeam/services/failover/member_orders.py
+++ b/src/bramblebeam/services/failover/member_orders.py
@@ -111,7 +111,7 @@
         except ConnectionLostError as error:
             if was_fresh or loop_time() - asked_at < ORDER_TIMEOUT - CLOCK_STEP:
                 raise _unreachable(instance, str(error)) from error
-            lent.pool.distrust_idle(asked_at)
+            lent.pool.expire_connections(asked_at)
         try:
             return await self._on(await self._lend(instance), order)
         except ConnectionLostError as error:
@@ -131,9 +131,9 @@
     @staticmethod
     async def _on(lent: PooledConnection, order: Order) -> MemberStatus | None:
         try:
-            return await lent.ask(order)
+            return await lent.query(order)
         finally:
-            lent.give_back()
+            lent.release()
 
 
 def _unreachable(
--- a/src/bramblebeam/services/gateway/admission.py
+++ b/src/bramblebeam/services/gateway/admission.py
@@ -65,7 +65,7 @@
     if answer is not None and answer.admission.admitted:
         request.account.add(Count(tenant, answer.node, answer.admission.receipt))
         return None
-    context.metrics.tenants.met_limit(tenant, context.now())
+    context.metrics.tenants.record_limit_reached(tenant, context.now())
     return _refusal(answer)
 
 
@@ -104,7 +104,7 @@
     for count in request.account.take_unused():
         returned = AdmissionReturned(count.tenant, count.receipt)
         if count.node == context.owners.location.node:
-            context.limits.give_back(returned)
+            context.limits.refund(returned)
         elif count.node is not None:
             context.forwarder.peers.tell(count.node, returned)
 
--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -162,7 +162,7 @@
         """
         tracker = self._leaders.get(group)
         if tracker is not None:
-            tracker.give_up(name, term)
+            tracker.relinquish(name, term)
 
     def resume(self) -> None:
         """Reach databases and follow leaders again, after the service that runs this started."""
--- a/src/bramblebeam/services/gateway/execution.py
+++ b/src/bramblebeam/services/gateway/execution.py
@@ -59,9 +59,9 @@
 
 
 async def _execute_on_connections(context: GatewayContext, request: Request) -> Reply:
-    context.load.first_attempt(request)
+    context.load.record_first_attempt(request)
     reply = await _run_on_connections(context, request)
-    return context.load.tell_return(request, reply)
+    return context.load.add_retry_delay(request, reply)
 
 
 async def _run_on_connections(context: GatewayContext, request: Request) -> Reply:
--- a/src/bramblebeam/services/gateway/forwarding.py
+++ b/src/bramblebeam/services/gateway/forwarding.py
@@ -93,7 +93,7 @@
 
     async def execute(self, request: Request, at_leader: bool) -> Reply | None:
         """Return the answer, or None where no node has run it and there is time to run it here."""
-        self._context.load.first_attempt(request)
+        self._context.load.record_first_attempt(request)
         for node in self.candidates(request.route.group, request.tenant, at_leader):
             answer = await self.ask(node, request, statement_of(request, self._context.now()))
             if isinstance(answer, Reply):
@@ -160,7 +160,7 @@
         if isinstance(answer, PeerFailure) and answer.sent:
             self._withdraw(node, message)
         if isinstance(answer, ForwardedReply) and not answer.declined:
-            self._context.placement.take_told(answer.loads)
+            self._context.placement.handle_reported_loads(answer.loads)
             if message.forwarded_on and answer.surely_not_run:
                 request.account.record_not_run()
             return answer.reply
--- a/src/bramblebeam/services/gateway/leader_reads.py
+++ b/src/bramblebeam/services/gateway/leader_reads.py
@@ -76,7 +76,7 @@
     """Return when a read at the leader that has no answer yet is sent again."""
     if not context.overload.enabled:
         return request.deadline
-    return min(request.deadline, context.now() + max(ANSWER_SECONDS, pool.patience))
+    return min(request.deadline, context.now() + max(ANSWER_SECONDS, pool.late_after))
 
 
 async def _read_again(
@@ -88,7 +88,7 @@
         return None
     if not context.leader(request.route.group).may_use(lent.instance):
         # The lease ran out while the connection was waited for.
-        lent.give_back()
+        lent.release()
         return None
     return await _read_proven(context, request, lent)
 
@@ -106,14 +106,14 @@
         if begin.refusal is not None:
             request.attempt_failed(lent.instance, begin.refusal)
             if begin.refusal.reason is Reason.STALE_TERM:
-                leaders.denied(lent.instance, "it refused to begin a transaction")
+                leaders.record_denial(lent.instance, "it refused to begin a transaction")
             return None
-        if not leaders.proven(lent.instance, begin.position, asked_at):
+        if not leaders.record_proof(lent.instance, begin.position, asked_at):
             lent.connection.close()
             return None
         if lacks_observed(context, request, begin):
             request.attempt_failed(lent.instance, LACKS_OBSERVED)
-            leaders.contradicted(lent.instance, request.observed)
+            leaders.record_missing_commit(lent.instance, request.observed)
             lent.connection.close()
             return None
         commands = [request.command(), Command(ROLLBACK)]
@@ -123,9 +123,9 @@
         note_lost(context, request, lent.pool, str(error))
         return None
     finally:
-        lent.give_back()
+        lent.release()
     request.leave_slot(served=read.refusal is None)
-    lent.pool.answered(context.now() - asked_at, read.refusal)
+    lent.pool.record_reply(context.now() - asked_at, read.refusal)
     return _judge_leader_read(context, request, lent.instance, read)
 
 
@@ -139,7 +139,7 @@
     request.note_refused(refusal)
     request.attempt_failed(instance, refusal)
     if refusal.reason is Reason.STALE_TERM:
-        context.leader(request.route.group).denied(instance, "it lost the lead")
+        context.leader(request.route.group).record_denial(instance, "it lost the lead")
         return None
     if refusal.reason is Reason.QUEUE_FULL:
         return None
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -159,7 +159,7 @@
 
     # What statements report.
 
-    def proven(self, instance: InstanceId, position: Position, asked_at: float) -> bool:
+    def record_proof(self, instance: InstanceId, position: Position, asked_at: float) -> bool:
         """Note that the leader served something as one, at some moment after `asked_at`.
 
         False: it seems to have started again, and nothing it says is to be relied on.
@@ -180,7 +180,7 @@
         is_leader = instance == self.leader and position != ZERO_POSITION
         if not is_leader or not self._served.is_beyond(position, asked_at, self.lease.term):
             return True
-        self.refused(instance, "it seems to lack what it had")
+        self.reject(instance, "it seems to lack what it had")
         return False
 
     def _take_proof(self, position: Position, asked_at: float) -> None:
@@ -209,7 +209,7 @@
             newest_term=newer,
         )
         self._publish(FormerLeaderFound(self.group, instance, newer))
-        self.refused(instance, "its log lacks what it had")
+        self.reject(instance, "its log lacks what it had")
 
     def record_position(
         self, instance: InstanceId, position: Position, asked_at: float, opened_at: float
@@ -233,7 +233,7 @@
             self._take_received(instance, position, asked_at, opened_at)
         else:
             self.highest_term = max(self.highest_term, position.term)
-            self.refused(self.leader, "a member received from a newer leader")
+            self.reject(self.leader, "a member received from a newer leader")
 
     def _take_received(
         self, instance: InstanceId, position: Position, asked_at: float, opened_at: float
@@ -263,7 +263,7 @@
             return
         self.highest_term = max(self.highest_term, observed.term)
         if self.highest_term > self.lease.term:
-            self.refused(instance, "a session has observed a newer term")
+            self.reject(instance, "a session has observed a newer term")
         else:
             self.start_status_query(instance)
 
@@ -273,7 +273,7 @@
         self._write_answered_at = loop_time()
         self.stalled_since = None
 
-    def acknowledged(self, position: Position) -> None:
+    def record_commit(self, position: Position) -> None:
         """Note a commit that the leader acknowledged to a caller of this node."""
         self.last_commit = max(self.last_commit, position)
 
@@ -289,7 +289,7 @@
             self.stalled_since = loop_time()
             self._publish(LeaderSuspected(self.group, instance, self.stalled_since))
 
-    def refused(self, instance: InstanceId, reason: str) -> None:
+    def reject(self, instance: InstanceId, reason: str) -> None:
         """Note that `instance` does not lead, or cannot be asked."""
         now = loop_time()
         if self.leader in (None, instance) and self.suspected_since is None:
@@ -322,7 +322,7 @@
         """
         if instance == self.leader:
             self.denied_term = self.lease.term
-        self.refused(instance, reason)
+        self.reject(instance, reason)
 
     def relinquish(self, name: ServerName | None, term: int) -> None:
         """Use a database no more, nor any other leader of a term below `term`: one is ordered.
@@ -334,7 +334,7 @@
         if self.leader is None:
             return
         if server_name(self.leader) == name or self.lease.term < term:
-            self.refused(self.leader, "another node replaces it")
+            self.reject(self.leader, "another node replaces it")
 
     def directory_changed(self) -> None:
         """Look again at once: a member came, went, started again or changed its role."""
@@ -343,7 +343,7 @@
         self._memory.update_members(members, restarted, self._newest_known_term())
         self._lives.keep_only(members)
         if self.leader is not None and self._has_started_again(self.leader):
-            self.refused(self.leader, "it has started again")
+            self.reject(self.leader, "it has started again")
         self._wanted.set()
 
     def _has_started_again(self, instance: InstanceId) -> bool:
@@ -525,16 +525,16 @@
         except ProbeFailedError as error:
             if timeout >= PROBE_TIMEOUT:
                 # Less time, that of a statement which is nearly over, shows nothing.
-                self.refused(instance, str(error))
+                self.reject(instance, str(error))
             return
         if answer is not None and answer.leads:
-            self.proven(instance, answer.position, answer.asked_at)
+            self.record_proof(instance, answer.position, answer.queried_at)
         elif answer is not None:
             self.record_denial(instance, "it refused to begin a transaction")
 
     def start_status_query(self, instance: InstanceId) -> None:
         """Ask a member other than the leader for its status."""
-        self._start(instance, self._probes.ask)
+        self._start(instance, self._probes.query_status)
 
     def start_glancing(self, instance: InstanceId) -> None:
         """Ask a member other than the leader how far it is."""
@@ -554,7 +554,7 @@
         except ProbeFailedError as error:
             if error.is_gone:
                 self._lives.record_unpaused(instance, began)
-            self.refused(instance, str(error))
+            self.reject(instance, str(error))
             return
         if answer is not None:
             self.handle_answer(answer, may_confirm=losses == self._losses)
@@ -567,7 +567,7 @@
         `may_confirm` False: it was asked before a leader was lost. Another node may rely on that
         this one has no lease any more, so that the answer must not begin one.
         """
-        self._lives.record_reply(answer.instance, answer.opened_at, answer.asked_at)
+        self._lives.record_reply(answer.instance, answer.opened_at, answer.queried_at)
         term = answer.position.term if answer.status is None else answer.status.term
         self.highest_term = max(self.highest_term, term)
         if answer.leads:
@@ -575,17 +575,17 @@
         elif answer.instance == self.leader:
             self.record_denial(answer.instance, "it says that it is a replica")
         elif self.leader is None:
-            self.refused(answer.instance, "it is a replica")
+            self.reject(answer.instance, "it is a replica")
         else:
             self._take_word(answer, may_confirm)
         if self.leader is not None and self.lease.term < self.highest_term:
-            self.refused(self.leader, "a member tells of a newer term")
+            self.reject(self.leader, "a member tells of a newer term")
 
     def _take_claim(self, answer: MemberAnswer, term: int) -> None:
         instance = answer.instance
         if term < self.highest_term:
             # A leader isn't paused, so that no change is to promote it.
-            self._lives.record_unpaused(instance, answer.asked_at)
+            self._lives.record_unpaused(instance, answer.queried_at)
             log_event(
                 logger,
                 FORMER_LEADER_FOUND,
@@ -602,7 +602,7 @@
         elif self.leader is None or term > self.lease.term:
             self._adopt(answer, term)
         elif instance == self.leader:
-            self._take_proof(answer.position, answer.asked_at)
+            self._take_proof(answer.position, answer.queried_at)
         elif answer.status is not None:
             self._distrust(instance, term)
 
@@ -630,7 +630,7 @@
         if is_reborn and term <= self.last_term:
             return True
         is_same_lead = answer.instance == former and term == self.last_term
-        if is_same_lead and self._served.is_beyond(answer.position, answer.asked_at, term):
+        if is_same_lead and self._served.is_beyond(answer.position, answer.queried_at, term):
             return True
         is_empty = answer.status is not None and answer.position.offset == 0
         is_log_elsewhere = self._memory.is_log_elsewhere(answer.instance, term)
@@ -648,7 +648,7 @@
             term=term,
         )
         self._distrusted_term = term
-        self.refused(self.leader, "another member says that it leads the same term")
+        self.reject(self.leader, "another member says that it leads the same term")
 
     def _adopt(self, answer: MemberAnswer, term: int) -> None:
         instance = answer.instance
@@ -666,7 +666,7 @@
         self._newest_proof = Watermark()
         self.watermarks.forget_former()
         self.record_write_reply()
-        self._take_proof(answer.position, answer.asked_at)
+        self._take_proof(answer.position, answer.queried_at)
         log_event(
             logger,
             LEADER_PROVEN,
@@ -684,17 +684,17 @@
         status = answer.status
         instance = answer.instance
         if status is None:
-            self.record_position(instance, answer.position, answer.asked_at, answer.opened_at)
+            self.record_position(instance, answer.position, answer.queried_at, answer.opened_at)
             return
-        self._take_position(instance, status.received, answer.asked_at)
+        self._take_position(instance, status.received, answer.queried_at)
         if self.lease.is_contradicted_by(status.term, status.held_term):
             return
-        self._lives.record_unpaused(instance, answer.asked_at)
+        self._lives.record_unpaused(instance, answer.queried_at)
         if not may_confirm or not self._may_confirm(instance):
             return
-        if not self._is_settled(instance, answer.opened_at, answer.asked_at):
+        if not self._is_settled(instance, answer.opened_at, answer.queried_at):
             self._settle(instance, answer.opened_at)
             return
-        self.lease.record_status(status.term, status.held_term, answer.asked_at)
+        self.lease.record_status(status.term, status.held_term, answer.queried_at)
         self._log_confirmer(instance, "status", answer.opened_at)
         self.record_renewal()
--- a/src/bramblebeam/services/gateway/lease_keeper.py
+++ b/src/bramblebeam/services/gateway/lease_keeper.py
@@ -98,11 +98,11 @@
         if not witnesses:
             # Nobody else can be promoted.
             lease.confirmed_at = loop_time()
-            self._held.confirmed()
+            self._held.record_renewal()
             return
         for instance in witnesses:
             self._renewed.clear()
-            self._held.start_asking(instance)
+            self._held.start_status_query(instance)
             if await self._is_renewed():
                 return
         self._report_lapse(lease)
@@ -115,7 +115,7 @@
     def _report_lapse(self, lease: LeaderLease) -> None:
         if self._held.lease is not lease or lease.covers(loop_time()):
             return
-        self._held.lapsed()
+        self._held.record_lapse()
         if self._reported == lease.confirmed_at:
             return
         self._reported = lease.confirmed_at
--- a/src/bramblebeam/services/gateway/lending.py
+++ b/src/bramblebeam/services/gateway/lending.py
@@ -42,16 +42,16 @@
         lent = await _lend(context, request, instance)
         if lent is not None and not leaders.may_use(instance):
             # The lease ran out while the connection was waited for.
-            lent.give_back()
+            lent.release()
             request.leave_slot()
             continue
         if lent is not None and not _leads_on(leaders, lent):
             lent.connection.close()
-            lent.give_back()
+            lent.release()
             request.leave_slot()
             continue
         if lent is not None and request.withdrawn:
-            lent.give_back()
+            lent.release()
             request.leave_slot()
             return request.give_up(reason)
         if lent is not None:
@@ -74,7 +74,7 @@
     """
     if not lent.is_fresh:
         return True
-    return leaders.has_its_log(lent.instance, lent.connection.position, lent.dialled_at)
+    return leaders.has_expected_log(lent.instance, lent.connection.position, lent.dialled_at)
 
 
 async def _lend(
@@ -87,7 +87,7 @@
     leaders = context.leader(request.route.group)
     pool = context.placement.pools.get(instance)
     if pool is None:
-        leaders.refused(instance, "it is not registered")
+        leaders.reject(instance, "it is not registered")
         return None
     try:
         request.permit = await pool.enter(request.work())
@@ -101,7 +101,7 @@
     except ConnectError as error:
         request.attempt_failed(instance, Refusal(Verdict.NOT_RUN, error.reason, str(error)))
         if error.reason is not Reason.TOO_MANY_CONNECTIONS:
-            leaders.refused(instance, str(error))
+            leaders.reject(instance, str(error))
     return None
 
 
--- a/src/bramblebeam/services/gateway/limits.py
+++ b/src/bramblebeam/services/gateway/limits.py
@@ -209,17 +209,17 @@
         self._note_told(request)
         limit = self.limit_of(tenant)
         if limit is None:
-            records.uncounted(tenant, "no limit of it is known here")
+            records.record_uncounted(tenant, "no limit of it is known here")
             return ADMITTED
         is_new = not self._counter.has_bucket(tenant)
         admission = self._counter.admit(tenant, limit, self.share(tenant), self._context.now())
         if admission.share <= 0.0:
             return admission
         if is_new and self._counter.has_bucket(tenant):
-            records.began(tenant)
-        records.note(tenant, Outcome.COUNTED if admission.admitted else Outcome.REFUSED)
+            records.record_counting_start(tenant)
+        records.record(tenant, Outcome.COUNTED if admission.admitted else Outcome.REFUSED)
         if not admission.admitted:
-            records.met_limit(tenant, self._context.now())
+            records.record_limit_reached(tenant, self._context.now())
         return admission
 
     def counted(self) -> Iterator[CountedTenant]:
@@ -236,7 +236,7 @@
         now = self._context.now()
         counted = self._counter.refund(returned.tenant, returned.receipt, now)
         part = Outcome.RETURNED if counted else Outcome.RETURN_IGNORED
-        self._context.metrics.tenants.note(returned.tenant, part)
+        self._context.metrics.tenants.record(returned.tenant, part)
 
     def limit_of(self, tenant: TenantId) -> RateLimit | None:
         """Return the limit to count by: a newer one only where it is lower, or no other is known.
--- a/src/bramblebeam/services/gateway/member_probes.py
+++ b/src/bramblebeam/services/gateway/member_probes.py
@@ -73,13 +73,13 @@
         answer = await self.prove(instance, timeout)
         if answer is None or not answer.leads:
             return answer
-        return await self.ask(instance, timeout)
+        return await self.query_status(instance, timeout)
 
     async def glance(self, instance: InstanceId, timeout: float) -> MemberAnswer | None:
         """Ask a replica how far it is. None: no news. Raises ProbeFailedError."""
         return await self._ask(instance, timeout, _glance)
 
-    async def ask(self, instance: InstanceId, timeout: float) -> MemberAnswer | None:
+    async def query_status(self, instance: InstanceId, timeout: float) -> MemberAnswer | None:
         """Ask for the status, or for a BEGIN where the database is too busy for that.
 
         None: no news. Raises ProbeFailedError.
@@ -102,12 +102,12 @@
         try:
             await asyncio.wait(attempts, timeout=timeout * SECOND_ASK_SHARE)
             if not first.done() and not is_fresh:
-                lent.pool.distrust_idle(asked_at)
+                lent.pool.expire_connections(asked_at)
                 rest = timeout * (1 - SECOND_ASK_SHARE)
                 attempts.add(asyncio.ensure_future(self._again(instance, rest, question)))
             answer = await _first_success(attempts)
             if answer is not None and not first.done():
-                lent.pool.silenced(asked_at)
+                lent.pool.suspect_connections(asked_at)
             return answer
         finally:
             for attempt in attempts:
@@ -127,8 +127,8 @@
         try:
             return await pool.acquire_any(timeout)
         except TimeoutError:
-            if loop_time() - pool.heard_at > timeout:
-                pool.was_silent()
+            if loop_time() - pool.received_at > timeout:
+                pool.record_unresponsive()
                 raise ProbeFailedError("no connection came in time") from None
         except ConnectError as error:
             if error.reason is not Reason.TOO_MANY_CONNECTIONS:
@@ -143,10 +143,10 @@
         answer = await question(lent, asked_at, timeout)
     except ConnectionLostError as error:
         if loop_time() - asked_at >= timeout - CLOCK_STEP:
-            lent.pool.was_silent()
+            lent.pool.record_unresponsive()
         raise ProbeFailedError(str(error)) from error
     finally:
-        lent.give_back()
+        lent.release()
     _heard(lent)
     return answer
 
@@ -177,7 +177,7 @@
 
 
 async def _status(lent: PooledConnection, asked_at: float, timeout: float) -> MemberAnswer | None:
-    status = await lent.ask(lambda connection: connection.status(timeout))
+    status = await lent.query(lambda connection: connection.status(timeout))
     if status is None:
         return await _begin(lent, asked_at, timeout)
     return MemberAnswer(
@@ -186,5 +186,5 @@
 
 
 def _heard(lent: PooledConnection) -> None:
-    lent.pool.heard_at = loop_time()
-    lent.pool.silent_since = None
+    lent.pool.received_at = loop_time()
+    lent.pool.unresponsive_since = None
--- a/src/bramblebeam/services/gateway/placement.py
+++ b/src/bramblebeam/services/gateway/placement.py
@@ -246,7 +246,7 @@
         responsive = [pool for pool in candidates if not pool.unresponsive]
 
         def expected(pool: DatabasePool) -> float:
-            opening = 0.0 if pool.has_resting(tenant) else pool.open_seconds
+            opening = 0.0 if pool.has_idle(tenant) else pool.open_seconds
             return self._expected(pool) + opening + self._leader_penalty(pool)
 
         return min(responsive or candidates, key=expected, default=None)
@@ -274,7 +274,7 @@
         if self.targets is not None:
             self.targets.served(pool, seconds)
 
-    def failed(self, pool: DatabasePool, refusal: Refusal, began: float) -> None:
+    def record_failure(self, pool: DatabasePool, refusal: Refusal, began: float) -> None:
         """Note an attempt in vain that was begun then (steady clock, seconds)."""
         if self.targets is not None:
             self.targets.failed(pool, refusal, began)
--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -180,7 +180,7 @@
         if lent.connection.closed:
             self._open_more()
             return
-        if self._closed or lent.heard_at < self._trusted_since:
+        if self._closed or lent.received_at < self._trusted_since:
             lent.connection.close()
             self._open_more()
             return
@@ -219,7 +219,7 @@
         self._silent_before = max(self._silent_before, asked_at)
         suspects = [lent for lent in self._checked_out if self.is_suspect(lent)]
         for lent in suspects:
-            if lent.asked_at is not None:
+            if lent.waiting_since is not None:
                 self.close_when_late(lent)
         if suspects:
             self.log_suspects(len(suspects))
@@ -232,15 +232,15 @@
 
     def is_suspect(self, lent: PooledConnection) -> bool:
         """Whether a connection has not been heard of since connections were found to be silent."""
-        return lent.heard_at < self._silent_before
+        return lent.received_at < self._silent_before
 
     def close_when_late(self, lent: PooledConnection) -> None:
         """Close a silent connection once its answer is late, unless that must be waited for."""
-        asked_at = lent.asked_at
+        asked_at = lent.waiting_since
         assert asked_at is not None
 
         def give_up() -> None:
-            if lent.asked_at == asked_at and not lent.must_wait:
+            if lent.waiting_since == asked_at and not lent.must_wait:
                 lent.connection.close()
 
         due = asked_at + max(ANSWER_SECONDS, self.late_after)
--- a/src/bramblebeam/services/gateway/pooled.py
+++ b/src/bramblebeam/services/gateway/pooled.py
@@ -48,10 +48,10 @@
 
     __slots__ = (
         "_timer",
-        "asked_at",
+        "waiting_since",
         "connection",
         "dialled_at",
-        "heard_at",
+        "received_at",
         "idle_since",
         "is_fresh",
         "must_wait",
@@ -88,7 +88,7 @@
         if any(command.tenant not in (None, self.tenant) for command in commands):
             raise OtherTenantError(f"{self.instance}: the connection is {self.tenant}'s")
         self.must_wait = must_wait
-        return await self.ask(lambda connection: connection.run(commands, timeout))
+        return await self.query(lambda connection: connection.run(commands, timeout))
 
     async def run_at_once(self, commands: list[Command], timeout: float) -> list[Reply]:
         """Run commands that take no slot. Raises ConnectionLostError.
@@ -103,23 +103,23 @@
             waited = loop_time() - asked_at
             is_whole = timeout >= ANSWER_SECONDS
             if is_whole and bound - CLOCK_STEP <= waited <= bound + STALL_SECONDS:
-                self.pool.silenced(asked_at)
+                self.pool.suspect_connections(asked_at)
             raise
 
-    async def ask(self, question: Callable[[DatabaseConnection], Awaitable[Answer]]) -> Answer:
+    async def query(self, question: Callable[[DatabaseConnection], Awaitable[Answer]]) -> Answer:
         """Ask something. When the answer is late, the pool is told. Raises ConnectionLostError."""
         loop = asyncio.get_running_loop()
         self.waiting_since = loop.time()
-        self._wait(self.pool.patience, self._answer_is_late)
-        if self.pool.is_silent(self):
-            self.pool.give_up_late(self)
+        self._wait(self.pool.late_after, self._answer_is_late)
+        if self.pool.is_suspect(self):
+            self.pool.close_when_late(self)
         try:
             answer = await question(self.connection)
         finally:
             self._timer.cancel()
             self.waiting_since = None
             self.must_wait = False
-        self.received_at = self.pool.heard_at = loop.time()
+        self.received_at = self.pool.received_at = loop.time()
         return answer
 
     def _wait(self, seconds: float, look: Callable[[], None]) -> None:
@@ -142,8 +142,8 @@
     def _answer_is_late(self) -> None:
         """Have those connections closed that may have gone silent together with this one."""
         assert self.waiting_since is not None
-        self.pool.distrust_idle(self.waiting_since)
-        self._wait(self.pool.long_patience, self._give_up_if_others_answer)
+        self.pool.expire_connections(self.waiting_since)
+        self._wait(self.pool.grace_period, self._give_up_if_others_answer)
 
     def _give_up_if_others_answer(self) -> None:
         """Give the connection up if it is the one at fault, as the database answers on others.
@@ -151,9 +151,9 @@
         What may run once only is waited for all the same.
         """
         assert self.waiting_since is not None
-        answers_others = self.pool.heard_at > self.waiting_since + self.pool.patience
+        answers_others = self.pool.received_at > self.waiting_since + self.pool.late_after
         if answers_others and not self.must_wait:
-            self.pool.log_silent(1)
+            self.pool.log_suspects(1)
             self.connection.close()
         else:
             self._wait(ANSWER_SECONDS, self._give_up_if_others_answer)
--- a/src/bramblebeam/services/gateway/queue_view.py
+++ b/src/bramblebeam/services/gateway/queue_view.py
@@ -55,5 +55,5 @@
         pool.slots.waiting,
         round(load.wait * _MILLISECONDS),
         round(load.service * _MILLISECONDS),
-        pool.lent,
+        pool.checked_out,
     )
--- a/src/bramblebeam/services/gateway/read_attempts.py
+++ b/src/bramblebeam/services/gateway/read_attempts.py
@@ -40,7 +40,7 @@
         may = await may_attempt(context, request)
     finally:
         if not may:
-            lent.give_back()
+            lent.release()
     return may
 
 
@@ -52,4 +52,4 @@
         request.attempt_failed(instance, lost)
         return
     request.attempt_failed(instance, Refusal(Verdict.UNKNOWN, Reason.DEADLINE))
-    pool.was_silent()
+    pool.record_unresponsive()
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -186,7 +186,7 @@
         told = None if self._is_own(pool) else self._told.find(entry.instance, now)
         load = self._own_load(pool, now) if told is None else told.load
         weight = 1.0 if told is None else told.weight
-        opens = not is_far and not pool.has_resting(tenant)
+        opens = not is_far and not pool.has_idle(tenant)
         return Candidate(
             entry.instance,
             wait=load.wait * weight,
@@ -219,10 +219,10 @@
     def _look_at(self, pool: DatabasePool, group: Collection[DatabasePool], now: float) -> None:
         """Eject a database that was silent since the last look, or is far slower than its like."""
         instance = pool.entry.instance
-        silent_since = pool.silent_since
+        silent_since = pool.unresponsive_since
         if silent_since is not None and silent_since > self._silences.get(instance, 0.0):
             self._silences[instance] = silent_since
-            if silent_since - pool.heard_at >= PATIENCE:
+            if silent_since - pool.received_at >= PATIENCE:
                 asked_at = silent_since - PATIENCE
                 self._log(pool, self._ejector.record_unresponsive(instance, asked_at, now))
         if pool.entry.role is Role.REPLICA and self._is_own(pool):
--- a/src/bramblebeam/services/gateway/reads.py
+++ b/src/bramblebeam/services/gateway/reads.py
@@ -78,7 +78,7 @@
 
     None: no answer, and another database should be asked.
     """
-    if request.session.forwarded_on and context.placement.is_silent(pool):
+    if request.session.forwarded_on and context.placement.is_unresponsive(pool):
         # The node that passed the read on can turn to another database.
         return request.give_up(Reason.UNREACHABLE)
     reply = await _pass_to(context, request, pool)
@@ -135,7 +135,7 @@
         return reply
     request.attempt_failed(pool.entry.instance, reply.refusal)
     if context.overload.enabled and not lacks_own(request):
-        context.placement.was_behind(pool.entry.instance)
+        context.placement.record_behind(pool.entry.instance)
     return await _read_at_leader(context, request)
 
 
@@ -204,8 +204,8 @@
     takes one from another tenant: what is merely late is left where it is.
     """
     if len(attempts) == 1 and context.table.tenants is None:
-        return pool.patience
-    return max(ANSWER_SECONDS, pool.patience)
+        return pool.late_after
+    return max(ANSWER_SECONDS, pool.late_after)
 
 
 def _next(
@@ -225,8 +225,8 @@
         second = context.placement.choose(request.route.group, request.tenant, excluded)
     if second is None or second.unresponsive:
         return first
-    if context.now() - first.heard_at > first.patience:
-        first.was_silent()
+    if context.now() - first.received_at > first.late_after:
+        first.record_unresponsive()
     return second
 
 
@@ -282,7 +282,7 @@
 ) -> Reply | None:
     lent = await acquire(context, request, pool)
     if isinstance(lent, Refusal):
-        context.placement.failed(pool, lent, context.now())
+        context.placement.record_failure(pool, lent, context.now())
         return None
     if not await may_send(context, request, lent):
         return None
@@ -298,23 +298,23 @@
         read = (await lent.run(commands, time_left(context, request)))[-1]
     except ConnectionLostError as error:
         note_lost(context, request, pool, str(error))
-        context.placement.failed(pool, LOST, asked_at)
+        context.placement.record_failure(pool, LOST, asked_at)
         return None
     except asyncio.CancelledError:
-        if context.now() - asked_at > pool.patience:
+        if context.now() - asked_at > pool.late_after:
             # Another database answered meanwhile, as this one was late.
-            context.placement.failed(pool, LOST, asked_at)
+            context.placement.record_failure(pool, LOST, asked_at)
         raise
     finally:
-        lent.give_back()
+        lent.release()
     seconds = context.now() - asked_at
-    pool.answered(seconds, read.refusal)
+    pool.record_reply(seconds, read.refusal)
     leaders = context.leader(request.route.group)
-    leaders.heard(pool.entry.instance, read.position, asked_at, lent.opened_at)
+    leaders.record_position(pool.entry.instance, read.position, asked_at, lent.opened_at)
     if read.refusal is None:
-        context.placement.served(pool, seconds)
+        context.placement.record_served(pool, seconds)
     else:
-        context.placement.failed(pool, read.refusal, asked_at)
+        context.placement.record_failure(pool, read.refusal, asked_at)
     return _judge_read(context, request, pool.entry.instance, read)
 
 
@@ -331,6 +331,6 @@
     request.attempt_failed(instance, refusal)
     is_behind = refusal.reason is Reason.REPLICA_BEHIND
     if is_behind and not (context.overload.enabled and lacks_own(request)):
-        context.placement.was_behind(instance)
+        context.placement.record_behind(instance)
     elsewhere = refusal.verdict is Verdict.NOT_RUN and refusal.reason is not Reason.BAD_REQUEST
     return None if elsewhere else Reply(refusal=refusal, state=TransactionState.IDLE)
--- a/src/bramblebeam/services/gateway/refused_keys.py
+++ b/src/bramblebeam/services/gateway/refused_keys.py
@@ -20,7 +20,7 @@
         self._last: KeyDigest | None = None
         self._reported_at = float("-inf")
 
-    def note(self, key: KeyDigest) -> None:
+    def record(self, key: KeyDigest) -> None:
         """Count one session that was not opened."""
         self._count += 1
         self._last = key
--- a/src/bramblebeam/services/gateway/request.py
+++ b/src/bramblebeam/services/gateway/request.py
@@ -121,7 +121,7 @@
     def note_sent(self) -> None:
         """Note that the operation goes to a database, perhaps once more."""
         self.account.charge()
-        self.metrics.tenants.note(self.tenant, Outcome.SENT)
+        self.metrics.tenants.record(self.tenant, Outcome.SENT)
 
     def note_refused(self, refusal: Refusal) -> None:
         """Note a database's answer to an attempt: one that has not run pays for the next one."""
--- a/src/bramblebeam/services/gateway/resting.py
+++ b/src/bramblebeam/services/gateway/resting.py
@@ -72,7 +72,7 @@
 
     def close_unheard(self, since: float) -> None:
         """Close those that were last heard of before a moment (steady clock, seconds)."""
-        self._close([resting for resting in self._resting if resting.heard_at < since])
+        self._close([resting for resting in self._resting if resting.received_at < since])
 
     def close_rested(self, kept: int, now: float) -> None:
         """Close those that have rested for long, but for the last `kept` ones."""
--- a/src/bramblebeam/services/gateway/service.py
+++ b/src/bramblebeam/services/gateway/service.py
@@ -189,7 +189,7 @@
         access = self.context.table.access(database, key)
         if isinstance(access, Refusal):
             if access.reason is Reason.UNKNOWN_KEY:
-                self._refused_keys.note(key)
+                self._refused_keys.record(key)
             return access
         session = GatewaySession(self.context, database, key)
         self._sessions.add(session)
--- a/src/bramblebeam/services/gateway/session.py
+++ b/src/bramblebeam/services/gateway/session.py
@@ -55,7 +55,7 @@
         arrived = self._context.now()
         reply = await self._execute(identifier, statement)
         self._record(identifier, statement, reply, self._context.now() - arrived)
-        self._context.load.answered(self, self._route(), reply, arrived)
+        self._context.load.record_reply(self, self._route(), reply, arrived)
         return reply
 
     def _record(self, identifier: str, statement: Statement, reply: Reply, seconds: float) -> None:
--- a/src/bramblebeam/services/gateway/tenant_records.py
+++ b/src/bramblebeam/services/gateway/tenant_records.py
@@ -50,7 +50,7 @@
         self._uncounted_why: dict[TenantId, str] = {}
         self._reported_at = float("-inf")
 
-    def note(self, tenant: TenantId, part: Outcome) -> None:
+    def record(self, tenant: TenantId, part: Outcome) -> None:
         """Count one operation."""
         self.totals[part] += 1
         counts = self._second.get(tenant)
@@ -64,10 +64,10 @@
 
     def record_uncounted(self, tenant: TenantId, why: str) -> None:
         """Count one operation that was let through without a count."""
-        self.note(tenant, Outcome.UNCOUNTED)
+        self.record(tenant, Outcome.UNCOUNTED)
         self._uncounted_why[tenant] = why
 
-    def began(self, tenant: TenantId) -> None:
+    def record_counting_start(self, tenant: TenantId) -> None:
         """Note that this node counts a tenant from now on."""
         self._begun.append(tenant)
 
--- a/src/bramblebeam/services/gateway/transaction.py
+++ b/src/bramblebeam/services/gateway/transaction.py
@@ -151,7 +151,7 @@
         """
         lent = self._lent
         assert lent is not None
-        return lent.connection.closed or lent.pool.is_silent(lent)
+        return lent.connection.closed or lent.pool.is_suspect(lent)
 
     async def _may_commit(self, request: Request) -> bool:
         """Whether the COMMIT may be sent now; one that commits a write needs a leader."""
@@ -166,9 +166,9 @@
         assert lent is not None
         if self._wrote:
             leaders = self._context.leader(self.route.group)
-            leaders.write_answered()
-            leaders.acknowledged(reply.position)
-            leaders.proven(lent.instance, reply.position, asked_at)
+            leaders.record_write_reply()
+            leaders.record_commit(reply.position)
+            leaders.record_proof(lent.instance, reply.position, asked_at)
         if self._wrote:
             watch_commit(self._context, request, reply)
         request.note_observed(reply)
@@ -214,17 +214,17 @@
             served = reply.refusal is None
         except ConnectionLostError as error:
             is_late = self._context.now() - asked_at >= remaining - CLOCK_STEP
-            if self._wrote and is_late and not lent.pool.is_silent(lent):
+            if self._wrote and is_late and not lent.pool.is_suspect(lent):
                 leaders = self._context.leader(self.route.group)
-                leaders.write_unanswered(lent.instance, asked_at)
+                leaders.record_write_timeout(lent.instance, asked_at)
             lost = self._lost(request, str(error))
             request.attempt_failed(lent.instance, lost)
             return Reply(refusal=lost, state=TransactionState.FAILED)
         finally:
             request.leave_slot(served=served)
-        lent.pool.answered(self._context.now() - asked_at, reply.refusal)
+        lent.pool.record_reply(self._context.now() - asked_at, reply.refusal)
         if reply.refusal is not None and reply.refusal.reason is Reason.STALE_TERM:
-            self._context.leader(self.route.group).denied(lent.instance, "it lost the lead")
+            self._context.leader(self.route.group).record_denial(lent.instance, "it lost the lead")
         return reply
 
     @staticmethod
@@ -255,7 +255,7 @@
             if request.no_slot is not None and self._at_leader:
                 # The leader's slots are for what no replica can run.
                 reply = Reply(refusal=request.no_slot)
-                return self._context.load.tell_return(request, reply).refusal
+                return self._context.load.add_retry_delay(request, reply).refusal
             if self._context.now() >= request.hold_until:
                 return request.refusal or Refusal(Verdict.NOT_RUN, Reason.NO_PRIMARY)
             if request.must_pause:
@@ -269,7 +269,7 @@
             return await self._begin_at_leader(request, lent)
 
         reply = await run_at_leader(self._context, request, begin, Reason.NO_PRIMARY)
-        return self._context.load.tell_return(request, reply).refusal
+        return self._context.load.add_retry_delay(request, reply).refusal
 
     async def _take_place(self, request: Request, instance: InstanceId | None) -> Refusal | None:
         """Wait for the transaction's turn at a database; return why it may not begin there."""
@@ -293,18 +293,18 @@
         begin = await self._begin(request, lent, Command(BEGIN))
         if begin is None:
             if was_fresh:
-                leaders.refused(instance, "the connection was lost")
+                leaders.reject(instance, "the connection was lost")
             return None
         if begin.refusal is not None:
             if begin.refusal.reason is Reason.STALE_TERM:
-                leaders.denied(instance, "it refused to begin a transaction")
+                leaders.record_denial(instance, "it refused to begin a transaction")
             return None
-        if not leaders.proven(instance, begin.position, asked_at):
+        if not leaders.record_proof(instance, begin.position, asked_at):
             self._release(dirty=True)
             return None
         if lacks_observed(self._context, request, begin):
             request.attempt_failed(instance, LACKS_OBSERVED)
-            leaders.contradicted(instance, request.observed)
+            leaders.record_missing_commit(instance, request.observed)
             self._release(dirty=True)
             return None
         return begin
@@ -341,15 +341,15 @@
             request.attempt_failed(instance, unreachable)
             if isinstance(error, ConnectError):
                 refusal = Refusal(Verdict.NOT_RUN, error.reason)
-                self._context.placement.failed(pool, refusal, self._context.now())
+                self._context.placement.record_failure(pool, refusal, self._context.now())
             return False
         try:
             floor = await current_floor(self._context, request)
         except BaseException:
-            lent.give_back()
+            lent.release()
             raise
         if floor is None:
-            lent.give_back()
+            lent.release()
             return False
         was_fresh = lent.is_fresh
         request.floor = floor
@@ -364,7 +364,7 @@
         if begin.refusal is None:
             watch_answer(self._context, request, begin)
         elif begin.refusal.reason is Reason.REPLICA_BEHIND and not self._lacks_own(request):
-            self._context.placement.was_behind(instance)
+            self._context.placement.record_behind(instance)
         return begin.refusal is None
 
     def _lacks_own(self, request: Request) -> bool:
@@ -384,21 +384,21 @@
         except ConnectionLostError as error:
             lost = Refusal(Verdict.NOT_RUN, Reason.CONNECTION_LOST, str(error))
             request.attempt_failed(lent.instance, lost)
-            self._context.placement.failed(lent.pool, lost, asked_at)
-            lent.give_back()
+            self._context.placement.record_failure(lent.pool, lost, asked_at)
+            lent.release()
             return None
         except BaseException:
-            lent.give_back()
+            lent.release()
             raise
         leaders = self._context.leader(self.route.group)
-        leaders.heard(lent.instance, reply.position, asked_at, lent.opened_at)
+        leaders.record_position(lent.instance, reply.position, asked_at, lent.opened_at)
         if reply.refusal is None:
             self._lent = lent
             return reply
         request.attempt_failed(lent.instance, reply.refusal)
         if reply.state is not TransactionState.IDLE:
             lent.connection.close()
-        lent.give_back()
+        lent.release()
         return reply
 
     # Ends.
@@ -430,10 +430,10 @@
         if lent is None:
             return
         if not dirty or lent.connection.closed:
-            lent.give_back()
+            lent.release()
         elif self._running:
             lent.connection.close()
-            lent.give_back()
+            lent.release()
         else:
             self._context.spawn(self._roll_back(lent))
 
@@ -446,4 +446,4 @@
             # The database rolls back what was open on a connection that ends.
             lent.connection.close()
         finally:
-            lent.give_back()
+            lent.release()
--- a/src/bramblebeam/services/gateway/transaction_gates.py
+++ b/src/bramblebeam/services/gateway/transaction_gates.py
@@ -130,7 +130,7 @@
 
     def _refuse(self, request: Request, refused: Refused) -> Refusal:
         connections = self.connections
-        retry_after_ms = self._context.load.come_back(request, refused.room_in)
+        retry_after_ms = self._context.load.schedule_retry(request, refused.room_in)
         self._context.metrics.refused_early(RefusalCause.TRANSACTIONS)
         log_event(
             logger,
--- a/src/bramblebeam/services/gateway/writes.py
+++ b/src/bramblebeam/services/gateway/writes.py
@@ -37,26 +37,26 @@
     try:
         replies = await lent.run(commands, remaining, must_wait=True)
     except ConnectionLostError as error:
-        if context.now() - asked_at >= remaining - CLOCK_STEP and not lent.pool.is_silent(lent):
-            leaders.write_unanswered(lent.instance, asked_at)
+        if context.now() - asked_at >= remaining - CLOCK_STEP and not lent.pool.is_suspect(lent):
+            leaders.record_write_timeout(lent.instance, asked_at)
         doubt = Refusal(Verdict.UNKNOWN, Reason.CONNECTION_LOST, str(error))
         request.attempt_failed(lent.instance, doubt)
         return Reply(refusal=doubt)
     finally:
-        lent.give_back()
+        lent.release()
     reply = replies[-1]
     request.leave_slot(served=reply.refusal is None)
-    lent.pool.answered(context.now() - asked_at, reply.refusal)
-    leaders.write_answered()
+    lent.pool.record_reply(context.now() - asked_at, reply.refusal)
+    leaders.record_write_reply()
     if reply.refusal is None:
-        leaders.acknowledged(reply.position)
-        leaders.proven(lent.instance, reply.position, asked_at)
+        leaders.record_commit(reply.position)
+        leaders.record_proof(lent.instance, reply.position, asked_at)
         return reply
     request.note_refused(reply.refusal)
     if reply.refusal.verdict is not Verdict.NOT_RUN:
         return reply
     request.attempt_failed(lent.instance, reply.refusal)
     if reply.refusal.reason is Reason.STALE_TERM:
-        leaders.denied(lent.instance, "it refused a write")
+        leaders.record_denial(lent.instance, "it refused a write")
         return None
     return None if reply.refusal.reason is Reason.QUEUE_FULL else reply
--- a/tests/counting_fleet.py
+++ b/tests/counting_fleet.py
@@ -58,11 +58,11 @@
             return
         limits = fleet.contexts[found].limits
         if isinstance(message, GrantRequest):
-            limits.requested(self._node, message, fleet.addresses[self._node])
+            limits.handle_grant_request(self._node, message, fleet.addresses[self._node])
         elif isinstance(message, Grant):
-            limits.granted(self._node, message)
+            limits.handle_grant(self._node, message)
         else:
-            limits.returned_by(self._node, message)
+            limits.handle_grant_returned(self._node, message)
 
     async def ask_admission(
         self, node: NodeId, message: AdmissionRequest, timeout: float
@@ -73,7 +73,7 @@
 
     def tell(self, node: NodeId, message: object) -> None:
         if isinstance(message, AdmissionReturned) and self._fleet.reaches(self._node, node):
-            self._fleet.contexts[node].limits.give_back(message)
+            self._fleet.contexts[node].limits.refund(message)
 
 
 class Fleet:
@@ -121,7 +121,7 @@
         """Let every node ask for the grants that it is to ask for."""
         for node, context in list(self.contexts.items()):
             if node not in self.silent:
-                context.limits.look()
+                context.limits.request_grants()
 
     def homes(self, tenant: TenantId) -> tuple[NodeId, ...]:
         """Return the nodes that may count a tenant, as all of them are seen."""
--- a/tests/placement_world.py
+++ b/tests/placement_world.py
@@ -103,12 +103,12 @@
 
     def __init__(self, entry: DatabaseEntry, database: Database | None) -> None:
         self.entry = entry
-        self.silent_since: float | None = None
-        self.heard_at = 0.0
+        self.unresponsive_since: float | None = None
+        self.received_at = 0.0
         self.open_seconds = 0.0
         self.slots = Slots(entry.instance, database)
 
-    def has_resting(self, tenant: TenantId) -> bool:
+    def has_idle(self, tenant: TenantId) -> bool:
         return True
 
 
@@ -260,8 +260,8 @@
     def _is_late(self, read: Read, pool: Pool, began: float) -> None:
         if read.done:
             return
-        if self.now - pool.heard_at > PATIENCE and pool.entry.zone == str(read.region):
-            pool.silent_since = self.now
+        if self.now - pool.received_at > PATIENCE and pool.entry.zone == str(read.region):
+            pool.unresponsive_since = self.now
         self._send(read)
 
     def _take(self, read: Read, region: int, way: float) -> None:
@@ -289,8 +289,8 @@
 
         def end() -> None:
             database.free()
-            pool.heard_at = self.now
-            pool.silent_since = None
+            pool.received_at = self.now
+            pool.unresponsive_since = None
             if fails:
                 is_shed = condition is Condition.SHEDDING
                 reason = Reason.QUEUE_FULL if is_shed else Reason.BACKEND_ERROR
--- a/tests/platform_standins/cuts.py
+++ b/tests/platform_standins/cuts.py
@@ -32,7 +32,7 @@
     _use(node, connector)
     for pool in node.gateway.context.placement.pools.values():
         if pool.entry.instance in connector.cut:
-            for connection in [*pool._resting, *pool._lent]:
+            for connection in [*pool._idle, *pool._checked_out]:
                 connection.connection.close()
 
 
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -54,7 +54,15 @@
 from platform_standins.world import LineClient, World, running_world, until
 from revisions import at
 from test_database_entries import ENTRY
-from test_gateway_leaders import GROUP, LONG_OPEN, make_tracker, now, primary_answer, take_all, word
+from test_gateway_leaders import (
+    GROUP,
+    LONG_OPEN,
+    make_tracker,
+    now,
+    primary_answer,
+    take_all,
+    replica_answer,
+)
 
 BORN = 1_764_720_000_000
 FIRST, SECOND, THIRD = (instance_id(name, BORN) for name in ("db-a", "db-b", "db-c"))
@@ -169,8 +177,8 @@
     placement.update(directory)
     former = placement.pools[SECOND]
     former.latency, former.open_seconds = 9.0, 9.0
-    former.was_silent()
-    placement.was_behind(SECOND)
+    former.record_unresponsive()
+    placement.record_behind(SECOND)
     assert placement.choose(GROUP, NO_TENANT, ()) is None
     placement.update(DatabaseDirectory(2, {SECOND_AGAIN: entry(SECOND_AGAIN)}))
     pool = placement.choose(GROUP, NO_TENANT, ())
@@ -191,7 +199,7 @@
 async def test_a_leader_that_started_again_is_used_no_more() -> None:
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
-    take_all(tracker, [primary_answer(FIRST, 1), word(THIRD, 1)])
+    take_all(tracker, [primary_answer(FIRST, 1), replica_answer(THIRD, 1)])
     assert tracker.may_use(FIRST)
     register(tracker, FIRST_AGAIN, SECOND, THIRD, again=FIRST_AGAIN)
     assert tracker.leader is None
@@ -208,11 +216,11 @@
     if is_read:
         tracker.record_position(SECOND_AGAIN, Position(1, 9), now(), LONG_OPEN)
     else:
-        tracker.handle_answer(word(SECOND_AGAIN, 1))
+        tracker.handle_answer(replica_answer(SECOND_AGAIN, 1))
     assert not tracker.may_use(FIRST)
     assert tracker.witnesses() == [THIRD, SECOND_AGAIN]
     assert tracker.has_witness
-    tracker.handle_answer(word(THIRD, 1))
+    tracker.handle_answer(replica_answer(THIRD, 1))
     assert tracker.may_use(FIRST)
 
 
@@ -221,7 +229,7 @@
     register(tracker, FIRST, SECOND, THIRD)
     tracker.handle_answer(primary_answer(FIRST, 1))
     register(tracker, FIRST, SECOND_AGAIN, THIRD, again=SECOND_AGAIN)
-    take_all(tracker, [primary_answer(THIRD, 2), word(SECOND_AGAIN, 2)])
+    take_all(tracker, [primary_answer(THIRD, 2), replica_answer(SECOND_AGAIN, 2)])
     assert tracker.may_use(THIRD)
 
 
@@ -236,14 +244,14 @@
 async def test_a_member_whose_log_is_gone_confirms_nothing_before_its_entry_tells() -> None:
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
-    take_all(tracker, [primary_answer(FIRST, 1, 5), word(SECOND, 1)])
+    take_all(tracker, [primary_answer(FIRST, 1, 5), replica_answer(SECOND, 1)])
     tracker.lease.confirmed_at = float("-inf")
-    empty = word(SECOND, 1)
+    empty = replica_answer(SECOND, 1)
     status = empty.status
     assert status is not None
     tracker.handle_answer(empty._replace(status=status._replace(received=Position(1, 0))))
     assert not tracker.may_use(FIRST)
-    tracker.handle_answer(word(SECOND, 1))
+    tracker.handle_answer(replica_answer(SECOND, 1))
     assert not tracker.may_use(FIRST), "it has received again, and forgotten all the same"
 
 
@@ -252,9 +260,9 @@
     published: list[LeaderEvent] = []
     tracker = make_tracker(published)
     register(tracker, FIRST, SECOND, THIRD)
-    take_all(tracker, [primary_answer(FIRST, 3, 5), word(THIRD, 3)])
-    tracker.proven(FIRST, Position(3, 6), now())
-    tracker.refused(FIRST, "the connection was lost")
+    take_all(tracker, [primary_answer(FIRST, 3, 5), replica_answer(THIRD, 3)])
+    tracker.record_proof(FIRST, Position(3, 6), now())
+    tracker.reject(FIRST, "the connection was lost")
     await asyncio.sleep(0.005)
     if again != FIRST:
         register(tracker, again, SECOND, THIRD, again=again)
@@ -276,12 +284,12 @@
 
 async def test_a_leader_that_serves_from_a_shorter_log_is_asked_what_it_has() -> None:
     tracker = make_tracker([])
-    take_all(tracker, [primary_answer(FIRST, 3, 5), word(THIRD, 3)])
-    tracker.proven(FIRST, Position(3, 6), now())
+    take_all(tracker, [primary_answer(FIRST, 3, 5), replica_answer(THIRD, 3)])
+    tracker.record_proof(FIRST, Position(3, 6), now())
     await asyncio.sleep(0.005)
-    tracker.proven(FIRST, Position(3, 2), now())
+    tracker.record_proof(FIRST, Position(3, 2), now())
     assert tracker.leader is None
-    take_all(tracker, [primary_answer(FIRST, 3, 6), word(THIRD, 3)])
+    take_all(tracker, [primary_answer(FIRST, 3, 6), replica_answer(THIRD, 3)])
     assert tracker.may_use(FIRST), "its status shows that it has all"
 
 
@@ -532,6 +540,6 @@
 @pytest.mark.parametrize("asked", ["db-a", "db-x"])
 async def test_a_node_gives_a_leader_up_whichever_start_of_it_is_meant(asked: str) -> None:
     tracker = make_tracker([])
-    take_all(tracker, [primary_answer(FIRST, 1), word(THIRD, 1)])
+    take_all(tracker, [primary_answer(FIRST, 1), replica_answer(THIRD, 1)])
     tracker.relinquish(ServerName(asked), 0)
     assert tracker.may_use(FIRST) is (asked != "db-a")
--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -55,7 +55,7 @@
 
 def connections_of(node: PlatformNode) -> int:
     pools = node.gateway.context.placement.pools.values()
-    return sum(pool.load + len(pool._resting) for pool in pools)
+    return sum(pool.load + len(pool._idle) for pool in pools)
 
 
 async def test_a_node_that_does_not_serve_the_group_opens_no_connection() -> None:
--- a/tests/test_gateway_leaders.py
+++ b/tests/test_gateway_leaders.py
@@ -66,7 +66,7 @@
     return MemberAnswer(instance, LONG_OPEN, now(), True, position, status)
 
 
-def word(instance: InstanceId, follows: int, held: int = 0) -> MemberAnswer:
+def replica_answer(instance: InstanceId, follows: int, held: int = 0) -> MemberAnswer:
     """Return the answer of a replica."""
     position = Position(follows, 1)
     status = MemberStatus(False, follows, position, 0.0, held)
@@ -75,14 +75,14 @@
 
 def take_all(tracker: LeaderTracker, answers: Iterable[MemberAnswer]) -> None:
     for answer in answers:
-        tracker.take(answer)
+        tracker.handle_answer(answer)
 
 
 async def test_a_statement_that_waits_for_a_new_leader_lets_the_others_run() -> None:
     """Found in a day's log: waiting right after a loss, the loop turned without a pause."""
     tracker = make_tracker([])
-    take_all(tracker, [primary_answer(FIRST, 1), word(THIRD, 1)])
-    tracker.refused(FIRST, "it lost the lead")
+    take_all(tracker, [primary_answer(FIRST, 1), replica_answer(THIRD, 1)])
+    tracker.reject(FIRST, "it lost the lead")
     asked = 0
     wait_proof = tracker.wait_proof
 
@@ -97,16 +97,16 @@
         await asyncio.sleep(0)
     assert asked == 0
     assert not waiting.done()
-    take_all(tracker, [primary_answer(SECOND, 2), word(THIRD, 2)])
+    take_all(tracker, [primary_answer(SECOND, 2), replica_answer(THIRD, 2)])
     assert await waiting == SECOND
 
 
 async def test_a_proof_that_was_asked_for_earlier_does_not_replace_a_later_one() -> None:
     published: list[LeaderEvent] = []
     tracker = make_tracker(published)
-    take_all(tracker, [primary_answer(SECOND, 2, 6), word(THIRD, 2)])
-    tracker.proven(SECOND, Position(2, 5), now() - 1)
-    tracker.proven(FIRST, Position(1, 9), now() + 1)
+    take_all(tracker, [primary_answer(SECOND, 2, 6), replica_answer(THIRD, 2)])
+    tracker.record_proof(SECOND, Position(2, 5), now() - 1)
+    tracker.record_proof(FIRST, Position(1, 9), now() + 1)
     assert tracker.leader == SECOND
     assert tracker.watermarks.newest.position == Position(2, 6)
     assert published == [LeaderProven(GROUP, SECOND, Position(2, 6))]
@@ -139,7 +139,7 @@
 ) -> None:
     tracker = make_tracker([])
     tracker.handle_answer(primary_answer(FIRST, 1))
-    take_all(tracker, [word(*fields) for fields in words])
+    take_all(tracker, [replica_answer(*fields) for fields in words])
     assert tracker.may_use(FIRST) is may_use
 
 
@@ -147,7 +147,7 @@
     tracker = make_tracker([])
     tracker.handle_answer(primary_answer(FIRST, 1, 5))
     assert tracker.watermarks.newest.position == Position(0, 0)
-    tracker.handle_answer(word(SECOND, 1))
+    tracker.handle_answer(replica_answer(SECOND, 1))
     assert tracker.watermarks.newest.position == Position(1, 5)
 
 
@@ -164,7 +164,7 @@
 async def test_a_newer_term_ends_the_use_of_a_leader_for_good(is_read: bool) -> None:
     published: list[LeaderEvent] = []
     tracker = make_tracker(published)
-    take_all(tracker, [primary_answer(FIRST, 1), word(SECOND, 1)])
+    take_all(tracker, [primary_answer(FIRST, 1), replica_answer(SECOND, 1)])
     if is_read:
         tracker.record_position(THIRD, Position(2, 7), now(), LONG_OPEN)
     else:
@@ -177,11 +177,15 @@
 
 async def test_of_two_leaders_of_one_term_neither_is_used() -> None:
     tracker = make_tracker([])
-    take_all(tracker, [primary_answer(FIRST, 2), word(THIRD, 2), primary_answer(SECOND, 2)])
+    take_all(
+        tracker, [primary_answer(FIRST, 2), replica_answer(THIRD, 2), primary_answer(SECOND, 2)]
+    )
     assert tracker.leader is None
-    take_all(tracker, [primary_answer(FIRST, 2), primary_answer(SECOND, 2), word(THIRD, 2)])
+    take_all(
+        tracker, [primary_answer(FIRST, 2), primary_answer(SECOND, 2), replica_answer(THIRD, 2)]
+    )
     assert tracker.leader is None
-    take_all(tracker, [primary_answer(SECOND, 3), word(THIRD, 3)])
+    take_all(tracker, [primary_answer(SECOND, 3), replica_answer(THIRD, 3)])
     assert tracker.may_use(SECOND)
 
 
@@ -189,7 +193,7 @@
     """Found in a day's log: the age of what never was is no number, and ended the service."""
     tracker = make_tracker([])
     tracker.leader = FIRST
-    tracker.refused(FIRST, "the connection was lost")
+    tracker.reject(FIRST, "the connection was lost")
     assert tracker.leader is None
 
 
@@ -207,10 +211,10 @@
     async def ask(instance: InstanceId, timeout: float) -> MemberAnswer:
         return await said
 
-    tracker._probes.ask = ask  # type: ignore[method-assign]
+    tracker._probes.query_status = ask  # type: ignore[method-assign]
     tracker.start_status_query(SECOND)
     await asyncio.sleep(0)
-    before_the_pause = word(SECOND, 1)
+    before_the_pause = replica_answer(SECOND, 1)
     if lost_meanwhile:
         tracker.relinquish(server_name(FIRST), 0)
         tracker.handle_answer(primary_answer(FIRST, 1))
@@ -226,8 +230,8 @@
 async def test_a_proof_never_lowers_the_position_of_its_leader(told: Position) -> None:
     """Without one, any position of a member would confirm the lease, and reads have no floor."""
     tracker = make_tracker([])
-    take_all(tracker, [primary_answer(FIRST, 1, 9), word(THIRD, 1)])
-    tracker.proven(FIRST, told, now() + 0.01)
+    take_all(tracker, [primary_answer(FIRST, 1, 9), replica_answer(THIRD, 1)])
+    tracker.record_proof(FIRST, told, now() + 0.01)
     assert tracker.watermarks.newest.position == Position(1, 9)
 
 
@@ -237,7 +241,10 @@
     status = MemberStatus(True, 2, Position(1, 4), 0.0)
     take_all(
         tracker,
-        [MemberAnswer(SECOND, LONG_OPEN, now(), True, Position(1, 4), status), word(THIRD, 2)],
+        [
+            MemberAnswer(SECOND, LONG_OPEN, now(), True, Position(1, 4), status),
+            replica_answer(THIRD, 2),
+        ],
     )
     assert tracker.watermarks.newest.term == 2
     assert tracker.watermarks.floor(Position(1, 9), 60.0, now()) == Position(1, 4)
--- a/tests/test_gateway_pool.py
+++ b/tests/test_gateway_pool.py
@@ -52,9 +52,9 @@
     await asyncio.sleep(0)
     waiting[1].cancel()
     await asyncio.sleep(0)
-    held.give_back()
-    (await waiting[0]).give_back()
-    (await waiting[2]).give_back()
+    held.release()
+    (await waiting[0]).release()
+    (await waiting[2]).release()
     assert pool.load == 0
 
 
@@ -63,11 +63,11 @@
     held = await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG)
     waiting = asyncio.ensure_future(pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG))
     await asyncio.sleep(0)
-    held.give_back()
+    held.release()
     waiting.cancel()
     await asyncio.gather(waiting, return_exceptions=True)
     assert pool.load == 0
-    (await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG)).give_back()
+    (await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG)).release()
 
 
 @pytest.mark.parametrize(
--- a/tests/test_lent_connections.py
+++ b/tests/test_lent_connections.py
@@ -37,11 +37,11 @@
 
 
 def silent_ones(pool: DatabasePool) -> list[PooledConnection]:
-    return [lent for lent in pool._lent if pool.is_silent(lent)]
+    return [lent for lent in pool._checked_out if pool.is_suspect(lent)]
 
 
 def closed_and_lent(world: World) -> list[PooledConnection]:
-    lent = [found for pool in pools(world).values() for found in pool._lent]
+    lent = [found for pool in pools(world).values() for found in pool._checked_out]
     return [found for found in lent if found.connection.closed]
 
 
@@ -63,7 +63,7 @@
         await until(lambda: tracker(world).may_use(MEMBER))
         world.proxies[MEMBER].delay = 0.1
         caller.send(f"QUERY left {last}")
-        await until(lambda: any(lent.asked_at for lent in pools(world)[MEMBER]._lent))
+        await until(lambda: any(lent.waiting_since for lent in pools(world)[MEMBER]._checked_out))
         caller.close()
         world.proxies[MEMBER].delay = 0.0
         await until(lambda: len(world.nodes[0].gateway.listener.connections) == 1)
@@ -85,7 +85,7 @@
         await until(lambda: tracker(world).may_use(MEMBER))
         world.proxies[MEMBER].delay = 0.1
         asked = asyncio.ensure_future(host.serve(NodeId("n"), message))
-        await until(lambda: any(lent.asked_at for lent in pools(world)[MEMBER]._lent))
+        await until(lambda: any(lent.waiting_since for lent in pools(world)[MEMBER]._checked_out))
         host.abandon(NodeId("n"), 77)
         assert (await asked).reply.refusal is not None
         world.proxies[MEMBER].delay = 0.0
@@ -105,7 +105,7 @@
         world.proxies[MEMBER].delay = FAR
         with pytest.raises(ConnectionLostError):
             await lent.run_at_once([Command(BEGIN), Command(ROLLBACK)], FAR / 3)
-        lent.give_back()
+        lent.release()
         assert silent_ones(pool) == []
         world.proxies[MEMBER].delay = 0.0
         assert (await served(client, "COMMIT")).code == ""
@@ -132,7 +132,7 @@
         await warm(world, 1)
         pool = pools(world)[MEMBER]
         tracker(world)._used_at = NEVER_USED
-        await until(lambda: len(pool._lent) == 1)
+        await until(lambda: len(pool._checked_out) == 1)
         acquire, asked = pool.acquire, []
 
         async def acquire_once(*args: Any, **named: Any) -> PooledConnection:
@@ -172,15 +172,15 @@
         tracker(world)._used_at = NEVER_USED
         pool = pools(world)[MEMBER]
         lent = await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG)
-        for idle in pool._resting:
+        for idle in pool._idle:
             idle.connection.close()
         now = asyncio.get_running_loop().time()
         pool._silent_before = now + FAR_TOO_LONG
         pool._refused_until = now + 0.1
         async with asyncio.timeout(FAR_TOO_LONG):
             other = await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG)
-        other.give_back()
-        lent.give_back()
+        other.release()
+        lent.release()
 
 
 async def test_a_second_database_that_lags_leaves_a_read_its_third_try(
@@ -199,8 +199,8 @@
 
     def a_pool(name: str) -> Any:
         entry = SimpleNamespace(instance=name)
-        silent = {"patience": 0.01, "unresponsive": False, "heard_at": 0.0, "enter": enter}
-        return SimpleNamespace(entry=entry, was_silent=lambda: None, **silent)
+        silent = {"late_after": 0.01, "unresponsive": False, "received_at": 0.0, "enter": enter}
+        return SimpleNamespace(entry=entry, record_unresponsive=lambda: None, **silent)
 
     monkeypatch.setattr(reads, "_read_once", read_once)
     monkeypatch.setattr(reads, "ANSWER_SECONDS", 0.01)
@@ -249,12 +249,12 @@
         client = await world.client("latest")
         assert (await served(client, "WRITE x 1")).code == ""
         leaders = tracker(world)
-        leaders.acknowledged(Position(1, 100))
-        leaders.refused(MEMBER, "lost")
+        leaders.record_commit(Position(1, 100))
+        leaders.reject(MEMBER, "lost")
         now = asyncio.get_running_loop().time()
         kept = Position(1, 95)
         status = MemberStatus(True, 2, kept, 0.0, 0)
-        leaders.take(MemberAnswer(InstanceId("db-b"), now, now, True, kept, status))
+        leaders.handle_answer(MemberAnswer(InstanceId("db-b"), now, now, True, kept, status))
         assert leaders.leader == "db-b"
         context = world.nodes[0].gateway.context
         runner = ChangeRunner(context, None, None, GroupId(GROUP))  # type: ignore[arg-type]
--- a/tests/test_loop_clock.py
+++ b/tests/test_loop_clock.py
@@ -17,7 +17,15 @@
 from bramblebeam.core.gateway.statements import COMMIT
 from bramblebeam.platform.database_connection import LineDatabaseConnection
 from bramblebeam.services.gateway.ports import Command
-from test_gateway_leaders import FIRST, SECOND, make_tracker, now, primary_answer, take_all, word
+from test_gateway_leaders import (
+    FIRST,
+    SECOND,
+    make_tracker,
+    now,
+    primary_answer,
+    take_all,
+    replica_answer,
+)
 
 COARSEST = 0.002
 """A reading is cut to a millisecond, of a clock that may itself move in such steps (seconds)."""
@@ -62,7 +70,7 @@
 ) -> None:
     async def decide() -> bool:
         tracker = make_tracker([])
-        take_all(tracker, [primary_answer(FIRST, 1), word(SECOND, 1)])
+        take_all(tracker, [primary_answer(FIRST, 1), replica_answer(SECOND, 1)])
         tracker.lease.confirmed_at = now() + left + SEND_MARGIN - LEASE_SECONDS
         stand_still()
         return tracker.may_use(FIRST)
--- a/tests/test_overload_gateway.py
+++ b/tests/test_overload_gateway.py
@@ -108,7 +108,7 @@
         assert refusal is not None
         assert refusal.verdict is Verdict.NOT_RUN
         for lent in held:
-            lent.give_back()
+            lent.release()
         await served_once(world)
         assert world.group.members[MEMBER].runs["left"] == 0
         assert not host.busy
@@ -181,7 +181,7 @@
 ) -> None:
     peers = RecordingPeers(answer)
     load = SimpleNamespace(enabled=enabled)
-    placement = SimpleNamespace(take_told=lambda loads: None)
+    placement = SimpleNamespace(handle_reported_loads=lambda loads: None)
     context: Any = SimpleNamespace(now=lambda: 0.0, load=load, placement=placement)
     forwarder = Forwarder(context, peers)  # type: ignore[arg-type]
     request: Any = SimpleNamespace(route=ROUTE, identifier="id", arrived=0.0, passed_on=False)
@@ -200,7 +200,7 @@
 async def test_numbers_of_statements_differ() -> None:
     peers = RecordingPeers(ForwardedReply(Reply()))
     load = SimpleNamespace(enabled=True)
-    placement = SimpleNamespace(take_told=lambda loads: None)
+    placement = SimpleNamespace(handle_reported_loads=lambda loads: None)
     context: Any = SimpleNamespace(now=lambda: 0.0, load=load, placement=placement)
     forwarder = Forwarder(context, peers)  # type: ignore[arg-type]
     request: Any = SimpleNamespace(route=ROUTE, identifier="id", arrived=0.0, passed_on=False)
@@ -324,7 +324,7 @@
 
 
 def gate(now: Callable[[], float] = lambda: 0.0) -> DatabaseGate:
-    load = SimpleNamespace(come_back=lambda request, room_in: 1)
+    load = SimpleNamespace(schedule_retry=lambda request, room_in: 1)
     metrics = SimpleNamespace(refused_early=lambda cause: None)
     context: Any = SimpleNamespace(now=now, load=load, metrics=metrics)
     return DatabaseGate(context, make_pool(MOST), OpenTransactions())
@@ -351,7 +351,7 @@
     await asyncio.sleep(0)
     assert not waiting.done()
     place, lent = opened.pop()
-    lent.give_back()
+    lent.release()
     place.end()
     place.end()
     assert isinstance(await waiting, Admitted)
@@ -368,7 +368,7 @@
     waiting = asyncio.ensure_future(found.enter(begins()))
     await asyncio.sleep(0)
     assert not waiting.done()
-    held.pop().give_back()
+    held.pop().release()
     assert isinstance(await waiting, Admitted)
 
 
@@ -389,7 +389,7 @@
     stays = asyncio.ensure_future(found.enter(begins()))
     await asyncio.sleep(0)
     place, lent = opened.pop()
-    lent.give_back()
+    lent.release()
     if leaves_when == "as its turn comes":
         place.end()
         leaves.cancel()
@@ -433,4 +433,4 @@
         assert (await client.run("WRITE x 5")).code == ""
         assert (await client.run("COMMIT")).code == ""
         for lent in held:
-            lent.give_back()
+            lent.release()
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -177,7 +177,7 @@
         pool.kept_idle = count
         lent = [await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG) for _ in range(count)]
         for connection in lent:
-            connection.give_back()
+            connection.release()
 
 
 @pytest.mark.parametrize(
@@ -235,10 +235,10 @@
         first, second = await world.client("latest"), await world.client("latest")
         assert (await served(first, "WRITE x 1")).code == ""
         await warm(world, 5)
-        idle = set(pools(world)[MEMBER]._resting)
+        idle = set(pools(world)[MEMBER]._idle)
         world.silence()
         stuck = asyncio.ensure_future(first.run("WRITE x 2"))
-        await until(lambda: not idle & set(pools(world)[MEMBER]._resting))
+        await until(lambda: not idle & set(pools(world)[MEMBER]._idle))
         assert (await served(second, "WRITE x 3")).code == ""
         assert not stuck.done()
         stuck.cancel()
@@ -263,7 +263,7 @@
         await warm(world, 3)
         pool = pools(world)[MEMBER]
         world.silence()
-        await until(lambda: any(pool.is_silent(lent) for lent in pool._lent))
+        await until(lambda: any(pool.is_suspect(lent) for lent in pool._checked_out))
         lost = await served(client, statement)
         assert lost.code == code
         if statement != "COMMIT":
@@ -330,7 +330,7 @@
         leaders = tracker(world)
         asked_at = leaders.watermarks.newest.queried_at + 1_000.0 * (not answered)
         for _ in range(STALLED_WRITES):
-            leaders.write_unanswered(MEMBER, asked_at)
+            leaders.record_write_timeout(MEMBER, asked_at)
         assert (leaders.stalled_since is not None) is stalled
 
 
@@ -409,7 +409,7 @@
             await served(client, "BEGIN")
             assert (await served(client, "WRITE x 1")).code == ""
             proxy.silence()
-            await until(lambda: not any(pool._lent for pool in pools(world).values()))
+            await until(lambda: not any(pool._checked_out for pool in pools(world).values()))
         assert world.group.primary.read("x") == ""
 
 
@@ -436,7 +436,7 @@
     if kind == "caller":
         found = [one._transport for one in node.listener.connections]
     elif kind == "database":
-        idle = [one for pool in pools(world).values() for one in pool._resting]
+        idle = [one for pool in pools(world).values() for one in pool._idle]
         found = [cast(LineDatabaseConnection, one.connection)._transport for one in idle]
     elif kind == "store":
         feed = cast(FeedService, node.kernel._services["feed"])
@@ -468,9 +468,9 @@
         await group.start([MEMBER])
         pool = pool_of(group)
         lent = [await pool.acquire(NO_TENANT, NO_STATE, IN_VAIN) for _ in range(3)]
-        lent.pop().give_back()
-        lent.pop().give_back()
-        heard_at = max(idle.heard_at for idle in pool._idle)
+        lent.pop().release()
+        lent.pop().release()
+        heard_at = max(idle.received_at for idle in pool._idle)
         await until(lambda: asyncio.get_running_loop().time() > heard_at)
         questions = [Command(BEGIN), Command(ROLLBACK)]
         asked = asyncio.ensure_future(lent[0].run(questions, IN_VAIN))
--- a/tests/test_slot_queue.py
+++ b/tests/test_slot_queue.py
@@ -261,7 +261,7 @@
             client.close()
             await until(lambda: all_back(world))
         lent = await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG)
-        lent.give_back()
+        lent.release()
 
 
 async def test_those_who_can_run_elsewhere_are_turned_away_from_a_silent_database() -> None:
--- a/tests/test_tenant_connections.py
+++ b/tests/test_tenant_connections.py
@@ -52,7 +52,7 @@
     for tenant in tenants:
         lent = await pool.acquire(tenant, NO_STATE, FAR_TOO_LONG)
         assert lent.tenant == tenant
-        lent.give_back()
+        lent.release()
 
 
 @pytest.mark.parametrize(
@@ -104,7 +104,7 @@
         served: list[TenantId] = []
         waiting = [asyncio.ensure_future(_serve(pool, tenant, served)) for tenant in (BOLT, ACME)]
         await asyncio.sleep(0.01)
-        held.give_back()
+        held.release()
         await asyncio.gather(*waiting)
         assert served[0] == first
         assert sorted(served) == [ACME, BOLT]
@@ -113,14 +113,14 @@
 async def _serve(pool: DatabasePool, tenant: TenantId, served: list[TenantId]) -> None:
     lent = await pool.acquire(tenant, NO_STATE, FAR_TOO_LONG)
     served.append(lent.tenant)
-    lent.give_back()
+    lent.release()
 
 
 async def test_the_gateways_own_question_takes_any_connection() -> None:
     database = CountingDatabase()
     pool = keeping_pool(database, 1)
     await use(pool, ACME)
-    (await pool.acquire_any(FAR_TOO_LONG)).give_back()
+    (await pool.acquire_any(FAR_TOO_LONG)).release()
     await use(pool, ACME)
     assert database.opened == [ACME]
     assert (await keeping_pool(CountingDatabase(), 1).acquire_any(FAR_TOO_LONG)).tenant == NO_TENANT
@@ -141,7 +141,7 @@
     tenants = [ACME] * 200 + [BOLT]
     waiting = [asyncio.ensure_future(_slowly(pool, tenant, served)) for tenant in tenants]
     await asyncio.sleep(0)
-    held.give_back()
+    held.release()
     await waiting[-1]
     assert len(served) < len(tenants)
     await asyncio.gather(*waiting)
--- a/tests/test_tenant_records.py
+++ b/tests/test_tenant_records.py
@@ -36,17 +36,17 @@
 ) -> None:
     records = TenantRecords()
     for tenant in (ACME, BOLT):
-        records.note(tenant, Outcome.COUNTED)
-        records.note(tenant, Outcome.SENT)
+        records.record(tenant, Outcome.COUNTED)
+        records.record(tenant, Outcome.SENT)
     records.record_limit_reached(ACME, 10.0)
     (event,) = told(records, 10.0, caplog)
     assert event["event"] == TENANT_SECOND.number
     expected = {"tenant": ACME, "rate": 20.0, "burst": 10.0, "counted": 1, "sent": 1}
     assert event["fields"].items() >= expected.items()
-    records.note(ACME, Outcome.SENT)
+    records.record(ACME, Outcome.SENT)
     assert not told(records, 10.0 + REPORT_SECONDS / 2, caplog)
     assert told(records, 10.0 + REPORT_SECONDS, caplog)[0]["fields"]["sent"] == 1
-    records.note(ACME, Outcome.SENT)
+    records.record(ACME, Outcome.SENT)
     assert not told(records, 11.0 + FOLLOWED_SECONDS, caplog)
     assert records.totals[Outcome.SENT] == 4
 
@@ -58,9 +58,9 @@
     for number in range(300):
         tenant = TenantId(f"tenant-{number}")
         records.record_limit_reached(tenant, 1.0)
-        records.began(tenant)
+        records.record_counting_start(tenant)
         for _ in range(number):
-            records.note(tenant, Outcome.REFUSED)
+            records.record(tenant, Outcome.REFUSED)
         records.record_uncounted(tenant, "its limit is not known here")
     events = told(records, 1.0, caplog)
     assert len(events) == 2 * MAXIMUM_LINES + 1
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -294,7 +294,7 @@
     refused = RefusedKeys()
     for step in range(40):
         for _ in range(100):
-            refused.note(digest_of(f"wrong {step}"))
+            refused.record(digest_of(f"wrong {step}"))
         refused.report(step * 0.05)
     lines = [json.loads(JsonFormatter().format(record)) for record in caplog.records]
     assert [line["fields"]["sessions"] for line in lines] == [100, 2_000]
--- a/tests/test_witness_lives.py
+++ b/tests/test_witness_lives.py
@@ -18,7 +18,7 @@
     now,
     primary_answer,
     take_all,
-    word,
+    replica_answer,
 )
 
 FOURTH = InstanceId("db-d")
@@ -99,9 +99,9 @@
     register(tracker, FIRST, SECOND, THIRD)
     tracker.handle_answer(primary_answer(FIRST, 1))
     opened_at = now()
-    tracker.handle_answer(word(SECOND, 1)._replace(opened_at=opened_at))
+    tracker.handle_answer(replica_answer(SECOND, 1)._replace(opened_at=opened_at))
     assert not tracker.may_use(FIRST)
-    tracker.handle_answer(word(THIRD, 1)._replace(opened_at=opened_at))
+    tracker.handle_answer(replica_answer(THIRD, 1)._replace(opened_at=opened_at))
     assert tracker.may_use(FIRST)
 
 
@@ -109,8 +109,8 @@
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
     tracker.handle_answer(primary_answer(FIRST, 1))
-    tracker.handle_answer(word(THIRD, 1, held=2)._replace(opened_at=now()))
-    tracker.handle_answer(word(SECOND, 1)._replace(opened_at=now()))
+    tracker.handle_answer(replica_answer(THIRD, 1, held=2)._replace(opened_at=now()))
+    tracker.handle_answer(replica_answer(SECOND, 1)._replace(opened_at=now()))
     tracker.record_position(SECOND, Position(1, 9), now(), now())
     assert not tracker.may_use(FIRST)
 
@@ -121,7 +121,7 @@
     register(tracker, FIRST, SECOND, THIRD)
     opened_at = now()
     take_all(tracker, [primary_answer(SECOND, 2), primary_answer(FIRST, 1)])
-    tracker.handle_answer(word(THIRD, 2)._replace(opened_at=opened_at))
+    tracker.handle_answer(replica_answer(THIRD, 2)._replace(opened_at=opened_at))
     assert tracker.may_use(SECOND)
 
 
@@ -136,9 +136,9 @@
     async def refuse_connection(instance: InstanceId, timeout: float) -> None:
         raise ProbeFailedError("connection refused", is_gone=True)
 
-    monkeypatch.setattr(tracker._probes, "ask", refuse_connection)
-    await tracker._ask(SECOND, tracker._probes.ask)
-    tracker.handle_answer(word(THIRD, 1)._replace(opened_at=opened_at))
+    monkeypatch.setattr(tracker._probes, "query_status", refuse_connection)
+    await tracker._ask(SECOND, tracker._probes.query_status)
+    tracker.handle_answer(replica_answer(THIRD, 1)._replace(opened_at=opened_at))
     assert tracker.may_use(FIRST)
 
 
@@ -148,12 +148,12 @@
     register(tracker, FIRST, SECOND_AGAIN, THIRD)
     opened_at = now()
     tracker.handle_answer(primary_answer(FIRST, 1))
-    empty = word(SECOND_AGAIN, 1)._replace(opened_at=opened_at)
+    empty = replica_answer(SECOND_AGAIN, 1)._replace(opened_at=opened_at)
     assert empty.status is not None
     nothing = empty.status._replace(received=Position(1, 0))
     tracker.handle_answer(empty._replace(position=Position(1, 0), status=nothing))
     assert not tracker.may_use(FIRST)
-    tracker.handle_answer(word(THIRD, 1)._replace(opened_at=opened_at))
+    tracker.handle_answer(replica_answer(THIRD, 1)._replace(opened_at=opened_at))
     assert tracker.may_use(FIRST)
 
 
@@ -163,7 +163,7 @@
     register(tracker, FIRST, SECOND, THIRD)
     opened_at = now()
     tracker.handle_answer(primary_answer(FIRST, 1))
-    tracker.proven(FIRST, Position(1, 6), now())
+    tracker.record_proof(FIRST, Position(1, 6), now())
     tracker.record_position(SECOND, Position(1, 7), now(), opened_at)
     assert not tracker.may_use(FIRST)
     tracker.record_position(THIRD, Position(1, 7), now(), opened_at)
@@ -174,7 +174,7 @@
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
     tracker.handle_answer(primary_answer(FIRST, 1))
-    tracker.proven(FIRST, Position(1, 6), now())
+    tracker.record_proof(FIRST, Position(1, 6), now())
     tracker.record_position(SECOND, Position(1, 9), now(), now())
     assert not tracker.may_use(FIRST)
     tracker.record_position(SECOND, Position(1, 9), now(), now() - SETTLED_SECONDS - 0.1)
