--- a/src/bramblebeam/services/gateway/pooled.py
+++ b/src/bramblebeam/services/gateway/pooled.py
@@ -48,18 +48,18 @@
 
     __slots__ = (
         "_timer",
-        "waiting_since",
         "connection",
         "dialled_at",
-        "received_at",
         "idle_since",
         "is_fresh",
         "must_wait",
         "opened_at",
         "pool",
+        "received_at",
         "state",
         "tenant",
         "turn_since",
+        "waiting_since",
     )
 
     def __init__(
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -60,8 +60,8 @@
     make_tracker,
     now,
     primary_answer,
-    take_all,
     replica_answer,
+    take_all,
 )
 
 BORN = 1_764_720_000_000
--- a/tests/test_loop_clock.py
+++ b/tests/test_loop_clock.py
@@ -23,8 +23,8 @@
     make_tracker,
     now,
     primary_answer,
-    take_all,
     replica_answer,
+    take_all,
 )
 
 COARSEST = 0.002
