--- a/src/bramblebeam/services/gateway/hosting.py
+++ b/src/bramblebeam/services/gateway/hosting.py
@@ -1,4 +1,4 @@
-"""Statements of other nodes' callers, which this node runs as it serves their groups."""
+"""Runs statements that other nodes forward, for groups that this node serves."""
 
 from __future__ import annotations
 
@@ -30,24 +30,26 @@
 logger = logging.getLogger(__name__)
 
 DECLINED = ForwardedReply(Reply(), declined=True)
-ROUNDING = 0.01
-"""A sender's clock may tell by so much more than a statement's whole time (seconds)."""
-FORGOTTEN_SECONDS = 2.0
-"""An ended transaction that its caller's node never closed is forgotten so much later."""
+TIME_TOLERANCE = 0.01
+"""By how much a statement's remaining time may exceed its timeout, due to the sender's clock
+(seconds)."""
+DROP_SECONDS = 2.0
+"""Time beyond the idle limit after which a transaction that its caller's node never closed is
+dropped."""
 
 
-def is_sound(message: ForwardedStatement) -> bool:
-    """Whether the numbers of a statement can be reckoned with: a time that is none never ends."""
-    is_timed = 0 <= message.time_left <= message.route.timeout + ROUNDING
+def is_valid(message: ForwardedStatement) -> bool:
+    """Whether a statement's numbers are valid: with a NaN as its time it would never end."""
+    is_timed = 0 <= message.time_left <= message.route.timeout + TIME_TOLERANCE
     return is_timed and min(message.observed_position) >= 0
 
 
 class HostedSession:
-    """What a forwarded statement tells of its session."""
+    """The part of a session's state that its forwarded statements carry."""
 
     forwarded = True
     returns_at: float | None = None
-    """Whoever took the statement from its caller keeps that."""
+    """Tracked by the node that received the statement from its caller, not here."""
 
     def __init__(self, tenant: TenantId, forwarded_on: bool) -> None:
         self.tenant = tenant
@@ -55,8 +57,8 @@
         self.state = SessionState()
         self.observed: dict[GroupId, Position] = {}
 
-    def take(self, message: ForwardedStatement) -> None:
-        """Take what the statement tells."""
+    def apply(self, message: ForwardedStatement) -> None:
+        """Apply the session state that a statement carries."""
         self.state.values = message.values
         group = message.route.group
         known = self.observed.get(group, ZERO_POSITION)
@@ -64,7 +66,7 @@
 
 
 class HostedTransaction:
-    """A transaction of another node's caller. `used_at`: steady clock, seconds."""
+    """A transaction of another node's caller. `used_at`: monotonic clock, seconds."""
 
     def __init__(self, session: HostedSession, transaction: Transaction, used_at: float) -> None:
         self.session = session
@@ -73,7 +75,7 @@
 
 
 class HostedStatement:
-    """A forwarded statement under way. `request` None: it has not come so far."""
+    """A forwarded statement in progress. `request`: None until it is created."""
 
     def __init__(self, task: asyncio.Task[None]) -> None:
         self.request: Request | None = None
@@ -82,7 +84,7 @@
 
     @property
     def surely_not_run(self) -> bool:
-        """Whether nobody else has it."""
+        """Whether neither a database nor another node has received it."""
         return self.request is None or self.request.surely_not_run
 
     @property
@@ -92,11 +94,11 @@
 
     @property
     def reached_no_database(self) -> bool:
-        """Whether no database can have run any of it."""
+        """Whether no database can have run any part of it."""
         return self.request is None or self.request.account.surely_not_run
 
     def withdraw(self) -> None:
-        """Begin it no more; what was sent to a database ends there, and is not tried again."""
+        """Cancel it, unless it was sent to a database: then it ends there and is not retried."""
         self.withdrawn = True
         if self.request is not None:
             self.request.withdrawn = True
@@ -104,7 +106,7 @@
             self._task.cancel()
 
     def answer(self) -> ForwardedReply:
-        """Return the answer to one that was given up, which nobody waits for."""
+        """Return the reply to a withdrawn statement; no caller waits for it."""
         self._task.uncancel()
         verdict = Verdict.NOT_RUN if self.surely_not_run else Verdict.UNKNOWN
         return ForwardedReply(Reply(refusal=Refusal(verdict, Reason.DEADLINE, "withdrawn")))
@@ -122,12 +124,12 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a statement runs or a transaction is open."""
+        """Whether a statement is running or a transaction is open."""
         return bool(self._transactions) or self._in_flight > 0
 
     async def serve(self, sender: NodeId, message: ForwardedStatement) -> ForwardedReply:
         """Run one statement to its final answer."""
-        if not is_sound(message):
+        if not is_valid(message):
             log_event(
                 logger,
                 FORWARDED_STATEMENT_UNSOUND,
@@ -140,13 +142,13 @@
         begins = message.transaction == NO_TRANSACTION or message.opens
         if begins and not self._can_serve(message):
             return DECLINED
-        hosted = self._take(sender, message)
+        hosted = self._register(sender, message)
         self._in_flight += 1
         try:
             if message.transaction == NO_TRANSACTION:
-                reply = await self._alone(message, hosted)
+                reply = await self._run_single(message, hosted)
             else:
-                reply = await self._in_transaction(sender, message, hosted)
+                reply = await self._run_in_transaction(sender, message, hosted)
             loads = self._context.placement.loads(message.route.group)
             return ForwardedReply(reply, loads=loads, surely_not_run=hosted.reached_no_database)
         except asyncio.CancelledError:
@@ -155,10 +157,10 @@
             return hosted.answer()
         finally:
             self._in_flight -= 1
-            self._forget(sender, message, hosted)
+            self._unregister(sender, message, hosted)
 
     def withdraw(self, sender: NodeId, number: int) -> None:
-        """Begin a statement no more that nobody waits for."""
+        """Withdraw a statement that no caller waits for any more."""
         hosted = self._statements.get((sender, number))
         if hosted is None:
             return
@@ -168,7 +170,7 @@
         request = None if hosted.request is None else hosted.request.identifier
         log_event(logger, STATEMENT_WITHDRAWN, request=request, node=sender, begun=begun)
 
-    def _take(self, sender: NodeId, message: ForwardedStatement) -> HostedStatement:
+    def _register(self, sender: NodeId, message: ForwardedStatement) -> HostedStatement:
         task = asyncio.current_task()
         assert task is not None
         hosted = HostedStatement(task)
@@ -176,60 +178,62 @@
             self._statements[sender, message.number] = hosted
         return hosted
 
-    def _forget(self, sender: NodeId, message: ForwardedStatement, hosted: HostedStatement) -> None:
-        """Forget a statement that has ended; one that was sent twice is there once more."""
+    def _unregister(
+        self, sender: NodeId, message: ForwardedStatement, hosted: HostedStatement
+    ) -> None:
+        """Drop a statement that has ended, unless a duplicate with its number replaced it."""
         key = (sender, message.number)
         if self._statements.get(key) is hosted:
             del self._statements[key]
 
     def abandon(self, sender: NodeId, transaction: int) -> None:
-        """Roll back a transaction whose caller has ended it or is gone."""
+        """Roll back a transaction that its caller has ended or whose caller has disconnected."""
         hosted = self._transactions.pop((sender, transaction), None)
         if hosted is not None:
             hosted.transaction.abandon("the caller's node ended it")
 
     def end_idle(self, now: float) -> None:
-        """Roll back transactions that rest for longer than allowed; forget those that ended."""
+        """Roll back transactions that are idle for too long; drop ended ones after a while."""
         idle = self._context.table.transaction_idle
         for key, hosted in list(self._transactions.items()):
             hosted.transaction.end_if_idle(now)
-            if now - hosted.used_at > idle + FORGOTTEN_SECONDS:
-                self._transactions.pop(key).transaction.abandon("nobody uses it any more")
+            if now - hosted.used_at > idle + DROP_SECONDS:
+                self._transactions.pop(key).transaction.abandon("it is no longer used")
 
     def _can_serve(self, message: ForwardedStatement) -> bool:
         knows = bool(self._context.placement.members(message.route.group))
         return knows and not self.declines
 
-    async def _alone(self, message: ForwardedStatement, statement: HostedStatement) -> Reply:
+    async def _run_single(self, message: ForwardedStatement, statement: HostedStatement) -> Reply:
         session = HostedSession(message.tenant, message.forwarded_on)
-        session.take(message)
+        session.apply(message)
         statement.request = self._request(session, message)
         return await execute_here(self._context, statement.request)
 
-    async def _in_transaction(
+    async def _run_in_transaction(
         self, sender: NodeId, message: ForwardedStatement, statement: HostedStatement
     ) -> Reply:
         key = (sender, message.transaction)
         now = self._context.now()
         if message.opens:
             session = HostedSession(message.tenant, message.forwarded_on)
-            session.take(message)
+            session.apply(message)
             transaction = Transaction(self._context, session, message.route, message.read_only)
             self._transactions[key] = HostedTransaction(session, transaction, now)
         hosted = self._transactions.get(key)
         if hosted is None:
-            lost = Refusal(Verdict.NOT_RUN, Reason.TRANSACTION_LOST, "it has ended already")
+            lost = Refusal(Verdict.NOT_RUN, Reason.TRANSACTION_LOST, "it has already ended")
             return Reply(refusal=lost, state=TransactionState.FAILED)
-        hosted.session.take(message)
-        # In use until the answer is given: a long statement is no rest.
+        hosted.session.apply(message)
+        # In use until its reply is sent: a transaction in a long statement is not idle.
         hosted.used_at = now + message.time_left
         try:
             statement.request = self._request(hosted.session, message)
-            return await self._run(key, hosted.transaction, statement.request)
+            return await self._run_statement(key, hosted.transaction, statement.request)
         finally:
             hosted.used_at = self._context.now()
 
-    async def _run(
+    async def _run_statement(
         self, key: tuple[NodeId, int], transaction: Transaction, request: Request
     ) -> Reply:
         if request.statement.action is Action.COMMIT:
--- a/src/bramblebeam/services/gateway/leader_news.py
+++ b/src/bramblebeam/services/gateway/leader_news.py
@@ -1,4 +1,4 @@
-"""What a node tells its own services of the leaders of groups."""
+"""Events about group leaders, published to the other services of this node."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderSuspected:
-    """Published while a group has no leader that can be used. `since`: steady clock, seconds."""
+    """Published while a group has no usable leader. `since`: monotonic clock, seconds."""
 
     group: GroupId
     instance: InstanceId | None
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderProven:
-    """Published when a database was found to lead its group after another one or none."""
+    """Published when a new leader of a group is found."""
 
     group: GroupId
     instance: InstanceId
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FormerLeaderFound:
-    """Published when a database says that it leads a term older than `newest_term`."""
+    """Published when a database claims to lead a term older than `newest_term`."""
 
     group: GroupId
     instance: InstanceId
@@ -33,4 +33,4 @@
 
 
 LeaderEvent = LeaderSuspected | LeaderProven | FormerLeaderFound
-"""What a node publishes of the leaders that it follows."""
+"""An event about the leader of a group that this node watches."""
--- a/src/bramblebeam/services/gateway/leader_reads.py
+++ b/src/bramblebeam/services/gateway/leader_reads.py
@@ -1,4 +1,4 @@
-"""Single reads at the leader, which proves by the same transaction that it leads."""
+"""Single reads at the leader, in a transaction that also proves that it leads."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 async def read_latest(context: GatewayContext, request: Request) -> Reply:
-    """Read at the leader, which proves by the same transaction that it leads."""
+    """Read at the leader, in a transaction that also proves that it leads."""
 
-    async def read(lent: PooledConnection) -> Reply | None:
-        return await _until_replaced(context, request, lent)
+    async def read(pooled: PooledConnection) -> Reply | None:
+        return await _read_until_replaced(context, request, pooled)
 
     try:
         return await run_at_leader(context, request, read, Reason.NO_PRIMARY)
@@ -34,20 +34,20 @@
         request.leave_slot()
 
 
-async def _until_replaced(
-    context: GatewayContext, request: Request, lent: PooledConnection
+async def _read_until_replaced(
+    context: GatewayContext, request: Request, pooled: PooledConnection
 ) -> Reply | None:
-    """Read, but leave a leader that was replaced meanwhile.
+    """Read, but stop waiting for a leader that is replaced in the meantime.
 
-    An answer that is late may be lost: then the read is sent once more, on another connection.
+    A late reply may be lost, so the read is then sent once more on another connection.
     """
     leaders = context.leader(request.route.group)
-    attempts = {asyncio.ensure_future(_read_proven(context, request, lent))}
-    again_at = _again_at(context, request, lent.pool)
+    attempts = {asyncio.ensure_future(_read_proven(context, request, pooled))}
+    second_attempt_at = _second_attempt_at(context, request, pooled.pool)
     change: asyncio.Future[bool] | None = None
     try:
         while True:
-            change = asyncio.ensure_future(leaders.wait_change(again_at))
+            change = asyncio.ensure_future(leaders.wait_change(second_attempt_at))
             await asyncio.wait({*attempts, change}, return_when=asyncio.FIRST_COMPLETED)
             change.cancel()
             ended = {attempt for attempt in attempts if attempt.done()}
@@ -58,13 +58,13 @@
             if context.now() >= request.deadline:
                 request.refusal = Refusal(Verdict.UNKNOWN, Reason.DEADLINE)
                 return None
-            if leaders.leader not in (None, lent.instance):
+            if leaders.leader not in (None, pooled.instance):
                 return None
-            if again_at < request.deadline and context.now() >= again_at:
-                again_at = request.deadline
+            if second_attempt_at < request.deadline and context.now() >= second_attempt_at:
+                second_attempt_at = request.deadline
                 if request.withdrawn or not context.load.may_try_again(request):
                     continue
-                attempts.add(asyncio.ensure_future(_read_again(context, request, lent.pool)))
+                attempts.add(asyncio.ensure_future(_read_again(context, request, pooled.pool)))
     finally:
         for attempt in attempts:
             attempt.cancel()
@@ -72,8 +72,8 @@
             change.cancel()
 
 
-def _again_at(context: GatewayContext, request: Request, pool: DatabasePool) -> float:
-    """Return when a read at the leader that has no answer yet is sent again."""
+def _second_attempt_at(context: GatewayContext, request: Request, pool: DatabasePool) -> float:
+    """Return when a read at the leader without a reply is sent again."""
     if not context.overload.enabled:
         return request.deadline
     return min(request.deadline, context.now() + max(ANSWER_SECONDS, pool.late_after))
@@ -82,54 +82,54 @@
 async def _read_again(
     context: GatewayContext, request: Request, pool: DatabasePool
 ) -> Reply | None:
-    """Read on another connection to the leader; the slot of the late attempt serves for both."""
-    lent = await acquire(context, request, pool)
-    if isinstance(lent, Refusal):
+    """Read on another connection to the leader; both attempts share one slot."""
+    pooled = await acquire(context, request, pool)
+    if isinstance(pooled, Refusal):
         return None
-    if not context.leader(request.route.group).may_use(lent.instance):
-        # The lease ran out while the connection was waited for.
-        lent.release()
+    if not context.leader(request.route.group).may_use(pooled.instance):
+        # The lease expired while waiting for the connection.
+        pooled.release()
         return None
-    return await _read_proven(context, request, lent)
+    return await _read_proven(context, request, pooled)
 
 
 async def _read_proven(
-    context: GatewayContext, request: Request, lent: PooledConnection
+    context: GatewayContext, request: Request, pooled: PooledConnection
 ) -> Reply | None:
     leaders = context.leader(request.route.group)
-    if not await may_send(context, request, lent):
+    if not await may_send(context, request, pooled):
         return None
-    asked_at = context.now()
+    queried_at = context.now()
     try:
-        commands = [*request.preparation(lent.state), Command(BEGIN)]
-        begin = (await lent.run_at_once(commands, time_left(context, request)))[-1]
+        commands = [*request.preparation(pooled.state), Command(BEGIN)]
+        begin = (await pooled.run_at_once(commands, time_left(context, request)))[-1]
         if begin.refusal is not None:
-            request.attempt_failed(lent.instance, begin.refusal)
+            request.attempt_failed(pooled.instance, begin.refusal)
             if begin.refusal.reason is Reason.STALE_TERM:
-                leaders.record_denial(lent.instance, "it refused to begin a transaction")
+                leaders.record_denial(pooled.instance, "it refused to begin a transaction")
             return None
-        if not leaders.record_proof(lent.instance, begin.position, asked_at):
-            lent.connection.close()
+        if not leaders.record_proof(pooled.instance, begin.position, queried_at):
+            pooled.connection.close()
             return None
         if lacks_observed(context, request, begin):
-            request.attempt_failed(lent.instance, LACKS_OBSERVED)
-            leaders.record_missing_commit(lent.instance, request.observed)
-            lent.connection.close()
+            request.attempt_failed(pooled.instance, LACKS_OBSERVED)
+            leaders.record_missing_commit(pooled.instance, request.observed)
+            pooled.connection.close()
             return None
         commands = [request.command(), Command(ROLLBACK)]
         request.note_sent()
-        read, _ = await lent.run(commands, time_left(context, request))
+        read, _ = await pooled.run(commands, time_left(context, request))
     except ConnectionLostError as error:
-        note_lost(context, request, lent.pool, str(error))
+        note_lost(context, request, pooled.pool, str(error))
         return None
     finally:
-        lent.release()
+        pooled.release()
     request.leave_slot(served=read.refusal is None)
-    lent.pool.record_reply(context.now() - asked_at, read.refusal)
-    return _judge_leader_read(context, request, lent.instance, read)
+    pooled.pool.record_reply(context.now() - queried_at, read.refusal)
+    return _handle_reply(context, request, pooled.instance, read)
 
 
-def _judge_leader_read(
+def _handle_reply(
     context: GatewayContext, request: Request, instance: InstanceId, read: Reply
 ) -> Reply | None:
     refusal = read.refusal
--- a/src/bramblebeam/services/gateway/lease_keeper.py
+++ b/src/bramblebeam/services/gateway/lease_keeper.py
@@ -1,4 +1,4 @@
-"""Renews a node's lease on the leader of a group by asking the other members."""
+"""Renews this node's lease on a group's leader by querying the other members."""
 
 from __future__ import annotations
 
@@ -19,13 +19,14 @@
 
 logger = logging.getLogger(__name__)
 
-PATIENCE = 0.1
-"""A member that has not answered within so long is left, and the next one asked (seconds)."""
+NEXT_WITNESS_SECONDS = 0.1
+"""Time without a reply after which the next member is queried too."""
 RETRY_PAUSE = 0.05
+"""Pause after no member has confirmed the lease (seconds)."""
 
 
 class LeasedLeader(Protocol):
-    """The leader that a lease is kept on, and who may confirm it."""
+    """A leader with its lease, and the members that may confirm it."""
 
     group: GroupId
     leader: InstanceId | None
@@ -33,96 +34,96 @@
 
     @property
     def in_use(self) -> bool:
-        """Whether anybody needs the lease."""
+        """Whether the lease is needed."""
 
     def witnesses(self) -> list[InstanceId]:
-        """Return the members that may confirm it, the one to ask first in front."""
+        """Return the members other than the leader, in the order to query them."""
 
     def start_status_query(self, instance: InstanceId) -> None:
-        """Ask a member for its status; its word is taken when it comes."""
+        """Start to query a member for its status; the reply is handled when it arrives."""
 
-    def start_glancing(self, instance: InstanceId) -> None:
-        """Ask a member how far it is, which costs it less."""
+    def start_position_query(self, instance: InstanceId) -> None:
+        """Start to query a member for its position, which costs it less than a status."""
 
     def record_renewal(self) -> None:
-        """Take note that the lease was renewed."""
+        """Handle a renewal of the lease."""
 
     def record_lapse(self) -> None:
-        """Take note that the lease has run out."""
+        """Handle the expiry of the lease."""
 
 
 class LeaseKeeper:
-    """Renews the lease before it runs out, as long as it is in use."""
+    """Renews the lease before it expires, while it is needed."""
 
-    def __init__(self, held: LeasedLeader) -> None:
-        self._held = held
-        self._wanted = asyncio.Event()
+    def __init__(self, tracker: LeasedLeader) -> None:
+        self._tracker = tracker
+        self._wakeup = asyncio.Event()
         self._renewed = asyncio.Event()
-        self._reported = 0.0
+        self._logged_lapse = 0.0
 
     def wake(self) -> None:
-        """Look again at once: there is another leader, or somebody waits."""
-        self._wanted.set()
+        """Check now: the leader has changed, or a statement waits for the lease."""
+        self._wakeup.set()
         self._renewed.set()
 
     def renewed(self) -> None:
-        """Take note that a member has confirmed the lease."""
+        """Stop waiting for further replies: a member has confirmed the lease."""
         self._renewed.set()
 
     async def run(self) -> None:
         """Renew the lease until cancelled."""
         while True:
-            if self._held.leader is None or not self._held.in_use:
-                await self._wanted.wait()
-                self._wanted.clear()
+            if self._tracker.leader is None or not self._tracker.in_use:
+                await self._wakeup.wait()
+                self._wakeup.clear()
                 continue
-            age = loop_time() - self._held.lease.confirmed_at
+            age = loop_time() - self._tracker.lease.confirmed_at
             if age < POSITION_RENEWAL_SECONDS:
-                await pause(self._wanted, POSITION_RENEWAL_SECONDS - age)
+                await pause(self._wakeup, POSITION_RENEWAL_SECONDS - age)
             elif age < STATUS_RENEWAL_SECONDS:
-                await self._glance()
+                await self._query_position()
             else:
-                await self._renew()
+                await self._query_statuses()
 
-    async def _glance(self) -> None:
-        """Ask the next member how far it is: it may have received enough to confirm the lease."""
+    async def _query_position(self) -> None:
+        """Query one member's position: it may have received enough to confirm the lease."""
         self._renewed.clear()
-        for instance in self._held.witnesses()[:1]:
-            self._held.start_glancing(instance)
-        await self._is_renewed()
-
-    async def _renew(self) -> None:
-        """Ask one member after the other until one confirms the lease."""
-        lease = self._held.lease
-        witnesses = self._held.witnesses()
+        for instance in self._tracker.witnesses()[:1]:
+            self._tracker.start_position_query(instance)
+        await self._wait_renewed()
+
+    async def _query_statuses(self) -> None:
+        """Query the members' statuses in turn until one confirms the lease."""
+        lease = self._tracker.lease
+        witnesses = self._tracker.witnesses()
         if not witnesses:
-            # Nobody else can be promoted.
+            # No other member can be promoted.
             lease.confirmed_at = loop_time()
-            self._held.record_renewal()
+            self._tracker.record_renewal()
             return
         for instance in witnesses:
             self._renewed.clear()
-            self._held.start_status_query(instance)
-            if await self._is_renewed():
+            self._tracker.start_status_query(instance)
+            if await self._wait_renewed():
                 return
-        self._report_lapse(lease)
-        await pause(self._wanted, RETRY_PAUSE)
+        self._handle_lapse(lease)
+        await pause(self._wakeup, RETRY_PAUSE)
 
-    async def _is_renewed(self) -> bool:
-        """Wait for an answer; True: no other member needs to be asked."""
-        return await wait_at_most(self._renewed, PATIENCE)
+    async def _wait_renewed(self) -> bool:
+        """Wait for a renewal; return False if the next member must be queried."""
+        return await wait_at_most(self._renewed, NEXT_WITNESS_SECONDS)
 
-    def _report_lapse(self, lease: LeaderLease) -> None:
-        if self._held.lease is not lease or lease.covers(loop_time()):
+    def _handle_lapse(self, lease: LeaderLease) -> None:
+        if self._tracker.lease is not lease or lease.covers(loop_time()):
             return
-        self._held.record_lapse()
-        if self._reported == lease.confirmed_at:
+        self._tracker.record_lapse()
+        if self._logged_lapse == lease.confirmed_at:
             return
-        self._reported = lease.confirmed_at
+        self._logged_lapse = lease.confirmed_at
         log_event(
             logger,
             LEADER_LEASE_LAPSED,
-            group=self._held.group,
-            instance=self._held.leader,
+            group=self._tracker.group,
+            instance=self._tracker.leader,
             confirmed_age_ms=age_ms(lease.confirmed_at, loop_time()),
         )
--- a/src/bramblebeam/services/gateway/lending.py
+++ b/src/bramblebeam/services/gateway/lending.py
@@ -1,4 +1,4 @@
-"""Connections to a group's proven leader, and the loop of what has to run there."""
+"""Runs a request's statements at its group's leader, with retries on new connections."""
 
 from __future__ import annotations
 
@@ -19,43 +19,44 @@
     from bramblebeam.services.gateway.context import GatewayContext
 
 BUSY_PAUSE = 0.02
-"""Seconds before a database that was busy is asked again."""
+"""Seconds before a retry at a database that was busy."""
 MINIMUM_TIME = 0.01
+"""Minimum timeout of any wait (seconds)."""
 
 Attempt = Callable[[PooledConnection], Awaitable[Reply | None]]
-"""One try on a connection to the leader. None: nothing has run, and it may be tried again."""
+"""One attempt on a connection to the leader. Returns None if nothing ran and a retry is safe."""
 
 
 async def run_at_leader(
     context: GatewayContext, request: Request, attempt: Attempt, reason: Reason
 ) -> Reply:
-    """Try at the leader, as long as this node may use it, until there is an answer.
+    """Attempt a request at the leader until there is a reply or the request's time is over.
 
-    `reason` is for a refusal where no attempt gave another one. The permit of the attempt that gave
-    the answer is left with the request (`leave_slot`).
+    `reason`: of the refusal, if no attempt gave another one. The request keeps the permit of the
+    attempt that gave the reply (`leave_slot`).
     """
     leaders = context.leader(request.route.group)
     while True:
         instance = await leaders.wait(request.hold_until)
         if instance is None:
             return request.give_up(Reason.NO_PRIMARY)
-        lent = await _lend(context, request, instance)
-        if lent is not None and not leaders.may_use(instance):
-            # The lease ran out while the connection was waited for.
-            lent.release()
+        pooled = await _acquire(context, request, instance)
+        if pooled is not None and not leaders.may_use(instance):
+            # The lease expired while waiting for the connection.
+            pooled.release()
             request.leave_slot()
             continue
-        if lent is not None and not _leads_on(leaders, lent):
-            lent.connection.close()
-            lent.release()
+        if pooled is not None and not _has_expected_log(leaders, pooled):
+            pooled.connection.close()
+            pooled.release()
             request.leave_slot()
             continue
-        if lent is not None and request.withdrawn:
-            lent.release()
+        if pooled is not None and request.withdrawn:
+            pooled.release()
             request.leave_slot()
             return request.give_up(reason)
-        if lent is not None:
-            reply = await attempt(lent)
+        if pooled is not None:
+            reply = await attempt(pooled)
             if reply is not None:
                 return reply
         request.leave_slot()
@@ -67,22 +68,22 @@
             await asyncio.sleep(BUSY_PAUSE)
 
 
-def _leads_on(leaders: LeaderTracker, lent: PooledConnection) -> bool:
-    """Whether the database at a new connection has the log that this node knows of.
+def _has_expected_log(leaders: LeaderTracker, pooled: PooledConnection) -> bool:
+    """Whether the database at a new connection still has the log that this node knows of.
 
-    It may have started again without it, before anything else told so.
+    It may have restarted without its log before anything else reports that.
     """
-    if not lent.is_fresh:
+    if not pooled.is_fresh:
         return True
-    return leaders.has_expected_log(lent.instance, lent.connection.position, lent.dialled_at)
+    return leaders.has_expected_log(pooled.instance, pooled.connection.position, pooled.dialled_at)
 
 
-async def _lend(
+async def _acquire(
     context: GatewayContext, request: Request, instance: InstanceId
 ) -> PooledConnection | None:
-    """Return a connection to the leader; None: there was none, and the leader is looked at.
+    """Acquire a slot permit for the request and a connection to the leader.
 
-    The request has a permit for a slot there then.
+    Returns None on failure, after recording it; if the leader cannot be reached, it is rejected.
     """
     leaders = context.leader(request.route.group)
     pool = context.placement.pools.get(instance)
@@ -106,10 +107,10 @@
 
 
 def time_to_hold(context: GatewayContext, request: Request) -> float:
-    """Return for how long the statement may still wait for a database (seconds)."""
+    """Return how long the statement may still wait for a database (seconds)."""
     return max(MINIMUM_TIME, request.hold_until - context.now())
 
 
 def time_left(context: GatewayContext, request: Request) -> float:
-    """Return how much of the statement's time is left (seconds)."""
+    """Return the time left until the statement's deadline (seconds)."""
     return max(MINIMUM_TIME, request.deadline - context.now())
--- a/src/bramblebeam/services/gateway/load_control.py
+++ b/src/bramblebeam/services/gateway/load_control.py
@@ -1,4 +1,4 @@
-"""Admission, returns and second attempts of one node's statements, where load is decided on."""
+"""Early admission, retry times and second attempts of one node's statements."""
 
 from __future__ import annotations
 
@@ -34,31 +34,31 @@
 
 logger = logging.getLogger(__name__)
 
-FOR_WANT_OF_ROOM = (Reason.QUEUE_FULL, Reason.QUEUE_TIMEOUT, Reason.TOO_MANY_CONNECTIONS)
-"""Reasons of what is refused because others are served."""
+CAPACITY_REASONS = (Reason.QUEUE_FULL, Reason.QUEUE_TIMEOUT, Reason.TOO_MANY_CONNECTIONS)
+"""Reasons of refusals that are due to a lack of capacity."""
 ASSUMED_SERVICE = 0.02
-"""A statement's time at a database that has not answered one yet (seconds)."""
+"""Service time assumed for a database that has not replied to a statement yet (seconds)."""
 _MILLISECONDS = 1_000
 
 
 class LoadControl:
-    """The decisions that concern a statement before and after its queue.
+    """Decides on statements before they enter a queue and after they leave it.
 
-    `known`: what this node was told of the queues. Nothing is decided where `enabled` is False.
+    `known`: the reported loads of the queues. If `enabled` is False, everything is admitted.
     """
 
     def __init__(self, context: GatewayContext) -> None:
         self.enabled = context.overload.enabled
         self.known: KnownLoads = NoKnownLoads()
         self._context = context
-        self._returns = RetrySchedules()
+        self._retry_schedules = RetrySchedules()
         self._budgets = AttemptBudgets()
         self._lowest_priority = 0
 
     def configure(self, table: RouteTable) -> None:
-        """Follow the routes and groups of a configuration."""
+        """Apply the routes and groups of a configuration."""
         groups = frozenset(table.groups)
-        self._returns.keep_only(groups)
+        self._retry_schedules.keep_only(groups)
         self._budgets.keep_only(groups)
         self._context.metrics.admission.keep_only(groups)
         priorities = [route.priority for route in table.routes.values()]
@@ -67,7 +67,7 @@
     # Admission.
 
     def refuse_early(self, request: Request, at_leader: bool) -> Refusal | None:
-        """Return why a statement that begins an operation is not even passed on, or None."""
+        """Refuse a statement that begins an operation, or return None to let it proceed."""
         if not self.enabled:
             return None
         now = self._context.now()
@@ -79,16 +79,16 @@
             record.record_idle_slot(now)
             return None
         work = request.work()
-        returns = is_scheduled_retry(request.session.returns_at, now)
+        is_retry = is_scheduled_retry(request.session.returns_at, now)
         ranks_below = self._lowest_priority - request.route.priority
-        refused = refuse_early(work, known, ranks_below, now, returns)
+        refused = refuse_early(work, known, ranks_below, now, is_retry)
         if refused is None:
             return None
         record.record_refusal(work, known.service.mean, now)
-        return self._refused(request, known, refused, returns)
+        return self._refused(request, known, refused, is_retry)
 
     def _refused(
-        self, request: Request, known: KnownWait, refused: Refused, returns: bool
+        self, request: Request, known: KnownWait, refused: Refused, is_retry: bool
     ) -> Refusal:
         cause = RefusalCause.TOO_LATE
         self._context.metrics.refused_early(cause)
@@ -101,44 +101,44 @@
             cause=cause.value,
             wait_ms=round(known.wait * _MILLISECONDS),
             told_ms_ago=round((self._context.now() - known.reported_at) * _MILLISECONDS),
-            returns=returns,
+            returns=is_retry,
             retry_after_ms=retry_after_ms,
         )
         return Refusal(Verdict.NOT_RUN, Reason.QUEUE_FULL, "", retry_after_ms)
 
-    # Returns.
+    # Retries.
 
     def add_retry_delay(self, request: Request, reply: Reply) -> Reply:
-        """Add to a refusal for want of room when its caller comes back.
+        """Add a retry delay to a refusal for lack of capacity.
 
-        One of another node holds that node's moment already.
+        A refusal by another node already contains that node's delay.
         """
         refusal = reply.refusal
         if request.passed_on and request.no_slot is None:
             return reply
-        if not self.enabled or refusal is None or not is_for_want_of_room(refusal):
+        if not self.enabled or refusal is None or not is_capacity_refusal(refusal):
             return reply
         if request.no_slot is not None:
             self._context.metrics.refused_early(RefusalCause.TOO_LATE)
-        told_ms = refusal.retry_after_ms or DEFAULT_RETRY_AFTER_MS.get(refusal.reason, 0)
-        retry_after_ms = self.schedule_retry(request, told_ms / _MILLISECONDS)
+        delay_ms = refusal.retry_after_ms or DEFAULT_RETRY_AFTER_MS.get(refusal.reason, 0)
+        retry_after_ms = self.schedule_retry(request, delay_ms / _MILLISECONDS)
         return reply._replace(refusal=refusal._replace(retry_after_ms=retry_after_ms))
 
     def schedule_retry(self, request: Request, room_in: float) -> int:
-        """Return after how long a refused caller comes back (milliseconds, at least 1).
+        """Return the delay after which a refused caller should retry (milliseconds, at least 1).
 
-        `room_in`: until there is room for it, as far as that is known (seconds).
+        `room_in`: expected time until there is capacity (seconds).
         """
         group = request.route.group
         at_leader = self._context.runs_at_leader(request.route, request.writes)
-        schedule = self._returns.of(group, at_leader)
-        outlook = CapacityEstimate(room_in, self._pace(group, at_leader))
-        longest = MAX_RETRY_TIMEOUTS * request.route.timeout
-        told = schedule.assign(outlook, longest, self._context.now())
-        return max(1, round(told.after * _MILLISECONDS))
-
-    def _pace(self, group: GroupId, at_leader: bool) -> float:
-        """Return how long it takes until one more statement has ended there (seconds)."""
+        schedule = self._retry_schedules.of(group, at_leader)
+        estimate = CapacityEstimate(room_in, self._completion_interval(group, at_leader))
+        max_delay = MAX_RETRY_TIMEOUTS * request.route.timeout
+        retry = schedule.assign(estimate, max_delay, self._context.now())
+        return max(1, round(retry.after * _MILLISECONDS))
+
+    def _completion_interval(self, group: GroupId, at_leader: bool) -> float:
+        """Return the mean time between two completed statements there (seconds)."""
         members = self._context.placement.members(group)
         latencies = [pool.latency for pool in members if pool.latency]
         service = min(latencies, default=ASSUMED_SERVICE)
@@ -148,11 +148,11 @@
     def record_reply(
         self, session: StatementSession, route: Route | None, reply: Reply, arrived: float
     ) -> None:
-        """Note what a caller was told, and whether it waited for that in vain."""
+        """Record the reply to a caller; if it is a refusal, also whether its wait was wasted."""
         refusal = reply.refusal
         if not self.enabled or route is None:
             return
-        if refusal is None or not is_for_want_of_room(refusal):
+        if refusal is None or not is_capacity_refusal(refusal):
             session.returns_at = None
             return
         now = self._context.now()
@@ -164,13 +164,13 @@
     # Second attempts.
 
     def record_first_attempt(self, request: Request) -> None:
-        """Note that a statement goes to a database for the first time."""
+        """Record that a statement is sent to a database for the first time."""
         self._budgets.of(request.route.group).record_first_attempt()
 
     def may_try_again(self, request: Request) -> bool:
-        """Whether a statement without an answer may be sent once more, beside or after the first.
+        """Take a second attempt from the budget for a statement without a reply; False: denied.
 
-        Asking takes it from the budget.
+        The attempt may be sent while the first one is still in flight, or after it.
         """
         if not self.enabled:
             return True
@@ -192,9 +192,9 @@
         return False
 
     def _own_wait(self, group: GroupId, at_leader: bool) -> float:
-        """Return how long a statement waits at the databases that this node runs them at (seconds).
+        """Return the shortest wait at databases that this node runs statements at (seconds).
 
-        Where it has nothing under way there it does not know.
+        0 if it has no statements in flight there, as the wait is unknown then.
         """
         tracker = self._context.known_leader(group) if at_leader else None
         leader = None if tracker is None else tracker.leader
@@ -208,11 +208,11 @@
         return min(waits, default=0.0)
 
     def most_attempts(self, request: Request, own: int) -> int:
-        """Return how often a read may be sent side by side: by its route, at most `own`."""
-        told = request.route.most_attempts
-        return min(own, told) if self.enabled and told else own
+        """Return the number of concurrent attempts of a read: by its route, at most `own`."""
+        configured = request.route.most_attempts
+        return min(own, configured) if self.enabled and configured else own
 
 
-def is_for_want_of_room(refusal: Refusal) -> bool:
-    """Whether a statement was refused, and has not run, because others are served."""
-    return refusal.verdict is Verdict.NOT_RUN and refusal.reason in FOR_WANT_OF_ROOM
+def is_capacity_refusal(refusal: Refusal) -> bool:
+    """Whether a statement was refused for lack of capacity and has not run."""
+    return refusal.verdict is Verdict.NOT_RUN and refusal.reason in CAPACITY_REASONS
--- a/src/bramblebeam/services/gateway/member_probes.py
+++ b/src/bramblebeam/services/gateway/member_probes.py
@@ -1,4 +1,4 @@
-"""Questions to one database: does it lead its group, and what does it say of itself?"""
+"""Probes of one database: whether it leads its group, its position and its status."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 )
 from bramblebeam.services.waiting import loop_time
 
-SECOND_ASK_SHARE = 0.4
-"""After this part of the time without an answer the question is put on another connection too."""
+SECOND_PROBE_SHARE = 0.4
+"""Part of the timeout after which a probe without a reply is repeated on another connection."""
 
 
 class ProbeFailedError(Exception):
-    """The database could not be asked, or gave no answer in time.
+    """The database could not be queried, or did not reply in time.
 
     `is_gone`: nothing listens at its address, or another database does.
     """
@@ -35,12 +35,11 @@
 
 
 class MemberAnswer(NamedTuple):
-    """What a database answered, asked at `asked_at` on a connection that was open at `opened_at`.
+    """A database's reply to a probe (times: monotonic clock, seconds).
 
-    Times are seconds of the steady clock.
-
-    `leads`: it took a BEGIN that may write, or says that it is the primary. `position`: of the
-    state that it serves from. `status`: None where it was too busy to tell.
+    `opened_at`: when the connection was opened. `queried_at`: when the probe was sent. `leads`: the
+    database accepted a BEGIN that may write, or reports that it is the primary. `position`: that of
+    the state it serves from. `status`: None if it was too busy to report it.
     """
 
     instance: InstanceId
@@ -51,76 +50,80 @@
     status: MemberStatus | None = None
 
 
-Question = Callable[[PooledConnection, float, float], Awaitable[MemberAnswer | None]]
-"""Asks on a connection, at a time (steady clock), for so many seconds at most."""
+Probe = Callable[[PooledConnection, float, float], Awaitable[MemberAnswer | None]]
+"""Probes a database: on a connection, from a time (monotonic clock), with a timeout (seconds)."""
 
 
 class MemberProbes:
-    """Asks databases on the connections of their pools."""
+    """Probes databases on the connections of their pools."""
 
     def __init__(self, placement: Placement) -> None:
         self._placement = placement
 
     async def prove(self, instance: InstanceId, timeout: float) -> MemberAnswer | None:
-        """Ask for a BEGIN, which takes no slot. None: no news. Raises ProbeFailedError."""
-        return await self._ask(instance, timeout, _begin)
+        """Send a BEGIN that may write, which takes no slot.
+
+        Returns None if the result is inconclusive. Raises ProbeFailedError.
+        """
+        return await self._run(instance, timeout, _begin)
 
     async def find(self, instance: InstanceId, timeout: float) -> MemberAnswer | None:
-        """Ask for a BEGIN, and one that takes it for its status too.
+        """Send a BEGIN that may write; if the database accepts it, query its status too.
 
-        None: no news. Raises ProbeFailedError.
+        Returns None if the result is inconclusive. Raises ProbeFailedError.
         """
         answer = await self.prove(instance, timeout)
         if answer is None or not answer.leads:
             return answer
         return await self.query_status(instance, timeout)
 
-    async def glance(self, instance: InstanceId, timeout: float) -> MemberAnswer | None:
-        """Ask a replica how far it is. None: no news. Raises ProbeFailedError."""
-        return await self._ask(instance, timeout, _glance)
+    async def query_position(self, instance: InstanceId, timeout: float) -> MemberAnswer | None:
+        """Query a replica's position, by a read-only BEGIN.
+
+        Returns None if the result is inconclusive. Raises ProbeFailedError.
+        """
+        return await self._run(instance, timeout, _query_position)
 
     async def query_status(self, instance: InstanceId, timeout: float) -> MemberAnswer | None:
-        """Ask for the status, or for a BEGIN where the database is too busy for that.
+        """Query the status, or send a BEGIN if the database is too busy for that.
 
-        None: no news. Raises ProbeFailedError.
+        Returns None if the result is inconclusive. Raises ProbeFailedError.
         """
-        return await self._ask(instance, timeout, _status)
+        return await self._run(instance, timeout, _query_status)
 
-    async def _ask(
-        self, instance: InstanceId, timeout: float, question: Question
-    ) -> MemberAnswer | None:
-        """Ask on a pooled connection, and on another one too when that one is silent for long.
+    async def _run(self, instance: InstanceId, timeout: float, probe: Probe) -> MemberAnswer | None:
+        """Probe on a pooled connection; if its reply is late, repeat the probe on another one.
 
-        A connection may be silent while the database is well.
+        A connection may be unresponsive although the database is healthy.
         """
-        lent = await self._lend(instance, timeout)
-        if lent is None:
+        pooled = await self._acquire(instance, timeout)
+        if pooled is None:
             return None
-        is_fresh, asked_at = lent.is_fresh, loop_time()
-        first = asyncio.ensure_future(_on(lent, timeout, question))
+        is_fresh, queried_at = pooled.is_fresh, loop_time()
+        first = asyncio.ensure_future(_run_on(pooled, timeout, probe))
         attempts = {first}
         try:
-            await asyncio.wait(attempts, timeout=timeout * SECOND_ASK_SHARE)
+            await asyncio.wait(attempts, timeout=timeout * SECOND_PROBE_SHARE)
             if not first.done() and not is_fresh:
-                lent.pool.expire_connections(asked_at)
-                rest = timeout * (1 - SECOND_ASK_SHARE)
-                attempts.add(asyncio.ensure_future(self._again(instance, rest, question)))
+                pooled.pool.expire_connections(queried_at)
+                remaining = timeout * (1 - SECOND_PROBE_SHARE)
+                attempts.add(asyncio.ensure_future(self._repeat(instance, remaining, probe)))
             answer = await _first_success(attempts)
             if answer is not None and not first.done():
-                lent.pool.suspect_connections(asked_at)
+                pooled.pool.suspect_connections(queried_at)
             return answer
         finally:
             for attempt in attempts:
                 attempt.cancel()
 
-    async def _again(
-        self, instance: InstanceId, timeout: float, question: Question
+    async def _repeat(
+        self, instance: InstanceId, timeout: float, probe: Probe
     ) -> MemberAnswer | None:
-        lent = await self._lend(instance, timeout)
-        return None if lent is None else await _on(lent, timeout, question)
+        pooled = await self._acquire(instance, timeout)
+        return None if pooled is None else await _run_on(pooled, timeout, probe)
 
-    async def _lend(self, instance: InstanceId, timeout: float) -> PooledConnection | None:
-        """Return a connection, or None where all are in use at a database that is well."""
+    async def _acquire(self, instance: InstanceId, timeout: float) -> PooledConnection | None:
+        """Return a connection, or None if all are in use at a healthy database."""
         pool = self._placement.pools.get(instance)
         if pool is None:
             raise ProbeFailedError("it is not registered")
@@ -136,23 +139,23 @@
         return None
 
 
-async def _on(lent: PooledConnection, timeout: float, question: Question) -> MemberAnswer | None:
-    """Ask on a lent connection, and give it back."""
-    asked_at = loop_time()
+async def _run_on(pooled: PooledConnection, timeout: float, probe: Probe) -> MemberAnswer | None:
+    """Probe on a connection, and release it."""
+    queried_at = loop_time()
     try:
-        answer = await question(lent, asked_at, timeout)
+        answer = await probe(pooled, queried_at, timeout)
     except ConnectionLostError as error:
-        if loop_time() - asked_at >= timeout - CLOCK_STEP:
-            lent.pool.record_unresponsive()
+        if loop_time() - queried_at >= timeout - CLOCK_STEP:
+            pooled.pool.record_unresponsive()
         raise ProbeFailedError(str(error)) from error
     finally:
-        lent.release()
-    _heard(lent)
+        pooled.release()
+    _record_received(pooled)
     return answer
 
 
 async def _first_success(attempts: set[asyncio.Task[MemberAnswer | None]]) -> MemberAnswer | None:
-    """Return the first answer; raise ProbeFailedError where every attempt was in vain."""
+    """Return the first reply; raise ProbeFailedError if every attempt failed."""
     pending = attempts
     while True:
         done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
@@ -163,28 +166,36 @@
             return done.pop().result()
 
 
-async def _begin(lent: PooledConnection, asked_at: float, timeout: float) -> MemberAnswer | None:
-    begin, _ = await lent.run_at_once([Command(BEGIN), Command(ROLLBACK)], timeout)
+async def _begin(
+    pooled: PooledConnection, queried_at: float, timeout: float
+) -> MemberAnswer | None:
+    begin, _ = await pooled.run_at_once([Command(BEGIN), Command(ROLLBACK)], timeout)
     refusal = begin.refusal
     if refusal is not None and refusal.reason is not Reason.STALE_TERM:
         return None
-    return MemberAnswer(lent.instance, lent.opened_at, asked_at, refusal is None, begin.position)
+    return MemberAnswer(
+        pooled.instance, pooled.opened_at, queried_at, refusal is None, begin.position
+    )
 
 
-async def _glance(lent: PooledConnection, asked_at: float, timeout: float) -> MemberAnswer | None:
-    begin, _ = await lent.run_at_once([Command(BEGIN_READ), Command(ROLLBACK)], timeout)
-    return MemberAnswer(lent.instance, lent.opened_at, asked_at, False, begin.position)
+async def _query_position(
+    pooled: PooledConnection, queried_at: float, timeout: float
+) -> MemberAnswer | None:
+    begin, _ = await pooled.run_at_once([Command(BEGIN_READ), Command(ROLLBACK)], timeout)
+    return MemberAnswer(pooled.instance, pooled.opened_at, queried_at, False, begin.position)
 
 
-async def _status(lent: PooledConnection, asked_at: float, timeout: float) -> MemberAnswer | None:
-    status = await lent.query(lambda connection: connection.status(timeout))
+async def _query_status(
+    pooled: PooledConnection, queried_at: float, timeout: float
+) -> MemberAnswer | None:
+    status = await pooled.query(lambda connection: connection.status(timeout))
     if status is None:
-        return await _begin(lent, asked_at, timeout)
+        return await _begin(pooled, queried_at, timeout)
     return MemberAnswer(
-        lent.instance, lent.opened_at, asked_at, status.is_primary, status.received, status
+        pooled.instance, pooled.opened_at, queried_at, status.is_primary, status.received, status
     )
 
 
-def _heard(lent: PooledConnection) -> None:
-    lent.pool.received_at = loop_time()
-    lent.pool.unresponsive_since = None
+def _record_received(pooled: PooledConnection) -> None:
+    pooled.pool.received_at = loop_time()
+    pooled.pool.unresponsive_since = None
--- a/src/bramblebeam/services/gateway/placement.py
+++ b/src/bramblebeam/services/gateway/placement.py
@@ -1,4 +1,4 @@
-"""The pools of this node, and the database that a read is sent to."""
+"""This node's connection pools, and the choice of the database that a read is sent to."""
 
 from __future__ import annotations
 
@@ -22,62 +22,64 @@
 from bramblebeam.services.waiting import loop_time
 
 CONNECTION_SHARE = 3
-"""One node opens at most this part of a database's connections."""
-LEAST_CONNECTIONS = 2
+"""One node opens at most one connection in this many that a database accepts."""
+MINIMUM_CONNECTIONS = 2
+"""Minimum share of a serving node."""
 DEFAULT_CONNECTIONS = 8
+"""Share of a serving node if the group's settings are unknown."""
 FALLBACK_CONNECTIONS = 2
-"""Of a node that does not serve the group and can reach none that does."""
+"""Connections of a node that doesn't serve the group and can't reach a node that does."""
 FAR_CONNECTIONS = 2
-"""Of a node that serves tenants, to a database of another region: one for questions to the database
-and one for a statement."""
+"""Connections of a node that serves tenants to a database of another region: one for probes and one
+for a statement."""
 SPARE_CONNECTIONS = 2
-"""A connection that was closed for another counts at the database until it has heard of that."""
+"""Connections left unused, as the database counts a closed connection until it learns of that."""
 ASSUMED_LATENCY = 0.02
-"""Seconds, for a database that has not answered a statement yet."""
+"""Latency assumed for a database that has not replied to a statement yet (seconds)."""
 DISTANCE_PENALTY = {Distance.ZONE: 0.0, Distance.REGION: 0.002, Distance.ELSEWHERE: 0.02}
-"""What a read's expected time is raised by (seconds), beside the way that its database's latency
-holds already: bytes between zones cost little, bytes between regions much."""
+"""Added to a read's expected time (seconds). The measured latency already includes the network
+delay; this is for the cost of traffic, which is low between zones and high between regions."""
 LEADER_PENALTY = 0.05
-"""Where connections belong to tenants, a replica may take so much longer for a read (seconds): as
-long as it takes to open two connections."""
+"""Added to a read's expected time at a leader if connections belong to tenants (seconds). It is the
+time to open two connections."""
 BEHIND_SECONDS = 0.1
-"""A replica that lacked a floor is not asked for so long."""
+"""How long a replica that lacked a read's floor gets no reads."""
 
 
 class GroupOwners(Protocol):
-    """Tells which nodes serve a group."""
+    """Knows which nodes serve a group, and where they are."""
 
     def serves(self, group: GroupId) -> bool:
-        """Whether this node does."""
+        """Whether this node serves the group."""
 
     def owner_count(self, group: GroupId) -> int:
-        """Return how many nodes do, at least one."""
+        """Return the number of nodes that serve the group, at least 1."""
 
     def distance(self, zone: ZoneId) -> Distance:
         """Return how far a zone is from this node."""
 
     @property
     def seen_share(self) -> float:
-        """Return how many of the nodes that are known are seen to run, 0 to 1."""
+        """Share of the known nodes that are seen to be running (0 to 1)."""
 
     def near_servers(self, zone: ZoneId) -> int:
-        """Return how many of the nodes that serve tenants are in a zone's region."""
+        """Return the number of nodes serving tenants in a zone's region."""
 
     def slots_a_node(self, group: GroupId, slots: int) -> float:
         """Return this node's even share of the slots of one of the group's databases."""
 
     @property
     def decides_on_load(self) -> bool:
-        """Whether one node near each database decides which statements run there."""
+        """Whether one node near each database controls the load there."""
 
     def runs_database(self, group: GroupId, zone: ZoneId) -> bool:
-        """Whether this node is the one that runs the statements for a database in `zone`."""
+        """Whether this node runs all statements for the group's database in `zone`."""
 
 
 class Placement:
-    """Keeps one pool a registered database, and chooses among them.
+    """Keeps one pool per registered database, and chooses among them.
 
-    `targets` chooses where load decides; None: by latency and distance alone.
+    `targets`: chooses by reported load; None: the choice is by latency and distance alone.
     """
 
     def __init__(
@@ -100,7 +102,7 @@
         self._behind_until: dict[InstanceId, float] = {}
 
     def configure(self, table: RouteTable) -> None:
-        """Take the limits of a new route table."""
+        """Apply the limits of a new route table."""
         self._table = table
         self.review()
 
@@ -113,7 +115,7 @@
                 pool.slots.allow(*self._slot_bounds(pool.entry))
 
     def update(self, directory: DatabaseDirectory) -> None:
-        """Follow the directory: open pools for new databases, close those of former ones."""
+        """Apply the directory: create pools of new databases, and close those of removed ones."""
         self._directory = directory
         self._departed = list(directory.departed.values())
         for instance, entry in directory.entries.items():
@@ -140,22 +142,22 @@
         self.review()
 
     def departed(self, group: GroupId) -> list[DatabaseEntry]:
-        """Return the group's databases that left a while ago and may still run."""
+        """Return the group's databases that left recently and may still be running."""
         return [entry for entry in self._departed if entry.group == group]
 
     def instance_named(self, group: GroupId, name: ServerName) -> InstanceId:
-        """Return the instance registered under a name, or the plain name for want of one."""
+        """Return the instance registered under a name, or the plain name if there is none."""
         found = (pool.entry.instance for pool in self.members(group))
         named = (instance for instance in found if server_name(instance) == name)
         return next(named, InstanceId(name))
 
     def restarted(self, group: GroupId) -> list[InstanceId]:
-        """Return the group's databases that are known to have started again under their name."""
+        """Return the group's databases that are known to have restarted under their name."""
         found = (pool.entry.instance for pool in self.members(group))
         return [instance for instance in found if instance in self._directory.restarted]
 
     def slots(self, group: GroupId) -> int:
-        """Return how many statements the group's largest database runs at a time, at least 1."""
+        """Return the number of slots of the group's largest database, at least 1."""
         return max((pool.entry.slots for pool in self.members(group)), default=1)
 
     def members(self, group: GroupId) -> list[DatabasePool]:
@@ -163,7 +165,7 @@
         return self._by_group.get(group, [])
 
     def registered_leader(self, group: GroupId) -> DatabaseEntry | None:
-        """Return the database that says it leads the group; None: none does, or two do."""
+        """Return the database registered as the group's primary; None unless it is exactly one."""
         leading = [
             pool.entry
             for pool in self.members(group)
@@ -172,11 +174,11 @@
         return leading[0] if len(leading) == 1 else None
 
     def replica_zones(self, group: GroupId) -> tuple[ZoneId, ...]:
-        """Return where the group's databases are that take reads and do not lead."""
+        """Return the zones of the group's replicas that serve reads."""
         return self._replica_zones.get(group, ())
 
     def far_members(self, group: GroupId) -> set[InstanceId]:
-        """Return the group's databases in other regions than this node's."""
+        """Return the group's databases outside of this node's region."""
         return {
             pool.entry.instance
             for pool in self.members(group)
@@ -184,19 +186,19 @@
         }
 
     def by_distance(self, group: GroupId) -> list[DatabasePool]:
-        """Return the pools of a group's databases, those that will answer first in front."""
+        """Return the pools of a group's databases, by the expected time of a reply."""
         return sorted(
             self.members(group),
             key=lambda pool: (
                 pool.unresponsive,
                 pool.entry.leaving,
                 self._owners.distance(pool.entry.zone),
-                self._expected(pool),
+                self._expected_seconds(pool),
             ),
         )
 
     def close_idle(self) -> None:
-        """Close connections that have rested for long."""
+        """Close connections that have been idle for too long."""
         now = loop_time()
         for pool in self.pools.values():
             pool.close_idle(now)
@@ -209,11 +211,11 @@
         self._by_group.clear()
 
     def reopen(self) -> None:
-        """Make pools for the databases last known."""
+        """Create pools for the databases last known."""
         self.update(self._directory)
 
     def record_behind(self, instance: InstanceId) -> None:
-        """Note that a database lacked a read's floor."""
+        """Record that a database was behind a read's floor."""
         if self.targets is not None:
             if instance in self.pools:
                 self.targets.was_behind(self.pools[instance])
@@ -227,9 +229,9 @@
         excluded: Collection[InstanceId],
         stays: bool = False,
     ) -> DatabasePool | None:
-        """Return the pool that will probably answer a tenant's read first, or None.
+        """Return the pool expected to reply first to a tenant's read, or None.
 
-        `stays`: the read begins a transaction, whose statements all pay for the way.
+        `stays`: the read begins a transaction, each statement of which has the network delay.
         """
         now = loop_time()
         candidates = [
@@ -247,51 +249,51 @@
 
         def expected(pool: DatabasePool) -> float:
             opening = 0.0 if pool.has_idle(tenant) else pool.open_seconds
-            return self._expected(pool) + opening + self._leader_penalty(pool)
+            return self._expected_seconds(pool) + opening + self._leader_penalty(pool)
 
         return min(responsive or candidates, key=expected, default=None)
 
     def choose_behind(
         self, group: GroupId, tenant: TenantId, excluded: Collection[InstanceId]
     ) -> DatabasePool | None:
-        """Return the pool of a database that was behind a moment ago, for a read refused elsewhere.
+        """Return the pool of a database that was recently behind, for a read refused elsewhere.
 
-        It may have caught up, or have what this read needs. None: none is left, or load decides
-        nothing here.
+        It may have caught up, or already have what this read needs. Returns None if none is left,
+        or if the choice is not by load.
         """
         if self.targets is None:
             return None
         left = [pool for pool in self.members(group) if pool.entry.instance not in excluded]
-        taken = [pool for pool in left if not pool.entry.leaving or pool.entry.lapsed]
-        return self.targets.choose(taken, tenant, asks_behind=True)
+        candidates = [pool for pool in left if not pool.entry.leaving or pool.entry.lapsed]
+        return self.targets.choose(candidates, tenant, asks_behind=True)
 
     def loads(self, group: GroupId) -> tuple[DatabaseLoad, ...]:
-        """Return what other nodes are told of the group's databases, where load decides."""
+        """Return the loads of the group's databases to report to other nodes."""
         return NO_LOADS if self.targets is None else self.targets.loads(self.members(group))
 
     def record_served(self, pool: DatabasePool, seconds: float) -> None:
-        """Note a read that was served within `seconds`."""
+        """Record a read that was served in `seconds`."""
         if self.targets is not None:
             self.targets.served(pool, seconds)
 
     def record_failure(self, pool: DatabasePool, refusal: Refusal, began: float) -> None:
-        """Note an attempt in vain that was begun then (steady clock, seconds)."""
+        """Record a failed attempt that started at `began` (monotonic clock, seconds)."""
         if self.targets is not None:
             self.targets.failed(pool, refusal, began)
 
     def is_unresponsive(self, pool: DatabasePool) -> bool:
-        """Whether a database gets no reads as it gave no answers, where load decides."""
+        """Whether the choice by load avoids a database because it did not reply."""
         return self.targets is not None and self.targets.is_silent(pool)
 
     def handle_reported_loads(self, loads: tuple[DatabaseLoad, ...]) -> None:
-        """Take what another node told of databases."""
+        """Handle the loads of databases that another node reports."""
         if self.targets is not None:
             self.targets.take_told(loads)
 
-    def _expected(self, pool: DatabasePool) -> float:
-        """Return how long a read will probably take (seconds).
+    def _expected_seconds(self, pool: DatabasePool) -> float:
+        """Return the expected time of a read, including the distance penalty (seconds).
 
-        What this node has under way there delays it only beyond the node's share of the slots.
+        This node's statements in flight delay it only if they exceed the node's share of slots.
         """
         latency = pool.latency or ASSUMED_LATENCY
         share = self._owners.slots_a_node(pool.entry.group, pool.entry.slots)
@@ -299,27 +301,27 @@
         return latency * rounds + DISTANCE_PENALTY[self._owners.distance(pool.entry.zone)]
 
     def _kept_idle(self, entry: DatabaseEntry) -> int:
-        """Return how many connections to a database stay open though they rest.
+        """Return how many idle connections to a database stay open.
 
-        Where each belongs to one tenant, a new one costs a slot for as long as a statement does, so
-        that a serving node keeps its whole share: all nodes together never keep more than the
-        database takes.
+        If connections belong to tenants, opening one occupies a slot for as long as a statement
+        does, so a serving node keeps its whole share. All nodes together never keep more than the
+        database accepts.
         """
         if not self._owners.serves(entry.group):
             return 0
         return KEPT_IDLE if self._table.tenants is None else self._bounds(entry)[0]
 
     def _leader_penalty(self, pool: DatabasePool) -> float:
-        """Return what a read at a leader counts for beside its time (seconds).
+        """Return the penalty of a read at a leader (seconds).
 
-        Only there can every tenant's writes run: a read that a replica serves as well would take a
+        Every tenant's writes need the leader: a read that a replica can serve would take a
         connection from one of them.
         """
         is_scarce = self._table.tenants is not None and pool.entry.role is Role.PRIMARY
         return LEADER_PENALTY if is_scarce else 0.0
 
     def _bounds(self, entry: DatabaseEntry) -> tuple[int, int]:
-        """Return this node's even share of a database's connections, and the most it may hold."""
+        """Return this node's even share of a database's connections, and its maximum."""
         group = entry.group
         if not self._owners.serves(group):
             return FALLBACK_CONNECTIONS, FALLBACK_CONNECTIONS
@@ -327,24 +329,24 @@
         if settings is None:
             return DEFAULT_CONNECTIONS, DEFAULT_CONNECTIONS
         if self._owners.decides_on_load:
-            return self._bounds_where_they_meet(entry, settings.maximum_connections)
+            return self._bounds_by_database(entry, settings.maximum_connections)
         if self._table.tenants is not None:
-            share = self._tenants_share(entry)
+            share = self._maximum_for_tenants(entry)
             return max(1, int(share * self._owners.seen_share)), share
         even = settings.maximum_connections // self._owners.owner_count(group)
         most = settings.maximum_connections // CONNECTION_SHARE
-        return max(LEAST_CONNECTIONS, even), max(LEAST_CONNECTIONS, most)
+        return max(MINIMUM_CONNECTIONS, even), max(MINIMUM_CONNECTIONS, most)
 
-    def _bounds_where_they_meet(self, entry: DatabaseEntry, most: int) -> tuple[int, int]:
-        """Return the bounds where one node near a database runs its statements.
+    def _bounds_by_database(self, entry: DatabaseEntry, most: int) -> tuple[int, int]:
+        """Return the bounds if one node near a database runs its statements.
 
-        That one may hold all connections but a few for each of the others. Those of its region
-        stand in for it, and may borrow as many; the database refuses what is too much.
+        That node may hold all connections except a few for each other node. The nodes of its region
+        may take its place and borrow as many; the database refuses connections beyond its maximum.
         """
         others = self._owners.owner_count(entry.group) - 1
-        share = max(LEAST_CONNECTIONS, most - SPARE_CONNECTIONS - others * FAR_CONNECTIONS)
+        share = max(MINIMUM_CONNECTIONS, most - SPARE_CONNECTIONS - others * FAR_CONNECTIONS)
         if self._owners.runs_database(entry.group, entry.zone):
-            return max(LEAST_CONNECTIONS, int(share * self._owners.seen_share)), share
+            return max(MINIMUM_CONNECTIONS, int(share * self._owners.seen_share)), share
         if self._owners.distance(entry.zone) is Distance.ELSEWHERE:
             return FAR_CONNECTIONS, FAR_CONNECTIONS
         return FAR_CONNECTIONS, share
@@ -355,10 +357,10 @@
         return SlotQueue(entry.instance, self._overload, entry.slots)
 
     def _slot_bounds(self, entry: DatabaseEntry) -> tuple[int, int]:
-        """Return how many slots of a database this node may fill, and its allowance beside them.
+        """Return how many slots of a database this node may fill, and its allowance beyond them.
 
-        The nodes of its region that run its statements share them; one that stands in there may
-        fill them all. A node of another region has what its few connections carry.
+        The nodes of its region that run its statements share them; a node of the region that takes
+        their place may fill all. A node of another region gets what its few connections can use.
         """
         if self._owners.runs_database(entry.group, entry.zone):
             return entry.slots, self._overload.slot_allowance
@@ -369,24 +371,24 @@
             return max(1, -(-entry.slots // near)), self._overload.slot_allowance
         return entry.slots, self._overload.slot_allowance
 
-    def _tenants_share(self, entry: DatabaseEntry) -> int:
-        """Return how many connections to a database this node holds where each is a tenant's.
+    def _maximum_for_tenants(self, entry: DatabaseEntry) -> int:
+        """Return this node's maximum of connections to a database if they belong to tenants.
 
-        The serving nodes of the database's region share all but a few: they run what goes there.
-        Nodes of other regions have enough to look after the group, and to stand in. While nodes are
-        cut off from each other, each part has its own serving nodes: then this is the most, and a
-        node may always hold its part's share of it (`_bounds`).
+        The serving nodes of the database's region run its statements, and share all connections but
+        a few. Nodes of other regions have enough to watch the group, and to take their place. In a
+        network partition, each side has its own serving nodes: then a node is only sure of its
+        side's share of this maximum (`_bounds`).
         """
         settings = self._table.groups.get(entry.group)
         most = DEFAULT_CONNECTIONS if settings is None else settings.maximum_connections
         serving = self._owners.owner_count(entry.group)
         near = self._owners.near_servers(entry.zone)
         if near == 0:
-            return max(LEAST_CONNECTIONS, (most - SPARE_CONNECTIONS) // serving)
+            return max(MINIMUM_CONNECTIONS, (most - SPARE_CONNECTIONS) // serving)
         if self._owners.distance(entry.zone) is Distance.ELSEWHERE:
             return FAR_CONNECTIONS
         far = (serving - near) * FAR_CONNECTIONS
-        return max(LEAST_CONNECTIONS, (most - SPARE_CONNECTIONS - far) // near)
+        return max(MINIMUM_CONNECTIONS, (most - SPARE_CONNECTIONS - far) // near)
 
 
 def _is_steady_replica(entry: DatabaseEntry) -> bool:
--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -1,4 +1,4 @@
-"""The connections of this node to one database."""
+"""This node's connection pool for one database."""
 
 from __future__ import annotations
 
@@ -25,45 +25,49 @@
 logger = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT = 1.0
+"""Timeout for opening a connection (seconds)."""
 REFUSED_PAUSE = 0.25
-"""After the database refused a connection, none is opened for so long (seconds)."""
+"""Pause before the next connection is opened after the database refused one (seconds)."""
 FAILED_PAUSE = 0.05
-"""As after a refusal, where the database could not be reached."""
+"""The same after the database could not be reached (seconds)."""
 KEPT_IDLE = 1
-"""Connections that stay open however long they rest."""
+"""Connections that stay open however long they are idle."""
 TURN_SECONDS = 0.3
-"""A connection in use goes to its tenant's next statement for so long, as another tenant has to
-open one anew (12 ms of one of its slots). Then one who has waited for so long is next."""
+"""How long a connection goes to its tenant's next statements although another tenant waits, which
+needs a new connection (12 ms of one of the database's slots). After that, a waiter that has waited
+for as long is next."""
 SMOOTHING = 0.2
-SILENCE_SECONDS = 1.0
-"""A database that was silent is passed over for so long, then tried again."""
-PATIENCE = 0.15
-PATIENCE_FACTOR = 5.0
-"""What has no answer after so many times the usual latency, and PATIENCE, is late."""
-LONG_PATIENCE = 1.0
-LONG_PATIENCE_FACTOR = 20.0
-"""What has no answer after so many times the usual latency more, and LONG_PATIENCE, while the
-database answers on other connections, waits on a silent one (seconds)."""
+"""Weight of the newest sample in the running means."""
+UNRESPONSIVE_SECONDS = 1.0
+"""How long an unresponsive database is avoided before it is tried again."""
+LATE_SECONDS = 0.15
+LATE_FACTOR = 5.0
+"""A reply is late after this multiple of the usual latency, and after at least LATE_SECONDS."""
+GRACE_SECONDS = 1.0
+GRACE_FACTOR = 20.0
+"""A late reply is lost after a further multiple of the usual latency, and after at least
+GRACE_SECONDS, if the database replies on other connections in the meantime."""
 
 
 class DatabasePool:
-    """Opens, lends and closes connections to one database.
+    """Opens and closes connections to one database, and checks them out.
 
-    A connection is lent to one statement or transaction at a time. `budget` bounds those that are
-    open; `kept_idle`: as many stay open though they rest. `latency` is a running mean of
-    a statement's time there, `open_seconds` of the time to open a connection (seconds; 0: not known
-    yet), `heard_at` when the database last said anything. `is_gone`: nothing listened there when a
-    connection was last tried.
+    A connection is checked out by one statement or transaction at a time. `budget` limits the open
+    connections; `kept_idle` is how many stay open while idle. `latency` is a running mean of a
+    statement's time at the database, `open_seconds` of the time to open a connection (seconds; 0 if
+    unknown). `received_at`: when anything was last received from the database. `is_gone`: nothing
+    listened at its address at the last attempt to connect.
 
-    A connection carries one tenant's statements only. One that rests is closed where another tenant
-    needs one and no further may be opened.
+    A connection carries the statements of one tenant only. An idle one is closed if another tenant
+    needs a connection and the budget allows no more.
 
-    Connections may go silent together. Once one gave no answer in time, those that were last heard
-    of before it was asked are not lent again (`distrust_idle`). Where the answer would have come at
-    once, those that are lent are silent too as far as is known (`silenced`): what may be repeated
-    is given up on them, and a transaction's COMMIT is not sent.
+    Connections may become unresponsive together, as on a partition. After a late reply, connections
+    that have received nothing since its query was sent are not checked out again
+    (`expire_connections`). If the reply should have been immediate, connections in use that have
+    received nothing since are suspect too (`suspect_connections`): statements that may be repeated
+    are abandoned on them, and a transaction's COMMIT is not sent.
 
-    `slots`: the queue for the database's slots, None: connections alone bound the work.
+    `slots`: the queue for the database's slots; None if only connections limit the work.
     """
 
     def __init__(
@@ -88,70 +92,70 @@
         self._checked_out: set[PooledConnection] = set()
         self._opening: dict[asyncio.Task[None], TenantId] = {}
         self._waiters = Waiters()
-        self._retry: asyncio.TimerHandle | None = None
+        self._open_timer: asyncio.TimerHandle | None = None
         self._refused_until = 0.0
-        self._trusted_since = float("-inf")
-        self._silent_before = float("-inf")
+        self._valid_since = float("-inf")
+        self._suspect_before = float("-inf")
         self._closed = False
 
     @property
     def late_after(self) -> float:
-        """After how long an answer is late (seconds)."""
-        return max(PATIENCE, PATIENCE_FACTOR * self.latency)
+        """Time after which a reply is late (seconds)."""
+        return max(LATE_SECONDS, LATE_FACTOR * self.latency)
 
     @property
     def grace_period(self) -> float:
-        """After how long more a late answer does not come any more (seconds)."""
-        return max(LONG_PATIENCE, LONG_PATIENCE_FACTOR * self.latency)
+        """Further time after which a late reply counts as lost (seconds)."""
+        return max(GRACE_SECONDS, GRACE_FACTOR * self.latency)
 
     @property
     def checked_out(self) -> int:
-        """Connections in use by statements and transactions."""
+        """Number of connections in use by statements and transactions."""
         return len(self._checked_out)
 
     @property
     def load(self) -> int:
-        """Statements and transactions that hold a connection, or wait for one or for a slot."""
+        """Number of statements and transactions that use or wait for a connection or a slot."""
         waiting = 0 if self.slots is None else self.slots.waiting
         return len(self._checked_out) + len(self._waiters) + waiting
 
     @property
     def unresponsive(self) -> bool:
-        """Whether the database was silent a moment ago."""
+        """Whether the database recently failed to reply."""
         if self.unresponsive_since is None:
             return False
-        return loop_time() - self.unresponsive_since < SILENCE_SECONDS
+        return loop_time() - self.unresponsive_since < UNRESPONSIVE_SECONDS
 
     def has_idle(self, tenant: TenantId) -> bool:
-        """Whether a connection of the tenant rests here, so that none needs to be opened."""
+        """Whether a connection of the tenant is idle, so that none needs to be opened."""
         return self._idle.has(tenant)
 
     async def enter(self, work: Work) -> Permit:
-        """Wait until a statement may be under way. Raises NoSlotError, ConnectError."""
+        """Wait until a statement may be sent. Raises NoSlotError, ConnectError."""
         return unbounded() if self.slots is None else await self.slots.enter(work)
 
     async def acquire(
         self, tenant: TenantId, session: SessionState, timeout: float
     ) -> PooledConnection:
-        """Lend the tenant's connection that suits the session best.
+        """Check out the tenant's connection whose state is closest to the session's.
 
         Raises ConnectError, TimeoutError (`timeout` in seconds).
         """
         self._usage.record(tenant, loop_time())
-        found = self._idle.take(tenant, session)
-        if found is not None:
-            found.turn_since = loop_time()
-            return self._lend(found, is_fresh=False)
+        idle = self._idle.take(tenant, session)
+        if idle is not None:
+            idle.turn_since = loop_time()
+            return self._check_out(idle, is_fresh=False)
         return await self._wait(tenant, timeout)
 
     async def acquire_any(self, timeout: float) -> PooledConnection:
-        """Lend any connection, for the gateway's own questions and before all who wait.
+        """Check out any connection, for the gateway's own queries, ahead of all waiters.
 
         Raises ConnectError, TimeoutError (`timeout` in seconds).
         """
-        found = self._idle.take_any(NO_STATE)
-        if found is not None:
-            return self._lend(found, is_fresh=False)
+        idle = self._idle.take_any(NO_STATE)
+        if idle is not None:
+            return self._check_out(idle, is_fresh=False)
         return await self._wait(None, timeout)
 
     async def _wait(self, tenant: TenantId | None, timeout: float) -> PooledConnection:
@@ -166,7 +170,7 @@
             raise
 
     def _withdraw(self, waiter: Waiter) -> None:
-        """Give back what a waiter that has given up was lent meanwhile."""
+        """Remove a cancelled waiter, and release the connection that it may already have got."""
         future = waiter.future
         if not future.done():
             future.cancel()
@@ -174,28 +178,28 @@
         elif not future.cancelled() and future.exception() is None:
             self.release(future.result())
 
-    def release(self, lent: PooledConnection) -> None:
-        """Take a connection back; a closed one is forgotten."""
-        self._checked_out.discard(lent)
-        if lent.connection.closed:
+    def release(self, pooled: PooledConnection) -> None:
+        """Return a connection to the pool, or drop it if it is closed or expired."""
+        self._checked_out.discard(pooled)
+        if pooled.connection.closed:
             self._open_more()
             return
-        if self._closed or lent.received_at < self._trusted_since:
-            lent.connection.close()
+        if self._closed or pooled.received_at < self._valid_since:
+            pooled.connection.close()
             self._open_more()
             return
-        lent.idle_since = loop_time()
-        self._offer(lent)
+        pooled.idle_since = loop_time()
+        self._offer(pooled)
 
-    def discard(self, lent: PooledConnection) -> None:
-        """Close a connection that is not clean; the database rolls back what is open on it."""
-        lent.connection.close()
-        self.release(lent)
+    def discard(self, pooled: PooledConnection) -> None:
+        """Close and release a connection; the database rolls back its open transaction."""
+        pooled.connection.close()
+        self.release(pooled)
 
     def record_reply(self, seconds: float, refusal: Refusal | None) -> None:
-        """Note that the database answered a statement within `seconds`.
+        """Record that the database replied to a statement after `seconds`.
 
-        A refusal comes fast, and tells nothing of how long a statement takes that is served.
+        Refusals are fast, and are no measure of the time that a served statement takes.
         """
         self.received_at = loop_time()
         self.unresponsive_since = None
@@ -205,53 +209,59 @@
             self.slots.refused()
 
     def record_unresponsive(self) -> None:
-        """Note that the database did not answer in time."""
+        """Record that the database did not reply in time."""
         self.unresponsive_since = loop_time()
 
-    def expire_connections(self, asked_at: float) -> None:
-        """Close idle connections not heard of since one was asked that has not answered yet."""
-        self._trusted_since = max(self._trusted_since, asked_at)
-        self._idle.close_unheard(self._trusted_since)
-
-    def suspect_connections(self, asked_at: float) -> None:
-        """Note that something asked then has no answer, though it would have come at once."""
-        self.expire_connections(asked_at)
-        self._silent_before = max(self._silent_before, asked_at)
-        suspects = [lent for lent in self._checked_out if self.is_suspect(lent)]
-        for lent in suspects:
-            if lent.waiting_since is not None:
-                self.close_when_late(lent)
+    def expire_connections(self, queried_at: float) -> None:
+        """Expire connections that have received nothing since a query whose reply is late.
+
+        Idle ones are closed now, others when they are released.
+        """
+        self._valid_since = max(self._valid_since, queried_at)
+        self._idle.close_not_received(self._valid_since)
+
+    def suspect_connections(self, queried_at: float) -> None:
+        """Expire connections after a query without the reply that should have been immediate.
+
+        Connections in use that have received nothing since are suspect, and are closed when late.
+        """
+        self.expire_connections(queried_at)
+        self._suspect_before = max(self._suspect_before, queried_at)
+        suspects = [pooled for pooled in self._checked_out if self.is_suspect(pooled)]
+        for pooled in suspects:
+            if pooled.waiting_since is not None:
+                self.close_when_late(pooled)
         if suspects:
             self.log_suspects(len(suspects))
         self._open_more()
 
-    def log_suspects(self, lent: int) -> None:
-        """Log how many connections in use are silent."""
+    def log_suspects(self, count: int) -> None:
+        """Log the number of connections in use that are unresponsive."""
         instance = self.entry.instance
-        log_event(logger, DATABASE_CONNECTIONS_SILENT, instance=instance, lent=lent)
+        log_event(logger, DATABASE_CONNECTIONS_SILENT, instance=instance, lent=count)
 
-    def is_suspect(self, lent: PooledConnection) -> bool:
-        """Whether a connection has not been heard of since connections were found to be silent."""
-        return lent.received_at < self._silent_before
+    def is_suspect(self, pooled: PooledConnection) -> bool:
+        """Whether a connection has received nothing since connections became suspect."""
+        return pooled.received_at < self._suspect_before
 
-    def close_when_late(self, lent: PooledConnection) -> None:
-        """Close a silent connection once its answer is late, unless that must be waited for."""
-        asked_at = lent.waiting_since
-        assert asked_at is not None
+    def close_when_late(self, pooled: PooledConnection) -> None:
+        """Close a suspect connection once its reply is late, unless its reply must be awaited."""
+        queried_at = pooled.waiting_since
+        assert queried_at is not None
 
-        def give_up() -> None:
-            if lent.waiting_since == asked_at and not lent.must_wait:
-                lent.connection.close()
+        def close() -> None:
+            if pooled.waiting_since == queried_at and not pooled.must_wait:
+                pooled.connection.close()
 
-        due = asked_at + max(ANSWER_SECONDS, self.late_after)
-        asyncio.get_running_loop().call_at(max(due, loop_time()), give_up)
+        due = queried_at + max(ANSWER_SECONDS, self.late_after)
+        asyncio.get_running_loop().call_at(max(due, loop_time()), close)
 
     def close_idle(self, now: float) -> None:
-        """Close connections that have rested for long."""
-        self._idle.close_rested(self.kept_idle, now)
+        """Close connections that have been idle for too long."""
+        self._idle.close_surplus(self.kept_idle, now)
 
     def close(self) -> None:
-        """Close idle connections; lent ones close when they come back."""
+        """Close idle connections; those in use are closed when they are released."""
         self._closed = True
         self._idle.close_all()
         self._waiters.fail(ConnectError(Reason.LEAVING, "the database has left"))
@@ -259,40 +269,40 @@
             self.slots.close()
 
     def _offer(self, free: PooledConnection, is_fresh: bool = False) -> None:
-        """Lend a free connection to the next whom it is for, or let it rest."""
+        """Give a free connection to the next waiter that it suits, or keep it idle."""
         must_yield = not is_fresh and self._must_yield(free)
         waiter = None if must_yield else self._waiters.pop_for(free.tenant)
         if waiter is not None:
-            waiter.future.set_result(self._lend(free, is_fresh))
+            waiter.future.set_result(self._check_out(free, is_fresh))
             return
         self._idle.add(free)
         if self._waiters:
             self._open_more()
 
     def _must_yield(self, free: PooledConnection) -> bool:
-        """Whether a connection has served its tenant for its turn, and another one's is due."""
+        """Whether the turn of a connection's tenant is over and another tenant waits."""
         due = loop_time() - TURN_SECONDS
         return free.turn_since < due and self._waiters.must_yield(free.tenant, due, self._held())
 
     def _held(self) -> Counter[TenantId]:
-        """Return how many connections each tenant uses."""
-        return Counter(lent.tenant for lent in self._checked_out)
+        """Return the number of connections in use by tenant."""
+        return Counter(pooled.tenant for pooled in self._checked_out)
 
-    def _lend(self, free: PooledConnection, is_fresh: bool) -> PooledConnection:
+    def _check_out(self, free: PooledConnection, is_fresh: bool) -> PooledConnection:
         self._checked_out.add(free)
         free.is_fresh = is_fresh
         return free
 
     def _open_more(self) -> None:
-        """Open connections for those who wait, also in place of resting ones of other tenants."""
+        """Open connections for waiters, closing idle ones of other tenants if necessary."""
         now = loop_time()
         if self._closed or not self._waiters:
             return
         if now < self._refused_until:
             self._open_later()
             return
-        # A silent connection that is waited for must not keep others from being opened.
-        held = sum(not self.is_suspect(lent) for lent in self._checked_out)
+        # A suspect connection that is still in use must not prevent others from being opened.
+        held = sum(not self.is_suspect(pooled) for pooled in self._checked_out)
         room = self.budget.limit(now) - held - len(self._idle) - len(self._opening)
         for waiter in self._waiters.without_connection(self._opening.values(), self._held()):
             if room > 0:
@@ -302,19 +312,19 @@
             self._start_opening(waiter.opens_for)
 
     def _open_later(self) -> None:
-        """Look again once the database may be asked again."""
-        if self._retry is None:
+        """Retry at the end of the pause after a refusal or failure."""
+        if self._open_timer is None:
             loop = asyncio.get_running_loop()
-            self._retry = loop.call_at(self._refused_until + CLOCK_STEP, self._open_again)
+            self._open_timer = loop.call_at(self._refused_until + CLOCK_STEP, self._open_again)
 
     def _open_again(self) -> None:
-        self._retry = None
+        self._open_timer = None
         self._open_more()
 
     def _start_opening(self, tenant: TenantId) -> None:
         task = asyncio.get_running_loop().create_task(self._open(tenant))
         self._opening[task] = tenant
-        self._waiters.note_turn(tenant)
+        self._waiters.record_turn(tenant)
         task.add_done_callback(lambda done: self._opening.pop(done, None))
 
     async def _open(self, tenant: TenantId) -> None:
@@ -334,11 +344,11 @@
         self.received_at = loop_time()
         self.unresponsive_since = None
         self.is_gone = False
-        self._note_opened(self.received_at - began)
+        self._record_opened(self.received_at - began)
         self._offer(PooledConnection(self, connection, tenant, began), is_fresh=True)
 
-    def _note_opened(self, seconds: float) -> None:
-        """Learn how long it takes to open a connection: a statement's time until there is one."""
+    def _record_opened(self, seconds: float) -> None:
+        """Record the time to open a connection, the first estimate of a statement's latency."""
         if not self.latency:
             self.latency = seconds
         if not self.open_seconds:
@@ -350,8 +360,8 @@
         if error.reason is Reason.TOO_MANY_CONNECTIONS:
             self._refused_until = now + REFUSED_PAUSE
             self.budget.record_refusal(now)
-            is_room_made = self._idle.close_for_room(self._usage, now)
-            if is_room_made or any(not self.is_suspect(lent) for lent in self._checked_out):
+            is_closed = self._idle.close_for_room(self._usage, now)
+            if is_closed or any(not self.is_suspect(pooled) for pooled in self._checked_out):
                 self._open_more()
                 return
         else:
--- a/src/bramblebeam/services/gateway/pooled.py
+++ b/src/bramblebeam/services/gateway/pooled.py
@@ -1,4 +1,4 @@
-"""One connection to a database, lent to one statement or transaction at a time."""
+"""A pooled database connection, checked out by one statement or transaction at a time."""
 
 from __future__ import annotations
 
@@ -21,29 +21,29 @@
     from bramblebeam.services.gateway.pool import DatabasePool
 
 ANSWER_SECONDS = 0.45
-"""What takes no slot is answered at once also by a busy database: one that says nothing for so long
-is silent, or the connection is (seconds)."""
+"""Timeout of commands that take no slot (seconds). Even a busy database replies to them at once:
+without a reply, the database or the connection is unresponsive."""
 CLOCK_STEP = 0.002
-"""The loop's clock moves in milliseconds: a time-out may seem to come earlier than its bound."""
+"""The loop's clock moves in milliseconds, so a timeout may seem to fire too early (seconds)."""
 STALL_SECONDS = 0.1
-"""A timer that fires so late shows that this process stood still, and nothing of the far end."""
+"""A timer that is this late shows a stall of this process, not of the peer (seconds)."""
 
-Answer = TypeVar("Answer")
+Result = TypeVar("Result")
 
 
 class OtherTenantError(RuntimeError):
-    """A statement was about to go over another tenant's connection: a fault of this program."""
+    """A statement was about to be sent on another tenant's connection, which is a bug."""
 
 
 class PooledConnection:
-    """A database connection with the state that it holds, and the pool that it belongs to.
-
-    `tenant`: whose statements it carries, and nobody else's. `heard_at`: when anything came over it
-    last (steady clock, seconds). `is_fresh`: it was opened for whoever has it. `asked_at`: since
-    when an answer is waited for, None: it rests. `must_wait`: what was asked may run once only, so
-    that the answer is waited for to the end. `turn_since`: since when its tenant uses it without a
-    rest (steady clock, seconds). `dialled_at`: when it began to be opened. `opened_at`: when the
-    database had answered, so that it has lived since.
+    """A database connection with its session state and its pool (times: monotonic clock, seconds).
+
+    `tenant`: the only tenant whose statements it carries. `received_at`: when anything was last
+    received on it. `is_fresh`: it was opened for its current user. `waiting_since`: when the query
+    without a reply was sent; None if there is none. `must_wait`: the query may run only once, so
+    its reply is awaited to the end. `turn_since`: since when its tenant has used it without an idle
+    time. `dialled_at`: when opening it began. `opened_at`: when the database had accepted it; the
+    database has been running since.
     """
 
     __slots__ = (
@@ -86,81 +86,83 @@
     ) -> list[Reply]:
         """Run commands (`timeout` in seconds). Raises ConnectionLostError, OtherTenantError."""
         if any(command.tenant not in (None, self.tenant) for command in commands):
-            raise OtherTenantError(f"{self.instance}: the connection is {self.tenant}'s")
+            raise OtherTenantError(
+                f"{self.instance}: the connection belongs to tenant {self.tenant!r}"
+            )
         self.must_wait = must_wait
         return await self.query(lambda connection: connection.run(commands, timeout))
 
     async def run_at_once(self, commands: list[Command], timeout: float) -> list[Reply]:
         """Run commands that take no slot. Raises ConnectionLostError.
 
-        No answer within ANSWER_SECONDS shows that connections to the database are silent.
+        If there is no reply within ANSWER_SECONDS, the pool's connections become suspect.
         """
-        asked_at = loop_time()
+        queried_at = loop_time()
         bound = min(timeout, ANSWER_SECONDS)
         try:
             return await self.run(commands, bound)
         except ConnectionLostError:
-            waited = loop_time() - asked_at
+            waited = loop_time() - queried_at
             is_whole = timeout >= ANSWER_SECONDS
             if is_whole and bound - CLOCK_STEP <= waited <= bound + STALL_SECONDS:
-                self.pool.suspect_connections(asked_at)
+                self.pool.suspect_connections(queried_at)
             raise
 
-    async def query(self, question: Callable[[DatabaseConnection], Awaitable[Answer]]) -> Answer:
-        """Ask something. When the answer is late, the pool is told. Raises ConnectionLostError."""
+    async def query(self, send: Callable[[DatabaseConnection], Awaitable[Result]]) -> Result:
+        """Send a query; a late reply is reported to the pool. Raises ConnectionLostError."""
         loop = asyncio.get_running_loop()
         self.waiting_since = loop.time()
-        self._wait(self.pool.late_after, self._answer_is_late)
+        self._check_after(self.pool.late_after, self._handle_late_reply)
         if self.pool.is_suspect(self):
             self.pool.close_when_late(self)
         try:
-            answer = await question(self.connection)
+            result = await send(self.connection)
         finally:
             self._timer.cancel()
             self.waiting_since = None
             self.must_wait = False
         self.received_at = self.pool.received_at = loop.time()
-        return answer
+        return result
 
-    def _wait(self, seconds: float, look: Callable[[], None]) -> None:
-        """Look at the answer that is missing after so many seconds.
+    def _check_after(self, seconds: float, check: Callable[[], None]) -> None:
+        """Call `check` after a time (seconds) if the reply is still missing.
 
-        A timer that is late itself shows that this process stood still: the answer may be there
-        and not yet read, so that it is looked for once more.
+        If the timer itself fires late, this process has stalled, and the reply may have arrived
+        without being read: then the wait starts again.
         """
         loop = asyncio.get_running_loop()
         due = loop.time() + seconds
 
         def fire() -> None:
             if loop.time() - due > STALL_SECONDS:
-                self._wait(seconds, look)
+                self._check_after(seconds, check)
             else:
-                look()
+                check()
 
         self._timer = loop.call_at(due, fire)
 
-    def _answer_is_late(self) -> None:
-        """Have those connections closed that may have gone silent together with this one."""
+    def _handle_late_reply(self) -> None:
+        """Expire the connections that may have become unresponsive together with this one."""
         assert self.waiting_since is not None
         self.pool.expire_connections(self.waiting_since)
-        self._wait(self.pool.grace_period, self._give_up_if_others_answer)
+        self._check_after(self.pool.grace_period, self._close_if_others_reply)
 
-    def _give_up_if_others_answer(self) -> None:
-        """Give the connection up if it is the one at fault, as the database answers on others.
+    def _close_if_others_reply(self) -> None:
+        """Close this connection if the database replies on others, so that this one is at fault.
 
-        What may run once only is waited for all the same.
+        The reply to a statement that may run only once is still awaited.
         """
         assert self.waiting_since is not None
-        answers_others = self.pool.received_at > self.waiting_since + self.pool.late_after
-        if answers_others and not self.must_wait:
+        replies_on_others = self.pool.received_at > self.waiting_since + self.pool.late_after
+        if replies_on_others and not self.must_wait:
             self.pool.log_suspects(1)
             self.connection.close()
         else:
-            self._wait(ANSWER_SECONDS, self._give_up_if_others_answer)
+            self._check_after(ANSWER_SECONDS, self._close_if_others_reply)
 
     @property
     def instance(self) -> InstanceId:
-        """The database at the other end."""
+        """The database that it is connected to."""
         return self.pool.entry.instance
 
     def release(self) -> None:
--- a/src/bramblebeam/services/gateway/ports.py
+++ b/src/bramblebeam/services/gateway/ports.py
@@ -1,4 +1,4 @@
-"""The interfaces between the gateway and the adapter of a platform's wire."""
+"""Interfaces between the gateway and the adapter of a platform's wire protocol."""
 
 from __future__ import annotations
 
@@ -12,13 +12,15 @@
 from bramblebeam.core.verdict import Reason
 
 OWN_STATEMENT = "-"
-"""The id of statements that no caller asked for."""
+"""Identifier of statements that the gateway sends on its own behalf."""
 
 
 class Command(NamedTuple):
-    """One statement for a database. `floor`: refuse a read or BEGIN whose log is behind it.
+    """One statement for a database.
 
-    `tenant`: whose work it is; None: the gateway's own, which may go on any connection.
+    `floor`: the database refuses a read or BEGIN if its log is behind this position. `tenant`: the
+    tenant that the statement belongs to; None for the gateway's own, which any connection may
+    carry.
     """
 
     statement: Statement
@@ -28,10 +30,10 @@
 
 
 class MemberStatus(NamedTuple):
-    """What a database says of itself.
+    """A database's own status.
 
-    `received`: the end of its log. `lag` in seconds. `held_term`: it was paused, and receives only
-    from a leader of that term or a newer one; 0: it was not.
+    `received`: the end of its log. `lag` in seconds. `held_term`: if it is paused, the term below
+    which it receives from no leader; otherwise 0.
     """
 
     is_primary: bool
@@ -42,7 +44,7 @@
 
 
 class ConnectError(Exception):
-    """No connection could be opened. Nothing was run; another try may succeed.
+    """No connection could be opened. Nothing was run; another attempt may succeed.
 
     `is_gone`: nothing listens at the address any more, or another database does.
     """
@@ -54,40 +56,40 @@
 
 
 class ConnectionLostError(Exception):
-    """The connection ended before the whole answer came. What was sent may have run."""
+    """The connection was lost before the complete reply arrived. What was sent may have run."""
 
 
 class DatabaseConnection(Protocol):
-    """One connection to a database. After an error it is closed and of no further use."""
+    """One connection to a database. After an error it is closed and can't be used again."""
 
     @property
     def closed(self) -> bool:
-        """Whether the connection can't be used any more."""
+        """Whether the connection is closed, so that it can't be used any more."""
 
     @property
     def position(self) -> Position:
-        """The position of the database's log, as it was told last; ZERO_POSITION: it was not."""
+        """The last reported position of the database's log, or ZERO_POSITION if there is none."""
 
     async def run(self, commands: list[Command], timeout: float) -> list[Reply]:
-        """Send the commands at once; return the reply to each, in order (`timeout` in seconds).
+        """Send all commands together; return their replies in order (`timeout` in seconds).
 
         Raises ConnectionLostError; on a timeout the connection is closed first.
         """
 
     async def status(self, timeout: float) -> MemberStatus | None:
-        """Ask for the status; None where it is too busy. Raises ConnectionLostError."""
+        """Query the status; None if the database is too busy. Raises ConnectionLostError."""
 
     async def pause_receiving(self, term: int, timeout: float) -> MemberStatus | None:
-        """Stop a replica from receiving at `term`; its status. Raises ConnectionLostError."""
+        """Pause a replica at `term`; return its status. Raises ConnectionLostError."""
 
     async def resume_receiving(self, timeout: float) -> None:
-        """Let a paused replica receive again. Raises ConnectionLostError."""
+        """Resume a paused replica. Raises ConnectionLostError."""
 
     async def step_down(self, term: int, timeout: float) -> MemberStatus | None:
-        """Turn a primary of a lower term into a replica. Raises ConnectionLostError."""
+        """Demote a primary of a lower term to a replica. Raises ConnectionLostError."""
 
     def close(self) -> None:
-        """Close at once. An open transaction is rolled back by the database."""
+        """Close immediately. The database rolls back an open transaction."""
 
 
 class DatabaseConnector(Protocol):
@@ -96,7 +98,7 @@
     async def connect(
         self, entry: DatabaseEntry, tenant: TenantId, timeout: float
     ) -> DatabaseConnection:
-        """Connect to exactly this instance, for one tenant's work. Raises ConnectError.
+        """Connect to exactly this instance, for one tenant's statements (`timeout` in seconds).
 
-        `timeout` in seconds.
+        Raises ConnectError.
         """
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -18,7 +18,7 @@
 from bramblebeam.events import log_event
 from bramblebeam.events.catalogue import DATABASE_BACK, DATABASE_EJECTED
 from bramblebeam.services.gateway.metrics import GatewayMetrics
-from bramblebeam.services.gateway.pool import PATIENCE, DatabasePool
+from bramblebeam.services.gateway.pool import LATE_SECONDS, DatabasePool
 from bramblebeam.services.waiting import loop_time
 
 logger = logging.getLogger(__name__)
@@ -222,8 +222,8 @@
         silent_since = pool.unresponsive_since
         if silent_since is not None and silent_since > self._silences.get(instance, 0.0):
             self._silences[instance] = silent_since
-            if silent_since - pool.received_at >= PATIENCE:
-                asked_at = silent_since - PATIENCE
+            if silent_since - pool.received_at >= LATE_SECONDS:
+                asked_at = silent_since - LATE_SECONDS
                 self._log(pool, self._ejector.record_unresponsive(instance, asked_at, now))
         if pool.entry.role is Role.REPLICA and self._is_own(pool):
             likes = self._services_of_likes(pool, group, now)
--- a/src/bramblebeam/services/gateway/refused_keys.py
+++ b/src/bramblebeam/services/gateway/refused_keys.py
@@ -1,4 +1,4 @@
-"""Callers whose key nobody holds: counted, and told in a line now and then."""
+"""Counts sessions refused for an unknown key, and logs them at a limited rate."""
 
 import logging
 
@@ -9,11 +9,11 @@
 logger = logging.getLogger(__name__)
 
 REPORT_SECONDS = 1.0
-"""A flood of wrong keys makes one line in so long, not one a caller (seconds)."""
+"""Minimum interval between log lines, so that a flood of wrong keys doesn't flood the log."""
 
 
 class RefusedKeys:
-    """What was refused since the last line. `last`: one of the keys, by its digest."""
+    """Sessions refused since the last log line, and the digest of the last unknown key."""
 
     def __init__(self) -> None:
         self._count = 0
@@ -21,12 +21,12 @@
         self._reported_at = float("-inf")
 
     def record(self, key: KeyDigest) -> None:
-        """Count one session that was not opened."""
+        """Record a refused session."""
         self._count += 1
         self._last = key
 
     def report(self, now: float) -> None:
-        """Log what was refused, if anything was (`now`: steady clock, seconds)."""
+        """Log the refused sessions, if there are any (`now`: monotonic clock, seconds)."""
         if self._last is None or now - self._reported_at < REPORT_SECONDS:
             return
         log_event(logger, KEYS_REFUSED, sessions=self._count, last_key=short_digest(self._last))
--- a/src/bramblebeam/services/gateway/resting.py
+++ b/src/bramblebeam/services/gateway/resting.py
@@ -1,4 +1,4 @@
-"""The connections to one database that rest, and which of them makes room for another tenant."""
+"""The idle connections to one database, and which of them is closed for another tenant's."""
 
 from __future__ import annotations
 
@@ -14,92 +14,90 @@
     from bramblebeam.services.gateway.pooled import PooledConnection
 
 IDLE_SECONDS = 1.0
-"""Beside those that are kept, a connection that rested for so long is closed (seconds)."""
+"""Idle time after which a connection is closed, unless it is one of those kept (seconds)."""
 
 
 class IdleConnections:
-    """Connections that nobody uses; those that have closed are left out of all that is told."""
+    """Idle connections of a pool; closed ones are dropped before every access."""
 
     def __init__(self) -> None:
-        self._resting: list[PooledConnection] = []
+        self._connections: list[PooledConnection] = []
 
     def __len__(self) -> int:
         self._drop_closed()
-        return len(self._resting)
+        return len(self._connections)
 
     def __iter__(self) -> Iterator[PooledConnection]:
-        """Return an iterator over them as they are now."""
+        """Iterate over a snapshot of the open connections."""
         self._drop_closed()
-        return iter(list(self._resting))
+        return iter(list(self._connections))
 
     def add(self, connection: PooledConnection) -> None:
-        """Let a connection rest."""
-        self._resting.append(connection)
+        """Add a connection that has become idle."""
+        self._connections.append(connection)
 
     def take(self, tenant: TenantId, session: SessionState) -> PooledConnection | None:
-        """Return the tenant's connection that suits the session best, or None."""
+        """Remove and return the tenant's connection closest to a session's state, or None."""
         self._drop_closed()
-        own = [resting for resting in self._resting if resting.tenant == tenant]
+        own = [idle for idle in self._connections if idle.tenant == tenant]
         return self._take_best(own, session)
 
     def take_any(self, session: SessionState) -> PooledConnection | None:
-        """Return a connection for what is nobody's work, or None."""
+        """Remove and return any tenant's connection, for the gateway's own queries, or None."""
         self._drop_closed()
-        return self._take_best(self._resting, session)
+        return self._take_best(self._connections, session)
 
     def has(self, tenant: TenantId) -> bool:
-        """Whether one of the tenant's connections rests."""
+        """Whether one of the tenant's connections is idle."""
         return any(
-            resting.tenant == tenant and not resting.connection.closed for resting in self._resting
+            idle.tenant == tenant and not idle.connection.closed for idle in self._connections
         )
 
     def close_for_room(self, usage: TenantUsage, now: float) -> bool:
-        """Close the one that will be missed least; False: none rests.
+        """Close the connection with the lowest expected use; return False if none is idle.
 
-        A tenant's second connection is used about half as often as its only one.
+        Each of a tenant's two idle connections is used about half as often as a single one.
         """
         self._drop_closed()
-        if not self._resting:
+        if not self._connections:
             return False
-        shared = Counter(resting.tenant for resting in self._resting)
+        shared = Counter(idle.tenant for idle in self._connections)
 
-        def use(resting: PooledConnection) -> tuple[float, float]:
-            rate = usage.rate(resting.tenant, now) / shared[resting.tenant]
-            return rate, resting.idle_since
+        def use(idle: PooledConnection) -> tuple[float, float]:
+            rate = usage.rate(idle.tenant, now) / shared[idle.tenant]
+            return rate, idle.idle_since
 
-        self._close([min(self._resting, key=use)])
+        self._close([min(self._connections, key=use)])
         return True
 
-    def close_unheard(self, since: float) -> None:
-        """Close those that were last heard of before a moment (steady clock, seconds)."""
-        self._close([resting for resting in self._resting if resting.received_at < since])
+    def close_not_received(self, since: float) -> None:
+        """Close connections that have received nothing since a time (monotonic clock, seconds)."""
+        self._close([idle for idle in self._connections if idle.received_at < since])
 
-    def close_rested(self, kept: int, now: float) -> None:
-        """Close those that have rested for long, but for the last `kept` ones."""
+    def close_surplus(self, kept: int, now: float) -> None:
+        """Close connections idle for longer than IDLE_SECONDS, except the `kept` latest ones."""
         self._drop_closed()
-        latest_first = sorted(self._resting, key=lambda resting: -resting.idle_since)
+        latest_first = sorted(self._connections, key=lambda idle: -idle.idle_since)
         surplus = latest_first[kept:]
         self._close([old for old in surplus if now - old.idle_since > IDLE_SECONDS])
 
     def close_all(self) -> None:
-        """Close every one."""
-        self._close(list(self._resting))
+        """Close all connections."""
+        self._close(list(self._connections))
 
     def _take_best(
         self, candidates: list[PooledConnection], session: SessionState
     ) -> PooledConnection | None:
         if not candidates:
             return None
-        best = min(
-            candidates, key=lambda resting: (resting.state.distance(session), -resting.idle_since)
-        )
-        self._resting.remove(best)
+        best = min(candidates, key=lambda idle: (idle.state.distance(session), -idle.idle_since))
+        self._connections.remove(best)
         return best
 
     def _drop_closed(self) -> None:
-        self._resting = [resting for resting in self._resting if not resting.connection.closed]
+        self._connections = [idle for idle in self._connections if not idle.connection.closed]
 
     def _close(self, connections: list[PooledConnection]) -> None:
-        for resting in connections:
-            self._resting.remove(resting)
-            resting.connection.close()
+        for idle in connections:
+            self._connections.remove(idle)
+            idle.connection.close()
--- a/src/bramblebeam/services/gateway/tenant_view.py
+++ b/src/bramblebeam/services/gateway/tenant_view.py
@@ -1,4 +1,4 @@
-"""What an operator sees of the tenants that one node counts."""
+"""The tenants that one node counts, as shown to operators."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class TenantRow(NamedTuple):
-    """A tenant that a node counts, or counted a moment ago.
+    """A tenant that a node counts, or counted recently.
 
-    `share`: of its limit, by which the node counts now. `rate`, `burst`: the limit. `counted`:
-    operations of the last `seconds` that were not given back. `allowed`: by the whole limit, in so
-    many seconds.
+    `share`: share of the limit that the node counts by now. `rate`, `burst`: the limit. `counted`:
+    operations of the last `seconds` that were not refunded. `allowed`: operations that the whole
+    limit allows in `seconds`.
     """
 
     tenant: str
@@ -27,7 +27,7 @@
 
 
 def tenant_rows(limits: TenantLimits) -> list[TenantRow]:
-    """Return a row for each tenant that is counted here, those with most operations first."""
+    """Return a row for each tenant that is counted here, by descending number of operations."""
     rows = [
         TenantRow(
             found.tenant,
--- a/src/bramblebeam/services/gateway/waiters.py
+++ b/src/bramblebeam/services/gateway/waiters.py
@@ -1,4 +1,4 @@
-"""Those who wait for a connection to one database, in the order in which they came."""
+"""The queue of waiters for a connection to one database, in the order of their arrival."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     from bramblebeam.services.gateway.pooled import PooledConnection
 
 
-MOST_TURNS_KEPT = 1_000
-"""Tenants whose last turn is remembered, beside those that wait."""
+MAXIMUM_TURNS = 1_000
+"""Maximum number of tenants whose last turn is tracked, apart from those that wait."""
 
 
 class Waiter(NamedTuple):
-    """Waits for a connection of `tenant`; None: any will do. `since`: steady clock, seconds."""
+    """Waits for a connection of `tenant`, or any if None. `since`: monotonic clock, seconds."""
 
     future: asyncio.Future[PooledConnection]
     tenant: TenantId | None
@@ -26,16 +26,16 @@
 
     @property
     def opens_for(self) -> TenantId:
-        """For whom a connection is opened where none is free."""
+        """Tenant that a connection is opened for if none is free."""
         return NO_TENANT if self.tenant is None else self.tenant
 
     def takes(self, tenant: TenantId) -> bool:
-        """Whether a connection of this tenant is what is waited for."""
+        """Whether a connection of this tenant suits the waiter."""
         return self.tenant is None or self.tenant == tenant
 
 
 class Waiters:
-    """A queue in which a connection goes to the first one that it is for."""
+    """A queue in which a connection goes to the first waiter that it suits."""
 
     def __init__(self) -> None:
         self._waiting: deque[Waiter] = deque()
@@ -46,18 +46,18 @@
         return len(self._waiting)
 
     def add(self, waiter: Waiter, is_urgent: bool) -> None:
-        """Let one wait; an urgent one before all others."""
+        """Add a waiter; an urgent one goes to the front."""
         if is_urgent:
             self._waiting.appendleft(waiter)
         else:
             self._waiting.append(waiter)
 
     def remove(self, waiter: Waiter) -> None:
-        """Forget one that has given up."""
+        """Remove a waiter that was cancelled."""
         self._waiting.remove(waiter)
 
     def pop_for(self, tenant: TenantId) -> Waiter | None:
-        """Return the first that a connection of this tenant is for, or None."""
+        """Remove and return the first waiter that a connection of this tenant suits, or None."""
         for waiter in self._waiting:
             if waiter.takes(tenant):
                 self._waiting.remove(waiter)
@@ -65,9 +65,9 @@
         return None
 
     def must_yield(self, tenant: TenantId, since: float, held: Counter[TenantId]) -> bool:
-        """Whether another tenant that holds no more than this one has waited since before `since`.
+        """Whether a tenant with no more connections than this one has waited since before `since`.
 
-        `held`: how many connections each tenant uses.
+        `held`: number of connections in use by tenant.
         """
         return any(
             waiter.since < since
@@ -79,36 +79,39 @@
     def without_connection(
         self, opening: Iterable[TenantId], held: Counter[TenantId]
     ) -> list[Waiter]:
-        """Return those for whom none is being opened, the one whose turn it is in front.
+        """Return the waiters for whom no connection is being opened, in the order of their turns.
 
-        That is the one whose tenant uses the fewest, and among equals the one that was not served
-        for longest: a tenant that floods a database has as many turns as any other, and no more.
+        First is the one whose tenant uses the fewest connections, and among equals the one whose
+        last turn is oldest: a tenant that floods a database gets as many turns as any other.
         """
-        underway = Counter(opening)
-        uses = held + underway
+        opening_count = Counter(opening)
+        uses = held + opening_count
         found: list[tuple[int, int, Waiter]] = []
         for waiter in self._waiting:
             tenant = waiter.opens_for
-            if underway[tenant] > 0:
-                underway[tenant] -= 1
+            if opening_count[tenant] > 0:
+                opening_count[tenant] -= 1
             else:
                 found.append((uses[tenant], self._last_turn.get(tenant, 0), waiter))
                 uses[tenant] += 1
-        # The order in which they came decides among equals, as sorting keeps it.
+        # The sort is stable: among equals, the order of arrival decides.
         return [waiter for *_, waiter in sorted(found, key=lambda entry: entry[:2])]
 
-    def note_turn(self, tenant: TenantId) -> None:
-        """Note that a connection is opened for a tenant; who waits no more is forgotten."""
+    def record_turn(self, tenant: TenantId) -> None:
+        """Record a turn: a connection is opened for a tenant.
+
+        If too many tenants are tracked, drop those that no longer wait.
+        """
         self._turns += 1
         self._last_turn[tenant] = self._turns
-        if len(self._last_turn) > MOST_TURNS_KEPT:
+        if len(self._last_turn) > MAXIMUM_TURNS:
             waiting = {waiter.opens_for for waiter in self._waiting}
             self._last_turn = {
                 known: turn for known, turn in self._last_turn.items() if known in waiting
             }
 
     def fail(self, error: Exception) -> None:
-        """Tell all of them that there will be no connection."""
+        """Fail all waiters with an error."""
         while self._waiting:
             waiter = self._waiting.popleft()
             if not waiter.future.done():
--- a/tests/counting_fleet.py
+++ b/tests/counting_fleet.py
@@ -1,4 +1,4 @@
-"""Gateways' contexts without databases that pass each other what concerns limits, at once."""
+"""Gateway contexts without databases, which exchange messages about limits without delay."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def addressed(view: MembersView) -> MembersView:
-    """Return the view with an address of its own for each member."""
+    """Return the view with a distinct address for each member."""
     members = {}
     for node, member in view.members.items():
         spec = member.spec._replace(peer_address=Address("", next(_ports)))
@@ -39,13 +39,13 @@
 
 
 def table(version: int, limit: RateLimit, *tenants: TenantId) -> RouteTable:
-    """Return a configuration in which some tenants have a limit."""
+    """Return a configuration with a limit for some tenants."""
     listed = TenantTable([Tenant(tenant, (), limit) for tenant in tenants])
     return RouteTable(version, {}, {GROUP: GroupSettings(GROUP, CONNECTIONS)}, 3.0, listed)
 
 
-class _PeersOf(Peers):
-    """What one node sends."""
+class _FleetPeers(Peers):
+    """Delivers the messages of one node."""
 
     def __init__(self, fleet: Fleet, node: NodeId) -> None:
         self._fleet = fleet
@@ -77,10 +77,10 @@
 
 
 class Fleet:
-    """Some nodes in regions of two zones each, all of which know all.
+    """Nodes in regions of two zones each, which all know each other.
 
-    `silent`: they neither hear nor say anything. `sides`: nodes on different ones are cut off from
-    each other.
+    `silent`: nodes that neither send nor receive. `sides`: side of a partition by node; nodes on
+    different sides can't reach each other.
     """
 
     def __init__(self, nodes: Nodes, configured: RouteTable) -> None:
@@ -97,7 +97,7 @@
         context = GatewayContext(
             NodeLocation(node, spec.zone, spec.region),
             LineDatabaseConnector(),
-            _PeersOf(self, node),
+            _FleetPeers(self, node),
             lambda message: None,
             asyncio.ensure_future,
         )
@@ -108,26 +108,26 @@
         return context
 
     def restart(self, node: NodeId, configured: RouteTable) -> GatewayContext:
-        """Start a node again, which knows all others at once."""
+        """Restart a node, which immediately knows all others."""
         self.contexts[node] = self._context(node, configured)
         return self.contexts[node]
 
     def reaches(self, node: NodeId, other: NodeId) -> bool:
-        """Whether what a node sends arrives at another one."""
+        """Whether messages of a node arrive at another one."""
         apart = self.sides.get(node, 0) != self.sides.get(other, 0)
         return not apart and not {node, other} & self.silent
 
     def request_grants(self) -> None:
-        """Let every node ask for the grants that it is to ask for."""
+        """Let every node send its pending grant requests."""
         for node, context in list(self.contexts.items()):
             if node not in self.silent:
                 context.limits.request_grants()
 
     def homes(self, tenant: TenantId) -> tuple[NodeId, ...]:
-        """Return the nodes that may count a tenant, as all of them are seen."""
+        """Return the nodes that may count a tenant if all nodes are reachable."""
         return next(iter(self.contexts.values())).homes(tenant)
 
     def shares(self, tenant: TenantId) -> dict[NodeId, float]:
-        """Return by which parts of a tenant's limit nodes count."""
+        """Return the share of a tenant's limit by node, without nodes that have none."""
         found = {node: context.limits.share(tenant) for node, context in self.contexts.items()}
         return {node: share for node, share in found.items() if share}
--- a/tests/placement_world.py
+++ b/tests/placement_world.py
@@ -1,7 +1,7 @@
-"""Three regions in virtual time, each with a node and a database, for tests of placement.
+"""Simulates three regions, each with a node and a database, in virtual time.
 
-A node chooses by the product's `ReadTargets`; callers, ways and databases are made up. A read that
-has no answer after its patience is sent to a second database as well.
+A node chooses by the product's `ReadTargets`; callers, network and databases are simulated. A read
+without a reply after its late time is sent to a second database as well.
 """
 
 from __future__ import annotations
@@ -33,12 +33,12 @@
 SLOTS = 6
 SERVICE = 0.028
 CAPACITY = SLOTS / SERVICE
-"""Reads a second that one database serves."""
-WAY = 0.02
-"""One way between regions (seconds)."""
-PATIENCE = 0.15
-AIM = 1.0
-"""An answer within so long counts; what waits for longer is given up (seconds)."""
+"""Reads per second that one database serves."""
+ONE_WAY = 0.02
+"""One-delay delay between regions (seconds)."""
+LATE_SECONDS = 0.15
+TARGET = 1.0
+"""Time within which a read must be served; after that it is abandoned (seconds)."""
 MOST_ATTEMPTS = 3
 
 
@@ -54,9 +54,10 @@
 
 
 class Load(NamedTuple):
-    """What a run plays. `rate`: of a region at a time, 1 is a database's capacity.
+    """The load of a run.
 
-    `condition`: of a region's database at a time.
+    `rate`: arrival rate by region and time, as a multiple of a database's capacity. `condition`:
+    condition of a region's database by time. `tells`: whether nodes report loads to each other.
     """
 
     rate: Callable[[int, float], float]
@@ -79,7 +80,7 @@
 
 
 class Slots:
-    """What a node's queue for a database's slots tells; None: another node has it."""
+    """Stands in for a node's slot queue. `database`: None if another node has its queue."""
 
     def __init__(self, instance: InstanceId, database: Database | None) -> None:
         self._instance = instance
@@ -90,7 +91,7 @@
         return 0 if self._database is None else self._database.busy
 
     def turn_away(self) -> None:
-        """What waits is sent elsewhere by its own patience."""
+        """Do nothing: waiting reads are sent elsewhere once they are late."""
 
     def load(self) -> DatabaseLoad:
         found = self._database
@@ -99,7 +100,7 @@
 
 
 class Pool:
-    """What a node's pool tells of a database."""
+    """Stands in for a node's pool of a database."""
 
     def __init__(self, entry: DatabaseEntry, database: Database | None) -> None:
         self.entry = entry
@@ -113,7 +114,7 @@
 
 
 class Database:
-    """Slots and a queue. What hangs holds its slot until it is given up."""
+    """Slots and a queue. A hanging read occupies its slot until it is abandoned."""
 
     def __init__(self, region: int, world: PlacementWorld) -> None:
         self.region = region
@@ -143,7 +144,7 @@
 
 
 class Node:
-    """Chooses for its region's callers, and runs what goes to its database."""
+    """Chooses databases for its region's callers, and runs the reads at its own database."""
 
     def __init__(self, region: int, world: PlacementWorld) -> None:
         self.region = region
@@ -172,7 +173,7 @@
 
 
 class PlacementWorld:
-    """Runs a load, and keeps what became of each read."""
+    """Runs a load, and counts the outcomes of the reads."""
 
     def __init__(self, load: Load, seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = 0.0
@@ -199,18 +200,18 @@
             action()
 
     def goodput(self, begin: float = 0.0, end: float = float("inf")) -> float:
-        """Return the part of the reads that arrived in whole seconds which was served in time."""
+        """Return the share of reads served in time, of those that arrived in a span of seconds."""
         seconds = [second for second in self.arrived if begin <= second < end]
         arrived = sum(self.arrived[second] for second in seconds)
         return sum(self.served[second] for second in seconds) / max(1, arrived)
 
     def attempts(self, begin: float, end: float) -> float:
-        """Return how many attempts were made for each read in some seconds."""
+        """Return the number of attempts per read in a span of seconds."""
         ran = sum(self.ran_in(region, begin, end) for region in range(REGIONS))
         return ran / sum(self.arrived[second] for second in self.arrived if begin <= second < end)
 
     def ran_in(self, region: int, begin: float, end: float) -> int:
-        """Return how many attempts a region's database got in some seconds."""
+        """Return the number of attempts at a region's database in a span of seconds."""
         return sum(
             number
             for (place, second), number in self.ran.items()
@@ -239,8 +240,8 @@
         self._send(read)
 
     def _send(self, read: Read) -> None:
-        """Send a read to a database that it has not been at."""
-        if read.done or len(read.tried) >= MOST_ATTEMPTS or self.now > read.arrived + AIM:
+        """Send a read to a database that has not been tried for it."""
+        if read.done or len(read.tried) >= MOST_ATTEMPTS or self.now > read.arrived + TARGET:
             return
         node = self.nodes[read.region]
         pool = node.choose(read.tried)
@@ -249,39 +250,39 @@
         instance = pool.entry.instance
         read.tried.add(instance)
         region = int(pool.entry.zone)
-        way = 0.0 if region == read.region else WAY
-        if way:
+        delay = 0.0 if region == read.region else ONE_WAY
+        if delay:
             read.counted[region] = node.targets.passed_on(instance)
         began = self.now
-        self.after(way, lambda: self._take(read, region, way))
-        patience = PATIENCE + 2 * way
-        self.after(patience, lambda: self._is_late(read, pool, began))
+        self.after(delay, lambda: self._take(read, region, delay))
+        late_after = LATE_SECONDS + 2 * delay
+        self.after(late_after, lambda: self._is_late(read, pool, began))
 
     def _is_late(self, read: Read, pool: Pool, began: float) -> None:
         if read.done:
             return
-        if self.now - pool.received_at > PATIENCE and pool.entry.zone == str(read.region):
+        if self.now - pool.received_at > LATE_SECONDS and pool.entry.zone == str(read.region):
             pool.unresponsive_since = self.now
         self._send(read)
 
-    def _take(self, read: Read, region: int, way: float) -> None:
+    def _take(self, read: Read, region: int, delay: float) -> None:
         database = self.nodes[region].database
         self.ran[region, int(self.now)] += 1
         if self.load.condition(region, self.now) is Condition.DOWN:
-            self._failed(read, region, way, Reason.UNREACHABLE)
+            self._failed(read, region, delay, Reason.UNREACHABLE)
             return
-        database.take(lambda: self._begin(read, region, way))
+        database.take(lambda: self._begin(read, region, delay))
 
-    def _begin(self, read: Read, region: int, way: float) -> None:
+    def _begin(self, read: Read, region: int, delay: float) -> None:
         node = self.nodes[region]
         database, pool = node.database, node.pools[InstanceId(f"db-{region}")]
         condition = self.load.condition(region, self.now)
         began = self.now
-        if read.done or self.now > read.arrived + AIM:
+        if read.done or self.now > read.arrived + TARGET:
             self.after(0.0, database.free)
             return
         if condition is Condition.HANGING:
-            self.after(read.arrived + AIM - self.now, database.free)
+            self.after(read.arrived + TARGET - self.now, database.free)
             return
         fails = condition in (Condition.FAILING, Condition.SHEDDING) and self.random.random() < 0.5
         usual = SERVICE * self.random.uniform(0.5, 1.5)
@@ -294,39 +295,39 @@
             if fails:
                 is_shed = condition is Condition.SHEDDING
                 reason = Reason.QUEUE_FULL if is_shed else Reason.BACKEND_ERROR
-                self._failed(read, region, way, reason, began)
+                self._failed(read, region, delay, reason, began)
                 return
             node.targets.served(pool, seconds)  # type: ignore[arg-type]
-            self._answer(read, region, way)
+            self._answer(read, region, delay)
 
         self.after(seconds, end)
 
     def _failed(
-        self, read: Read, region: int, way: float, reason: Reason, began: float | None = None
+        self, read: Read, region: int, delay: float, reason: Reason, began: float | None = None
     ) -> None:
         node = self.nodes[region]
         pool = node.pools[InstanceId(f"db-{region}")]
         refusal = Refusal(Verdict.NOT_RUN, reason)
         node.targets.failed(pool, refusal, self.now if began is None else began)  # type: ignore[arg-type]
-        self._return(read, region, way, lambda: self._send(read))
+        self._return(read, region, delay, lambda: self._send(read))
 
-    def _answer(self, read: Read, region: int, way: float) -> None:
+    def _answer(self, read: Read, region: int, delay: float) -> None:
         def take() -> None:
-            if not read.done and self.now <= read.arrived + AIM:
+            if not read.done and self.now <= read.arrived + TARGET:
                 self.served[int(read.arrived)] += 1
             read.done = True
 
-        self._return(read, region, way, take)
+        self._return(read, region, delay, take)
 
-    def _return(self, read: Read, region: int, way: float, then: Callable[[], None]) -> None:
-        """Have an answer travel, with the loads of its node's database."""
+    def _return(self, read: Read, region: int, delay: float, then: Callable[[], None]) -> None:
+        """Deliver a reply after the network delay, with the loads of its node's database."""
         node, caller = self.nodes[region], self.nodes[read.region]
-        told = node.loads() if way and self.load.tells else ()
+        loads = node.loads() if delay and self.load.tells else ()
 
         def arrive() -> None:
-            if way:
-                caller.targets.take_told(told)
+            if delay:
+                caller.targets.take_told(loads)
                 caller.targets.answered(read.counted.pop(region))
             then()
 
-        self.after(way, arrive)
+        self.after(delay, arrive)
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -1,4 +1,4 @@
-"""A database that starts again under its name holds and knows nothing of before."""
+"""A database that restarts under its name may have lost its log and all earlier state."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     may_promote_without_log,
 )
 from bramblebeam.core.feed.messages import FollowReply
-from bramblebeam.core.gateway import incarnations as lives_module
+from bramblebeam.core.gateway import incarnations as incarnations_module
 from bramblebeam.core.gateway.directory import DatabaseDirectory, DatabaseEntry
 from bramblebeam.core.gateway.incarnations import Incarnations
 from bramblebeam.core.gateway.registry import Registry
@@ -75,24 +75,24 @@
     return DatabaseEntry(instance, GROUP, address, ZoneId("a"), Role.REPLICA, leaving, slots=3)
 
 
-# An instance is a name and a start.
+# An instance is a server name and an incarnation.
 
 
 @pytest.mark.parametrize("born", [UNKNOWN_INCARNATION, 1, BORN])
-def test_an_instance_is_told_by_its_name_and_its_start(born: int) -> None:
+def test_an_instance_consists_of_a_name_and_an_incarnation(born: int) -> None:
     instance = instance_id("db-a@7", born)
     assert server_name(instance) == "db-a@7"
     assert incarnation_of(instance) == born
     assert (instance == "db-a@7") is (born == UNKNOWN_INCARNATION)
 
 
-def test_the_store_tells_an_instance() -> None:
-    told = StoredObject("db-a", 3, {**ENTRY, "born": BORN}, None)
-    assert parse_database(told).instance == FIRST
-    assert parse_database(replace(told, spec=ENTRY)).instance == "db-a"
+def test_a_store_entry_contains_the_instance() -> None:
+    reported = StoredObject("db-a", 3, {**ENTRY, "born": BORN}, None)
+    assert parse_database(reported).instance == FIRST
+    assert parse_database(replace(reported, spec=ENTRY)).instance == "db-a"
 
 
-def test_a_change_of_primary_is_kept_in_the_store_with_the_start_of_its_target() -> None:
+def test_the_store_keeps_the_incarnation_of_a_changes_target() -> None:
     change = OrderedChange(SECOND, 4, Position(3, 7))
     spec = leases._change_spec(change)
     assert spec is not None
@@ -101,24 +101,24 @@
     assert "born" not in (leases._change_spec(OrderedChange(InstanceId("db-b"), 4)) or {})
 
 
-def test_nodes_tell_each_other_when_a_database_started() -> None:
+def test_nodes_send_each_other_the_incarnation_of_a_database() -> None:
     items = (
         Versioned("db-a", at(5), entry(FIRST)),
         Versioned("db-b", at(6), entry(InstanceId("db-b"))),
     )
     gone = Versioned[DatabaseEntry]("db-c", at(7), None, deleted=True)
-    told = told_databases((*items, gone))
-    reply = FollowReply(True, True, 7, 0.0, databases=told.databases, starts=told.starts)
+    reported = told_databases((*items, gone))
+    reply = FollowReply(True, True, 7, 0.0, databases=reported.databases, starts=reported.starts)
     codec = Codec(GATEWAY_NODE_MESSAGES)
     assert database_items(codec.decode(codec.encode(reply))) == (*items, gone)
-    names = {found.entry.instance for found in told.databases if found.entry is not None}
+    names = {found.entry.instance for found in reported.databases if found.entry is not None}
     assert names == {"db-a", "db-b"}, "a node of an earlier version takes the plain name"
 
 
-# Which start is the newest.
+# Which incarnation is the newest.
 
 
-def test_a_database_that_started_again_takes_the_place_of_its_former_start() -> None:
+def test_a_restarted_database_replaces_its_previous_incarnation() -> None:
     registry = Registry(grace=5.0)
     registry.put(entry(SECOND, leaving=True), at(4), now=0.0)
     assert registry.put(entry(SECOND_AGAIN), at(5), now=1.0)
@@ -128,9 +128,11 @@
     assert directory.restarted == {SECOND_AGAIN}
 
 
-@pytest.mark.parametrize("older", [SECOND, InstanceId("db-b")], ids=["older", "not told"])
+@pytest.mark.parametrize("older", [SECOND, InstanceId("db-b")], ids=["older", "not reported"])
 @pytest.mark.parametrize("is_forgotten", [False, True], ids=["registered", "gone"])
-def test_a_former_start_is_never_taken_back(older: InstanceId, is_forgotten: bool) -> None:
+def test_a_former_incarnation_is_never_registered_again(
+    older: InstanceId, is_forgotten: bool
+) -> None:
     registry = Registry(grace=5.0)
     registry.put(entry(SECOND_AGAIN), at(5), now=0.0)
     if is_forgotten:
@@ -142,8 +144,8 @@
     assert registry.directory(8.0).entries == before.entries
 
 
-def test_only_so_many_names_are_remembered(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(lives_module, "MAXIMUM_NAMES", 2)
+def test_the_number_of_tracked_names_is_limited(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(incarnations_module, "MAXIMUM_NAMES", 2)
     lives = Incarnations()
     for name in ("a", "b", "c"):
         assert lives.observe(instance_id(name, BORN))
@@ -151,7 +153,7 @@
     assert lives.is_former(instance_id("c", 1))
 
 
-async def test_what_a_stale_list_tells_of_a_former_start_is_passed_over(
+async def test_a_stale_entry_of_a_former_incarnation_is_ignored(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async with running_world(born=BORN) as world:
@@ -167,10 +169,10 @@
         assert set(pools) == {FIRST, SECOND_AGAIN, THIRD}
 
 
-# What a node has learned.
+# State that a node keeps about an instance.
 
 
-async def test_nothing_that_was_learned_of_a_former_start_is_kept() -> None:
+async def test_no_measurement_of_a_former_incarnation_is_kept() -> None:
     tracker = make_tracker([])
     placement = tracker._placement
     directory = DatabaseDirectory(1, {SECOND: entry(SECOND)})
@@ -189,14 +191,14 @@
 
 
 def register(tracker: LeaderTracker, *members: InstanceId, again: InstanceId | None = None) -> None:
-    """Have members registered, one of them as one that started again."""
+    """Register members; `again` is one that has restarted."""
     restarted = frozenset([again]) if again is not None else frozenset()
     entries = {member: entry(member) for member in members}
     tracker._placement.update(DatabaseDirectory(1, entries, {}, restarted))
     tracker.directory_changed()
 
 
-async def test_a_leader_that_started_again_is_used_no_more() -> None:
+async def test_a_leader_that_restarted_is_no_longer_used() -> None:
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
     take_all(tracker, [primary_answer(FIRST, 1), replica_answer(THIRD, 1)])
@@ -207,8 +209,8 @@
 
 
 @pytest.mark.parametrize("is_read", [False, True], ids=["a status", "a read"])
-async def test_a_member_confirms_no_leader_of_before_it_started_again(is_read: bool) -> None:
-    """It may have been paused for a change of primary, and knows nothing of that."""
+async def test_a_restarted_member_confirms_no_leader_from_before_its_restart(is_read: bool) -> None:
+    """It may have been paused for a change of primary, and has forgotten that."""
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
     tracker.handle_answer(primary_answer(FIRST, 1))
@@ -224,7 +226,7 @@
     assert tracker.may_use(FIRST)
 
 
-async def test_a_member_confirms_a_leader_that_was_promoted_since_it_started_again() -> None:
+async def test_a_restarted_member_confirms_a_leader_promoted_after_its_restart() -> None:
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
     tracker.handle_answer(primary_answer(FIRST, 1))
@@ -233,7 +235,7 @@
     assert tracker.may_use(THIRD)
 
 
-async def test_where_all_started_again_no_witness_is_left() -> None:
+async def test_no_witness_is_left_if_all_members_restarted() -> None:
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND)
     tracker.handle_answer(primary_answer(FIRST, 1))
@@ -241,7 +243,7 @@
     assert not tracker.has_witness
 
 
-async def test_a_member_whose_log_is_gone_confirms_nothing_before_its_entry_tells() -> None:
+async def test_a_member_without_its_log_confirms_nothing_before_its_restart_is_registered() -> None:
     tracker = make_tracker([])
     register(tracker, FIRST, SECOND, THIRD)
     take_all(tracker, [primary_answer(FIRST, 1, 5), replica_answer(SECOND, 1)])
@@ -252,11 +254,13 @@
     tracker.handle_answer(empty._replace(status=status._replace(received=Position(1, 0))))
     assert not tracker.may_use(FIRST)
     tracker.handle_answer(replica_answer(SECOND, 1))
-    assert not tracker.may_use(FIRST), "it has received again, and forgotten all the same"
+    assert not tracker.may_use(FIRST), (
+        "it has received commits again, but has still forgotten a pause"
+    )
 
 
 @pytest.mark.parametrize("again", [FIRST_AGAIN, FIRST], ids=["its entry tells", "its log tells"])
-async def test_a_primary_that_started_again_does_not_lead_on(again: InstanceId) -> None:
+async def test_a_restarted_primary_does_not_continue_to_lead(again: InstanceId) -> None:
     published: list[LeaderEvent] = []
     tracker = make_tracker(published)
     register(tracker, FIRST, SECOND, THIRD)
@@ -271,8 +275,8 @@
     assert FormerLeaderFound(GROUP, again, 4) in published
 
 
-async def test_a_primary_without_a_log_does_not_lead_where_another_member_has_one() -> None:
-    """To a node that has just started and never knew its former start."""
+async def test_a_primary_with_an_empty_log_does_not_lead_if_another_member_has_a_log() -> None:
+    """This holds for a node that has just started and never knew the previous incarnation."""
     published: list[LeaderEvent] = []
     tracker = make_tracker(published)
     register(tracker, FIRST, SECOND, THIRD)
@@ -282,7 +286,7 @@
     assert FormerLeaderFound(GROUP, FIRST, 4) in published
 
 
-async def test_a_leader_that_serves_from_a_shorter_log_is_asked_what_it_has() -> None:
+async def test_a_leader_that_serves_from_a_shorter_log_is_checked() -> None:
     tracker = make_tracker([])
     take_all(tracker, [primary_answer(FIRST, 3, 5), replica_answer(THIRD, 3)])
     tracker.record_proof(FIRST, Position(3, 6), now())
@@ -294,7 +298,7 @@
 
 
 @pytest.mark.parametrize(
-    ("served", "told", "asked_at", "is_beyond"),
+    ("served", "reported", "queried_at", "is_beyond"),
     [
         (Position(3, 6), Position(3, 5), 2.0, True),
         (Position(3, 6), Position(3, 6), 2.0, False),
@@ -303,15 +307,15 @@
     ],
     ids=["shorter", "as long", "asked for before", "of an older term"],
 )
-def test_a_leaders_log_does_not_shrink_in_its_own_term(
-    served: Position, told: Position, asked_at: float, is_beyond: bool
+def test_a_shrunken_log_is_detected_within_the_leaders_term(
+    served: Position, reported: Position, queried_at: float, is_beyond: bool
 ) -> None:
     position = ServedPosition()
     position.observe(served, received_at=1.0)
-    assert position.is_beyond(told, asked_at, term=3) is is_beyond
+    assert position.is_beyond(reported, queried_at, term=3) is is_beyond
 
 
-def test_an_answer_that_was_under_way_does_not_tell_of_a_start() -> None:
+def test_a_reply_that_was_in_flight_shows_no_restart() -> None:
     memory = RestartTracker()
     memory.observe_position(
         SECOND, ReportedPosition(Position(1, 4), received_at=2.0), queried_at=1.0, newest_term=1
@@ -326,7 +330,7 @@
     assert not memory.may_confirm(SECOND, 1, Position(1, 4))
 
 
-def test_a_member_without_a_log_that_tells_no_start_is_as_before() -> None:
+def test_an_empty_log_without_a_known_incarnation_shows_no_restart() -> None:
     memory = RestartTracker()
     member = InstanceId("db-b")
     memory.observe_position(
@@ -346,7 +350,7 @@
     return CandidateStatus(False, received[0], Position(*received), paused)
 
 
-def test_a_member_without_a_log_is_promoted_after_a_leaving_one_that_has_one() -> None:
+def test_a_leaving_member_with_a_log_is_promoted_before_one_with_an_empty_log() -> None:
     members = [entry(SECOND_AGAIN), entry(THIRD, leaving=True)]
     statuses = {SECOND_AGAIN: status((1, 0)), THIRD: status((1, 9))}
     assert choose_target(members, statuses, None) == THIRD
@@ -362,7 +366,7 @@
     ],
     ids=["a new group", "logs may come", "none came", "one is not reached"],
 )
-def test_a_member_without_a_log_leads_only_for_want_of_any(
+def test_a_member_with_an_empty_log_leads_only_if_no_member_has_a_log(
     reached: list[InstanceId], had_log: bool, waited: bool, may_lead: bool
 ) -> None:
     members = [entry(SECOND_AGAIN), entry(THIRD)]
@@ -370,21 +374,21 @@
     assert may_promote_without_log(SECOND_AGAIN, members, statuses, had_log, waited) is may_lead
 
 
-def test_an_old_log_under_the_name_of_the_last_target_is_checked_as_any_other() -> None:
+def test_the_log_of_a_restarted_last_target_is_checked_like_any_other() -> None:
     last = OrderedChange(SECOND, term=5, cut=Position(3, 4))
     statuses = {SECOND_AGAIN: status((3, 9))}
     assert choose_target([entry(SECOND_AGAIN)], statuses, None, last) is None
     assert choose_target([entry(SECOND)], {SECOND: status((3, 9))}, None, last) == SECOND
 
 
-def test_a_replica_that_started_again_stands_for_no_acknowledged_commit() -> None:
+def test_a_restarted_replica_covers_no_acknowledged_commit() -> None:
     members = [entry(FIRST), entry(SECOND_AGAIN), entry(THIRD)]
     statuses = {SECOND_AGAIN: status((1, 0), True), THIRD: status((1, 4), True)}
     assert covers_acknowledged(members, statuses, FIRST, 1)
     assert not covers_acknowledged(members, statuses, FIRST, 1, [SECOND_AGAIN])
 
 
-def test_it_does_so_again_once_it_has_what_the_leader_had_since() -> None:
+def test_a_restarted_replica_has_caught_up_once_it_reaches_the_leaders_proof() -> None:
     memory = RestartTracker()
     memory.observe_proof(Position(1, 4))
     assert memory.has_caught_up(SECOND, ZERO_POSITION)
@@ -401,7 +405,7 @@
     [(SECOND, True), (SECOND_AGAIN, True), (FIRST, False), (None, False)],
     ids=["the target", "a later start of it", "another one", "nobody"],
 )
-def test_an_order_may_be_carried_out_for_a_target_that_started_again(
+def test_an_order_is_carried_out_by_its_target_or_a_later_incarnation_of_it(
     leader: InstanceId | None, is_led: bool
 ) -> None:
     assert OrderedChange(SECOND, 2).is_led_by(leader) is is_led
@@ -416,13 +420,13 @@
 
 
 async def write(client: LineClient, what: str) -> None:
-    """Write until it is taken."""
+    """Write until it is accepted."""
     answer = await client.run(f"WRITE {what}")
     while answer.code:
         answer = await client.run(f"WRITE {what}")
 
 
-async def test_a_replica_that_started_again_is_reached_by_its_name_and_serves() -> None:
+async def test_a_restarted_replica_is_reached_by_its_name_and_serves() -> None:
     async with running_world(born=BORN) as world:
         client = await world.client("session")
         await write(client, "parcel 1")
@@ -438,7 +442,7 @@
 
 @pytest.mark.parametrize("tells", [True, False], ids=["its entry tells", "nobody tells yet"])
 @pytest.mark.parametrize("as_primary", [True, False], ids=["as primary", "as replica"])
-async def test_no_write_is_lost_where_the_primary_starts_again_empty(
+async def test_no_write_is_lost_if_the_primary_restarts_empty(
     tells: bool, as_primary: bool
 ) -> None:
     async with running_world(born=BORN) as world:
@@ -460,8 +464,8 @@
         assert [record.member for record in world.group.promotions] != ["db-a"]
 
 
-async def test_a_write_is_not_sent_to_a_primary_that_started_again_empty() -> None:
-    """The lease on its former start holds for a while, and no entry tells of the new one yet."""
+async def test_a_write_is_not_sent_to_a_primary_that_restarted_empty() -> None:
+    """The lease on its former incarnation is still valid, and the new one isn't registered yet."""
     async with running_world(born=BORN) as world:
         client = await world.client("latest")
         for number in range(5):
@@ -475,8 +479,8 @@
         assert committed["5"] != "db-a"
 
 
-async def test_writes_go_on_after_every_replica_started_again() -> None:
-    """None of them may confirm a lease on the leader that there was before."""
+async def test_writes_continue_after_every_replica_restarted() -> None:
+    """None of them may confirm a lease on the leader from before their restart."""
     async with running_world(born=BORN) as world:
         client = await world.client("latest")
         await write(client, "parcel 1")
@@ -490,7 +494,7 @@
         assert (await client.run("READ parcel")).rows == ["2"]
 
 
-async def test_an_order_for_a_target_that_started_again_is_not_repeated() -> None:
+async def test_an_order_for_a_restarted_target_is_not_repeated() -> None:
     async with running_world(born=BORN) as world:
         client = await world.client("latest")
         await write(client, "parcel 1")
@@ -510,8 +514,8 @@
         assert (await client.run("READ parcel")).rows == ["1"]
 
 
-async def test_a_synchronous_group_waits_for_what_a_replica_lost_by_its_start() -> None:
-    """Another node saw the commit acknowledged: this one knows of the start only."""
+async def test_a_synchronous_group_waits_for_commits_that_a_replica_lost() -> None:
+    """Another node saw the commit acknowledged; this node only knows of the restart."""
     async with running_world(born=BORN) as world:
         client = await world.client("session")
         await write(client, "parcel 1")
@@ -538,7 +542,7 @@
 
 
 @pytest.mark.parametrize("asked", ["db-a", "db-x"])
-async def test_a_node_gives_a_leader_up_whichever_start_of_it_is_meant(asked: str) -> None:
+async def test_a_node_relinquishes_any_incarnation_of_a_leader(asked: str) -> None:
     tracker = make_tracker([])
     take_all(tracker, [primary_answer(FIRST, 1), replica_answer(THIRD, 1)])
     tracker.relinquish(ServerName(asked), 0)
--- a/tests/test_gateway_leaders.py
+++ b/tests/test_gateway_leaders.py
@@ -1,4 +1,4 @@
-"""The tracker of a group's leader."""
+"""LeaderTracker: which leader is used, and which replies confirm its lease."""
 
 import asyncio
 from collections.abc import Iterable
@@ -25,11 +25,11 @@
 GROUP = GroupId("deliveries")
 FIRST, SECOND, THIRD = InstanceId("db-a"), InstanceId("db-b"), InstanceId("db-c")
 LONG_OPEN = float("-inf")
-"""Since when a connection is open that has lasted longer than any change of primary."""
+"""Opening time of a connection that has outlasted any change of primary."""
 
 
 class SoleOwner:
-    """One node that serves every group alone."""
+    """Group owners with a single node, which serves every group."""
 
     decides_on_load = False
     meets_at_databases = False
@@ -60,14 +60,14 @@
 
 
 def primary_answer(instance: InstanceId, term: int, offset: int = 5) -> MemberAnswer:
-    """Return the answer of a member that says that it leads."""
+    """Return the reply of a member that claims to lead."""
     position = Position(term, offset)
     status = MemberStatus(True, term, position, 0.0)
     return MemberAnswer(instance, LONG_OPEN, now(), True, position, status)
 
 
 def replica_answer(instance: InstanceId, follows: int, held: int = 0) -> MemberAnswer:
-    """Return the answer of a replica."""
+    """Return the reply of a replica."""
     position = Position(follows, 1)
     status = MemberStatus(False, follows, position, 0.0, held)
     return MemberAnswer(instance, LONG_OPEN, now(), False, position, status)
@@ -78,30 +78,30 @@
         tracker.handle_answer(answer)
 
 
-async def test_a_statement_that_waits_for_a_new_leader_lets_the_others_run() -> None:
-    """Found in a day's log: waiting right after a loss, the loop turned without a pause."""
+async def test_waiting_for_a_new_leader_does_not_block_the_event_loop() -> None:
+    """A wait right after the loss of a leader must not spin without yielding to the event loop."""
     tracker = make_tracker([])
     take_all(tracker, [primary_answer(FIRST, 1), replica_answer(THIRD, 1)])
     tracker.reject(FIRST, "it lost the lead")
-    asked = 0
+    queried = 0
     wait_proof = tracker.wait_proof
 
-    async def count(asked_after: float, deadline: float) -> bool:
-        nonlocal asked
-        asked += 1
-        return await wait_proof(asked_after, deadline)
+    async def count(queried_after: float, deadline: float) -> bool:
+        nonlocal queried
+        queried += 1
+        return await wait_proof(queried_after, deadline)
 
     tracker.wait_proof = count  # type: ignore[method-assign]
     waiting = asyncio.ensure_future(tracker.wait(now() + 60))
     for _ in range(10):
         await asyncio.sleep(0)
-    assert asked == 0
+    assert queried == 0
     assert not waiting.done()
     take_all(tracker, [primary_answer(SECOND, 2), replica_answer(THIRD, 2)])
     assert await waiting == SECOND
 
 
-async def test_a_proof_that_was_asked_for_earlier_does_not_replace_a_later_one() -> None:
+async def test_an_earlier_queried_proof_does_not_replace_a_later_one() -> None:
     published: list[LeaderEvent] = []
     tracker = make_tracker(published)
     take_all(tracker, [primary_answer(SECOND, 2, 6), replica_answer(THIRD, 2)])
@@ -112,7 +112,7 @@
     assert published == [LeaderProven(GROUP, SECOND, Position(2, 6))]
 
 
-async def test_a_leader_that_acknowledges_no_writes_is_stalled_until_one_is_answered() -> None:
+async def test_a_leader_is_stalled_from_repeated_write_timeouts_until_a_write_reply() -> None:
     tracker = make_tracker([])
     tracker.handle_answer(primary_answer(FIRST, 1))
     tracker.record_write_timeout(FIRST, now())
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "may_use"),
+    ("replies", "may_use"),
     [
         ([], False),
         ([(SECOND, 1, 0)], True),
@@ -135,15 +135,15 @@
     ids=["alone", "confirmed", "paused", "one is paused", "one follows another leader"],
 )
 async def test_a_leader_is_used_only_while_another_member_confirms_it(
-    words: list[tuple[InstanceId, int, int]], may_use: bool
+    replies: list[tuple[InstanceId, int, int]], may_use: bool
 ) -> None:
     tracker = make_tracker([])
     tracker.handle_answer(primary_answer(FIRST, 1))
-    take_all(tracker, [replica_answer(*fields) for fields in words])
+    take_all(tracker, [replica_answer(*fields) for fields in replies])
     assert tracker.may_use(FIRST) is may_use
 
 
-async def test_a_proof_that_no_member_confirms_is_no_watermark() -> None:
+async def test_an_unconfirmed_proof_is_no_watermark() -> None:
     tracker = make_tracker([])
     tracker.handle_answer(primary_answer(FIRST, 1, 5))
     assert tracker.watermarks.newest.position == Position(0, 0)
@@ -151,7 +151,7 @@
     assert tracker.watermarks.newest.position == Position(1, 5)
 
 
-async def test_a_read_at_a_replica_confirms_what_was_committed_after_a_proof() -> None:
+async def test_a_replica_read_confirms_the_lease_if_it_shows_a_commit_after_the_proof() -> None:
     tracker = make_tracker([])
     tracker.handle_answer(primary_answer(FIRST, 1, 5))
     tracker.record_position(SECOND, Position(1, 5), now(), LONG_OPEN)
@@ -175,7 +175,7 @@
     assert FormerLeaderFound(GROUP, FIRST, 2) in published
 
 
-async def test_of_two_leaders_of_one_term_neither_is_used() -> None:
+async def test_two_leaders_of_the_same_term_are_both_rejected() -> None:
     tracker = make_tracker([])
     take_all(
         tracker, [primary_answer(FIRST, 2), replica_answer(THIRD, 2), primary_answer(SECOND, 2)]
@@ -189,8 +189,8 @@
     assert tracker.may_use(SECOND)
 
 
-async def test_a_leader_that_is_lost_before_it_was_proven_is_logged_without_an_age() -> None:
-    """Found in a day's log: the age of what never was is no number, and ended the service."""
+async def test_losing_a_leader_that_was_never_proven_is_logged_without_an_age() -> None:
+    """The age of a missing proof is infinite; logging it as a number ended the service."""
     tracker = make_tracker([])
     tracker.leader = FIRST
     tracker.reject(FIRST, "the connection was lost")
@@ -200,16 +200,16 @@
 @pytest.mark.parametrize(
     ("lost_meanwhile", "may_use"), [(False, True), (True, False)], ids=["kept", "given up"]
 )
-async def test_a_word_asked_for_before_a_leader_was_given_up_is_no_lease_on_it_later(
+async def test_a_status_queried_before_relinquishing_a_leader_starts_no_lease_on_it_later(
     lost_meanwhile: bool, may_use: bool
 ) -> None:
-    """Another node pauses the members and relies on this one's word that it has no lease."""
+    """Another node pauses the members and relies on this node's reply that it has no lease."""
     tracker = make_tracker([])
     tracker.handle_answer(primary_answer(FIRST, 1))
-    said: asyncio.Future[MemberAnswer] = asyncio.get_running_loop().create_future()
+    reply: asyncio.Future[MemberAnswer] = asyncio.get_running_loop().create_future()
 
     async def ask(instance: InstanceId, timeout: float) -> MemberAnswer:
-        return await said
+        return await reply
 
     tracker._probes.query_status = ask  # type: ignore[method-assign]
     tracker.start_status_query(SECOND)
@@ -218,25 +218,25 @@
     if lost_meanwhile:
         tracker.relinquish(server_name(FIRST), 0)
         tracker.handle_answer(primary_answer(FIRST, 1))
-    said.set_result(before_the_pause)
+    reply.set_result(before_the_pause)
     await tracker._queries[SECOND]
     assert tracker.leader == FIRST
     assert tracker.may_use(FIRST) is may_use
 
 
 @pytest.mark.parametrize(
-    "told", [ZERO_POSITION, Position(1, 8)], ids=["no position", "a smaller position"]
+    "reported", [ZERO_POSITION, Position(1, 8)], ids=["no position", "a smaller position"]
 )
-async def test_a_proof_never_lowers_the_position_of_its_leader(told: Position) -> None:
-    """Without one, any position of a member would confirm the lease, and reads have no floor."""
+async def test_a_proof_never_lowers_the_position_of_its_leader(reported: Position) -> None:
+    """Otherwise any member's position would confirm the lease, and reads would have no floor."""
     tracker = make_tracker([])
     take_all(tracker, [primary_answer(FIRST, 1, 9), replica_answer(THIRD, 1)])
-    tracker.record_proof(FIRST, told, now() + 0.01)
+    tracker.record_proof(FIRST, reported, now() + 0.01)
     assert tracker.watermarks.newest.position == Position(1, 9)
 
 
-async def test_a_watermark_carries_the_term_that_its_leader_leads() -> None:
-    """Also where that one has committed nothing in it yet."""
+async def test_a_watermark_has_the_term_of_its_leader() -> None:
+    """This holds even if the leader has not committed anything in its term yet."""
     tracker = make_tracker([])
     status = MemberStatus(True, 2, Position(1, 4), 0.0)
     take_all(
--- a/tests/test_gateway_placement.py
+++ b/tests/test_gateway_placement.py
@@ -1,4 +1,4 @@
-"""Which database a read is sent to: near ones first, until this node's share of it is in use."""
+"""Which database a read is sent to: a near one, until this node's share of it is in use."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 NEAR, FAR = InstanceId("near"), InstanceId("far")
 SERVICE_SECONDS = 0.033
 FAR_SECONDS = SERVICE_SECONDS + 0.016
-"""As a database of another region looks from here: 8 ms one way."""
+"""Latency of a database of another region: 8 ms one way."""
 
 
 class NoConnector:
@@ -28,7 +28,7 @@
 
 
 class Owners:
-    """Two nodes a region; the near database is at `near`, the other one in another region."""
+    """Two nodes per region; the near database is at `near`, the other one in another region."""
 
     def __init__(self, near: Distance, slots_a_node: float) -> None:
         self._near = near
@@ -82,8 +82,8 @@
     chosen: InstanceId,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Found at 195 nodes: half of those that serve a group are in a zone without a database of it,
-    and for these another zone of the region counted as far as another region."""
+    """Found with 195 nodes: half of the nodes that serve a group are in a zone without a database
+    of it, and for these another zone of the region counted as far as another region."""
     placement = Placement(NoConnector(), Owners(near, slots_a_node))
     placement.update(DatabaseDirectory(1, {name: entry(name) for name in (NEAR, FAR)}))
     placement.pools[NEAR].latency = SERVICE_SECONDS
--- a/tests/test_gateway_pool.py
+++ b/tests/test_gateway_pool.py
@@ -1,4 +1,4 @@
-"""Who gets the next free connection to a database, and what its answers tell."""
+"""Which waiter gets the next free connection to a database, and the measured latency."""
 
 import asyncio
 
@@ -27,7 +27,7 @@
         self.closed = True
 
 
-class WillingDatabase:
+class AcceptingDatabase:
     async def connect(
         self, entry: DatabaseEntry, tenant: TenantId, timeout: float
     ) -> DatabaseConnection:
@@ -40,10 +40,10 @@
         InstanceId("db"), GroupId("g"), address, ZoneId("a"), Role.PRIMARY, False, slots=3
     )
     budget = ConnectionBudget(connections, connections)
-    return DatabasePool(entry, connector or WillingDatabase(), budget)
+    return DatabasePool(entry, connector or AcceptingDatabase(), budget)
 
 
-async def test_one_that_gives_up_leaves_the_others_their_turn() -> None:
+async def test_a_cancelled_waiter_leaves_the_others_their_turn() -> None:
     pool = make_pool(1)
     held = await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG)
     waiting = [
@@ -58,7 +58,7 @@
     assert pool.load == 0
 
 
-async def test_one_that_gives_up_when_it_was_served_gives_the_connection_back() -> None:
+async def test_a_waiter_cancelled_after_it_was_served_releases_the_connection() -> None:
     pool = make_pool(1)
     held = await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG)
     waiting = asyncio.ensure_future(pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG))
@@ -78,10 +78,10 @@
         pytest.param(Reason.REPLICA_BEHIND, False, id="behind"),
     ],
 )
-async def test_the_time_of_a_refusal_is_not_that_of_a_statement(
+async def test_the_time_of_a_refusal_does_not_count_as_latency(
     reason: Reason | None, counts: bool
 ) -> None:
-    """Found on grown days: a database that was full refused fast, and was chosen for that."""
+    """Found under grown load: a full database refused fast, and was chosen for its low latency."""
     pool = make_pool(1)
     refusal = None if reason is None else Refusal(Verdict.NOT_RUN, reason)
     pool.record_reply(1.0, refusal)
--- a/tests/test_group_goes_on.py
+++ b/tests/test_group_goes_on.py
@@ -15,7 +15,7 @@
 from platform_standins.cuts import cut
 from platform_standins.group import LineDatabase
 from platform_standins.world import GROUP, World
-from test_restarts_during_changes import world_with_a_change_ahead
+from test_restarts_during_changes import world_before_a_change
 
 LONGEST_GAP = 5.0
 """Seconds without a write that a caller may meet."""
@@ -37,7 +37,7 @@
 async def test_a_dead_replica_that_stays_registered_does_not_stop_the_group(
     harm: Callable[[LineDatabase], None],
 ) -> None:
-    async with world_with_a_change_ahead() as world:
+    async with world_before_a_change() as world:
         cut(world.nodes[1], "db-a")
         harm(world.group.members["db-b"])
         assert await longest_gap(world) < LONGEST_GAP
@@ -45,7 +45,7 @@
 
 
 async def test_a_replica_that_ended_without_a_word_does_not_stop_the_group() -> None:
-    async with world_with_a_change_ahead() as world:
+    async with world_before_a_change() as world:
         cut(world.nodes[1], "db-a")
         await world.group.members["db-b"].crash()
         assert await longest_gap(world) < LONGEST_GAP
@@ -54,7 +54,7 @@
 
 async def test_a_node_that_reaches_only_the_leader_does_not_keep_others_from_changing_it() -> None:
     """The lease's holder wrote its lease anew for each try that could come to nothing only."""
-    async with world_with_a_change_ahead() as world:
+    async with world_before_a_change() as world:
         world.group.members["db-a"].deaf = True
         near, far = world.nodes
         if world.platform.found("leases", GROUP)["spec"]["holder"] == "node-1":
--- a/tests/test_leases_restored.py
+++ b/tests/test_leases_restored.py
@@ -1,8 +1,8 @@
-"""Changes of primary around a store that comes back from a copy.
+"""Changes of primary around a restore of the store from a backup.
 
-The token of an order was the store's count of changes when the lease was written. The count goes
-back with a copy: orders after it had tokens below one that was used before, and were refused for as
-long as the new count lagged behind; where nobody checks tokens they would have been carried out.
+The fencing token of an order used to be the store's revision when the lease was written. A restore
+sets the revision back, so later orders had tokens below earlier ones: they were refused until the
+revision caught up, or would have been carried out where tokens are not checked.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 from platform_standins.store import PlatformStandIn
 from platform_standins.world import GROUP, LineClient, World, running_world, until
 
-WRITES_SINCE_COPY = 40
-"""Writes by databases between the copy and its return: the count falls by so many at least."""
+WRITES_SINCE_BACKUP = 40
+"""Writes by databases between backup and restore: the revision falls by at least this number."""
 
 
 async def write(client: LineClient, what: str) -> None:
-    """Write until it is taken."""
+    """Write until it is accepted."""
     while (await client.run(f"WRITE {what}")).code:
         pass
 
@@ -39,7 +39,7 @@
 
 
 async def replace_crashed_primary(world: World, client: LineClient) -> None:
-    """Crash the primary, and let it come back once another one has taken a write."""
+    """Crash the primary, and restart it once its successor has accepted a write."""
     former = world.group.primary
     await former.crash()
     await write(client, f"after {former.name}")
@@ -48,13 +48,13 @@
 
 
 @pytest.mark.parametrize("is_restored", [False, True], ids=["control", "restored"])
-async def test_tokens_rise_also_after_the_store_came_back_from_a_copy(is_restored: bool) -> None:
+async def test_tokens_increase_across_a_restore_of_the_store(is_restored: bool) -> None:
     async with running_world() as world:
         client = await world.client("latest")
         await write(client, "start 1")
         await until(lambda: world.platform.has("leases", GROUP))
         copy = world.platform.copy()
-        for _ in range(WRITES_SINCE_COPY):
+        for _ in range(WRITES_SINCE_BACKUP):
             world.register("db-c")
         await replace_crashed_primary(world, client)
         if is_restored:
@@ -66,18 +66,18 @@
         assert tokens == sorted(tokens)
 
 
-# The lease itself, before the store alone.
+# The lease alone, against the store.
 
 CHANGE = OrderedChange(InstanceId("db-b"), term=2)
-FAR_FROM_TROUBLE = 100.0
+LONG_AFTER = 100.0
 
 
 class Keeper:
-    """One node's view of the lease, with a clock that tests turn."""
+    """One node's view of the lease, with a clock that tests control."""
 
     def __init__(self, name: str, platform: PlatformStandIn) -> None:
         self.node = NodeId(name)
-        self.now = FAR_FROM_TROUBLE
+        self.now = LONG_AFTER
         address = Address("127.0.0.1", platform.port)
         store = ObjectLeaseStore(address, StoreCalls(), StoreEras())
         timing = FailoverTiming()
@@ -99,8 +99,8 @@
         platform.put("other", "thing", {})
 
 
-async def test_a_write_whose_condition_holds_again_by_chance_makes_nobody_the_holder() -> None:
-    """The number that the condition names was given out again, to another node's write."""
+async def test_a_write_whose_condition_matches_a_reused_revision_takes_no_lease() -> None:
+    """The revision that the condition names was reused for another node's write."""
     async with bare_store() as platform:
         first, second = Keeper("first", platform), Keeper("second", platform)
         await first.lease.create_or_read()
@@ -110,7 +110,7 @@
         platform.go_back(copy)
         await second.lease.create_or_read()
         count_up_to(platform, number - 1)
-        second.now += FAR_FROM_TROUBLE
+        second.now += LONG_AFTER
         assert await second.lease.write(CHANGE, None) is not None
         assert platform.found("leases", GROUP)["meta"]["revision"] == number
         assert await first.lease.write(None, None) is None
@@ -122,7 +122,7 @@
         assert second.lease.known.last_change == CHANGE
 
 
-async def test_the_last_change_is_written_again_by_who_knows_it() -> None:
+async def test_the_last_change_is_written_again_by_a_node_that_knows_it() -> None:
     async with bare_store() as platform:
         holder = Keeper("first", platform)
         await holder.lease.create_or_read()
@@ -133,14 +133,14 @@
         known = holder.lease.known
         assert known is not None
         assert known.last_change == CHANGE
-        holder.now += FAR_FROM_TROUBLE
+        holder.now += LONG_AFTER
         assert await holder.lease.write(known.last_change, known.unsettled) is not None
         spec = platform.found("leases", GROUP)["spec"]
         assert spec["last_change"]["target"] == CHANGE.target
 
 
-async def test_a_lease_that_came_back_with_the_copy_makes_nobody_the_holder() -> None:
-    """Another node may have held it last, and may be about to order a change by it."""
+async def test_a_restored_lease_makes_no_node_its_holder() -> None:
+    """Another node may have held it last, and may be about to order a change with it."""
     async with bare_store() as platform:
         former = Keeper("first", platform)
         await former.lease.create_or_read()
@@ -154,8 +154,8 @@
         assert not again.lease.is_own
 
 
-async def test_a_lease_that_is_made_after_a_restore_is_not_used_at_once() -> None:
-    """The store may have lost one, whose holder has ordered a change a moment ago."""
+async def test_a_lease_created_after_a_restore_is_not_used_at_once() -> None:
+    """The store may have lost a lease whose holder has just ordered a change."""
     async with bare_store() as platform:
         platform.era = 1
         keeper = Keeper("first", platform)
@@ -164,13 +164,13 @@
         actions = {}
         for seconds in (0.0, FailoverTiming().lease_observation):
             known, quiet = keeper.lease.known, keeper.lease.quiet_until
-            since = FAR_FROM_TROUBLE - 10.0
+            since = LONG_AFTER - 10.0
             situation = Situation(keeper.node, 0, None, Cause.LOST, since, known, quiet)
-            actions[seconds] = decide(situation, FAR_FROM_TROUBLE + seconds, FailoverTiming())
+            actions[seconds] = decide(situation, LONG_AFTER + seconds, FailoverTiming())
         assert list(actions.values()) == [Action.NONE, Action.CHANGE]
 
 
-async def test_the_former_holder_takes_the_lease_again_in_quiet_times() -> None:
+async def test_the_former_holder_takes_the_lease_again_after_a_restore() -> None:
     async with running_world() as world:
         client = await world.client("latest")
         await write(client, "start 1")
@@ -181,7 +181,7 @@
 
 
 class Moment(IntEnum):
-    """When the primary crashes, seen from the restore."""
+    """When the primary crashes relative to the restore."""
 
     BEFORE = 1
     WHILE_AWAY = 2
@@ -193,7 +193,7 @@
 async def test_a_primary_that_crashes_around_a_restore_is_replaced(
     moment: Moment, has_lease: bool
 ) -> None:
-    """`has_lease`: the copy was made after the lease; else the store has none."""
+    """`has_lease`: the backup was made after the lease was; otherwise the store has no lease."""
     async with running_world() as world:
         copies = [world.platform.copy()]
         client = await world.client("latest")
@@ -217,9 +217,9 @@
         assert tokens == sorted(tokens)
 
 
-async def test_a_holder_that_hears_of_a_restore_in_the_middle_of_a_change_gives_it_up() -> None:
-    """Found by the soak (seed 704 with restores): the service failed, as the lease it was just
-    working with was forgotten under its hands."""
+async def test_a_holder_abandons_a_change_when_it_learns_of_a_restore() -> None:
+    """Found by the soak test (seed 704 with restores): the service failed, as the lease was dropped
+    while a change was using it."""
     async with bare_store() as platform:
         holder = Keeper("first", platform)
         await holder.lease.create_or_read()
@@ -233,10 +233,10 @@
         assert await holder.lease.hold() is None
         assert await holder.lease.write(None, CHANGE) is None
         await holder.lease.release()
-        holder.now += FAR_FROM_TROUBLE
+        holder.now += LONG_AFTER
         await holder.lease.create_or_read()
         assert holder.lease.reclaims
-        holder.now += FAR_FROM_TROUBLE
+        holder.now += LONG_AFTER
         await holder.lease.reclaim()
         assert holder.lease.is_own
         assert not holder.lease.reclaims
--- a/tests/test_lent_connections.py
+++ b/tests/test_lent_connections.py
@@ -1,4 +1,4 @@
-"""Lent connections come back, and what looks like silence and is none costs nobody a connection."""
+"""Connections are always released, and a slow reply alone costs no caller its connection."""
 
 import asyncio
 from types import SimpleNamespace
@@ -30,19 +30,19 @@
 from test_gateway_pool import OpenConnection, make_pool
 from test_silent_connections import MEMBER, long_world, pools, served, tracker, warm
 
-FAR = 0.03
-"""One way to a database in another region (seconds)."""
+REMOTE_DELAY = 0.03
+"""One-way delay to a database in another region (seconds)."""
 NEVER_USED = -1e6
-"""Has a tracker ask nothing by itself (steady clock, seconds)."""
+"""Last use of a group that keeps its tracker from sending queries (monotonic clock, seconds)."""
 
 
-def silent_ones(pool: DatabasePool) -> list[PooledConnection]:
-    return [lent for lent in pool._checked_out if pool.is_suspect(lent)]
+def suspects(pool: DatabasePool) -> list[PooledConnection]:
+    return [pooled for pooled in pool._checked_out if pool.is_suspect(pooled)]
 
 
-def closed_and_lent(world: World) -> list[PooledConnection]:
-    lent = [found for pool in pools(world).values() for found in pool._checked_out]
-    return [found for found in lent if found.connection.closed]
+def closed_but_in_use(world: World) -> list[PooledConnection]:
+    pooled = [found for pool in pools(world).values() for found in pool._checked_out]
+    return [found for found in pooled if found.connection.closed]
 
 
 @pytest.mark.parametrize(
@@ -50,10 +50,10 @@
     [(["BEGIN"], "READ x"), (["BEGIN", "WRITE x 2"], "COMMIT")],
     ids=["at its BEGIN", "at its COMMIT"],
 )
-async def test_a_caller_that_leaves_in_a_transaction_leaves_no_connection_lent(
+async def test_a_connection_is_released_if_its_caller_disconnects_in_a_transaction(
     texts: list[str], last: str
 ) -> None:
-    """Each one that stays lent is lost to the node until it starts again."""
+    """A connection that isn't released is lost to the node until it restarts."""
     async with long_world() as world:
         client = await world.client("latest")
         assert (await served(client, "WRITE x 1")).code == ""
@@ -63,11 +63,13 @@
         await until(lambda: tracker(world).may_use(MEMBER))
         world.proxies[MEMBER].delay = 0.1
         caller.send(f"QUERY left {last}")
-        await until(lambda: any(lent.waiting_since for lent in pools(world)[MEMBER]._checked_out))
+        await until(
+            lambda: any(pooled.waiting_since for pooled in pools(world)[MEMBER]._checked_out)
+        )
         caller.close()
         world.proxies[MEMBER].delay = 0.0
         await until(lambda: len(world.nodes[0].gateway.listener.connections) == 1)
-        await until(lambda: closed_and_lent(world) == [])
+        await until(lambda: closed_but_in_use(world) == [])
 
 
 async def test_a_transaction_that_is_abandoned_while_it_begins_is_rolled_back() -> None:
@@ -85,7 +87,9 @@
         await until(lambda: tracker(world).may_use(MEMBER))
         world.proxies[MEMBER].delay = 0.1
         asked = asyncio.ensure_future(host.serve(NodeId("n"), message))
-        await until(lambda: any(lent.waiting_since for lent in pools(world)[MEMBER]._checked_out))
+        await until(
+            lambda: any(pooled.waiting_since for pooled in pools(world)[MEMBER]._checked_out)
+        )
         host.abandon(NodeId("n"), 77)
         assert (await asked).reply.refusal is not None
         world.proxies[MEMBER].delay = 0.0
@@ -93,38 +97,38 @@
         await until(lambda: not any(session.transaction for session in member.connections))
 
 
-async def test_a_short_bound_without_an_answer_shows_no_silence() -> None:
-    """As at the end of the time for which a statement may wait."""
+async def test_a_short_timeout_makes_no_connection_suspect() -> None:
+    """Statements that are close to their deadline have such short timeouts."""
     async with long_world() as world:
         client = await world.client("latest")
         await served(client, "BEGIN")
         assert (await served(client, "WRITE x 1")).code == ""
         pool = pools(world)[MEMBER]
-        lent = await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG)
-        await asyncio.sleep(FAR)
-        world.proxies[MEMBER].delay = FAR
+        pooled = await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG)
+        await asyncio.sleep(REMOTE_DELAY)
+        world.proxies[MEMBER].delay = REMOTE_DELAY
         with pytest.raises(ConnectionLostError):
-            await lent.run_at_once([Command(BEGIN), Command(ROLLBACK)], FAR / 3)
-        lent.release()
-        assert silent_ones(pool) == []
+            await pooled.run_at_once([Command(BEGIN), Command(ROLLBACK)], REMOTE_DELAY / 3)
+        pooled.release()
+        assert suspects(pool) == []
         world.proxies[MEMBER].delay = 0.0
         assert (await served(client, "COMMIT")).code == ""
 
 
-async def test_a_proof_that_had_no_time_loses_no_leader() -> None:
+async def test_a_proof_with_a_short_timeout_rejects_no_leader() -> None:
     async with long_world() as world:
         client = await world.client("latest")
         assert (await served(client, "WRITE x 1")).code == ""
         leaders = tracker(world)
         await until(lambda: leaders.may_use(MEMBER))
         losses = leaders._losses
-        world.proxies[MEMBER].delay = FAR
-        await leaders._prove(MEMBER, FAR / 3)
+        world.proxies[MEMBER].delay = REMOTE_DELAY
+        await leaders._prove(MEMBER, REMOTE_DELAY / 3)
         assert leaders._losses == losses
 
 
-async def test_no_room_for_a_second_question_shows_no_silence() -> None:
-    """The first one is answered late, and the database takes no further connection."""
+async def test_a_second_probe_without_a_connection_makes_no_connection_suspect() -> None:
+    """The reply to the first probe is late, and the database accepts no further connection."""
     async with long_world() as world:
         client = await world.client("latest")
         await served(client, "BEGIN")
@@ -144,7 +148,7 @@
         pool.acquire = acquire_once  # type: ignore[method-assign]
         world.proxies[MEMBER].delay = 0.11
         await MemberProbes(world.nodes[0].gateway.context.placement).prove(MEMBER, 0.45)
-        assert silent_ones(pool) == []
+        assert suspects(pool) == []
 
 
 async def test_a_connection_that_opens_after_its_pool_was_closed_is_closed() -> None:
@@ -165,25 +169,25 @@
     await until(lambda: opened.closed)
 
 
-async def test_a_waiter_gets_a_connection_beside_a_silent_one_after_a_refusal() -> None:
+async def test_a_waiter_gets_a_connection_beside_a_suspect_one_after_a_refusal() -> None:
     async with long_world() as world:
         client = await world.client("latest")
         assert (await served(client, "WRITE x 1")).code == ""
         tracker(world)._used_at = NEVER_USED
         pool = pools(world)[MEMBER]
-        lent = await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG)
+        pooled = await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG)
         for idle in pool._idle:
             idle.connection.close()
         now = asyncio.get_running_loop().time()
-        pool._silent_before = now + FAR_TOO_LONG
+        pool._suspect_before = now + FAR_TOO_LONG
         pool._refused_until = now + 0.1
         async with asyncio.timeout(FAR_TOO_LONG):
             other = await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG)
         other.release()
-        lent.release()
+        pooled.release()
 
 
-async def test_a_second_database_that_lags_leaves_a_read_its_third_try(
+async def test_a_second_database_that_is_behind_leaves_a_read_its_third_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     tried: list[str] = []
@@ -225,9 +229,11 @@
 
 
 @pytest.mark.parametrize("synchronous", [0, 1])
-async def test_a_leader_that_nobody_knew_may_register_late(synchronous: int) -> None:
-    """Registrations come back one by one after the store was out of order: a node that starts
-    meanwhile sees replicas only, and with synchronous ones perhaps not the longest log."""
+async def test_no_change_is_ordered_while_an_unknown_leader_may_still_register(
+    synchronous: int,
+) -> None:
+    """After an outage of the store, databases are registered again one by one. A node that starts
+    meanwhile sees only replicas, and with synchronous ones perhaps not the longest log."""
     async with running_world() as world:
         context = world.nodes[0].gateway.context
         world.platform.delete("servers", "db-a")
@@ -243,8 +249,8 @@
         assert await runner.prepare(None, None, None) is None
 
 
-async def test_a_commit_that_a_newer_term_gave_up_holds_no_planned_change() -> None:
-    """The new leader has committed nothing of its own yet."""
+async def test_a_commit_rolled_back_by_a_newer_term_blocks_no_planned_change() -> None:
+    """The new leader has not committed anything in its own term yet."""
     async with long_world() as world:
         client = await world.client("latest")
         assert (await served(client, "WRITE x 1")).code == ""
--- a/tests/test_limits_over_nodes.py
+++ b/tests/test_limits_over_nodes.py
@@ -1,6 +1,6 @@
-"""A tenant's limit over all nodes: what may go to databases, whatever nodes know of each other.
+"""A tenant's limit holds over all nodes, whatever nodes know of each other.
 
-The rule is judged from what was let through and what databases ran, not from the counters.
+It is checked by the admitted operations and by what the databases ran, not by the counters.
 """
 
 import asyncio
@@ -27,24 +27,24 @@
 HOT = TenantId("hot")
 STEP_SECONDS = 0.01
 CHANGE_STEPS = 10
-"""A member or the configuration changes each tenth of a second: stalls of some nodes make others
-suspect them and take them back, and a restart of all in turn changes as much."""
+"""Steps between changes of members or configuration, a tenth of a second: if some nodes stall,
+others suspect them and trust them again, and a rolling restart causes as many changes."""
 
 
 @contextmanager
 def clock_of(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[float]]:
-    """Let the gateway's clock stand at what the list holds."""
+    """Set the gateway's clock to the value in the returned list."""
     clock = [1_000.0]
     monkeypatch.setattr(GatewayContext, "now", staticmethod(lambda: clock[0]))
     yield clock
 
 
-# The home of a tenant is silent, and those that stand in for it hear of members that come and go. A
-# stand-in that forgets with each of these what it has admitted lets a whole limit through alone.
+# The home of a tenant is unresponsive, and its stand-ins see members join and leave. A stand-in
+# that drops its counts at each such change would admit a whole limit alone.
 
 
 @pytest.mark.parametrize("changes", ["members", "configuration", "nothing"])
-async def test_nodes_that_stand_in_keep_to_the_limit_while_members_or_configuration_change(
+async def test_stand_ins_keep_the_limit_while_members_or_configuration_change(
     changes: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with clock_of(monkeypatch) as clock:
@@ -69,11 +69,12 @@
         assert len(moments) >= 0.7 * LIMIT.rate * 4 * SPAN
 
 
-# Two nodes that each take themselves for the home, as views differ, may each admit a whole limit.
+# Two nodes with different views that each consider themselves the home might each admit a whole
+# limit.
 
 
 @pytest.mark.parametrize("parts", [(5, 5), (9, 1), (10, 0)], ids=str)
-async def test_the_parts_of_a_split_count_by_no_more_than_one_limit(
+async def test_the_sides_of_a_partition_share_a_single_limit(
     parts: tuple[int, int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with clock_of(monkeypatch) as clock:
@@ -101,10 +102,10 @@
         assert shares[0] >= max(parts) / 10 - 0.2
 
 
-async def test_a_node_that_has_met_nobody_does_not_take_its_part_for_the_whole(
+async def test_a_node_that_knows_no_other_node_counts_by_one_part_only(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Cut off and started again, it knows of no other node, and would admit a whole limit."""
+    """A node that restarts while partitioned knows no other node, and would admit a whole limit."""
     with clock_of(monkeypatch) as clock:
         fleet = Fleet(
             {zone: names[:1] for zone, names in list(NODES.items())[:1]}, table(2, LIMIT, HOT)
@@ -116,10 +117,10 @@
         assert sum(fleet.shares(HOT).values()) <= 1 / MAXIMUM_GRANTORS
 
 
-# A planned stop moves the counting. Who asks in that moment waits for it, and is not refused.
+# A planned stop moves the counting to another node. Requests at that time wait, and aren't refused.
 
 
-async def test_a_planned_stop_of_the_home_leaves_nobody_without_a_count(
+async def test_a_planned_stop_of_the_home_moves_the_counting_to_the_next_node(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     with clock_of(monkeypatch) as clock:
@@ -138,11 +139,11 @@
         assert fleet.shares(HOT) == {others[0]: 1.0}
 
 
-# Which limit counts, where configurations differ.
+# Which limit applies if configurations differ.
 
 
 @pytest.mark.parametrize(
-    ("own", "told", "admitted"),
+    ("own", "reported", "admitted"),
     [
         pytest.param(
             (2, RateLimit(20.0, 20.0)), (3, RateLimit(0.0, 0.0)), False, id="newer, lower"
@@ -158,14 +159,14 @@
         pytest.param((2, None), (3, None), True, id="nobody knows one"),
     ],
 )
-async def test_a_newer_limit_counts_where_it_is_lower_or_none_is_known(
+async def test_a_newer_reported_limit_applies_if_it_is_lower_or_none_is_known(
     own: tuple[int, RateLimit | None],
-    told: tuple[int, RateLimit | None],
+    reported: tuple[int, RateLimit | None],
     admitted: bool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A home that is behind would count by a limit that was lowered, or not at all. A node that is
-    wrong raises none, and lowers one for a while only."""
+    """A home with an old configuration would count by a former, higher limit, or not at all. A
+    faulty node can raise no limit, and can lower one only for a while."""
     with clock_of(monkeypatch) as clock:
         version, limit = own
         known = table(version, LIMIT, TenantId("other"))
@@ -177,20 +178,21 @@
             clock[0] += STEP_SECONDS
             fleet.request_grants()
         home = fleet.contexts[fleet.homes(HOT)[0]]
-        asked = AdmissionRequest(HOT, told[1], told[0])
-        assert home.limits.count(asked).admitted is admitted
+        request = AdmissionRequest(HOT, reported[1], reported[0])
+        assert home.limits.count(request).admitted is admitted
         uncounted = home.metrics.tenants.totals[Outcome.UNCOUNTED]
         assert uncounted == int(admitted)
         clock[0] += REPORTED_LIMIT_SECONDS + 1.0
         assert home.limits.limit_of(HOT) == limit
 
 
-# A read that a database has run without an answer is refused in the end, as every other database is
-# busy: what has run must not be given back, however the last attempt ended.
+# A database runs a read whose reply is lost, and the read is finally refused, as all other
+# databases are busy. An operation that has run must not be refunded, however the last attempt
+# ended.
 
 
-async def replicas_are_busy(world: World) -> None:
-    """The first read at a replica runs and gets no answer; all later ones are refused as busy."""
+async def make_replicas_busy(world: World) -> None:
+    """Let the first read at a replica run without a reply, and refuse all later ones as busy."""
     for member in world.group.members.values():
         member.fault.mute_reads = 1
     await until(lambda: any(run.action == "READ" for run in world.group.runs))
@@ -199,21 +201,21 @@
         member.fault.busy = 1_000_000
 
 
-async def test_an_operation_that_a_database_has_run_is_not_given_back() -> None:
+async def test_an_operation_that_a_database_has_run_is_not_refunded() -> None:
     async with running_world() as world:
         brief = {"route_type": "bounded", "max_staleness_ms": 60_000, "timeout_ms": 1_500}
         put_configuration(world, 2, [tenant_entry(ACME, SECRET)], brief=brief)
         client = await open_session(world, SECRET, "brief")
         records = world.nodes[0].gateway.context.metrics.tenants
         async with asyncio.timeout(FAR_TOO_LONG):
-            answer, _ = await asyncio.gather(client.run("READ k"), replicas_are_busy(world))
+            answer, _ = await asyncio.gather(client.run("READ k"), make_replicas_busy(world))
         assert answer.code
         assert sum(run.action == "READ" for run in world.group.runs) == 1
         assert records.totals[Outcome.COUNTED] - records.totals[Outcome.RETURNED] == 1
 
 
-# A read whose answer is lost is sent once more, and runs twice: each run takes a database's time,
-# and a limit that counts them as one lets a tenant have twice what it may.
+# A read whose reply is lost is sent once more, and runs twice. Each run takes a database's time: if
+# both counted as one, a tenant could exceed its limit by a factor of two.
 
 
 async def test_each_further_attempt_that_may_run_is_counted_too() -> None:
