--- a/tests/test_overload_placement.py
+++ b/tests/test_overload_placement.py
@@ -1,7 +1,7 @@
-"""Where reads go while demand and databases are uneven: three regions in virtual time.
+"""Placement of reads under uneven demand and faults of databases: three regions, virtual time.
 
-The thresholds are what callers need: nearly all that the databases together can serve is served in
-time, nothing that is well is flooded, and what was is over soon after its cause.
+The thresholds are what callers need: nearly all reads within the total capacity are served in time,
+no healthy database is flooded, and effects of a fault end soon after the fault.
 """
 
 from math import pi, sin
@@ -13,24 +13,24 @@
 from placement_world import Condition, Load, PlacementWorld
 
 BEGIN, END = 3.0, 8.0
-"""When a trouble begins and ends (seconds)."""
-BACK = END + 4.0
-"""By then the longest ejection, a probation and a slow start are over."""
+"""When a fault begins and ends (seconds)."""
+RECOVERED = END + 4.0
+"""Time at which the longest ejection, a probation and a slow start are over (seconds)."""
 SEEDS = (1, 2, 3)
 LONGEST_QUEUE = 70
-"""Reads that wait at one database: those that begin within a third of a second, which leaves most
-of a caller's time."""
+"""Maximum queue at one database: as many reads as begin within a third of a second, which leaves
+most of a caller's time."""
 
 
 def steady(share: float) -> Load:
     return Load(lambda region, now: share)
 
 
-def in_trouble(condition: Condition, share: float = 0.5, region: int = 0) -> Load:
-    def told(place: int, now: float) -> Condition:
+def with_fault(condition: Condition, share: float = 0.5, region: int = 0) -> Load:
+    def condition_of(place: int, now: float) -> Condition:
         return condition if place == region and BEGIN <= now < END else Condition.WELL
 
-    return Load(lambda place, now: share, told)
+    return Load(lambda place, now: share, condition_of)
 
 
 def flapping(share: float = 0.5) -> Load:
@@ -42,7 +42,7 @@
 
 
 def wave(region: int, now: float) -> float:
-    """Half of the capacity and more by turns, each region at another time."""
+    """Oscillate between 0.34 and 1.16 times the capacity, each region in a different phase."""
     return 0.75 * (1 + 0.55 * sin(2 * pi * (now / 6.0 + region / 3.0)))
 
 
@@ -51,14 +51,14 @@
 
 
 class Case(NamedTuple):
-    """A load, and what must be served of it: while it is in trouble, and after that.
+    """A load, and the share that must be served: during the fault, and after it.
 
-    `ejections`: at most so many. `attempts`: for each read while in trouble, at most: a database
-    that fails is asked again only to see whether it has recovered.
+    `ejections`: maximum number. `attempts`: maximum per read during the fault, as a failing
+    database is tried again only to see whether it has recovered.
     """
 
     load: Load
-    in_trouble: float
+    with_fault: float
     after: float = 0.99
     ejections: int = 0
     attempts: float = 1.02
@@ -68,19 +68,19 @@
     pytest.param(Case(steady(0.7), 0.99), id="steady 0.7"),
     pytest.param(Case(steady(0.9), 0.98, 0.97), id="steady 0.9"),
     pytest.param(
-        Case(in_trouble(Condition.SLOW), 0.99, ejections=6, attempts=1.08), id="one 5 times slower"
+        Case(with_fault(Condition.SLOW), 0.99, ejections=6, attempts=1.08), id="one 5 times slower"
     ),
     pytest.param(
-        Case(in_trouble(Condition.FAILING), 0.99, ejections=6, attempts=1.08), id="one fails half"
+        Case(with_fault(Condition.FAILING), 0.99, ejections=6, attempts=1.08), id="one fails half"
     ),
     pytest.param(
-        Case(in_trouble(Condition.SHEDDING), 0.99, ejections=6, attempts=1.08), id="one sheds half"
+        Case(with_fault(Condition.SHEDDING), 0.99, ejections=6, attempts=1.08), id="one sheds half"
     ),
     pytest.param(
-        Case(in_trouble(Condition.HANGING), 0.99, ejections=6, attempts=1.08), id="one hangs"
+        Case(with_fault(Condition.HANGING), 0.99, ejections=6, attempts=1.08), id="one hangs"
     ),
     pytest.param(
-        Case(in_trouble(Condition.DOWN), 0.99, ejections=6, attempts=1.08), id="one is down"
+        Case(with_fault(Condition.DOWN), 0.99, ejections=6, attempts=1.08), id="one is down"
     ),
     pytest.param(Case(flapping(), 0.99, ejections=6, attempts=1.08), id="one flaps each 1.4 s"),
     pytest.param(Case(Load(wave), 0.99), id="a wave, regions out of phase"),
@@ -94,12 +94,12 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("case", CASES)
-def test_what_can_be_served_is_served(
+def test_reads_within_the_capacity_are_served(
     case: Case, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     world = PlacementWorld(case.load, seed, monkeypatch)
     world.run()
-    assert world.goodput(BEGIN, END) >= case.in_trouble
+    assert world.goodput(BEGIN, END) >= case.with_fault
     assert world.goodput(END + 1.0) >= case.after
     assert sum(world.ejections.values()) <= case.ejections
     assert world.attempts(BEGIN, END) <= case.attempts
@@ -111,11 +111,11 @@
     [
         pytest.param(steady(0.9), id="steady"),
         pytest.param(Load(wave), id="a wave"),
-        pytest.param(in_trouble(Condition.DOWN), id="one is down"),
-        pytest.param(in_trouble(Condition.SLOW), id="one is slow"),
+        pytest.param(with_fault(Condition.DOWN), id="one is down"),
+        pytest.param(with_fault(Condition.SLOW), id="one is slow"),
     ],
 )
-def test_no_herd_floods_a_database_that_is_well(
+def test_no_herd_floods_a_healthy_database(
     load: Load, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     world = PlacementWorld(load, seed, monkeypatch)
@@ -128,22 +128,22 @@
 @pytest.mark.parametrize(
     "condition", [Condition.FAILING, Condition.SHEDDING, Condition.HANGING, Condition.SLOW]
 )
-def test_a_database_that_recovers_has_its_share_again_soon(
+def test_a_recovered_database_soon_gets_its_share_again(
     condition: Condition, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    load = in_trouble(condition)._replace(seconds=BACK + 2.0)
+    load = with_fault(condition)._replace(seconds=RECOVERED + 2.0)
     world = PlacementWorld(load, seed, monkeypatch)
     world.run()
     before = world.ran_in(0, 1.0, BEGIN) / (BEGIN - 1.0)
-    recovered = world.ran_in(0, BACK, BACK + 2.0) / 2.0
+    recovered = world.ran_in(0, RECOVERED, RECOVERED + 2.0) / 2.0
     assert recovered >= 0.8 * before
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_reads_stay_in_their_region_while_it_is_not_full(
+def test_reads_stay_in_their_region_while_it_has_capacity(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Bytes between regions are dear, and the way takes longer than the read."""
+    """Traffic between regions is expensive, and its delay exceeds the time of the read."""
     world = PlacementWorld(steady(0.7), seed, monkeypatch)
     world.run()
     whole = sum(world.arrived.values())
@@ -152,11 +152,11 @@
     assert min(ran) >= 0.9 * whole / 3
 
 
-def test_a_replica_that_was_behind_is_asked_again_for_a_read_that_was_refused_elsewhere(
+def test_a_replica_that_was_behind_is_tried_again_for_a_read_refused_elsewhere(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Found on a day with a full leader: it refused reads at once that the near replica, behind for
-    a tenth of a second by a session's own write, could have served."""
+    """Found with a full leader: it refused reads at once that the near replica
+    could have served, although that was behind a session's own write by a tenth of a second."""
     world = PlacementWorld(steady(0.5), 1, monkeypatch)
     node = world.nodes[0]
     pools: list[Any] = list(node.pools.values())[:2]
--- a/tests/test_restarts_during_changes.py
+++ b/tests/test_restarts_during_changes.py
@@ -1,8 +1,8 @@
-"""Replicas that start again, or come back, while a change of primary is under way.
+"""Replicas that restart or rejoin while a change of primary is in progress.
 
-Guards against: a former leader used beside the next one. Two nodes that do not know each other;
-only node 1 is cut off from the primary and replaces it, while node 0 still reaches it. A database
-that starts again has forgotten that it was paused, and a database that had left was never paused.
+Guards against a former leader being used beside its successor. Two nodes do not know each other;
+node 1 alone is cut off from the primary and replaces it, while node 0 still reaches it. A database
+that restarts has forgotten that it was paused, and one that had left was never paused.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 from platform_standins.world import GROUP, World, keep_writing, running_world, until
 
 PROMOTION_SECONDS = 0.3
-"""So long an order takes to come into effect."""
+"""Time until an order takes effect."""
 START_SECONDS = 0.05
-"""So long a database that starts again is away."""
+"""Downtime of a database that restarts."""
 USE_SECONDS = 1.0
-"""For so long after the promotion the former leader is looked at."""
+"""How long after the promotion the former leader is observed."""
 
 
 @pytest.mark.parametrize("seconds", [0.0, 0.2, 0.4, 0.7, 0.85, 1.0])
-async def test_a_paused_replica_that_starts_again_lets_nobody_use_the_former_leader(
+async def test_no_node_uses_the_former_leader_after_a_paused_replica_restarts(
     seconds: float,
 ) -> None:
-    async with world_with_a_change_ahead() as world:
-        await start_again_while_paused(world, seconds)
+    async with world_before_a_change() as world:
+        await restart_while_paused(world, seconds)
         assert await commits_at_former_leaders(world) == []
 
 
 @pytest.mark.parametrize("seconds", [0.05, 0.3, 0.6, 0.85, 1.0])
-async def test_a_replica_that_had_left_and_is_back_lets_nobody_use_the_former_leader(
+async def test_no_node_uses_the_former_leader_after_a_replica_rejoins(
     seconds: float,
 ) -> None:
-    async with world_with_a_change_ahead() as world:
+    async with world_before_a_change() as world:
         replica = world.group.members["db-b"]
         await leave(world, replica)
         cut(world.nodes[1], "db-a")
@@ -51,19 +51,19 @@
 
 
 @pytest.mark.parametrize("seconds", [0.0, 0.2, 0.4, 0.7])
-async def test_a_change_waits_anew_for_a_replica_that_started_again_before_the_order(
+async def test_a_change_waits_again_for_a_replica_that_restarted_before_the_order(
     seconds: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards the orderer's side alone: here every word counts, whoever gives it."""
+    """Guards the ordering node's side alone: here every member's confirmation is valid."""
     monkeypatch.setattr(WitnessUptimes, "has_outlasted_changes", lambda *_: True)
-    async with world_with_a_change_ahead() as world:
-        await start_again_while_paused(world, seconds)
+    async with world_before_a_change() as world:
+        await restart_while_paused(world, seconds)
         assert await commits_at_former_leaders(world) == []
 
 
 @asynccontextmanager
-async def world_with_a_change_ahead() -> AsyncIterator[World]:
-    """Two nodes with writers, before a group whose former primaries go on leading."""
+async def world_before_a_change() -> AsyncIterator[World]:
+    """Start two nodes with writers and a group whose former primaries keep leading."""
     async with AsyncExitStack() as stack:
         world = await stack.enter_async_context(running_world(nodes=2))
         world.group.deposes = False
@@ -77,8 +77,8 @@
         yield world
 
 
-async def start_again_while_paused(world: World, seconds: float) -> None:
-    """Cut node 1 off from the primary, and let a replica start again so long after its pause."""
+async def restart_while_paused(world: World, seconds: float) -> None:
+    """Cut node 1 off from the primary, and restart a replica some time after it is paused."""
     replica = world.group.members["db-b"]
     cut(world.nodes[1], "db-a")
     await until(lambda: is_paused(world, "db-b") and is_paused(world, "db-c"))
@@ -93,7 +93,7 @@
 
 
 async def leave(world: World, replica: LineDatabase) -> None:
-    """Let a database leave as planned, and every node hear of it."""
+    """Let a database leave as planned, and wait until every node knows."""
     world.register(replica.name, "draining")
     await asyncio.sleep(START_SECONDS)
     world.platform.delete("servers", replica.name)
@@ -107,7 +107,7 @@
 
 
 async def commits_at_former_leaders(world: World) -> list[str]:
-    """Return where anything was committed beside the newest leader, after a change is over."""
+    """Return the members other than the newest leader that committed, after the change is over."""
     await until(lambda: bool(world.group.promotions))
     await asyncio.sleep(USE_SECONDS)
     return [commit.member for commit in world.group.commits if not commit.by_newest_leader]
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -34,7 +34,7 @@
 from bramblebeam.services.feed.service import FeedService
 from bramblebeam.services.feed.sources import STORE_WAIT
 from bramblebeam.services.gateway.leaders import STALLED_WRITES, LeaderTracker
-from bramblebeam.services.gateway.pool import PATIENCE, DatabasePool
+from bramblebeam.services.gateway.pool import LATE_SECONDS, DatabasePool
 from bramblebeam.services.gateway.ports import Command
 from bramblebeam.services.transport.messages import PeerFailure, PeerRequest
 from platform_standins.group import LineGroup
@@ -493,4 +493,4 @@
 
 
 def stand_still() -> None:
-    time.sleep(3 * PATIENCE)
+    time.sleep(3 * LATE_SECONDS)
--- a/tests/test_tenant_connections.py
+++ b/tests/test_tenant_connections.py
@@ -1,4 +1,5 @@
-"""Connections of one tenant each: which rests, which makes room, who gets the next."""
+"""Connections that belong to tenants: which stay open, which is closed for another tenant's, and
+which waiter gets the next."""
 
 import asyncio
 
@@ -21,19 +22,19 @@
 
 
 class CountingDatabase:
-    """Takes so many connections at a time from this node, and counts them by tenant."""
+    """Accepts a limited number of connections at a time, and records them by tenant."""
 
-    def __init__(self, takes: int = 100) -> None:
+    def __init__(self, accepts: int = 100) -> None:
         self.opened: list[TenantId] = []
         self.open: list[OpenConnection] = []
-        self._takes = takes
+        self._maximum = accepts
 
     async def connect(
         self, entry: DatabaseEntry, tenant: TenantId, timeout: float
     ) -> OpenConnection:
         await asyncio.sleep(0)
         self.open = [connection for connection in self.open if not connection.closed]
-        if len(self.open) >= self._takes:
+        if len(self.open) >= self._maximum:
             raise ConnectError(Reason.TOO_MANY_CONNECTIONS, "full")
         self.opened.append(tenant)
         self.open.append(OpenConnection())
@@ -41,18 +42,18 @@
 
 
 def keeping_pool(database: CountingDatabase, connections: int) -> DatabasePool:
-    """Return a pool that keeps all of its connections however long they rest."""
+    """Return a pool that keeps all of its idle connections open."""
     pool = make_pool(connections, database)  # type: ignore[arg-type]
     pool.kept_idle = connections
     return pool
 
 
 async def use(pool: DatabasePool, *tenants: TenantId) -> None:
-    """Let each tenant in turn borrow a connection and give it back."""
+    """Let each tenant in turn acquire and release a connection."""
     for tenant in tenants:
-        lent = await pool.acquire(tenant, NO_STATE, FAR_TOO_LONG)
-        assert lent.tenant == tenant
-        lent.release()
+        pooled = await pool.acquire(tenant, NO_STATE, FAR_TOO_LONG)
+        assert pooled.tenant == tenant
+        pooled.release()
 
 
 @pytest.mark.parametrize(
@@ -72,29 +73,29 @@
 async def test_connections_are_kept_for_their_tenants(
     connections: int, uses: list[TenantId], opened: list[TenantId]
 ) -> None:
-    """A new connection takes 12 ms of one of the database's three slots, a statement 4 to 22 ms.
-    With 72 tenants before 32 connections nine operations in ten opened one."""
+    """A new connection accepts 12 ms of one of the database's three slots, a statement 4 to 22 ms.
+    With 72 tenants and 32 connections, nine operations in ten opened a connection."""
     database = CountingDatabase()
     await use(keeping_pool(database, connections), *uses)
     assert database.opened == opened
 
 
-async def test_never_more_are_open_than_the_budget_allows() -> None:
+async def test_no_more_connections_are_open_than_the_budget_allows() -> None:
     database = CountingDatabase()
     pool = keeping_pool(database, 3)
     await use(pool, *[TenantId(f"tenant-{number % 7}") for number in range(50)])
     assert sum(not connection.closed for connection in database.open) == 3
 
 
-async def test_a_statement_cannot_go_over_another_tenants_connection() -> None:
+async def test_a_statement_is_not_sent_on_another_tenants_connection() -> None:
     pool = keeping_pool(CountingDatabase(), 1)
-    lent = await pool.acquire(ACME, NO_STATE, FAR_TOO_LONG)
+    pooled = await pool.acquire(ACME, NO_STATE, FAR_TOO_LONG)
     command = Command(Statement(Action.READ, body="parcel"), "id-1", tenant=BOLT)
     with pytest.raises(OtherTenantError):
-        await lent.run([command], FAR_TOO_LONG)
+        await pooled.run([command], FAR_TOO_LONG)
 
 
-async def test_a_free_connection_goes_to_its_tenant_unless_another_has_waited_for_long(
+async def test_a_free_connection_goes_to_its_tenant_unless_another_has_waited_too_long(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for turn, first in ((FAR_TOO_LONG, ACME), (0.0, BOLT)):
@@ -111,12 +112,12 @@
 
 
 async def _serve(pool: DatabasePool, tenant: TenantId, served: list[TenantId]) -> None:
-    lent = await pool.acquire(tenant, NO_STATE, FAR_TOO_LONG)
-    served.append(lent.tenant)
-    lent.release()
+    pooled = await pool.acquire(tenant, NO_STATE, FAR_TOO_LONG)
+    served.append(pooled.tenant)
+    pooled.release()
 
 
-async def test_the_gateways_own_question_takes_any_connection() -> None:
+async def test_the_gateways_own_queries_use_any_connection() -> None:
     database = CountingDatabase()
     pool = keeping_pool(database, 1)
     await use(pool, ACME)
@@ -126,11 +127,11 @@
     assert (await keeping_pool(CountingDatabase(), 1).acquire_any(FAR_TOO_LONG)).tenant == NO_TENANT
 
 
-async def test_what_rests_makes_room_where_the_database_takes_no_more(
+async def test_an_idle_connection_is_closed_if_the_database_accepts_no_more(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(pool_module, "REFUSED_PAUSE", 0.0)
-    pool = keeping_pool(CountingDatabase(takes=1), 5)
+    pool = keeping_pool(CountingDatabase(accepts=1), 5)
     await use(pool, ACME, BOLT)
 
 
@@ -139,7 +140,7 @@
     held = await pool.acquire(ACME, NO_STATE, FAR_TOO_LONG)
     served: list[TenantId] = []
     tenants = [ACME] * 200 + [BOLT]
-    waiting = [asyncio.ensure_future(_slowly(pool, tenant, served)) for tenant in tenants]
+    waiting = [asyncio.ensure_future(_serve_slowly(pool, tenant, served)) for tenant in tenants]
     await asyncio.sleep(0)
     held.release()
     await waiting[-1]
@@ -147,11 +148,11 @@
     await asyncio.gather(*waiting)
 
 
-async def _slowly(pool: DatabasePool, tenant: TenantId, served: list[TenantId]) -> None:
-    lent: PooledConnection = await pool.acquire(tenant, NO_STATE, FAR_TOO_LONG)
+async def _serve_slowly(pool: DatabasePool, tenant: TenantId, served: list[TenantId]) -> None:
+    pooled: PooledConnection = await pool.acquire(tenant, NO_STATE, FAR_TOO_LONG)
     await asyncio.sleep(0.002)
     served.append(tenant)
-    lent.release()
+    pooled.release()
 
 
 @pytest.mark.parametrize(
@@ -163,14 +164,14 @@
         pytest.param([n / 5 for n in range(500)], 100.0, 5.0, id="five a second"),
     ],
 )
-def test_the_rate_at_which_a_tenant_asks(uses: list[float], at: float, expected: float) -> None:
+def test_the_rate_of_a_tenants_requests(uses: list[float], at: float, expected: float) -> None:
     usage = TenantUsage()
     for moment in uses:
         usage.record(ACME, moment)
     assert usage.rate(ACME, at) == pytest.approx(expected, abs=0.1)
 
 
-def test_tenants_that_ask_no_more_are_forgotten() -> None:
+def test_inactive_tenants_are_dropped() -> None:
     usage = TenantUsage()
     for number in range(3_000):
         usage.record(TenantId(f"tenant-{number}"), float(number))
--- a/tests/test_tenant_records.py
+++ b/tests/test_tenant_records.py
@@ -1,4 +1,4 @@
-"""What nodes tell of tenants that met their limits, and what a report makes of all their lines."""
+"""The log lines of tenants that reached their limits, and the report that adds them up."""
 
 import json
 import logging
@@ -23,7 +23,7 @@
 LIMIT = RateLimit(20.0, 10.0)
 
 
-def told(records: TenantRecords, now: float, caplog: pytest.LogCaptureFixture) -> list[dict]:
+def report(records: TenantRecords, now: float, caplog: pytest.LogCaptureFixture) -> list[dict]:
     """Return the events of one report."""
     caplog.clear()
     with caplog.at_level(logging.INFO):
@@ -31,7 +31,7 @@
     return [json.loads(JsonFormatter().format(record)) for record in caplog.records]
 
 
-def test_only_a_tenant_that_met_its_limit_has_lines_and_only_for_a_while(
+def test_only_a_tenant_that_reached_its_limit_is_logged_and_only_for_a_while(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     records = TenantRecords()
@@ -39,19 +39,19 @@
         records.record(tenant, Outcome.COUNTED)
         records.record(tenant, Outcome.SENT)
     records.record_limit_reached(ACME, 10.0)
-    (event,) = told(records, 10.0, caplog)
+    (event,) = report(records, 10.0, caplog)
     assert event["event"] == TENANT_SECOND.number
     expected = {"tenant": ACME, "rate": 20.0, "burst": 10.0, "counted": 1, "sent": 1}
     assert event["fields"].items() >= expected.items()
     records.record(ACME, Outcome.SENT)
-    assert not told(records, 10.0 + REPORT_SECONDS / 2, caplog)
-    assert told(records, 10.0 + REPORT_SECONDS, caplog)[0]["fields"]["sent"] == 1
+    assert not report(records, 10.0 + REPORT_SECONDS / 2, caplog)
+    assert report(records, 10.0 + REPORT_SECONDS, caplog)[0]["fields"]["sent"] == 1
     records.record(ACME, Outcome.SENT)
-    assert not told(records, 11.0 + FOLLOWED_SECONDS, caplog)
+    assert not report(records, 11.0 + FOLLOWED_SECONDS, caplog)
     assert records.totals[Outcome.SENT] == 4
 
 
-def test_lines_are_bounded_however_many_tenants_meet_their_limits(
+def test_the_number_of_lines_is_limited_if_many_tenants_reach_their_limits(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     records = TenantRecords()
@@ -62,7 +62,7 @@
         for _ in range(number):
             records.record(tenant, Outcome.REFUSED)
         records.record_uncounted(tenant, "its limit is not known here")
-    events = told(records, 1.0, caplog)
+    events = report(records, 1.0, caplog)
     assert len(events) == 2 * MAXIMUM_LINES + 1
     assert events[0]["fields"]["tenant"] == "tenant-299"
     assert [event["fields"]["tenants"] for event in events if event["event"] == 1128] == [300]
@@ -73,7 +73,7 @@
     return line(at, TENANT_SECOND, tenant="acme", rate=20.0, burst=10.0, **fields)
 
 
-def test_a_report_adds_up_what_all_nodes_counted_and_sent_against_the_limit(
+def test_a_report_compares_the_counts_of_all_nodes_with_the_limit(
     tmp_path: Path,
 ) -> None:
     logs = {
--- a/tests/test_tenant_view.py
+++ b/tests/test_tenant_view.py
@@ -1,4 +1,4 @@
-"""What an operator sees of tenants that are counted against their limits."""
+"""The tenants that a node counts, as shown to operators."""
 
 import json
 
@@ -44,7 +44,7 @@
         ]
 
 
-async def test_the_command_asks_nodes_and_names_those_that_do_not_answer() -> None:
+async def test_the_command_queries_nodes_and_names_those_that_do_not_reply() -> None:
     row = {"tenant": "acme", "share": 0.5, "counted": 7, "allowed": 110.0}
 
     def body_of(path: str) -> bytes:
@@ -57,7 +57,7 @@
     assert f"{ABSENT}:" in result.output
 
 
-def test_a_tenant_is_added_up_over_nodes_and_marked_at_its_limit() -> None:
+def test_a_tenants_counts_are_added_up_over_nodes_and_marked_at_its_limit() -> None:
     allowed = 100.0
     half = {"tenant": "hot", "share": 0.5, "counted": ADMITTED_SHARE * 50, "allowed": allowed}
     calm = {"tenant": "calm", "share": 1.0, "counted": 9, "allowed": allowed}
--- a/tests/test_witness_lives.py
+++ b/tests/test_witness_lives.py
@@ -137,7 +137,7 @@
         raise ProbeFailedError("connection refused", is_gone=True)
 
     monkeypatch.setattr(tracker._probes, "query_status", refuse_connection)
-    await tracker._ask(SECOND, tracker._probes.query_status)
+    await tracker._run_query(SECOND, tracker._probes.query_status)
     tracker.handle_answer(replica_answer(THIRD, 1)._replace(opened_at=opened_at))
     assert tracker.may_use(FIRST)
 
