--- a/src/bramblebeam/services/gateway/placement.py
+++ b/src/bramblebeam/services/gateway/placement.py
@@ -22,7 +22,7 @@
 from bramblebeam.services.waiting import loop_time
 
 CONNECTION_SHARE = 3
-"""One node opens at most one connection in this many that a database accepts."""
+"""One node opens at most 1 / CONNECTION_SHARE of the connections that a database accepts."""
 MINIMUM_CONNECTIONS = 2
 """Minimum share of a serving node."""
 DEFAULT_CONNECTIONS = 8
--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -61,7 +61,7 @@
     A connection carries the statements of one tenant only. An idle one is closed if another tenant
     needs a connection and the budget allows no more.
 
-    Connections may become unresponsive together, as on a partition. After a late reply, connections
+    Connections may become unresponsive together. After a late reply, connections
     that have received nothing since its query was sent are not checked out again
     (`expire_connections`). If the reply should have been immediate, connections in use that have
     received nothing since are suspect too (`suspect_connections`): statements that may be repeated
--- a/src/bramblebeam/services/gateway/pooled.py
+++ b/src/bramblebeam/services/gateway/pooled.py
@@ -86,9 +86,7 @@
     ) -> list[Reply]:
         """Run commands (`timeout` in seconds). Raises ConnectionLostError, OtherTenantError."""
         if any(command.tenant not in (None, self.tenant) for command in commands):
-            raise OtherTenantError(
-                f"{self.instance}: the connection belongs to tenant {self.tenant!r}"
-            )
+            raise OtherTenantError(f"{self.instance}: the connection is of tenant {self.tenant}")
         self.must_wait = must_wait
         return await self.query(lambda connection: connection.run(commands, timeout))
 
--- a/tests/counting_fleet.py
+++ b/tests/counting_fleet.py
@@ -79,8 +79,8 @@
 class Fleet:
     """Nodes in regions of two zones each, which all know each other.
 
-    `silent`: nodes that neither send nor receive. `sides`: side of a partition by node; nodes on
-    different sides can't reach each other.
+    `unresponsive`: nodes that neither send nor receive. `sides`: side of a partition by node; nodes
+    on different sides can't reach each other.
     """
 
     def __init__(self, nodes: Nodes, configured: RouteTable) -> None:
@@ -88,7 +88,7 @@
         self.addresses = {
             node: member.spec.peer_address for node, member in self.view.members.items()
         }
-        self.silent: set[NodeId] = set()
+        self.unresponsive: set[NodeId] = set()
         self.sides: dict[NodeId, int] = {}
         self.contexts = {node: self._context(node, configured) for node in self.view.members}
 
@@ -115,12 +115,12 @@
     def reaches(self, node: NodeId, other: NodeId) -> bool:
         """Whether messages of a node arrive at another one."""
         apart = self.sides.get(node, 0) != self.sides.get(other, 0)
-        return not apart and not {node, other} & self.silent
+        return not apart and not {node, other} & self.unresponsive
 
     def request_grants(self) -> None:
         """Let every node send its pending grant requests."""
         for node, context in list(self.contexts.items()):
-            if node not in self.silent:
+            if node not in self.unresponsive:
                 context.limits.request_grants()
 
     def homes(self, tenant: TenantId) -> tuple[NodeId, ...]:
--- a/tests/placement_world.py
+++ b/tests/placement_world.py
@@ -57,14 +57,14 @@
     """The load of a run.
 
     `rate`: arrival rate by region and time, as a multiple of a database's capacity. `condition`:
-    condition of a region's database by time. `tells`: whether nodes report loads to each other.
+    condition of a region's database by time. `reports`: whether nodes report loads to each other.
     """
 
     rate: Callable[[int, float], float]
     condition: Callable[[int, float], Condition] = lambda region, now: Condition.WELL
     seconds: float = 12.0
     leader: int | None = None
-    tells: bool = True
+    reports: bool = True
 
 
 class Read:
@@ -322,7 +322,7 @@
     def _return(self, read: Read, region: int, delay: float, then: Callable[[], None]) -> None:
         """Deliver a reply after the network delay, with the loads of its node's database."""
         node, caller = self.nodes[region], self.nodes[read.region]
-        loads = node.loads() if delay and self.load.tells else ()
+        loads = node.loads() if delay and self.load.reports else ()
 
         def arrive() -> None:
             if delay:
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -146,11 +146,11 @@
 
 def test_the_number_of_tracked_names_is_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(incarnations_module, "MAXIMUM_NAMES", 2)
-    lives = Incarnations()
+    incarnations = Incarnations()
     for name in ("a", "b", "c"):
-        assert lives.observe(instance_id(name, BORN))
-    assert not lives.is_former(instance_id("a", 1))
-    assert lives.is_former(instance_id("c", 1))
+        assert incarnations.observe(instance_id(name, BORN))
+    assert not incarnations.is_former(instance_id("a", 1))
+    assert incarnations.is_former(instance_id("c", 1))
 
 
 async def test_a_stale_entry_of_a_former_incarnation_is_ignored(
@@ -440,10 +440,12 @@
             assert (await client.run("READ parcel")).rows == ["2"]
 
 
-@pytest.mark.parametrize("tells", [True, False], ids=["its entry tells", "nobody tells yet"])
+@pytest.mark.parametrize(
+    "is_registered", [True, False], ids=["its entry tells", "nobody tells yet"]
+)
 @pytest.mark.parametrize("as_primary", [True, False], ids=["as primary", "as replica"])
 async def test_no_write_is_lost_if_the_primary_restarts_empty(
-    tells: bool, as_primary: bool
+    is_registered: bool, as_primary: bool
 ) -> None:
     async with running_world(born=BORN) as world:
         client = await world.client("latest")
@@ -453,7 +455,7 @@
         for name in ("db-b", "db-c"):
             world.group.members[name].deaf = True
         await former.restart_empty(as_primary)
-        if tells:
+        if is_registered:
             world.register("db-a")
         reader = await world.client("latest")
         answer = await reader.run("READ parcel4")
@@ -541,9 +543,9 @@
         assert await runner.prepare(None, None, None) is None
 
 
-@pytest.mark.parametrize("asked", ["db-a", "db-x"])
-async def test_a_node_relinquishes_any_incarnation_of_a_leader(asked: str) -> None:
+@pytest.mark.parametrize("requested", ["db-a", "db-x"])
+async def test_a_node_relinquishes_any_incarnation_of_a_leader(requested: str) -> None:
     tracker = make_tracker([])
     take_all(tracker, [primary_answer(FIRST, 1), replica_answer(THIRD, 1)])
-    tracker.relinquish(ServerName(asked), 0)
-    assert tracker.may_use(FIRST) is (asked != "db-a")
+    tracker.relinquish(ServerName(requested), 0)
+    assert tracker.may_use(FIRST) is (requested != "db-a")
--- a/tests/test_gateway_leaders.py
+++ b/tests/test_gateway_leaders.py
@@ -208,10 +208,10 @@
     tracker.handle_answer(primary_answer(FIRST, 1))
     reply: asyncio.Future[MemberAnswer] = asyncio.get_running_loop().create_future()
 
-    async def ask(instance: InstanceId, timeout: float) -> MemberAnswer:
+    async def query(instance: InstanceId, timeout: float) -> MemberAnswer:
         return await reply
 
-    tracker._probes.query_status = ask  # type: ignore[method-assign]
+    tracker._probes.query_status = query  # type: ignore[method-assign]
     tracker.start_status_query(SECOND)
     await asyncio.sleep(0)
     before_the_pause = replica_answer(SECOND, 1)
--- a/tests/test_lent_connections.py
+++ b/tests/test_lent_connections.py
@@ -86,12 +86,12 @@
         )
         await until(lambda: tracker(world).may_use(MEMBER))
         world.proxies[MEMBER].delay = 0.1
-        asked = asyncio.ensure_future(host.serve(NodeId("n"), message))
+        requested = asyncio.ensure_future(host.serve(NodeId("n"), message))
         await until(
             lambda: any(pooled.waiting_since for pooled in pools(world)[MEMBER]._checked_out)
         )
         host.abandon(NodeId("n"), 77)
-        assert (await asked).reply.refusal is not None
+        assert (await requested).reply.refusal is not None
         world.proxies[MEMBER].delay = 0.0
         member = world.group.members[MEMBER]
         await until(lambda: not any(session.transaction for session in member.connections))
@@ -137,11 +137,11 @@
         pool = pools(world)[MEMBER]
         tracker(world)._used_at = NEVER_USED
         await until(lambda: len(pool._checked_out) == 1)
-        acquire, asked = pool.acquire, []
+        acquire, requested = pool.acquire, []
 
         async def acquire_once(*args: Any, **named: Any) -> PooledConnection:
-            asked.append(args)
-            if len(asked) > 1:
+            requested.append(args)
+            if len(requested) > 1:
                 raise ConnectError(Reason.TOO_MANY_CONNECTIONS, "full")
             return await acquire(*args, **named)
 
@@ -161,11 +161,11 @@
         return opened
 
     pool._connector = SimpleNamespace(connect=connect)  # type: ignore[assignment]
-    asked = asyncio.ensure_future(pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG))
+    requested = asyncio.ensure_future(pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG))
     await until(lambda: bool(pool._opening))
     pool.close()
     may_open.set()
-    await asyncio.gather(asked, return_exceptions=True)
+    await asyncio.gather(requested, return_exceptions=True)
     await until(lambda: opened.closed)
 
 
@@ -203,8 +203,8 @@
 
     def a_pool(name: str) -> Any:
         entry = SimpleNamespace(instance=name)
-        silent = {"late_after": 0.01, "unresponsive": False, "received_at": 0.0, "enter": enter}
-        return SimpleNamespace(entry=entry, record_unresponsive=lambda: None, **silent)
+        values = {"late_after": 0.01, "unresponsive": False, "received_at": 0.0, "enter": enter}
+        return SimpleNamespace(entry=entry, record_unresponsive=lambda: None, **values)
 
     monkeypatch.setattr(reads, "_read_once", read_once)
     monkeypatch.setattr(reads, "ANSWER_SECONDS", 0.01)
--- a/tests/test_limits_over_nodes.py
+++ b/tests/test_limits_over_nodes.py
@@ -52,7 +52,7 @@
         clock[0] += 60.0
         home, *others = fleet.homes(HOT)
         assert len(others) == 2
-        fleet.silent.add(home)
+        fleet.unresponsive.add(home)
         stand_ins = [fleet.contexts[node] for node in others]
         moments: list[float] = []
         for step in range(round(4 * SPAN / STEP_SECONDS)):
--- a/tests/test_overload_placement.py
+++ b/tests/test_overload_placement.py
@@ -84,7 +84,9 @@
     ),
     pytest.param(Case(flapping(), 0.99, ejections=6, attempts=1.08), id="one flaps each 1.4 s"),
     pytest.param(Case(Load(wave), 0.99), id="a wave, regions out of phase"),
-    pytest.param(Case(Load(wave, tells=False), 0.97, 0.97), id="a wave, and nothing is ever told"),
+    pytest.param(
+        Case(Load(wave, reports=False), 0.97, 0.97), id="a wave, and nothing is ever told"
+    ),
     pytest.param(
         Case(Load(lambda region, now: 0.3, lost), 0.99, ejections=12, attempts=1.15),
         id="two of three lost",
