--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -182,7 +182,7 @@
         is_leader = instance == self.leader and position != ZERO_POSITION
         if not is_leader or not self._served.is_beyond(position, queried_at, self.lease.term):
             return True
-        self.reject(instance, "it seems to lack what it had")
+        self.reject(instance, "its log seems to be shorter than before")
         return False
 
     def _observe_proof(self, position: Position, queried_at: float) -> None:
@@ -211,7 +211,7 @@
             newest_term=newer,
         )
         self._publish(FormerLeaderFound(self.group, instance, newer))
-        self.reject(instance, "its log lacks what it had")
+        self.reject(instance, "its log lacks commits from before its restart")
 
     def record_position(
         self, instance: InstanceId, position: Position, queried_at: float, opened_at: float
@@ -397,10 +397,10 @@
         members = [entry.instance for entry in self.members()]
         return [member for member in members if member not in (self.leader, instance)]
 
-    def _log_confirmer(self, instance: InstanceId, word: str, opened_at: float) -> None:
+    def _log_confirmer(self, instance: InstanceId, kind: str, opened_at: float) -> None:
         """Log that a different member confirms the lease than before.
 
-        `word`: the kind of confirmation, "status" or "received" (it has received a later commit of
+        `kind`: how it is confirmed, "status" or "received" (it has received a later commit of
         the leader).
         """
         now = loop_time()
@@ -414,7 +414,7 @@
             group=self.group,
             instance=self.leader,
             member=instance,
-            word=word,
+            word=kind,
             connection_ms=age_ms(opened_at, now),
         )
 
--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -61,11 +61,11 @@
     A connection carries the statements of one tenant only. An idle one is closed if another tenant
     needs a connection and the budget allows no more.
 
-    Connections may become unresponsive together. After a late reply, connections
-    that have received nothing since its query was sent are not checked out again
-    (`expire_connections`). If the reply should have been immediate, connections in use that have
-    received nothing since are suspect too (`suspect_connections`): statements that may be repeated
-    are abandoned on them, and a transaction's COMMIT is not sent.
+    Connections may become unresponsive together. If a reply is late, connections that have received
+    nothing since its query was sent are not checked out again (`expire_connections`). If the reply
+    should have been immediate, such connections are also suspect while in use
+    (`suspect_connections`): statements that may be repeated are abandoned on them, and a
+    transaction's COMMIT is not sent.
 
     `slots`: the queue for the database's slots; None if only connections limit the work.
     """
