--- a/src/bramblebeam/services/failover/member_orders.py
+++ b/src/bramblebeam/services/failover/member_orders.py
@@ -1,19 +1,26 @@
 """Sends the orders of a change of primary to single databases, over their pooled connections."""
 
 from __future__ import annotations
+
 import asyncio
 import logging
-from bramblebeam.core.failover.messages import (StepDownOutcome, StepDownReply, UNREACHABLE)
-from bramblebeam.core.gateway.directory import (DatabaseEntry)
-from bramblebeam.core.identity import (InstanceId)
-from bramblebeam.core.tenants import (NO_TENANT)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (MEMBER_ORDER_FAILED)
-from bramblebeam.services.gateway.placement import (Placement)
-from bramblebeam.services.gateway.pooled import (CLOCK_STEP, PooledConnection)
-from bramblebeam.services.gateway.ports import (ConnectError, ConnectionLostError, DatabaseConnection, MemberStatus)
-from bramblebeam.services.waiting import (loop_time)
-from collections.abc import (Awaitable, Callable)
+from collections.abc import Awaitable, Callable
+
+from bramblebeam.core.failover.messages import UNREACHABLE, StepDownOutcome, StepDownReply
+from bramblebeam.core.gateway.directory import DatabaseEntry
+from bramblebeam.core.identity import InstanceId
+from bramblebeam.core.tenants import NO_TENANT
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import MEMBER_ORDER_FAILED
+from bramblebeam.services.gateway.placement import Placement
+from bramblebeam.services.gateway.pooled import CLOCK_STEP, PooledConnection
+from bramblebeam.services.gateway.ports import (
+    ConnectError,
+    ConnectionLostError,
+    DatabaseConnection,
+    MemberStatus,
+)
+from bramblebeam.services.waiting import loop_time
 
 logger = logging.getLogger(__name__)
 
--- a/src/bramblebeam/services/gateway/admission.py
+++ b/src/bramblebeam/services/gateway/admission.py
@@ -5,18 +5,20 @@
 """
 
 from __future__ import annotations
+
 import asyncio
 import logging
 import random
-from bramblebeam.core.identity import (NodeId)
-from bramblebeam.core.quota.account import (Count)
-from bramblebeam.core.quota.messages import (Admission, AdmissionRequest, AdmissionReturned)
-from bramblebeam.core.tenants import (TenantId)
-from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (ADMISSION_UNANSWERED, FURTHER_ATTEMPT_REFUSED)
-from bramblebeam.services.gateway.request import (Request)
-from typing import (NamedTuple, TYPE_CHECKING)
+from typing import TYPE_CHECKING, NamedTuple
+
+from bramblebeam.core.identity import NodeId
+from bramblebeam.core.quota.account import Count
+from bramblebeam.core.quota.messages import Admission, AdmissionRequest, AdmissionReturned
+from bramblebeam.core.tenants import TenantId
+from bramblebeam.core.verdict import Reason, Refusal, Verdict
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import ADMISSION_UNANSWERED, FURTHER_ATTEMPT_REFUSED
+from bramblebeam.services.gateway.request import Request
 
 if TYPE_CHECKING:
     from bramblebeam.services.gateway.context import GatewayContext
--- a/src/bramblebeam/services/gateway/context.py
+++ b/src/bramblebeam/services/gateway/context.py
@@ -1,27 +1,29 @@
 """State shared by all sessions of a node."""
 
 from __future__ import annotations
+
 import asyncio
 import contextlib
-from bramblebeam.core.gateway.directory import (DatabaseDirectory)
-from bramblebeam.core.gateway.owners import (Distance, GroupSize, NodeLocation, OwnerTable)
-from bramblebeam.core.gateway.routes import (Consistency, Route, RouteTable)
-from bramblebeam.core.identity import (GroupId, NodeId, ServerName, ZoneId)
-from bramblebeam.core.membership.view import (MembersView)
-from bramblebeam.core.overload.settings import (OverloadSettings, SWITCHED_OFF)
-from bramblebeam.core.tenants import (NO_TENANT, RateLimit, TenantId)
-from bramblebeam.services.gateway.forwarding import (Forwarder, Peers)
-from bramblebeam.services.gateway.leader_news import (LeaderEvent)
-from bramblebeam.services.gateway.leaders import (LeaderTracker)
-from bramblebeam.services.gateway.limits import (TenantLimits)
-from bramblebeam.services.gateway.load_control import (LoadControl)
-from bramblebeam.services.gateway.metrics import (GatewayMetrics)
-from bramblebeam.services.gateway.placement import (DEFAULT_CONNECTIONS, Placement)
-from bramblebeam.services.gateway.ports import (DatabaseConnector)
-from bramblebeam.services.gateway.read_targets import (ReadTargets)
-from bramblebeam.services.gateway.transaction_gates import (TransactionGates)
-from bramblebeam.services.waiting import (loop_time)
-from collections.abc import (Callable)
+from collections.abc import Callable
+
+from bramblebeam.core.gateway.directory import DatabaseDirectory
+from bramblebeam.core.gateway.owners import Distance, GroupSize, NodeLocation, OwnerTable
+from bramblebeam.core.gateway.routes import Consistency, Route, RouteTable
+from bramblebeam.core.identity import GroupId, NodeId, ServerName, ZoneId
+from bramblebeam.core.membership.view import MembersView
+from bramblebeam.core.overload.settings import SWITCHED_OFF, OverloadSettings
+from bramblebeam.core.tenants import NO_TENANT, RateLimit, TenantId
+from bramblebeam.services.gateway.forwarding import Forwarder, Peers
+from bramblebeam.services.gateway.leader_news import LeaderEvent
+from bramblebeam.services.gateway.leaders import LeaderTracker
+from bramblebeam.services.gateway.limits import TenantLimits
+from bramblebeam.services.gateway.load_control import LoadControl
+from bramblebeam.services.gateway.metrics import GatewayMetrics
+from bramblebeam.services.gateway.placement import DEFAULT_CONNECTIONS, Placement
+from bramblebeam.services.gateway.ports import DatabaseConnector
+from bramblebeam.services.gateway.read_targets import ReadTargets
+from bramblebeam.services.gateway.transaction_gates import TransactionGates
+from bramblebeam.services.waiting import loop_time
 
 MIN_REPLICA_STALENESS = 0.5
 """Reads with a smaller staleness bound go to the leader (seconds)."""
--- a/src/bramblebeam/services/gateway/execution.py
+++ b/src/bramblebeam/services/gateway/execution.py
@@ -1,15 +1,17 @@
 """Execution of single statements, at this node or at one that serves the group."""
 
 from __future__ import annotations
-from bramblebeam.core.gateway.replies import (Reply)
-from bramblebeam.core.quota.account import (Count)
-from bramblebeam.services.gateway.admission import (admit, refund_unused)
-from bramblebeam.services.gateway.leader_reads import (read_latest)
-from bramblebeam.services.gateway.reads import (read_replica)
-from bramblebeam.services.gateway.request import (Request)
-from bramblebeam.services.gateway.session_order import (check_answer, check_commit)
-from bramblebeam.services.gateway.writes import (write)
-from typing import (TYPE_CHECKING)
+
+from typing import TYPE_CHECKING
+
+from bramblebeam.core.gateway.replies import Reply
+from bramblebeam.core.quota.account import Count
+from bramblebeam.services.gateway.admission import admit, refund_unused
+from bramblebeam.services.gateway.leader_reads import read_latest
+from bramblebeam.services.gateway.reads import read_replica
+from bramblebeam.services.gateway.request import Request
+from bramblebeam.services.gateway.session_order import check_answer, check_commit
+from bramblebeam.services.gateway.writes import write
 
 if TYPE_CHECKING:
     from bramblebeam.services.gateway.context import GatewayContext
--- a/src/bramblebeam/services/gateway/forwarding.py
+++ b/src/bramblebeam/services/gateway/forwarding.py
@@ -1,24 +1,32 @@
 """Forwarding of callers' statements to the nodes that serve their group."""
 
 from __future__ import annotations
+
 import asyncio
 import itertools
 import logging
 import secrets
-from bramblebeam.core.gateway.messages import (ForwardedReply, ForwardedStatement, JUST_OBSERVED, StatementWithdrawn, TransactionAbandoned)
-from bramblebeam.core.gateway.replies import (Reply)
-from bramblebeam.core.identity import (GroupId, NodeId, ZoneId)
-from bramblebeam.core.quota.messages import (Admission, AdmissionRequest, AdmissionReturned)
-from bramblebeam.core.tenants import (TenantId)
-from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (REQUEST_FORWARD_FAILED)
-from bramblebeam.services.gateway.admission import (may_attempt)
-from bramblebeam.services.gateway.limits import (GrantMessages)
-from bramblebeam.services.gateway.request import (Request)
-from bramblebeam.services.transport.messages import (PeerFailure)
-from collections.abc import (Iterator)
-from typing import (Protocol, TYPE_CHECKING)
+from collections.abc import Iterator
+from typing import TYPE_CHECKING, Protocol
+
+from bramblebeam.core.gateway.messages import (
+    JUST_OBSERVED,
+    ForwardedReply,
+    ForwardedStatement,
+    StatementWithdrawn,
+    TransactionAbandoned,
+)
+from bramblebeam.core.gateway.replies import Reply
+from bramblebeam.core.identity import GroupId, NodeId, ZoneId
+from bramblebeam.core.quota.messages import Admission, AdmissionRequest, AdmissionReturned
+from bramblebeam.core.tenants import TenantId
+from bramblebeam.core.verdict import Reason, Refusal, Verdict
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import REQUEST_FORWARD_FAILED
+from bramblebeam.services.gateway.admission import may_attempt
+from bramblebeam.services.gateway.limits import GrantMessages
+from bramblebeam.services.gateway.request import Request
+from bramblebeam.services.transport.messages import PeerFailure
 
 if TYPE_CHECKING:
     from bramblebeam.services.gateway.context import GatewayContext
--- a/src/bramblebeam/services/gateway/hosting.py
+++ b/src/bramblebeam/services/gateway/hosting.py
@@ -1,21 +1,28 @@
 """Runs statements that other nodes forward, for groups that this node serves."""
 
 from __future__ import annotations
+
 import asyncio
 import logging
-from bramblebeam.core.gateway.messages import (ForwardedReply, ForwardedStatement, NO_NUMBER, NO_TRANSACTION)
-from bramblebeam.core.gateway.replies import (Reply, TRANSACTION_FAILED, TransactionState)
-from bramblebeam.core.gateway.state import (SessionState)
-from bramblebeam.core.gateway.statements import (Action)
-from bramblebeam.core.identity import (GroupId, NodeId, Position, ZERO_POSITION)
-from bramblebeam.core.tenants import (TenantId)
-from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (FORWARDED_STATEMENT_INVALID, STATEMENT_WITHDRAWN)
-from bramblebeam.services.gateway.execution import (execute_here)
-from bramblebeam.services.gateway.request import (Request)
-from bramblebeam.services.gateway.transaction import (Transaction)
-from typing import (TYPE_CHECKING)
+from typing import TYPE_CHECKING
+
+from bramblebeam.core.gateway.messages import (
+    NO_NUMBER,
+    NO_TRANSACTION,
+    ForwardedReply,
+    ForwardedStatement,
+)
+from bramblebeam.core.gateway.replies import TRANSACTION_FAILED, Reply, TransactionState
+from bramblebeam.core.gateway.state import SessionState
+from bramblebeam.core.gateway.statements import Action
+from bramblebeam.core.identity import ZERO_POSITION, GroupId, NodeId, Position
+from bramblebeam.core.tenants import TenantId
+from bramblebeam.core.verdict import Reason, Refusal, Verdict
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import FORWARDED_STATEMENT_INVALID, STATEMENT_WITHDRAWN
+from bramblebeam.services.gateway.execution import execute_here
+from bramblebeam.services.gateway.request import Request
+from bramblebeam.services.gateway.transaction import Transaction
 
 if TYPE_CHECKING:
     from bramblebeam.services.gateway.context import GatewayContext
--- a/src/bramblebeam/services/gateway/leader_reads.py
+++ b/src/bramblebeam/services/gateway/leader_reads.py
@@ -1,20 +1,22 @@
 """Single reads at the leader, in a transaction that also proves that it leads."""
 
 from __future__ import annotations
+
 import asyncio
-from bramblebeam.core.gateway.replies import (Reply)
-from bramblebeam.core.gateway.statements import (BEGIN, ROLLBACK)
-from bramblebeam.core.identity import (InstanceId)
-from bramblebeam.core.role import (Role)
-from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
-from bramblebeam.services.gateway.lending import (run_at_leader, time_left)
-from bramblebeam.services.gateway.pool import (DatabasePool)
-from bramblebeam.services.gateway.pooled import (ANSWER_SECONDS, PooledConnection)
-from bramblebeam.services.gateway.ports import (Command, ConnectionLostError)
-from bramblebeam.services.gateway.read_attempts import (acquire, may_send, record_connection_lost)
-from bramblebeam.services.gateway.request import (Request)
-from bramblebeam.services.gateway.session_order import (LACKS_OBSERVED, lacks_observed_position)
-from typing import (TYPE_CHECKING)
+from typing import TYPE_CHECKING
+
+from bramblebeam.core.gateway.replies import Reply
+from bramblebeam.core.gateway.statements import BEGIN, ROLLBACK
+from bramblebeam.core.identity import InstanceId
+from bramblebeam.core.role import Role
+from bramblebeam.core.verdict import Reason, Refusal, Verdict
+from bramblebeam.services.gateway.lending import run_at_leader, time_left
+from bramblebeam.services.gateway.pool import DatabasePool
+from bramblebeam.services.gateway.pooled import ANSWER_SECONDS, PooledConnection
+from bramblebeam.services.gateway.ports import Command, ConnectionLostError
+from bramblebeam.services.gateway.read_attempts import acquire, may_send, record_connection_lost
+from bramblebeam.services.gateway.request import Request
+from bramblebeam.services.gateway.session_order import LACKS_OBSERVED, lacks_observed_position
 
 if TYPE_CHECKING:
     from bramblebeam.services.gateway.context import GatewayContext
--- a/src/bramblebeam/services/gateway/leaders.py
+++ b/src/bramblebeam/services/gateway/leaders.py
@@ -6,25 +6,47 @@
 """
 
 from __future__ import annotations
+
 import asyncio
 import logging
-from bramblebeam.core.gateway.directory import (DatabaseEntry)
-from bramblebeam.core.gateway.floors import (Watermark, Watermarks, age_ms)
-from bramblebeam.core.gateway.leader_lease import (LeaderLease, POSITION_RENEWAL_SECONDS)
-from bramblebeam.core.gateway.leader_promise import (LeaderPromise)
-from bramblebeam.core.gateway.restart_tracker import (ReportedPosition, RestartTracker)
-from bramblebeam.core.gateway.served_position import (ServedPosition)
-from bramblebeam.core.gateway.witness_uptimes import (WitnessUptimes)
-from bramblebeam.core.identity import (GroupId, InstanceId, Position, ServerName, ZERO_POSITION, incarnation_of, server_name)
-from bramblebeam.core.role import (Role)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (CONFLICTING_LEADERS, FORMER_LEADER_FOUND, LEADER_BLOCKED, LEADER_CONFIRMED, LEADER_LOST, LEADER_PROVEN)
-from bramblebeam.services.gateway.leader_news import (FormerLeaderFound, LeaderEvent, LeaderProven, LeaderSuspected)
-from bramblebeam.services.gateway.lease_keeper import (LeaseKeeper)
-from bramblebeam.services.gateway.member_probes import (MemberAnswer, MemberProbes, ProbeFailedError)
-from bramblebeam.services.gateway.placement import (Placement)
-from bramblebeam.services.waiting import (loop_time, pause)
-from collections.abc import (Awaitable, Callable)
+from collections.abc import Awaitable, Callable
+
+from bramblebeam.core.gateway.directory import DatabaseEntry
+from bramblebeam.core.gateway.floors import Watermark, Watermarks, age_ms
+from bramblebeam.core.gateway.leader_lease import POSITION_RENEWAL_SECONDS, LeaderLease
+from bramblebeam.core.gateway.leader_promise import LeaderPromise
+from bramblebeam.core.gateway.restart_tracker import ReportedPosition, RestartTracker
+from bramblebeam.core.gateway.served_position import ServedPosition
+from bramblebeam.core.gateway.witness_uptimes import WitnessUptimes
+from bramblebeam.core.identity import (
+    ZERO_POSITION,
+    GroupId,
+    InstanceId,
+    Position,
+    ServerName,
+    incarnation_of,
+    server_name,
+)
+from bramblebeam.core.role import Role
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import (
+    CONFLICTING_LEADERS,
+    FORMER_LEADER_FOUND,
+    LEADER_BLOCKED,
+    LEADER_CONFIRMED,
+    LEADER_LOST,
+    LEADER_PROVEN,
+)
+from bramblebeam.services.gateway.leader_news import (
+    FormerLeaderFound,
+    LeaderEvent,
+    LeaderProven,
+    LeaderSuspected,
+)
+from bramblebeam.services.gateway.lease_keeper import LeaseKeeper
+from bramblebeam.services.gateway.member_probes import MemberAnswer, MemberProbes, ProbeFailedError
+from bramblebeam.services.gateway.placement import Placement
+from bramblebeam.services.waiting import loop_time, pause
 
 logger = logging.getLogger(__name__)
 
--- a/src/bramblebeam/services/gateway/lending.py
+++ b/src/bramblebeam/services/gateway/lending.py
@@ -1,17 +1,19 @@
 """Runs a request's statements at its group's leader, with retries on new connections."""
 
 from __future__ import annotations
+
 import asyncio
-from bramblebeam.core.gateway.replies import (Reply)
-from bramblebeam.core.identity import (InstanceId)
-from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
-from bramblebeam.services.gateway.leaders import (LeaderTracker)
-from bramblebeam.services.gateway.pooled import (PooledConnection)
-from bramblebeam.services.gateway.ports import (ConnectError)
-from bramblebeam.services.gateway.request import (Request)
-from bramblebeam.services.gateway.slot_queue import (NoSlotError)
-from collections.abc import (Awaitable, Callable)
-from typing import (TYPE_CHECKING)
+from collections.abc import Awaitable, Callable
+from typing import TYPE_CHECKING
+
+from bramblebeam.core.gateway.replies import Reply
+from bramblebeam.core.identity import InstanceId
+from bramblebeam.core.verdict import Reason, Refusal, Verdict
+from bramblebeam.services.gateway.leaders import LeaderTracker
+from bramblebeam.services.gateway.pooled import PooledConnection
+from bramblebeam.services.gateway.ports import ConnectError
+from bramblebeam.services.gateway.request import Request
+from bramblebeam.services.gateway.slot_queue import NoSlotError
 
 if TYPE_CHECKING:
     from bramblebeam.services.gateway.context import GatewayContext
--- a/src/bramblebeam/services/gateway/load_control.py
+++ b/src/bramblebeam/services/gateway/load_control.py
@@ -1,20 +1,33 @@
 """Early admission, retry times and second attempts of one node's statements."""
 
 from __future__ import annotations
+
 import logging
-from bramblebeam.core.gateway.replies import (Reply)
-from bramblebeam.core.gateway.routes import (Route, RouteTable)
-from bramblebeam.core.identity import (GroupId)
-from bramblebeam.core.overload.admission import (KnownLoads, KnownWait, NoKnownLoads, RefusalCause, refuse_early)
-from bramblebeam.core.overload.budget import (AttemptBudgets)
-from bramblebeam.core.overload.ports import (Refused)
-from bramblebeam.core.overload.retry_schedule import (CapacityEstimate, MAX_RETRY_TIMEOUTS, RetrySchedules, is_scheduled_retry)
-from bramblebeam.core.session.errors import (DEFAULT_RETRY_AFTER_MS)
-from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (SECOND_ATTEMPT_DENIED, STATEMENT_REFUSED_EARLY)
-from bramblebeam.services.gateway.request import (Request, StatementSession)
-from typing import (TYPE_CHECKING)
+from typing import TYPE_CHECKING
+
+from bramblebeam.core.gateway.replies import Reply
+from bramblebeam.core.gateway.routes import Route, RouteTable
+from bramblebeam.core.identity import GroupId
+from bramblebeam.core.overload.admission import (
+    KnownLoads,
+    KnownWait,
+    NoKnownLoads,
+    RefusalCause,
+    refuse_early,
+)
+from bramblebeam.core.overload.budget import AttemptBudgets
+from bramblebeam.core.overload.ports import Refused
+from bramblebeam.core.overload.retry_schedule import (
+    MAX_RETRY_TIMEOUTS,
+    CapacityEstimate,
+    RetrySchedules,
+    is_scheduled_retry,
+)
+from bramblebeam.core.session.errors import DEFAULT_RETRY_AFTER_MS
+from bramblebeam.core.verdict import Reason, Refusal, Verdict
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import SECOND_ATTEMPT_DENIED, STATEMENT_REFUSED_EARLY
+from bramblebeam.services.gateway.request import Request, StatementSession
 
 if TYPE_CHECKING:
     from bramblebeam.services.gateway.context import GatewayContext
--- a/src/bramblebeam/services/gateway/placement.py
+++ b/src/bramblebeam/services/gateway/placement.py
@@ -1,23 +1,25 @@
 """This node's connection pools, and the choice of the database that a read is sent to."""
 
 from __future__ import annotations
-from bramblebeam.core.gateway.budget import (ConnectionBudget)
-from bramblebeam.core.gateway.directory import (DatabaseDirectory, DatabaseEntry)
-from bramblebeam.core.gateway.owners import (Distance)
-from bramblebeam.core.gateway.routes import (RouteTable)
-from bramblebeam.core.identity import (GroupId, InstanceId, ServerName, ZoneId, server_name)
-from bramblebeam.core.overload.load import (DatabaseLoad, NO_LOADS)
-from bramblebeam.core.overload.settings import (OverloadSettings, SWITCHED_OFF)
-from bramblebeam.core.role import (Role)
-from bramblebeam.core.tenants import (TenantId)
-from bramblebeam.core.verdict import (Refusal)
-from bramblebeam.services.gateway.pool import (DatabasePool, KEPT_IDLE)
-from bramblebeam.services.gateway.ports import (DatabaseConnector)
-from bramblebeam.services.gateway.read_targets import (ReadTargets)
-from bramblebeam.services.gateway.slot_queue import (SlotQueue)
-from bramblebeam.services.waiting import (loop_time)
-from collections.abc import (Collection)
-from typing import (Protocol)
+
+from collections.abc import Collection
+from typing import Protocol
+
+from bramblebeam.core.gateway.budget import ConnectionBudget
+from bramblebeam.core.gateway.directory import DatabaseDirectory, DatabaseEntry
+from bramblebeam.core.gateway.owners import Distance
+from bramblebeam.core.gateway.routes import RouteTable
+from bramblebeam.core.identity import GroupId, InstanceId, ServerName, ZoneId, server_name
+from bramblebeam.core.overload.load import NO_LOADS, DatabaseLoad
+from bramblebeam.core.overload.settings import SWITCHED_OFF, OverloadSettings
+from bramblebeam.core.role import Role
+from bramblebeam.core.tenants import TenantId
+from bramblebeam.core.verdict import Refusal
+from bramblebeam.services.gateway.pool import KEPT_IDLE, DatabasePool
+from bramblebeam.services.gateway.ports import DatabaseConnector
+from bramblebeam.services.gateway.read_targets import ReadTargets
+from bramblebeam.services.gateway.slot_queue import SlotQueue
+from bramblebeam.services.waiting import loop_time
 
 CONNECTION_SHARE = 3
 """One node opens at most 1 / CONNECTION_SHARE of the connections that a database accepts."""
--- a/src/bramblebeam/services/gateway/pool.py
+++ b/src/bramblebeam/services/gateway/pool.py
@@ -1,24 +1,26 @@
 """This node's connection pool for one database."""
 
 from __future__ import annotations
+
 import asyncio
 import logging
-from bramblebeam.core.gateway.budget import (ConnectionBudget)
-from bramblebeam.core.gateway.directory import (DatabaseEntry)
-from bramblebeam.core.gateway.state import (NO_STATE, SessionState)
-from bramblebeam.core.gateway.usage import (TenantUsage)
-from bramblebeam.core.overload.work import (Work)
-from bramblebeam.core.tenants import (TenantId)
-from bramblebeam.core.verdict import (Reason, Refusal)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (DATABASE_CONNECTIONS_UNRESPONSIVE)
-from bramblebeam.services.gateway.pooled import (ANSWER_SECONDS, CLOCK_STEP, PooledConnection)
-from bramblebeam.services.gateway.ports import (ConnectError, DatabaseConnector)
-from bramblebeam.services.gateway.resting import (IdleConnections)
-from bramblebeam.services.gateway.slot_queue import (Permit, SlotQueue, unlimited_permit)
-from bramblebeam.services.gateway.waiters import (Waiter, Waiters)
-from bramblebeam.services.waiting import (loop_time)
-from collections import (Counter)
+from collections import Counter
+
+from bramblebeam.core.gateway.budget import ConnectionBudget
+from bramblebeam.core.gateway.directory import DatabaseEntry
+from bramblebeam.core.gateway.state import NO_STATE, SessionState
+from bramblebeam.core.gateway.usage import TenantUsage
+from bramblebeam.core.overload.work import Work
+from bramblebeam.core.tenants import TenantId
+from bramblebeam.core.verdict import Reason, Refusal
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import DATABASE_CONNECTIONS_UNRESPONSIVE
+from bramblebeam.services.gateway.pooled import ANSWER_SECONDS, CLOCK_STEP, PooledConnection
+from bramblebeam.services.gateway.ports import ConnectError, DatabaseConnector
+from bramblebeam.services.gateway.resting import IdleConnections
+from bramblebeam.services.gateway.slot_queue import Permit, SlotQueue, unlimited_permit
+from bramblebeam.services.gateway.waiters import Waiter, Waiters
+from bramblebeam.services.waiting import loop_time
 
 logger = logging.getLogger(__name__)
 
--- a/src/bramblebeam/services/gateway/queue_view.py
+++ b/src/bramblebeam/services/gateway/queue_view.py
@@ -1,10 +1,12 @@
 """The queues before databases at one node, as shown to an operator."""
 
 from __future__ import annotations
+
 import json
-from bramblebeam.services.gateway.pool import (DatabasePool)
-from collections.abc import (Iterable)
-from typing import (NamedTuple)
+from collections.abc import Iterable
+from typing import NamedTuple
+
+from bramblebeam.services.gateway.pool import DatabasePool
 
 _MILLISECONDS = 1_000
 
--- a/src/bramblebeam/services/gateway/read_attempts.py
+++ b/src/bramblebeam/services/gateway/read_attempts.py
@@ -1,14 +1,16 @@
 """Steps shared by all attempts of a read: acquiring, counting and losing its connection."""
 
 from __future__ import annotations
-from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
-from bramblebeam.services.gateway.admission import (may_attempt)
-from bramblebeam.services.gateway.lending import (time_to_hold)
-from bramblebeam.services.gateway.pool import (DatabasePool)
-from bramblebeam.services.gateway.pooled import (PooledConnection)
-from bramblebeam.services.gateway.ports import (ConnectError)
-from bramblebeam.services.gateway.request import (Request)
-from typing import (TYPE_CHECKING)
+
+from typing import TYPE_CHECKING
+
+from bramblebeam.core.verdict import Reason, Refusal, Verdict
+from bramblebeam.services.gateway.admission import may_attempt
+from bramblebeam.services.gateway.lending import time_to_hold
+from bramblebeam.services.gateway.pool import DatabasePool
+from bramblebeam.services.gateway.pooled import PooledConnection
+from bramblebeam.services.gateway.ports import ConnectError
+from bramblebeam.services.gateway.request import Request
 
 if TYPE_CHECKING:
     from bramblebeam.services.gateway.context import GatewayContext
--- a/src/bramblebeam/services/gateway/read_targets.py
+++ b/src/bramblebeam/services/gateway/read_targets.py
@@ -1,23 +1,25 @@
 """Choice of a read's database under load: by reported loads, expected completion and ejection."""
 
 from __future__ import annotations
+
 import logging
-from bramblebeam.core.gateway.owners import (Distance)
-from bramblebeam.core.identity import (GroupId, InstanceId, ZoneId)
-from bramblebeam.core.overload.completion import (Candidate, ReadChooser)
-from bramblebeam.core.overload.ejection import (Cause, EjectionState, EjectionStateChange, Ejector)
-from bramblebeam.core.overload.load import (DatabaseLoad)
-from bramblebeam.core.overload.reported_loads import (LoadReport, ReportedLoads)
-from bramblebeam.core.role import (Role)
-from bramblebeam.core.tenants import (TenantId)
-from bramblebeam.core.verdict import (Reason, Refusal)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (DATABASE_EJECTED, DATABASE_REINSTATED)
-from bramblebeam.services.gateway.metrics import (GatewayMetrics)
-from bramblebeam.services.gateway.pool import (DatabasePool, LATE_SECONDS)
-from bramblebeam.services.waiting import (loop_time)
-from collections.abc import (Collection, Iterable)
-from typing import (Protocol)
+from collections.abc import Collection, Iterable
+from typing import Protocol
+
+from bramblebeam.core.gateway.owners import Distance
+from bramblebeam.core.identity import GroupId, InstanceId, ZoneId
+from bramblebeam.core.overload.completion import Candidate, ReadChooser
+from bramblebeam.core.overload.ejection import Cause, EjectionState, EjectionStateChange, Ejector
+from bramblebeam.core.overload.load import DatabaseLoad
+from bramblebeam.core.overload.reported_loads import LoadReport, ReportedLoads
+from bramblebeam.core.role import Role
+from bramblebeam.core.tenants import TenantId
+from bramblebeam.core.verdict import Reason, Refusal
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import DATABASE_EJECTED, DATABASE_REINSTATED
+from bramblebeam.services.gateway.metrics import GatewayMetrics
+from bramblebeam.services.gateway.pool import LATE_SECONDS, DatabasePool
+from bramblebeam.services.waiting import loop_time
 
 logger = logging.getLogger(__name__)
 
--- a/src/bramblebeam/services/gateway/reads.py
+++ b/src/bramblebeam/services/gateway/reads.py
@@ -1,21 +1,28 @@
 """Single reads at any database whose log has reached the floor."""
 
 from __future__ import annotations
+
 import asyncio
-from bramblebeam.core.gateway.replies import (Reply, TransactionState)
-from bramblebeam.core.identity import (InstanceId)
-from bramblebeam.core.role import (Role)
-from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
-from bramblebeam.services.gateway.leader_reads import (read_latest)
-from bramblebeam.services.gateway.lending import (BUSY_PAUSE, time_left)
-from bramblebeam.services.gateway.pool import (DatabasePool)
-from bramblebeam.services.gateway.pooled import (ANSWER_SECONDS)
-from bramblebeam.services.gateway.ports import (ConnectError, ConnectionLostError)
-from bramblebeam.services.gateway.read_attempts import (CONNECTION_LOST, acquire, may_send, record_connection_lost)
-from bramblebeam.services.gateway.read_floor import (current_floor, is_floor_from_session)
-from bramblebeam.services.gateway.request import (Request)
-from bramblebeam.services.gateway.slot_queue import (NoSlotError, Permit)
-from typing import (TYPE_CHECKING)
+from typing import TYPE_CHECKING
+
+from bramblebeam.core.gateway.replies import Reply, TransactionState
+from bramblebeam.core.identity import InstanceId
+from bramblebeam.core.role import Role
+from bramblebeam.core.verdict import Reason, Refusal, Verdict
+from bramblebeam.services.gateway.leader_reads import read_latest
+from bramblebeam.services.gateway.lending import BUSY_PAUSE, time_left
+from bramblebeam.services.gateway.pool import DatabasePool
+from bramblebeam.services.gateway.pooled import ANSWER_SECONDS
+from bramblebeam.services.gateway.ports import ConnectError, ConnectionLostError
+from bramblebeam.services.gateway.read_attempts import (
+    CONNECTION_LOST,
+    acquire,
+    may_send,
+    record_connection_lost,
+)
+from bramblebeam.services.gateway.read_floor import current_floor, is_floor_from_session
+from bramblebeam.services.gateway.request import Request
+from bramblebeam.services.gateway.slot_queue import NoSlotError, Permit
 
 if TYPE_CHECKING:
     from bramblebeam.services.gateway.context import GatewayContext
--- a/src/bramblebeam/services/gateway/request.py
+++ b/src/bramblebeam/services/gateway/request.py
@@ -1,24 +1,26 @@
 """A statement in flight, and the bounds that apply to it."""
 
 from __future__ import annotations
+
 import logging
-from bramblebeam.core.gateway.replies import (Reply, TransactionState)
-from bramblebeam.core.gateway.routes import (Route)
-from bramblebeam.core.gateway.state import (ConnectionState, SessionState, shape_name)
-from bramblebeam.core.gateway.statements import (Action, PreparedStatement, Statement)
-from bramblebeam.core.identity import (GroupId, InstanceId, Position, ZERO_POSITION)
-from bramblebeam.core.overload.work import (Work, WorkKind)
-from bramblebeam.core.quota.account import (OperationAccount)
-from bramblebeam.core.tenants import (TenantId)
-from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (REQUEST_ATTEMPT_FAILED)
-from bramblebeam.services.gateway.metrics import (GatewayMetrics)
-from bramblebeam.services.gateway.ports import (Command)
-from bramblebeam.services.gateway.slot_queue import (Permit)
-from bramblebeam.services.gateway.tenant_records import (Outcome)
-from dataclasses import (dataclass, field)
-from typing import (Protocol)
+from dataclasses import dataclass, field
+from typing import Protocol
+
+from bramblebeam.core.gateway.replies import Reply, TransactionState
+from bramblebeam.core.gateway.routes import Route
+from bramblebeam.core.gateway.state import ConnectionState, SessionState, shape_name
+from bramblebeam.core.gateway.statements import Action, PreparedStatement, Statement
+from bramblebeam.core.identity import ZERO_POSITION, GroupId, InstanceId, Position
+from bramblebeam.core.overload.work import Work, WorkKind
+from bramblebeam.core.quota.account import OperationAccount
+from bramblebeam.core.tenants import TenantId
+from bramblebeam.core.verdict import Reason, Refusal, Verdict
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import REQUEST_ATTEMPT_FAILED
+from bramblebeam.services.gateway.metrics import GatewayMetrics
+from bramblebeam.services.gateway.ports import Command
+from bramblebeam.services.gateway.slot_queue import Permit
+from bramblebeam.services.gateway.tenant_records import Outcome
 
 logger = logging.getLogger(__name__)
 
--- a/src/bramblebeam/services/gateway/service.py
+++ b/src/bramblebeam/services/gateway/service.py
@@ -1,32 +1,44 @@
 """The gateway service: callers' sessions on pools of database connections."""
 
 from __future__ import annotations
+
 import asyncio
 import logging
-from bramblebeam.core.gateway.directory import (DirectoryChanged)
-from bramblebeam.core.gateway.messages import (ForwardedStatement, StatementWithdrawn, TransactionAbandoned)
-from bramblebeam.core.gateway.owners import (NodeLocation)
-from bramblebeam.core.gateway.routes import (RoutesChanged)
-from bramblebeam.core.identity import (Address, NodeId)
-from bramblebeam.core.membership.view import (MembersChanged)
-from bramblebeam.core.overload.settings import (OverloadSettings, SWITCHED_OFF)
-from bramblebeam.core.quota.messages import (AdmissionRequest, AdmissionReturned, Grant, GrantRequest, GrantReturned)
-from bramblebeam.core.tenants import (KeyDigest)
-from bramblebeam.core.verdict import (Reason, Refusal)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (EDGE_DRAINING, EDGE_LISTENING, READINESS_CHANGED)
-from bramblebeam.kernel import (Kernel, Service)
-from bramblebeam.kernel.mailbox import (Envelope)
-from bramblebeam.kernel.service import (answer)
-from bramblebeam.services.gateway.context import (GatewayContext)
-from bramblebeam.services.gateway.hosting import (StatementHost)
-from bramblebeam.services.gateway.leader_news import (LeaderProven)
-from bramblebeam.services.gateway.peers import (TransportPeers)
-from bramblebeam.services.gateway.ports import (DatabaseConnector)
-from bramblebeam.services.gateway.refused_keys import (RefusedKeys)
-from bramblebeam.services.gateway.session import (GatewaySession)
-from bramblebeam.services.transport.messages import (PeerDelivery, PeerRoute)
-from typing import (ClassVar, Protocol)
+from typing import ClassVar, Protocol
+
+from bramblebeam.core.gateway.directory import DirectoryChanged
+from bramblebeam.core.gateway.messages import (
+    ForwardedStatement,
+    StatementWithdrawn,
+    TransactionAbandoned,
+)
+from bramblebeam.core.gateway.owners import NodeLocation
+from bramblebeam.core.gateway.routes import RoutesChanged
+from bramblebeam.core.identity import Address, NodeId
+from bramblebeam.core.membership.view import MembersChanged
+from bramblebeam.core.overload.settings import SWITCHED_OFF, OverloadSettings
+from bramblebeam.core.quota.messages import (
+    AdmissionRequest,
+    AdmissionReturned,
+    Grant,
+    GrantRequest,
+    GrantReturned,
+)
+from bramblebeam.core.tenants import KeyDigest
+from bramblebeam.core.verdict import Reason, Refusal
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import EDGE_DRAINING, EDGE_LISTENING, READINESS_CHANGED
+from bramblebeam.kernel import Kernel, Service
+from bramblebeam.kernel.mailbox import Envelope
+from bramblebeam.kernel.service import answer
+from bramblebeam.services.gateway.context import GatewayContext
+from bramblebeam.services.gateway.hosting import StatementHost
+from bramblebeam.services.gateway.leader_news import LeaderProven
+from bramblebeam.services.gateway.peers import TransportPeers
+from bramblebeam.services.gateway.ports import DatabaseConnector
+from bramblebeam.services.gateway.refused_keys import RefusedKeys
+from bramblebeam.services.gateway.session import GatewaySession
+from bramblebeam.services.transport.messages import PeerDelivery, PeerRoute
 
 logger = logging.getLogger(__name__)
 
--- a/src/bramblebeam/services/gateway/session.py
+++ b/src/bramblebeam/services/gateway/session.py
@@ -1,22 +1,24 @@
 """One caller's session: its statements in order, its variables and its transaction."""
 
 from __future__ import annotations
+
 import logging
-from bramblebeam.core.gateway.floors import (age_ms)
-from bramblebeam.core.gateway.replies import (Reply, TRANSACTION_FAILED, TransactionState)
-from bramblebeam.core.gateway.routes import (Route)
-from bramblebeam.core.gateway.state import (SessionState)
-from bramblebeam.core.gateway.statements import (Action, COMMIT, PreparedStatement, Statement)
-from bramblebeam.core.identity import (GroupId, Position)
-from bramblebeam.core.tenants import (KeyDigest, NO_TENANT, short_digest)
-from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (REQUEST_REFUSED)
-from bramblebeam.services.gateway.execution import (execute)
-from bramblebeam.services.gateway.forwarded_transaction import (ForwardedTransaction)
-from bramblebeam.services.gateway.request import (Request)
-from bramblebeam.services.gateway.transaction import (Transaction)
-from typing import (TYPE_CHECKING)
+from typing import TYPE_CHECKING
+
+from bramblebeam.core.gateway.floors import age_ms
+from bramblebeam.core.gateway.replies import TRANSACTION_FAILED, Reply, TransactionState
+from bramblebeam.core.gateway.routes import Route
+from bramblebeam.core.gateway.state import SessionState
+from bramblebeam.core.gateway.statements import COMMIT, Action, PreparedStatement, Statement
+from bramblebeam.core.identity import GroupId, Position
+from bramblebeam.core.tenants import NO_TENANT, KeyDigest, short_digest
+from bramblebeam.core.verdict import Reason, Refusal, Verdict
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import REQUEST_REFUSED
+from bramblebeam.services.gateway.execution import execute
+from bramblebeam.services.gateway.forwarded_transaction import ForwardedTransaction
+from bramblebeam.services.gateway.request import Request
+from bramblebeam.services.gateway.transaction import Transaction
 
 if TYPE_CHECKING:
     from bramblebeam.services.gateway.context import GatewayContext
--- a/src/bramblebeam/services/gateway/tenant_records.py
+++ b/src/bramblebeam/services/gateway/tenant_records.py
@@ -5,13 +5,15 @@
 """
 
 from __future__ import annotations
+
 import logging
-from bramblebeam.core.tenants import (RateLimit, TenantId)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (ADMITTED_UNCOUNTED, COUNTING_STARTED, TENANT_RATE_SAMPLE)
-from collections import (Counter)
-from collections.abc import (Callable, Iterator)
-from enum import (StrEnum)
+from collections import Counter
+from collections.abc import Callable, Iterator
+from enum import StrEnum
+
+from bramblebeam.core.tenants import RateLimit, TenantId
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import ADMITTED_UNCOUNTED, COUNTING_STARTED, TENANT_RATE_SAMPLE
 
 logger = logging.getLogger(__name__)
 
--- a/src/bramblebeam/services/gateway/transaction.py
+++ b/src/bramblebeam/services/gateway/transaction.py
@@ -1,23 +1,30 @@
 """A caller's transaction on one database connection."""
 
 from __future__ import annotations
+
 import asyncio
-from bramblebeam.core.gateway.replies import (Reply, TransactionState)
-from bramblebeam.core.gateway.routes import (Route)
-from bramblebeam.core.gateway.statements import (Action, BEGIN, BEGIN_READ, ROLLBACK)
-from bramblebeam.core.identity import (InstanceId)
-from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
-from bramblebeam.services.gateway.admission import (admit, refund_unused)
-from bramblebeam.services.gateway.lending import (BUSY_PAUSE, run_at_leader, time_left, time_to_hold)
-from bramblebeam.services.gateway.pool import (DatabasePool)
-from bramblebeam.services.gateway.pooled import (CLOCK_STEP, PooledConnection)
-from bramblebeam.services.gateway.ports import (Command, ConnectError, ConnectionLostError)
-from bramblebeam.services.gateway.read_floor import (current_floor, is_floor_from_session)
-from bramblebeam.services.gateway.request import (Request, StatementSession)
-from bramblebeam.services.gateway.session_order import (LACKS_OBSERVED, check_answer, check_commit, lacks_observed_position)
-from bramblebeam.services.gateway.slot_queue import (NoSlotError)
-from bramblebeam.services.gateway.transaction_gates import (UNGATED)
-from typing import (TYPE_CHECKING)
+from typing import TYPE_CHECKING
+
+from bramblebeam.core.gateway.replies import Reply, TransactionState
+from bramblebeam.core.gateway.routes import Route
+from bramblebeam.core.gateway.statements import BEGIN, BEGIN_READ, ROLLBACK, Action
+from bramblebeam.core.identity import InstanceId
+from bramblebeam.core.verdict import Reason, Refusal, Verdict
+from bramblebeam.services.gateway.admission import admit, refund_unused
+from bramblebeam.services.gateway.lending import BUSY_PAUSE, run_at_leader, time_left, time_to_hold
+from bramblebeam.services.gateway.pool import DatabasePool
+from bramblebeam.services.gateway.pooled import CLOCK_STEP, PooledConnection
+from bramblebeam.services.gateway.ports import Command, ConnectError, ConnectionLostError
+from bramblebeam.services.gateway.read_floor import current_floor, is_floor_from_session
+from bramblebeam.services.gateway.request import Request, StatementSession
+from bramblebeam.services.gateway.session_order import (
+    LACKS_OBSERVED,
+    check_answer,
+    check_commit,
+    lacks_observed_position,
+)
+from bramblebeam.services.gateway.slot_queue import NoSlotError
+from bramblebeam.services.gateway.transaction_gates import UNGATED
 
 if TYPE_CHECKING:
     from bramblebeam.services.gateway.context import GatewayContext
--- a/src/bramblebeam/services/gateway/transaction_gates.py
+++ b/src/bramblebeam/services/gateway/transaction_gates.py
@@ -1,21 +1,28 @@
 """Gates that admit new transactions where connections to a database are scarce."""
 
 from __future__ import annotations
+
 import asyncio
 import itertools
 import logging
-from bramblebeam.core.identity import (InstanceId)
-from bramblebeam.core.overload.admission import (RefusalCause)
-from bramblebeam.core.overload.idle_transactions import (Connections, OpenTransactions, TransactionGate, WaitingTransaction)
-from bramblebeam.core.overload.ports import (Refused)
-from bramblebeam.core.tenants import (NO_TENANT, TenantId)
-from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
-from bramblebeam.events import (log_event)
-from bramblebeam.events.catalogue import (TRANSACTION_REFUSED)
-from bramblebeam.services.gateway.lending import (time_to_hold)
-from bramblebeam.services.gateway.pool import (DatabasePool)
-from bramblebeam.services.gateway.request import (Request)
-from typing import (TYPE_CHECKING)
+from typing import TYPE_CHECKING
+
+from bramblebeam.core.identity import InstanceId
+from bramblebeam.core.overload.admission import RefusalCause
+from bramblebeam.core.overload.idle_transactions import (
+    Connections,
+    OpenTransactions,
+    TransactionGate,
+    WaitingTransaction,
+)
+from bramblebeam.core.overload.ports import Refused
+from bramblebeam.core.tenants import NO_TENANT, TenantId
+from bramblebeam.core.verdict import Reason, Refusal, Verdict
+from bramblebeam.events import log_event
+from bramblebeam.events.catalogue import TRANSACTION_REFUSED
+from bramblebeam.services.gateway.lending import time_to_hold
+from bramblebeam.services.gateway.pool import DatabasePool
+from bramblebeam.services.gateway.request import Request
 
 if TYPE_CHECKING:
     from bramblebeam.services.gateway.context import GatewayContext
--- a/src/bramblebeam/services/gateway/writes.py
+++ b/src/bramblebeam/services/gateway/writes.py
@@ -1,13 +1,15 @@
 """Single writes: sent to the leader once, and again only if they certainly have not run."""
 
 from __future__ import annotations
-from bramblebeam.core.gateway.replies import (Reply)
-from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
-from bramblebeam.services.gateway.lending import (run_at_leader, time_left)
-from bramblebeam.services.gateway.pooled import (CLOCK_STEP, PooledConnection)
-from bramblebeam.services.gateway.ports import (ConnectionLostError)
-from bramblebeam.services.gateway.request import (Request)
-from typing import (TYPE_CHECKING)
+
+from typing import TYPE_CHECKING
+
+from bramblebeam.core.gateway.replies import Reply
+from bramblebeam.core.verdict import Reason, Refusal, Verdict
+from bramblebeam.services.gateway.lending import run_at_leader, time_left
+from bramblebeam.services.gateway.pooled import CLOCK_STEP, PooledConnection
+from bramblebeam.services.gateway.ports import ConnectionLostError
+from bramblebeam.services.gateway.request import Request
 
 if TYPE_CHECKING:
     from bramblebeam.services.gateway.context import GatewayContext
--- a/tests/counting_fleet.py
+++ b/tests/counting_fleet.py
@@ -1,19 +1,28 @@
 """Gateway contexts without databases, which exchange messages about limits without delay."""
 
 from __future__ import annotations
+
 import asyncio
 import itertools
-from bramblebeam.core.gateway.owners import (NodeLocation)
-from bramblebeam.core.gateway.routes import (GroupSettings, RouteTable)
-from bramblebeam.core.identity import (Address, GroupId, NodeId)
-from bramblebeam.core.membership.view import (Member, MembersView)
-from bramblebeam.core.quota.messages import (Admission, AdmissionRequest, AdmissionReturned, Grant, GrantRequest, GrantReturned)
-from bramblebeam.core.tenants import (RateLimit, Tenant, TenantId, TenantTable)
-from bramblebeam.platform.database_connection import (LineDatabaseConnector)
-from bramblebeam.services.gateway.context import (GatewayContext)
-from bramblebeam.services.gateway.forwarding import (Peers)
-from bramblebeam.services.transport.messages import (PeerFailure, TIMED_OUT)
-from member_views import (Nodes, view_of)
+
+from bramblebeam.core.gateway.owners import NodeLocation
+from bramblebeam.core.gateway.routes import GroupSettings, RouteTable
+from bramblebeam.core.identity import Address, GroupId, NodeId
+from bramblebeam.core.membership.view import Member, MembersView
+from bramblebeam.core.quota.messages import (
+    Admission,
+    AdmissionRequest,
+    AdmissionReturned,
+    Grant,
+    GrantRequest,
+    GrantReturned,
+)
+from bramblebeam.core.tenants import RateLimit, Tenant, TenantId, TenantTable
+from bramblebeam.platform.database_connection import LineDatabaseConnector
+from bramblebeam.services.gateway.context import GatewayContext
+from bramblebeam.services.gateway.forwarding import Peers
+from bramblebeam.services.transport.messages import TIMED_OUT, PeerFailure
+from member_views import Nodes, view_of
 
 GROUP = GroupId("deliveries")
 CONNECTIONS = 32
--- a/tests/placement_world.py
+++ b/tests/placement_world.py
@@ -5,25 +5,28 @@
 """
 
 from __future__ import annotations
+
 import heapq
+from collections import Counter
+from collections.abc import Callable
+from enum import StrEnum
+from itertools import count
+from random import Random
+from typing import NamedTuple
+
 import pytest
-from bramblebeam.core.gateway.directory import (DatabaseEntry)
-from bramblebeam.core.gateway.owners import (Distance)
-from bramblebeam.core.identity import (Address, GroupId, InstanceId, ZoneId)
-from bramblebeam.core.overload.load import (DatabaseLoad)
-from bramblebeam.core.overload.reported_loads import (LoadReport)
-from bramblebeam.core.role import (Role)
-from bramblebeam.core.tenants import (NO_TENANT, TenantId)
-from bramblebeam.core.verdict import (Reason, Refusal, Verdict)
-from bramblebeam.services.gateway import (read_targets)
-from bramblebeam.services.gateway.metrics import (GatewayMetrics)
-from bramblebeam.services.gateway.read_targets import (ReadTargets)
-from collections import (Counter)
-from collections.abc import (Callable)
-from enum import (StrEnum)
-from itertools import (count)
-from random import (Random)
-from typing import (NamedTuple)
+
+from bramblebeam.core.gateway.directory import DatabaseEntry
+from bramblebeam.core.gateway.owners import Distance
+from bramblebeam.core.identity import Address, GroupId, InstanceId, ZoneId
+from bramblebeam.core.overload.load import DatabaseLoad
+from bramblebeam.core.overload.reported_loads import LoadReport
+from bramblebeam.core.role import Role
+from bramblebeam.core.tenants import NO_TENANT, TenantId
+from bramblebeam.core.verdict import Reason, Refusal, Verdict
+from bramblebeam.services.gateway import read_targets
+from bramblebeam.services.gateway.metrics import GatewayMetrics
+from bramblebeam.services.gateway.read_targets import ReadTargets
 
 GROUP = GroupId("deliveries")
 REGIONS = 3
--- a/tests/test_gateway_leaders.py
+++ b/tests/test_gateway_leaders.py
@@ -1,17 +1,26 @@
 """LeaderTracker: which leader is used, and which replies confirm its lease."""
 
 import asyncio
+from collections.abc import Iterable
+
 import pytest
-from bramblebeam.core.gateway.owners import (Distance)
-from bramblebeam.core.gateway.routes import (GroupSettings, RouteTable)
-from bramblebeam.core.identity import (GroupId, InstanceId, Position, ZERO_POSITION, ZoneId, server_name)
-from bramblebeam.platform.database_connection import (LineDatabaseConnector)
-from bramblebeam.services.gateway.leader_news import (FormerLeaderFound, LeaderEvent, LeaderProven)
-from bramblebeam.services.gateway.leaders import (LeaderTracker)
-from bramblebeam.services.gateway.member_probes import (MemberAnswer)
-from bramblebeam.services.gateway.placement import (Placement)
-from bramblebeam.services.gateway.ports import (MemberStatus)
-from collections.abc import (Iterable)
+
+from bramblebeam.core.gateway.owners import Distance
+from bramblebeam.core.gateway.routes import GroupSettings, RouteTable
+from bramblebeam.core.identity import (
+    ZERO_POSITION,
+    GroupId,
+    InstanceId,
+    Position,
+    ZoneId,
+    server_name,
+)
+from bramblebeam.platform.database_connection import LineDatabaseConnector
+from bramblebeam.services.gateway.leader_news import FormerLeaderFound, LeaderEvent, LeaderProven
+from bramblebeam.services.gateway.leaders import LeaderTracker
+from bramblebeam.services.gateway.member_probes import MemberAnswer
+from bramblebeam.services.gateway.placement import Placement
+from bramblebeam.services.gateway.ports import MemberStatus
 
 GROUP = GroupId("deliveries")
 FIRST, SECOND, THIRD = InstanceId("db-a"), InstanceId("db-b"), InstanceId("db-c")
--- a/tests/test_loop_clock.py
+++ b/tests/test_loop_clock.py
@@ -5,17 +5,27 @@
 """
 
 import asyncio
-import pytest
 import socket
 import time
+from collections.abc import Iterator
+from contextlib import contextmanager
+
+import pytest
 import uvloop
-from bramblebeam.core.gateway.leader_lease import (LEASE_SECONDS, SEND_MARGIN)
-from bramblebeam.core.gateway.statements import (COMMIT)
-from bramblebeam.platform.database_connection import (LineDatabaseConnection)
-from bramblebeam.services.gateway.ports import (Command)
-from collections.abc import (Iterator)
-from contextlib import (contextmanager)
-from test_gateway_leaders import (FIRST, SECOND, make_tracker, now, primary_answer, replica_answer, take_all)
+
+from bramblebeam.core.gateway.leader_lease import LEASE_SECONDS, SEND_MARGIN
+from bramblebeam.core.gateway.statements import COMMIT
+from bramblebeam.platform.database_connection import LineDatabaseConnection
+from bramblebeam.services.gateway.ports import Command
+from test_gateway_leaders import (
+    FIRST,
+    SECOND,
+    make_tracker,
+    now,
+    primary_answer,
+    replica_answer,
+    take_all,
+)
 
 CLOCK_RESOLUTION = 0.002
 """Readings are cut to a millisecond, and the clock itself may advance in such steps (seconds)."""
--- a/tests/test_overload_placement.py
+++ b/tests/test_overload_placement.py
@@ -4,11 +4,13 @@
 no healthy database is flooded, and effects of a fault end soon after the fault.
 """
 
+from math import pi, sin
+from typing import Any, NamedTuple
+
 import pytest
-from bramblebeam.core.tenants import (NO_TENANT)
-from math import (pi, sin)
-from placement_world import (Condition, Load, PlacementWorld)
-from typing import (Any, NamedTuple)
+
+from bramblebeam.core.tenants import NO_TENANT
+from placement_world import Condition, Load, PlacementWorld
 
 BEGIN, END = 3.0, 8.0
 """When a fault begins and ends (seconds)."""
--- a/tests/test_tenant_records.py
+++ b/tests/test_tenant_records.py
@@ -2,14 +2,22 @@
 
 import json
 import logging
+from pathlib import Path
+
 import pytest
-from bramblebeam.core.tenants import (RateLimit, TenantId)
-from bramblebeam.events.catalogue import (TENANT_RATE_SAMPLE)
-from bramblebeam.events.formatting import (JsonFormatter)
-from bramblebeam.report.counting.build import (build_report)
-from bramblebeam.services.gateway.tenant_records import (FOLLOWED_SECONDS, MAXIMUM_LINES, Outcome, REPORT_SECONDS, TenantRecords)
-from pathlib import (Path)
-from run_logs import (line, start)
+
+from bramblebeam.core.tenants import RateLimit, TenantId
+from bramblebeam.events.catalogue import TENANT_RATE_SAMPLE
+from bramblebeam.events.formatting import JsonFormatter
+from bramblebeam.report.counting.build import build_report
+from bramblebeam.services.gateway.tenant_records import (
+    FOLLOWED_SECONDS,
+    MAXIMUM_LINES,
+    REPORT_SECONDS,
+    Outcome,
+    TenantRecords,
+)
+from run_logs import line, start
 
 ACME, BOLT = TenantId("acme"), TenantId("bolt")
 LIMIT = RateLimit(20.0, 10.0)
--- a/tests/test_tenant_view.py
+++ b/tests/test_tenant_view.py
@@ -1,12 +1,21 @@
 """The tenants that a node counts, as shown to operators."""
 
 import json
-from bramblebeam.cli.tenants import (AT_ITS_LIMIT, table_lines)
-from bramblebeam.core.quota.bucket import (ADMITTED_SHARE)
-from bramblebeam.platform.node import (TENANTS_PATH, _handle_metrics)
-from node_answers import (ABSENT, run_at_nodes)
-from platform_standins.world import (running_world, until)
-from test_tenants import (ACME, BOLT, OTHER_SECRET, SECRET, open_session, put_configuration, tenant_entry)
+
+from bramblebeam.cli.tenants import AT_ITS_LIMIT, table_lines
+from bramblebeam.core.quota.bucket import ADMITTED_SHARE
+from bramblebeam.platform.node import TENANTS_PATH, _handle_metrics
+from node_answers import ABSENT, run_at_nodes
+from platform_standins.world import running_world, until
+from test_tenants import (
+    ACME,
+    BOLT,
+    OTHER_SECRET,
+    SECRET,
+    open_session,
+    put_configuration,
+    tenant_entry,
+)
 
 
 async def test_a_node_shows_the_tenants_that_it_counts_with_their_shares() -> None:
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -3,23 +3,25 @@
 import asyncio
 import json
 import logging
+from typing import Any
+
 import pytest
-from bramblebeam.core.feed.messages import (FollowReply)
-from bramblebeam.core.gateway.routes import (Consistency, Route, RouteTable)
-from bramblebeam.core.identity import (GroupId)
-from bramblebeam.core.tenants import (NO_TENANT, RateLimit, Tenant, TenantId, TenantTable, digest_of)
-from bramblebeam.core.verdict import (Reason, Refusal)
-from bramblebeam.events.formatting import (JsonFormatter)
-from bramblebeam.platform.sources import (parse_route_table)
-from bramblebeam.platform.tenants import (parse_tenants)
-from bramblebeam.services.feed.peers import (pack_routes, route_items)
-from bramblebeam.services.feed.ports import (Versioned)
-from bramblebeam.services.gateway.refused_keys import (RefusedKeys)
-from bramblebeam.wire.codec import (Codec)
-from bramblebeam.wire.gateway_registry import (GATEWAY_NODE_MESSAGES)
-from platform_standins.world import (LineClient, World, configuration, running_world, until)
-from revisions import (at)
-from typing import (Any)
+
+from bramblebeam.core.feed.messages import FollowReply
+from bramblebeam.core.gateway.routes import Consistency, Route, RouteTable
+from bramblebeam.core.identity import GroupId
+from bramblebeam.core.tenants import NO_TENANT, RateLimit, Tenant, TenantId, TenantTable, digest_of
+from bramblebeam.core.verdict import Reason, Refusal
+from bramblebeam.events.formatting import JsonFormatter
+from bramblebeam.platform.sources import parse_route_table
+from bramblebeam.platform.tenants import parse_tenants
+from bramblebeam.services.feed.peers import pack_routes, route_items
+from bramblebeam.services.feed.ports import Versioned
+from bramblebeam.services.gateway.refused_keys import RefusedKeys
+from bramblebeam.wire.codec import Codec
+from bramblebeam.wire.gateway_registry import GATEWAY_NODE_MESSAGES
+from platform_standins.world import LineClient, World, configuration, running_world, until
+from revisions import at
 
 SECRET = "aj3nr26tta828m82thhk"
 OTHER_SECRET = "mgjqnirth5mgjy5rcpih"
