--- a/src/bramblebeam/lab/database/__init__.py
+++ b/src/bramblebeam/lab/database/__init__.py
@@ -1,1 +1,1 @@
-"""The stand-in database group: a replicated log, rows in SQLite, and MySQL connections."""
+"""A simulated database group: a replicated log, rows in SQLite, and a MySQL listener."""
--- a/src/bramblebeam/lab/database/__main__.py
+++ b/src/bramblebeam/lab/database/__main__.py
@@ -16,15 +16,17 @@
 
 def main(
     instance: Annotated[str, typer.Option(help="The member's name.")],
-    listen: Annotated[str, typer.Option(help="MySQL HOST:PORT; port 0: the system chooses.")],
-    peer_listen: Annotated[str, typer.Option(help="HOST:PORT for the other members.")],
-    control: Annotated[str, typer.Option(help="HOST:PORT of the control end.")],
-    log: Annotated[Path | None, typer.Option(help="File that keeps log and promise.")] = None,
+    listen: Annotated[str, typer.Option(help="MySQL HOST:PORT; port 0 picks a free port.")],
+    peer_listen: Annotated[str, typer.Option(help="HOST:PORT that the other members connect to.")],
+    control: Annotated[str, typer.Option(help="HOST:PORT of the HTTP control interface.")],
+    log: Annotated[
+        Path | None, typer.Option(help="File that stores the log and the promised term.")
+    ] = None,
     max_user_connections: Annotated[
         list[str] | None, typer.Option(help="USER=NUMBER; may be given several times.")
     ] = None,
 ) -> None:
-    """Serve until SIGTERM or SIGINT; the first line of output is a JSON object of the addresses."""
+    """Serve until SIGTERM or SIGINT. The first output line is JSON with the bound addresses."""
     settings = MemberSettings(
         instance=InstanceId(instance),
         listen=_address(listen),
@@ -54,14 +56,14 @@
 def _address(text: str) -> Address:
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit():
-        raise typer.BadParameter(f"{text}: HOST:PORT is expected")
+        raise typer.BadParameter(f"{text}: expected HOST:PORT")
     return Address(host, int(port))
 
 
 def _limit(text: str) -> tuple[str, int]:
     user, _, number = text.partition("=")
     if not user or not number.isdigit():
-        raise typer.BadParameter(f"{text}: USER=NUMBER is expected")
+        raise typer.BadParameter(f"{text}: expected USER=NUMBER")
     return user, int(number)
 
 
--- a/src/bramblebeam/lab/database/applier.py
+++ b/src/bramblebeam/lab/database/applier.py
@@ -1,4 +1,4 @@
-"""When committed entries are applied: at once on a primary, with the set lag on a replica."""
+"""Decides when committed entries are applied: at once on a primary, after a lag on a replica."""
 
 from collections import deque
 
@@ -7,31 +7,31 @@
 from bramblebeam.lab.database.messages import Apply
 
 APPLY_BATCH = 1_000
-"""Most entries applied for one event, so that a member that catches up stays responsive."""
+"""Maximum entries applied per event, so that a member stays responsive while it catches up."""
 
 
 class Applier:
-    """Follows the commit offset. Times are seconds."""
+    """Tracks which committed entries are due to be applied. Times are in seconds."""
 
     def __init__(self, now: float) -> None:
         self.commit = 0
         self.applied = 0
         self.lag = 0.0
         self._caught_up_at = now
-        self._known: deque[tuple[int, float]] = deque()
+        self._pending_commits: deque[tuple[int, float]] = deque()
 
     def commit_known(self, commit: int, now: float) -> None:
-        """The log is committed up to `commit`, as is known from `now` on."""
+        """Record at time `now` that the log is committed up to `commit`."""
         if commit > self.commit:
             self.commit = commit
-            self._known.append((commit, now))
+            self._pending_commits.append((commit, now))
 
     def caught_up(self, at: float) -> None:
-        """The log held all that was committed at time `at`."""
+        """Record that the log held every entry committed by time `at`."""
         self._caught_up_at = max(self._caught_up_at, at)
 
     def take_due(self, log: Log, now: float, immediately: bool) -> list[Apply]:
-        """Return what is to be applied now, in order."""
+        """Return the entries to apply now, in order, and count them as applied."""
         limit = self.applied + APPLY_BATCH
         due = self.commit if immediately else self._due(now)
         applies = []
@@ -39,30 +39,30 @@
             self.applied += 1
             position = log.position(self.applied)
             applies.append(Apply(position, log.entry(self.applied).payload))
-        while self._known and self._known[0][0] <= self.applied:
-            self._known.popleft()
+        while self._pending_commits and self._pending_commits[0][0] <= self.applied:
+            self._pending_commits.popleft()
         return applies
 
     def next_due(self) -> float | None:
-        """Return when the next entry is due, or None."""
-        if not self._known:
+        """Return when the next entry is due to be applied, or None."""
+        if not self._pending_commits:
             return None
-        return self._known[0][1] + self.lag
+        return self._pending_commits[0][1] + self.lag
 
     def staleness(self, now: float) -> float:
-        """Return how old the applied state may be (seconds): since when it may miss something."""
+        """Return for how long (seconds) the applied state may have lacked a committed entry."""
         since = self._caught_up_at
-        if self._known:
-            since = min(since, self._known[0][1])
+        if self._pending_commits:
+            since = min(since, self._pending_commits[0][1])
         return max(0.0, now - since)
 
     def applied_position(self, log: Log) -> Position:
-        """Return the position up to which the rows have changed."""
+        """Return the position of the last applied entry."""
         return log.position(self.applied)
 
     def _due(self, now: float) -> int:
         due = self.applied
-        for offset, known_at in self._known:
+        for offset, known_at in self._pending_commits:
             if known_at + self.lag > now:
                 break
             due = offset
--- a/src/bramblebeam/lab/database/columns.py
+++ b/src/bramblebeam/lab/database/columns.py
@@ -1,4 +1,4 @@
-"""Gives the columns of a result their MySQL types, by the values in the first rows."""
+"""Derives the MySQL column types of a result from the values of its first rows."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -16,16 +16,16 @@
 
 
 def columns_of(names: Sequence[str], rows: Sequence[Sequence[Any]]) -> tuple[ColumnSpec, ...]:
-    """Return the columns. One whose values differ in type, or are all NULL, is text."""
+    """Return the columns. A column with mixed types or only NULLs becomes text."""
     return tuple(
         ColumnSpec(name, int(_type_of({type(row[index]) for row in rows} - {type(None)})))
         for index, name in enumerate(names)
     )
 
 
-def _type_of(kinds: set[type]) -> ColumnType:
-    if kinds == {int, float}:
+def _type_of(value_types: set[type]) -> ColumnType:
+    if value_types == {int, float}:
         return ColumnType.DOUBLE
-    if len(kinds) != 1:
+    if len(value_types) != 1:
         return ColumnType.VAR_STRING
-    return _TYPES.get(next(iter(kinds)), ColumnType.VAR_STRING)
+    return _TYPES.get(next(iter(value_types)), ColumnType.VAR_STRING)
--- a/src/bramblebeam/lab/database/commands.py
+++ b/src/bramblebeam/lab/database/commands.py
@@ -1,4 +1,4 @@
-"""The group's own commands: SHOW BRAMBLEBEAM and CALL bramblebeam."""
+"""The commands specific to the group: SHOW BRAMBLEBEAM and CALL bramblebeam."""
 
 import re
 from collections.abc import Awaitable, Callable
@@ -34,7 +34,7 @@
 
 
 async def call(member: "DatabaseMember", sql: str) -> OkResult | RowsResult:
-    """Run a CALL. Raises CallerError, 1305 for a procedure that does not exist."""
+    """Run a CALL statement. Raises CallerError (1305 for an unknown procedure)."""
     match = _CALL.match(sql)
     command = _COMMANDS.get(match.group(1).lower()) if match is not None else None
     if match is None or command is None:
@@ -61,22 +61,22 @@
 
 
 def show_status(member: "DatabaseMember") -> RowsResult:
-    """Return the status, a column each value."""
+    """Return the status as one row with a column for each value."""
     return row_of(_status_values(member))
 
 
 def show_brief_status(member: "DatabaseMember") -> RowsResult:
-    """Return the status as one text, the values in the order of the full row's columns."""
+    """Return the status as one comma-separated string, in the column order of `show_status`."""
     return row_of({"status": ",".join(str(value) for value in _status_values(member).values())})
 
 
 def show_peer(member: "DatabaseMember") -> RowsResult:
-    """Return where the other members connect to this one."""
+    """Return the address at which other members connect to this one."""
     return row_of({"host": member.peer_address.host, "port": member.peer_address.port})
 
 
 def row_of(values: dict[str, str | int]) -> RowsResult:
-    """Return one row with typed columns."""
+    """Return a result of one row, with column types derived from the values."""
     columns = tuple(
         ColumnSpec(name, NUMBER if isinstance(value, int) else TEXT)
         for name, value in values.items()
@@ -123,10 +123,10 @@
 
 
 def _endpoints(member: "DatabaseMember", text: str) -> tuple[MemberId, ...]:
-    """Read and remember `instance=host:port,…`. Raises CallerError."""
-    found = [_ENDPOINT.fullmatch(part.strip()) for part in text.split(",")]
+    """Parse `instance=host:port,…` and store the addresses for peer links. Raises CallerError."""
+    matches = [_ENDPOINT.fullmatch(part.strip()) for part in text.split(",")]
     names = []
-    for match in found:
+    for match in matches:
         if match is None:
             raise CallerError(1210, "HY000", "Members are written instance=host:port")
         name = MemberId(match.group(1))
--- a/src/bramblebeam/lab/database/control.py
+++ b/src/bramblebeam/lab/database/control.py
@@ -1,4 +1,4 @@
-"""The control end of a member (HTTP): faults, statistics, and the records for the judge."""
+"""HTTP control interface of a member: fault injection, statistics, and records for the judge."""
 
 import json
 from collections.abc import Awaitable, Callable, Iterable
@@ -17,11 +17,13 @@
 
 
 class Faults(BaseModel):
-    """A change of faults; what is not named stays as it is.
+    """A change to the injected faults; fields that are None leave their fault unchanged.
 
-    `cut_peers`: the members that are cut off from this one, both ways (`*`: all of them).
-    `cut_clients`: clients get no answers, and their connections hang. `lag_ms`: how much later a
-    replica applies. `latency_ms`: one-way delay to the other members. `pause_ms`: handle nothing.
+    `cut_peers`: members partitioned from this one in both directions (`*`: all of them).
+    `cut_clients`: clients get no answers and their connections hang. `lag_ms`: delay before a
+    replica applies a committed entry. `latency_ms`: one-way delay to the other members.
+    `leaving`: whether the member reports that it is leaving. `pause_ms`: process no events for
+    this long.
     """
 
     model_config = ConfigDict(extra="forbid")
@@ -35,7 +37,7 @@
 
 
 class ControlServer:
-    """Serves one member's control end."""
+    """HTTP server for the control interface of one member."""
 
     def __init__(self, member: DatabaseMember, listen: Address) -> None:
         self.member = member
@@ -43,7 +45,7 @@
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Listen. Raises OSError."""
+        """Start listening. Raises OSError."""
         app = web.Application()
         app.router.add_post("/faults", self._set_faults)
         app.router.add_get("/statistics", self._statistics)
@@ -61,13 +63,13 @@
 
     @property
     def address(self) -> Address:
-        """The address listened on. Raises RuntimeError before `start`."""
+        """The bound address. Raises RuntimeError before `start`."""
         if self._runner is None:
-            raise RuntimeError("control end is not started")
+            raise RuntimeError("control server is not started")
         return Address(*self._runner.addresses[0][:2])
 
     def apply(self, faults: Faults) -> None:
-        """Put a change of faults into force."""
+        """Apply a change to the injected faults."""
         member = self.member
         if faults.cut_peers is not None:
             member.peers.set_cut(faults.cut_peers)
--- a/src/bramblebeam/lab/database/information.py
+++ b/src/bramblebeam/lab/database/information.py
@@ -1,4 +1,4 @@
-"""What a session can be asked about the server: variables and the process list."""
+"""Server information for sessions: system variables, SLEEP and GET_LOCK, the process list."""
 
 import asyncio
 import re
@@ -31,7 +31,7 @@
 
 
 def with_variables(sql: str, autocommit: bool) -> str:
-    """Return a statement with the values of its system variables. Raises CallerError 1193."""
+    """Replace system variables in a statement by their values. Raises CallerError 1193."""
 
     def value(match: re.Match[str]) -> str:
         name = match.group(1).lower()
@@ -44,7 +44,11 @@
 
 
 async def wait_as_asked(sql: str, locks: NamedLocks, connection: int) -> None:
-    """Wait for a statement's SLEEP and GET_LOCK, which the rows' functions then find done."""
+    """Wait for the SLEEP and GET_LOCK calls in a statement before it runs.
+
+    SQLite's functions are synchronous, so they can't wait: SLEEP returns at once, and GET_LOCK only
+    tries to take the lock.
+    """
     for match in _SLEEP.finditer(sql):
         await asyncio.sleep(float(match.group(1)))
     for match in _GET_LOCK.finditer(sql):
@@ -56,7 +60,7 @@
 
 
 def process_list(sessions: Iterable["DatabaseSession"]) -> Rows:
-    """Return the process list. `Info` is the client's `program_name`, else what it runs."""
+    """Return the process list. `Info` is the client's `program_name`, or else its statement."""
     now = time.monotonic()
     rows = [
         (
--- a/src/bramblebeam/lab/database/journal.py
+++ b/src/bramblebeam/lab/database/journal.py
@@ -1,4 +1,4 @@
-"""What a member did, for the judge of a run."""
+"""Records a member's statements, commits and connections for the judge."""
 
 import time
 from collections import Counter, deque
@@ -10,12 +10,12 @@
 from bramblebeam.lab.database.operations import Batch
 
 MAXIMUM_RECORDS = 500_000
-"""Older records of a kind are dropped."""
+"""Maximum records kept of each type; the oldest are dropped."""
 
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """A committed batch was carried out (`failed`: it changed nothing)."""
+    """A committed batch was applied (`failed`: it changed no rows)."""
 
     time: float
     position: Position
@@ -31,7 +31,7 @@
 
 
 class StatementBegun(NamedTuple):
-    """A client's statement was begun. `in_transaction`: one was open before it."""
+    """A client's statement started. `in_transaction`: a transaction was already open."""
 
     time: float
     connection: int
@@ -41,7 +41,7 @@
 
 
 class ConnectionCount(NamedTuple):
-    """A user's connection was opened or closed; `count` are open now."""
+    """A user's connection was opened or closed; `connections` are open now."""
 
     time: float
     user: str
@@ -50,9 +50,9 @@
 
 
 class Journal:
-    """Keeps what was begun, applied and acknowledged, and the numbers of connections.
+    """Collects records of statements, applied and acknowledged writes, and connection counts.
 
-    Times are seconds of the machine's monotonic clock.
+    Times are in seconds of the machine's monotonic clock.
     """
 
     def __init__(self) -> None:
@@ -66,7 +66,7 @@
         self._open_of_user: Counter[str] = Counter()
 
     def record_applied(self, position: Position, batch: Batch, failed: bool) -> None:
-        """Record a committed batch."""
+        """Record that a committed batch was applied."""
         self.applied.append(Applied(time.monotonic(), position, batch, failed))
 
     def record_acknowledged(self, position: Position) -> None:
@@ -74,16 +74,16 @@
         self.acknowledged.append(Acknowledgement(time.monotonic(), position))
 
     def record_statement(self, connection: int, user: str, in_transaction: bool, sql: str) -> None:
-        """Record that a client's statement begins."""
-        begun = StatementBegun(time.monotonic(), connection, user, in_transaction, sql)
-        self.statements.append(begun)
+        """Record that a client's statement starts."""
+        started = StatementBegun(time.monotonic(), connection, user, in_transaction, sql)
+        self.statements.append(started)
 
     def connections_of(self, user: str) -> int:
-        """Return how many connections of a user are open."""
+        """Return the number of open connections of a user."""
         return self._open_of_user[user]
 
     def record_opened(self, user: str, program: str) -> None:
-        """Count a connection in."""
+        """Record that a connection was opened."""
         self._open[user, program] += 1
         self._open_of_user[user] += 1
         self.highest[user, program] = max(self.highest[user, program], self._open[user, program])
@@ -91,7 +91,7 @@
         self._record_count(user, program)
 
     def record_closed(self, user: str, program: str) -> None:
-        """Count a connection out."""
+        """Record that a connection was closed."""
         self._open_of_user[user] -= 1
         self._open[user, program] -= 1
         if not self._open[user, program]:
@@ -103,7 +103,7 @@
         self.connections.append(ConnectionCount(time.monotonic(), user, program, count))
 
     def statistics(self) -> dict[str, Any]:
-        """Return the numbers of connections and the counts of writes."""
+        """Return connection counts and the numbers of applied and acknowledged writes."""
         return {
             "highest_connections": [
                 {"user": user, "program_name": program, "connections": count}
@@ -133,11 +133,11 @@
             yield {"time": at, "term": position.term, "offset": position.offset}
 
     def statement_records(self) -> Iterator[dict[str, Any]]:
-        """Yield one record for each statement begun, in order."""
-        for begun in self.statements:
-            yield begun._asdict()
+        """Yield one record for each started statement, in order."""
+        for started in self.statements:
+            yield started._asdict()
 
     def connection_records(self) -> Iterator[dict[str, Any]]:
-        """Yield one record for each change of a user's number of connections, in order."""
+        """Yield one record for each opened or closed connection, in order."""
         for change in self.connections:
             yield change._asdict()
--- a/src/bramblebeam/lab/database/locks.py
+++ b/src/bramblebeam/lab/database/locks.py
@@ -1,17 +1,17 @@
-"""Named locks of one member (GET_LOCK and its kin). They are not replicated."""
+"""Named locks of one member (GET_LOCK, RELEASE_LOCK, ...). They are not replicated."""
 
 import asyncio
 
 
 class NamedLocks:
-    """Which connection holds which lock; a connection may take one lock several times."""
+    """Reentrant named locks, each held by one connection."""
 
     def __init__(self) -> None:
         self._holders: dict[str, tuple[int, int]] = {}
         self._changed = asyncio.Event()
 
     def take(self, name: str, connection: int) -> bool:
-        """Take a lock if it is free or the connection's own."""
+        """Take a lock if no other connection holds it; return whether it was taken."""
         holder, count = self._holders.get(name, (connection, 0))
         if holder != connection:
             return False
@@ -19,7 +19,7 @@
         return True
 
     def release(self, name: str, connection: int) -> int | None:
-        """Return 1 for a lock that was the connection's, 0 for another's, None for none."""
+        """Return 1 if the lock was released, 0 if another connection holds it, None if free."""
         if name not in self._holders:
             return None
         holder, count = self._holders[name]
@@ -29,22 +29,22 @@
             self._holders[name] = (holder, count - 1)
         else:
             del self._holders[name]
-            self._tell()
+            self._notify_waiters()
         return 1
 
     def release_all(self, connection: int) -> None:
-        """Free every lock of a connection that has ended."""
+        """Release every lock that the connection holds."""
         for name in [n for n, (holder, _) in self._holders.items() if holder == connection]:
             del self._holders[name]
-        self._tell()
+        self._notify_waiters()
 
     def holder(self, name: str) -> int | None:
-        """Return the connection that holds the lock."""
-        held = self._holders.get(name)
-        return held[0] if held is not None else None
+        """Return the connection that holds the lock, or None."""
+        entry = self._holders.get(name)
+        return entry[0] if entry is not None else None
 
     async def wait_free(self, name: str, connection: int, timeout: float) -> None:
-        """Return when the lock is free or the connection's, or after `timeout` seconds."""
+        """Wait until the lock is free or held by the connection, at most `timeout` seconds."""
         try:
             async with asyncio.timeout(timeout):
                 while self.holder(name) not in (None, connection):
@@ -52,6 +52,6 @@
         except TimeoutError:
             return
 
-    def _tell(self) -> None:
+    def _notify_waiters(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
--- a/src/bramblebeam/lab/database/log_file.py
+++ b/src/bramblebeam/lab/database/log_file.py
@@ -1,4 +1,4 @@
-"""What a member keeps on disk: its promise and its log, as a sequence of CBOR items."""
+"""Persists a member's promised term and log as a sequence of CBOR items."""
 
 import io
 from pathlib import Path
@@ -12,7 +12,10 @@
 
 
 class LogFile:
-    """An append-only file. Written through to the operating system, without fsync."""
+    """An append-only file, unbuffered but without fsync.
+
+    An incomplete item at the end, as a crash leaves it, is truncated on opening.
+    """
 
     def __init__(self, path: Path | None) -> None:
         self.promised = 0
@@ -24,7 +27,7 @@
             self._file.truncate(size)
 
     def write(self, effect: PersistPromise | PersistEntries) -> None:
-        """Add one change."""
+        """Append one change."""
         if self._file is None:
             return
         if isinstance(effect, PersistPromise):
@@ -38,18 +41,18 @@
             self._file.close()
 
     def _load(self, path: Path) -> int:
-        """Read the file; return how many of its bytes are whole items."""
+        """Replay the file and return the size in bytes of its complete items."""
         if not path.exists():
             return 0
-        whole = 0
+        valid_size = 0
         with path.open("rb") as file:
             while True:
                 try:
                     item = cbor2.load(file)
                 except (cbor2.CBORDecodeError, EOFError):
-                    return whole
+                    return valid_size
                 self._replay(item)
-                whole = file.tell()
+                valid_size = file.tell()
 
     def _replay(self, item: list[int | list[list[object]]]) -> None:
         match item:
--- a/src/bramblebeam/lab/database/member.py
+++ b/src/bramblebeam/lab/database/member.py
@@ -1,4 +1,4 @@
-"""One member of the stand-in group: the log, the rows, its peers and its MySQL listener."""
+"""One member of the simulated group: replicated log, rows, peer links and MySQL listener."""
 
 import asyncio
 import itertools
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberSettings:
-    """How a member is started. `maximum_connections` limits each named user's connections."""
+    """Settings of a member. `maximum_connections` limits the connections of each named user."""
 
     instance: InstanceId
     listen: Address = LOOPBACK
@@ -48,7 +48,7 @@
 
 
 class DatabaseMember:
-    """A member in this process. Everything runs on the loop that called `start`."""
+    """A group member. Everything runs on the event loop that called `start`."""
 
     def __init__(self, settings: MemberSettings) -> None:
         self.settings = settings
@@ -74,7 +74,7 @@
         self._deferred: list[Any] = []
 
     async def start(self) -> None:
-        """Read the log file and listen. Raises OSError."""
+        """Replay the log file and start listening. Raises OSError."""
         loop = asyncio.get_running_loop()
         self._replica = Replica(self.me, loop.time(), self._log.promised, self._log.entries)
         listen = self.settings.peer_listen
@@ -106,22 +106,22 @@
         return self._replica
 
     def status(self) -> ReplicaStatus:
-        """Return the member's status now."""
+        """Return the member's current status."""
         return self.replica.status(asyncio.get_running_loop().time())
 
-    # Questions of sessions
+    # Requests of sessions
 
     async def write(self, batch: Batch) -> tuple[Position, Outcome]:
         """Replicate and apply a batch; return its position and outcome.
 
-        Raises CallerError 3101 (surely not run) and 3102 (may have run). A cancelled write may run.
+        Raises CallerError 3101 (not run) and 3102 (may have run). A cancelled write may still run.
         """
         answer = await self.ask(lambda token: Propose(token, batch))
         position, outcome = answer
         return position, outcome
 
     async def ask(self, event: Callable[[int], Any]) -> Any:
-        """Give the replica an event with a token and wait for its answer. Raises CallerError."""
+        """Pass the replica an event with a new token; return its answer. Raises CallerError."""
         token = next(self._tokens)
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         self._waiting[token] = future
@@ -132,7 +132,7 @@
             self._waiting.pop(token, None)
 
     def submit(self, event: Any) -> None:
-        """Give the replica an event, now or when a pause is over."""
+        """Pass the replica an event, after the pause if the member is paused."""
         now = asyncio.get_running_loop().time()
         if now < self._paused_until:
             self._deferred.append(event)
@@ -142,7 +142,7 @@
         self._set_timer(now)
 
     def pause(self, seconds: float) -> None:
-        """Handle nothing for `seconds`, as a process that is stopped."""
+        """Process no events for `seconds`, like a stopped process."""
         loop = asyncio.get_running_loop()
         self._paused_until = loop.time() + seconds
         self.reachable.clear()
@@ -197,9 +197,9 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        due = self.replica.next_wakeup()
-        if due is not None:
-            delay = max(0.0, due - now)
+        wakeup_at = self.replica.next_wakeup()
+        if wakeup_at is not None:
+            delay = max(0.0, wakeup_at - now)
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(delay, self.submit, Wakeup())
 
@@ -209,7 +209,7 @@
         self.submit(Received(sender, message))
 
     async def _discover(self, address: Address) -> Address:
-        """Ask a member at its MySQL address for its peer address. Raises OSError."""
+        """Query a member at its MySQL address for its peer address. Raises OSError."""
         try:
             connection = await BackendConnection.connect(
                 address, REPLICATION_USER, "", str(self.me), DISCOVERY_TIMEOUT_SECONDS
--- a/src/bramblebeam/lab/database/messages.py
+++ b/src/bramblebeam/lab/database/messages.py
@@ -1,6 +1,6 @@
-"""Events, effects and messages of one member of a database group.
+"""Events, effects and messages of the state machine of one group member.
 
-Members are named by their instance, which stands where `core.machine` says node.
+Members are identified by instance name, where `core.machine` uses node names.
 """
 
 from dataclasses import dataclass
@@ -11,11 +11,11 @@
 from bramblebeam.core.role import Role
 
 MemberId = NodeId
-"""The instance name of a group's member."""
+"""The instance name of a group member."""
 
 
 class Entry(NamedTuple):
-    """One entry of the log. `payload` None: the first entry of a term, which changes nothing."""
+    """One log entry. `payload` is None in a term's first entry, which changes no rows."""
 
     term: int
     payload: Any
@@ -26,11 +26,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Append:
-    """The primary of `term` sends the entries after `previous` (none: a heartbeat).
+    """Sent by the primary of `term` with the entries after `previous` (no entries: a heartbeat).
 
-    `commit` is the offset up to which a majority holds the log. `round` is given back in the
-    answer and tells which broadcast was answered. `age` (seconds) is how long ago the primary
-    heard a majority: what it says of the commit may be that old. The time on the way is not in it.
+    `commit` is the offset up to which a majority holds the log. `round` identifies the broadcast
+    and is repeated in the reply. `age` (seconds) is how long ago the primary last had replies
+    from a majority, so `commit` may be that old; it excludes network delay.
     """
 
     term: int
@@ -43,10 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendReply:
-    """A member's answer to `Append`.
+    """A member's reply to `Append`.
 
-    `promised` is the highest term that the member promised; above `term`, it refused. `matched`:
-    the logs agree up to offset `last`; else `last` is where the primary should try next.
+    `promised` is the highest term that the member promised; if above `term`, it refused. If
+    `matched`, the logs agree up to offset `last`; else `last` is where the primary should retry.
     """
 
     term: int
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromiseTerm:
-    """A controller asks to refuse every term below `term`."""
+    """A controller requests a promise to refuse every term below `term`."""
 
     token: int
     term: int
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromoteMember:
-    """A controller makes this member the primary of the term it promised."""
+    """A controller makes this member the primary of the term that it promised."""
 
     token: int
     term: int
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowPrimary:
-    """A controller tells the primary of a term."""
+    """A controller announces the primary of a term."""
 
     token: int
     term: int
@@ -95,28 +95,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfirmPosition:
-    """A client asks for the last committed position, confirmed by a majority from now on."""
+    """A client requests the last committed position, confirmed by replies sent from now on."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class PauseWrites:
-    """New writes wait for `seconds` (0: no longer)."""
+    """Hold new writes for `seconds` (0: resume)."""
 
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class SetLag:
-    """As a replica, apply entries `seconds` after they were known to be committed."""
+    """Set a replica's delay between learning of a commit and applying it."""
 
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class SetLeaving:
-    """Show, or take back, the sign that this member is to leave."""
+    """Set or clear the flag that this member is leaving."""
 
     leaving: bool
 
@@ -126,14 +126,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistPromise:
-    """Keep the promise on disk, before any later effect."""
+    """Persist the promised term before any later effect."""
 
     term: int
 
 
 @dataclass(frozen=True, slots=True)
 class PersistEntries:
-    """Replace what is on disk from `first` (an offset, from 1) by `entries`."""
+    """Replace the persisted entries from offset `first` on by `entries`."""
 
     first: int
     entries: tuple[Entry, ...]
@@ -141,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Apply:
-    """Carry out a committed entry on the rows."""
+    """Apply a committed entry to the rows."""
 
     position: Position
     payload: Any
@@ -149,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledged:
-    """The write is committed and applied; it comes right after its `Apply`."""
+    """The write is committed and applied. Follows its `Apply` immediately."""
 
     token: int
     position: Position
@@ -165,25 +165,25 @@
 
 @dataclass(frozen=True, slots=True)
 class TermAccepted:
-    """The controller's command was carried out."""
+    """The controller's command was accepted."""
 
     token: int
 
 
 class RefusalCode(IntEnum):
-    """Error codes of the group's own, as MySQL clients see them."""
+    """Group-specific error codes, as sent to MySQL clients."""
 
     TERM_TAKEN = 3100
-    """A higher or equal term was promised already, or the command does not fit the promise."""
+    """An equal or higher term is already promised, or the command contradicts the promise."""
     NOT_PRIMARY = 3101
-    """No primary, or not of the latest term: surely not run."""
+    """This member is not the primary, or not of the latest term: not run."""
     MAJORITY_NOT_REACHED = 3102
-    """The entry is in this member's log but no majority is known to hold it: may have run."""
+    """The entry is in this member's log but not known to be on a majority: may have run."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The command, write or question is refused."""
+    """The command, write or confirmation is refused."""
 
     token: int
     code: RefusalCode
@@ -192,7 +192,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaStatus:
-    """What a member tells of itself. `lag` and `primary_contact` are seconds."""
+    """Status that a member reports. `lag` and `primary_contact` are in seconds."""
 
     term: int
     role: Role
--- a/src/bramblebeam/lab/database/operations.py
+++ b/src/bramblebeam/lab/database/operations.py
@@ -1,4 +1,4 @@
-"""What one entry of the log does to the rows."""
+"""The statements of a log entry and their outcome."""
 
 from dataclasses import dataclass
 from typing import Any, NamedTuple
@@ -9,11 +9,11 @@
 
 
 class Operation(NamedTuple):
-    """One statement of an entry, in MySQL's words.
+    """One statement of an entry, as MySQL text.
 
-    `affected_rows`, `last_insert_id` and `digest` are what the client was told before the commit;
-    when the statement comes to another end, the transaction conflicts. NOT_EXPECTED, and an empty
-    digest: the client was told nothing yet.
+    `affected_rows`, `last_insert_id` and `digest` are results reported to the client before the
+    commit; if applying the statement gives other results, the transaction conflicts. NOT_EXPECTED
+    and an empty digest mean that nothing was reported.
     """
 
     sql: str
@@ -26,8 +26,8 @@
 class Batch(NamedTuple):
     """The payload of an entry: the statements of one write or transaction.
 
-    `time` (seconds since 1970) is what the statements take for now, on every member. `request` is
-    the client's id of the request, or empty.
+    `time` (Unix time) is the current time for the statements on every member. `request` is the
+    client's id of the request, or empty.
     """
 
     time: float
@@ -36,7 +36,7 @@
 
 
 def batch_of(payload: Any) -> Batch:
-    """Return a payload that may have travelled as plain arrays."""
+    """Return the payload as a Batch. After decoding from the wire or disk it is plain arrays."""
     if isinstance(payload, Batch):
         return payload
     time, operations, request = payload
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What a statement or batch came to; the same on every member."""
+    """The result of a statement or batch, identical on every member."""
 
     affected_rows: int = 0
     last_insert_id: int = 0
--- a/src/bramblebeam/lab/database/peers.py
+++ b/src/bramblebeam/lab/database/peers.py
@@ -1,4 +1,4 @@
-"""The streams between the members of a group, and the cuts that can be made in them."""
+"""TCP streams between the members of a group, with injected partitions and latency."""
 
 import asyncio
 import logging
@@ -17,14 +17,14 @@
 RECONNECT_SECONDS = 0.05
 CONNECT_TIMEOUT_SECONDS = 1.0
 MAXIMUM_BUFFERED_BYTES = 32 * 1024 * 1024
-"""What a member that doesn't read may leave in a stream's buffer before messages are dropped."""
+"""Write buffer limit of a stream; messages to a member that does not read are then dropped."""
 
 Deliver = Callable[[MemberId, Any], None]
 Discover = Callable[[Address], Awaitable[Address]]
 
 
 class PeerStream(asyncio.Protocol):
-    """One stream. The member that opened it names itself first."""
+    """One stream. The connecting member first sends its name."""
 
     def __init__(self, links: "PeerLinks", peer: MemberId | None) -> None:
         self.peer = peer
@@ -33,14 +33,14 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Name the own member on a stream that it opened."""
+        """Register the stream; on an outbound one send this member's name."""
         self._transport = transport  # type: ignore[assignment]
         self._links.streams.add(self)
         if self.peer is not None:
             self._write(encode_frame(FrameKind.HELLO, 0, self._links.me.encode()))
 
     def data_received(self, data: bytes) -> None:
-        """Hand over the messages that are whole."""
+        """Deliver the complete messages."""
         try:
             for frame in self._frames.feed(data):
                 if frame.kind == FrameKind.HELLO:
@@ -49,11 +49,11 @@
                 elif self.peer is not None:
                     self._links.received(self.peer, CODEC.decode(frame.payload))
         except (DecodeError, UnicodeDecodeError):
-            logger.warning("a member's stream carries no valid messages; it is closed")
+            logger.warning("invalid message on a peer stream; closing it")
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the stream."""
+        """Deregister the stream."""
         self._transport = None
         self._links.streams.discard(self)
         if self.peer is not None and self._links.inbound.get(self.peer) is self:
@@ -61,18 +61,18 @@
 
     @property
     def usable(self) -> bool:
-        """Whether a message can be sent."""
+        """Whether the stream is open."""
         return self._transport is not None and not self._transport.is_closing()
 
     def send(self, message: Any) -> None:
-        """Send a message, or drop it when the stream is full or gone."""
+        """Send a message; drop it if the write buffer is full or the stream closed."""
         transport = self._transport
         if transport is None or transport.get_write_buffer_size() > MAXIMUM_BUFFERED_BYTES:
             return
         self._write(encode_frame(FrameKind.POST, 0, CODEC.encode(message)))
 
     def close(self) -> None:
-        """Close at once."""
+        """Close immediately."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -82,10 +82,10 @@
 
 
 class PeerLinks:
-    """All streams of one member. `discover` turns a member's MySQL address into its peer address.
+    """All peer streams of one member.
 
-    `cut` names the members that nothing reaches and nothing comes from; `latency` (seconds)
-    delays every message that is sent.
+    `discover` resolves a member's MySQL address to its peer address. `cut` names the members that
+    are partitioned from this one in both directions; `latency` (seconds) delays every message sent.
     """
 
     def __init__(self, me: MemberId, deliver: Deliver, discover: Discover) -> None:
@@ -102,7 +102,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> Address:
-        """Listen; return the address. Raises OSError."""
+        """Start listening and return the bound address. Raises OSError."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: PeerStream(self, None), host, port)
         return Address(*self._server.sockets[0].getsockname()[:2])
@@ -119,15 +119,19 @@
             stream.close()
 
     def set_cut(self, members: Collection[str]) -> None:
-        """Cut these members off, and no others."""
+        """Partition exactly these members from this one."""
         self.cut = frozenset(members)
 
     def know(self, member: MemberId, address: Address) -> None:
-        """Remember a member's MySQL address."""
+        """Store a member's MySQL address."""
         self._addresses[member] = address
 
     def send(self, to: MemberId, message: Any) -> None:
-        """Send without a promise that it arrives."""
+        """Send a message without a delivery guarantee.
+
+        Replies use the stream that the receiver opened, so that they go to the member that sent the
+        request.
+        """
         if self._is_cut(to):
             return
         if self.latency:
@@ -136,7 +140,7 @@
             self._send_now(to, message)
 
     def received(self, sender: MemberId, message: Any) -> None:
-        """Take a message from a stream."""
+        """Deliver a message from a stream unless its sender is partitioned."""
         if not self._is_cut(sender):
             self._deliver(sender, message)
 
--- a/src/bramblebeam/lab/database/primary.py
+++ b/src/bramblebeam/lab/database/primary.py
@@ -1,4 +1,4 @@
-"""What a member does while it is the primary of a term: append, count a majority, acknowledge."""
+"""The primary's part of the replication protocol: append, commit by majority, acknowledge."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -23,16 +23,16 @@
 
 HEARTBEAT_SECONDS = 0.05
 COMMIT_NOTICE_SECONDS = 0.002
-"""The members hear of new commits at the latest this long after, by an early heartbeat."""
+"""Maximum delay before an early heartbeat announces a new commit to the members."""
 
 PROBE_SECONDS = 0.2
-"""A member that has not answered for this long gets heartbeats without entries."""
+"""A member that has not replied for this long is sent heartbeats without entries."""
 
 MAJORITY_TIMEOUT_SECONDS = 2.0
-"""A write or a question waits this long for a majority."""
+"""How long a write or confirmation waits for a majority."""
 
 ISOLATION_SECONDS = 0.5
-"""Without a majority's answers for this long, writes are refused before they are appended."""
+"""Without replies from a majority for this long, writes are refused before they are appended."""
 
 CONTACT_FRESH_SECONDS = 3 * HEARTBEAT_SECONDS
 ENTRIES_PER_APPEND = 500
@@ -55,7 +55,7 @@
 
 
 class Primary:
-    """The primary's part of one term. It begins with an entry of its own that changes nothing."""
+    """State of the primary during one term. The term starts with an entry that changes no rows."""
 
     def __init__(
         self, term: int, others: list[MemberId], log: Log, applier: Applier, now: float
@@ -75,7 +75,7 @@
         self._confirms: deque[_PendingConfirm] = deque()
 
     def begin(self, now: float, effects: Effects) -> None:
-        """Append the term's first entry and tell the members."""
+        """Append the term's first entry and broadcast it."""
         self._append(Entry(self.term, None), effects)
         self._broadcast(now, effects)
 
@@ -87,25 +87,25 @@
             self._write(event, now, effects)
 
     def confirm(self, token: int, now: float, effects: Effects) -> None:
-        """Begin a round whose answers confirm this term to a client."""
+        """Start a round; replies to it from a majority confirm that the term is still current."""
         self._broadcast(now, effects)
         deadline = now + MAJORITY_TIMEOUT_SECONDS
         self._confirms.append(_PendingConfirm(token, self._round, deadline))
 
     def pause_writes(self, seconds: float, now: float) -> None:
-        """Hold new writes for `seconds` from now on."""
+        """Hold new writes until `seconds` after `now`."""
         self._paused_until = now + seconds
 
     def take_reply(
         self, sender: MemberId, reply: AppendReply, now: float, effects: Effects
     ) -> None:
-        """Take a member's answer of this term; send it what it still lacks."""
+        """Process a member's reply in this term and send it the entries that it still lacks."""
         progress = self._progress.take(sender, reply, now)
         if progress is not None and progress.next <= len(self._log):
             self._send_append(sender, progress, now, effects)
 
     def count_majority(self, now: float, effects: Effects) -> None:
-        """Release writes after a pause and commit what a majority holds."""
+        """Append held writes once a pause is over, and commit the entries that a majority holds."""
         while self._held and now >= self._paused_until:
             self._write(self._held.popleft(), now, effects)
         held = self._progress.match(len(self._log))
@@ -114,13 +114,13 @@
             self.broadcast_at = min(self.broadcast_at, now + COMMIT_NOTICE_SECONDS)
 
     def acknowledge(self, offset: int, effects: Effects) -> None:
-        """Answer the write whose entry was applied just now, if a client waits for it."""
+        """Acknowledge the write whose entry was just applied, if a client waits for it."""
         if self._writes and self._writes[0].offset == offset:
             token = self._writes.popleft().token
             effects.append(Acknowledged(token, self._log.position(offset)))
 
     def keep_up(self, now: float, effects: Effects) -> None:
-        """Answer confirmed questions, give up late ones, and send heartbeats."""
+        """Answer confirmations, expire requests past their deadline, and send due heartbeats."""
         self._answer_confirms(effects)
         while self._writes and self._writes[0].deadline <= now:
             effects.append(majority_lost(self._writes.popleft().token))
@@ -130,13 +130,13 @@
             self._broadcast(now, effects)
 
     def abandon(self, effects: Effects) -> None:
-        """Give every waiting client its last word: the term is over."""
+        """Refuse all pending requests because the term has ended."""
         effects.extend(majority_lost(write.token) for write in self._writes)
         effects.extend(not_primary(confirm.token) for confirm in self._confirms)
         effects.extend(not_primary(held.token) for held in self._held)
 
     def contact_age(self, now: float) -> float:
-        """Return how long ago a majority was last heard (seconds)."""
+        """Return the seconds since a majority last replied."""
         return now - self._progress.contact(now)
 
     def _write(self, event: Propose, now: float, effects: Effects) -> None:
@@ -147,7 +147,7 @@
         deadline = now + MAJORITY_TIMEOUT_SECONDS
         self._writes.append(_PendingWrite(event.token, len(self._log), deadline))
         for member, progress in self._progress.members.items():
-            if not self._silent(progress, now):
+            if not self._is_unresponsive(progress, now):
                 self._send_append(member, progress, now, effects)
 
     def _append(self, entry: Entry, effects: Effects) -> None:
@@ -155,7 +155,7 @@
         effects.append(PersistEntries(position.offset, (entry,)))
 
     def _broadcast(self, now: float, effects: Effects) -> None:
-        """Begin a round: every other member gets a message, with entries or without."""
+        """Start a round: send every other member an Append, with or without entries."""
         self._round += 1
         self.broadcast_at = now + HEARTBEAT_SECONDS
         for member, progress in self._progress.members.items():
@@ -165,7 +165,7 @@
         self, member: MemberId, progress: MemberProgress, now: float, effects: Effects
     ) -> None:
         entries: tuple[Entry, ...] = ()
-        if self._silent(progress, now):
+        if self._is_unresponsive(progress, now):
             progress.next = progress.match + 1
         else:
             entries = self._log.slice(progress.next - 1, ENTRIES_PER_APPEND)
@@ -184,23 +184,23 @@
     def _answer_confirms(self, effects: Effects) -> None:
         if self._applier.applied < self._term_start:
             return
-        answered = self._progress.answered_round(self._round)
-        while self._confirms and self._confirms[0].round <= answered:
+        confirmed_round = self._progress.answered_round(self._round)
+        while self._confirms and self._confirms[0].round <= confirmed_round:
             position = self._log.position(self._applier.commit)
             effects.append(Confirmed(self._confirms.popleft().token, position))
 
     @staticmethod
-    def _silent(progress: MemberProgress, now: float) -> bool:
+    def _is_unresponsive(progress: MemberProgress, now: float) -> bool:
         return now - progress.answered_at > PROBE_SECONDS
 
 
 def majority_lost(token: int) -> Refused:
-    """Return the answer to a write that is in the log but not known to be held by a majority."""
+    """Return the refusal of a write that was appended but is not known to be on a majority."""
     detail = "no majority acknowledged the write; it may have run"
     return Refused(token, RefusalCode.MAJORITY_NOT_REACHED, detail)
 
 
 def not_primary(token: int) -> Refused:
-    """Return the answer to a write or question that surely changed nothing."""
+    """Return the refusal of a write or confirmation that certainly had no effect."""
     detail = "not the primary, or without a majority; not run"
     return Refused(token, RefusalCode.NOT_PRIMARY, detail)
--- a/src/bramblebeam/lab/database/progress.py
+++ b/src/bramblebeam/lab/database/progress.py
@@ -1,4 +1,4 @@
-"""What a primary knows of the other members' logs, and which rounds they answered."""
+"""Replication progress of the other members, as the primary knows it from their replies."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -8,9 +8,9 @@
 
 @dataclass(slots=True)
 class MemberProgress:
-    """One other member. `match`: the logs surely agree up to there; `next`: the next to send.
+    """Progress of one member. `match`: the logs agree up to this offset; `next`: offset to send.
 
-    `answered_round` and `answered_at` (seconds) are of the latest round it answered.
+    `answered_round` and `answered_at` (seconds): the latest round that it answered, and when.
     """
 
     next: int
@@ -20,18 +20,18 @@
 
 
 class GroupProgress:
-    """The other members of the group, and what a majority of all members holds."""
+    """Progress of the other members, and the values that a majority of the group has reached."""
 
     def __init__(self, others: Iterable[MemberId], last: int) -> None:
         self.members = {member: MemberProgress(next=last + 1) for member in others}
 
     @property
     def majority(self) -> int:
-        """How many members, the primary among them, make a majority."""
+        """Number of members in a majority, including the primary."""
         return (len(self.members) + 1) // 2 + 1
 
     def reached(self, values: Iterable[float], own: float) -> float:
-        """Return the highest value that a majority has reached, the primary's own among them."""
+        """Return the highest value that a majority has reached, counting the primary's `own`."""
         ranked = sorted([own, *values], reverse=True)
         return ranked[self.majority - 1]
 
@@ -44,11 +44,11 @@
         return int(self.reached((m.answered_round for m in self.members.values()), own_round))
 
     def contact(self, now: float) -> float:
-        """Return when a majority was last heard (seconds)."""
+        """Return the time (seconds) up to which a majority has replied."""
         return self.reached((m.answered_at for m in self.members.values()), now)
 
     def take(self, sender: MemberId, reply: AppendReply, now: float) -> MemberProgress | None:
-        """Record an answer; return the sender's progress, or None for a stranger."""
+        """Record a reply; return the sender's progress, or None if it is not in the group."""
         member = self.members.get(sender)
         if member is None:
             return None
--- a/src/bramblebeam/lab/database/replica.py
+++ b/src/bramblebeam/lab/database/replica.py
@@ -1,11 +1,11 @@
-"""One member of a database group: terms, promises, majority append. Pure: see `core.machine`.
+"""State machine of one group member, without I/O (see `core.machine`).
 
-The rules, as in Raft with the election taken out of the members:
+The protocol is Raft, except that an external controller elects the primary:
 
-- A member that promised a term refuses every lower one. Who becomes primary of a term is decided
-  by a controller that holds promises of it from a majority and chooses the highest last position.
+- A member that promised a term refuses every lower one. A controller that has promises of a term
+  from a majority promotes the member with the highest last position to primary of the term.
 - A primary acknowledges a write only when a majority appended it, after an entry of its own term.
-- A replica drops entries that contradict its primary's log; none of them was acknowledged.
+- A replica drops entries that conflict with its primary's log; none of them was acknowledged.
 """
 
 from collections.abc import Iterable
@@ -39,9 +39,9 @@
 
 
 class Replica:
-    """The state machine of one member. Times are seconds of a monotonic clock.
+    """The state machine of one member. Times are in seconds of a monotonic clock.
 
-    `promised` and `entries` are what the member kept on disk; everything else starts anew, and a
+    `promised` and `entries` are restored from disk; all other state is lost in a restart, and a
     member never starts as primary.
     """
 
@@ -57,25 +57,25 @@
         self._granted = 0
         self._contact_at = now
         self._applier = Applier(now)
-        self._leading: Primary | None = None
+        self._primary_state: Primary | None = None
 
-    # The machine
+    # State machine interface
 
     def handle(self, event: Any, now: float) -> Effects:
-        """Take one event; return the effects in the order in which they must be carried out."""
+        """Process one event; return the effects in the order in which they must be executed."""
         effects: Effects = []
         match event:
             case Received(sender, Append() as message):
-                self._take_append(sender, message, now, effects)
+                self._handle_append(sender, message, now, effects)
             case Received(sender, AppendReply() as message):
-                self._take_reply(sender, message, now, effects)
+                self._handle_reply(sender, message, now, effects)
             case Propose() | ConfirmPosition():
-                self._ask_primary(event, now, effects)
+                self._handle_client_request(event, now, effects)
             case PromiseTerm() | PromoteMember() | FollowPrimary():
                 self._command(event, now, effects)
             case PauseWrites(seconds):
-                if self._leading is not None:
-                    self._leading.pause_writes(seconds, now)
+                if self._primary_state is not None:
+                    self._primary_state.pause_writes(seconds, now)
             case SetLag(seconds):
                 self._applier.lag = seconds
             case SetLeaving(leaving):
@@ -86,22 +86,22 @@
         return effects
 
     def next_wakeup(self) -> float | None:
-        """Return when `Wakeup` is due (seconds), or None."""
+        """Return the time of the next `Wakeup` (seconds), or None."""
         due = self._applier.next_due()
-        if self._leading is None:
+        if self._primary_state is None:
             return due
-        broadcast_at = self._leading.broadcast_at
+        broadcast_at = self._primary_state.broadcast_at
         return broadcast_at if due is None else min(due, broadcast_at)
 
     def status(self, now: float) -> ReplicaStatus:
-        """Return what the member tells of itself."""
+        """Return the status that the member reports."""
         contact = self._contact(now)
         return ReplicaStatus(
             term=self.term,
             role=self.role,
             last=self.log.last,
             applied=self._applier.applied_position(self.log),
-            lag=contact if self._leading is not None else self._applier.staleness(now),
+            lag=contact if self._primary_state is not None else self._applier.staleness(now),
             primary_contact=contact,
             primary=self.primary or "",
             promised_term=self.promised,
@@ -110,8 +110,8 @@
 
     @property
     def role(self) -> Role:
-        """Whether this member believes that it is the primary of its term."""
-        return Role.REPLICA if self._leading is None else Role.PRIMARY
+        """PRIMARY if this member considers itself the primary of its term."""
+        return Role.REPLICA if self._primary_state is None else Role.PRIMARY
 
     @property
     def commit(self) -> int:
@@ -133,7 +133,7 @@
         if accepted:
             effects.append(TermAccepted(event.token))
             return
-        detail = f"term {self.promised} is promised already"
+        detail = f"term {self.promised} is already promised"
         effects.append(Refused(event.token, RefusalCode.TERM_TAKEN, detail))
 
     def _promise(self, term: int, effects: Effects) -> bool:
@@ -146,7 +146,7 @@
     def _promote(
         self, term: int, members: tuple[MemberId, ...], now: float, effects: Effects
     ) -> bool:
-        if self._leading is not None and self.term == term:
+        if self._primary_state is not None and self.term == term:
             return True
         if self._granted != term or self.me not in members:
             return False
@@ -154,20 +154,20 @@
         self.term = term
         self.primary = self.me
         others = [member for member in members if member != self.me]
-        self._leading = Primary(term, others, self.log, self._applier, now)
-        self._leading.begin(now, effects)
+        self._primary_state = Primary(term, others, self.log, self._applier, now)
+        self._primary_state.begin(now, effects)
         return True
 
     def _follow(self, term: int, primary: MemberId, effects: Effects) -> bool:
-        leads = self._leading is not None and self.term == term
-        if term < self.promised or (leads and primary != self.me):
+        is_primary = self._primary_state is not None and self.term == term
+        if term < self.promised or (is_primary and primary != self.me):
             return False
-        if not leads and primary != self.me:
+        if not is_primary and primary != self.me:
             self._adopt_term(term, primary, effects)
         return True
 
     def _adopt_promise(self, term: int, effects: Effects) -> None:
-        """Refuse lower terms from now on, and end what this member was in one."""
+        """Refuse lower terms from now on; give up the role held in one."""
         if term > self.promised:
             self.promised = term
             effects.append(PersistPromise(term))
@@ -176,43 +176,47 @@
         self._step_down(effects)
 
     def _adopt_term(self, term: int, primary: MemberId, effects: Effects) -> None:
-        """Be a replica of the primary of `term`, which is not below the promise."""
+        """Become a replica of the primary of `term`, which must not be below the promised term."""
         if (term, primary) != (self.term, self.primary):
             self._adopt_promise(term, effects)
             self.term = term
             self.primary = primary
 
     def _step_down(self, effects: Effects) -> None:
-        if self._leading is not None:
-            self._leading.abandon(effects)
-            self._leading = None
+        if self._primary_state is not None:
+            self._primary_state.abandon(effects)
+            self._primary_state = None
 
-    # The primary
+    # Primary
 
-    def _ask_primary(self, event: Propose | ConfirmPosition, now: float, effects: Effects) -> None:
-        if self._leading is None:
+    def _handle_client_request(
+        self, event: Propose | ConfirmPosition, now: float, effects: Effects
+    ) -> None:
+        if self._primary_state is None:
             effects.append(not_primary(event.token))
         elif isinstance(event, Propose):
-            self._leading.propose(event, now, effects)
+            self._primary_state.propose(event, now, effects)
         else:
-            self._leading.confirm(event.token, now, effects)
+            self._primary_state.confirm(event.token, now, effects)
 
-    def _take_reply(
+    def _handle_reply(
         self, sender: MemberId, reply: AppendReply, now: float, effects: Effects
     ) -> None:
-        if self._leading is None or reply.term != self.term:
+        if self._primary_state is None or reply.term != self.term:
             return
         if reply.promised > self.term:
             self.primary = None
             self._step_down(effects)
             return
-        self._leading.take_reply(sender, reply, now, effects)
+        self._primary_state.take_reply(sender, reply, now, effects)
 
-    # The replica
+    # Replica
 
-    def _take_append(self, sender: MemberId, message: Append, now: float, effects: Effects) -> None:
-        leads = self._leading is not None and message.term == self.term
-        if message.term < self.promised or leads:
+    def _handle_append(
+        self, sender: MemberId, message: Append, now: float, effects: Effects
+    ) -> None:
+        is_primary = self._primary_state is not None and message.term == self.term
+        if message.term < self.promised or is_primary:
             reply = AppendReply(message.term, self.promised, False, len(self.log), message.round)
             effects.append(Send(sender, reply))
             return
@@ -220,7 +224,7 @@
         self._contact_at = now
         matched = self.log.holds(message.previous)
         if matched:
-            last = self._store(message, effects)
+            last = self._append_entries(message, effects)
             self._applier.commit_known(min(message.commit, last), now)
             if message.commit <= last:
                 self._applier.caught_up(now - message.age)
@@ -229,8 +233,8 @@
         reply = AppendReply(message.term, self.promised, matched, last, message.round)
         effects.append(Send(sender, reply))
 
-    def _store(self, message: Append, effects: Effects) -> int:
-        """Take the entries that are new; drop what contradicts them. Return their last offset."""
+    def _append_entries(self, message: Append, effects: Effects) -> int:
+        """Append the new entries, dropping conflicting ones; return the message's last offset."""
         start = message.previous.offset
         for index, entry in enumerate(message.entries):
             offset = start + index + 1
@@ -247,7 +251,7 @@
         effects.append(PersistEntries(offset, entries))
 
     def _retry_offset(self, offset: int) -> int:
-        """Return the offset up to which the primary should compare next."""
+        """Return the offset from which the primary should retry after a mismatch at `offset`."""
         if offset > len(self.log):
             return len(self.log)
         return max(self._applier.commit, self.log.first_offset_of_term(offset) - 1)
@@ -255,19 +259,22 @@
     # After every event
 
     def _advance(self, now: float, effects: Effects) -> None:
-        leading = self._leading
-        if leading is not None:
-            leading.count_majority(now, effects)
-        for apply in self._applier.take_due(self.log, now, leading is not None):
+        primary_state = self._primary_state
+        if primary_state is not None:
+            primary_state.count_majority(now, effects)
+        for apply in self._applier.take_due(self.log, now, primary_state is not None):
             effects.append(apply)
-            if leading is not None:
-                leading.acknowledge(apply.position.offset, effects)
-        if leading is not None:
-            leading.keep_up(now, effects)
+            if primary_state is not None:
+                primary_state.acknowledge(apply.position.offset, effects)
+        if primary_state is not None:
+            primary_state.keep_up(now, effects)
 
     def _contact(self, now: float) -> float:
-        """Return how long ago the group was heard (seconds); 0 on a primary in good contact."""
-        if self._leading is None:
+        """Return the seconds since the last contact with the primary or, on it, with a majority.
+
+        A primary with recent contact returns 0.
+        """
+        if self._primary_state is None:
             return max(0.0, now - self._contact_at)
-        age = self._leading.contact_age(now)
+        age = self._primary_state.contact_age(now)
         return 0.0 if age <= CONTACT_FRESH_SECONDS else age
--- a/src/bramblebeam/lab/database/session.py
+++ b/src/bramblebeam/lab/database/session.py
@@ -1,4 +1,4 @@
-"""One client's session at a member: transactions, locks, and the statements that MySQL has."""
+"""A client's MySQL session at a member: statement dispatch, transactions and locks."""
 
 import asyncio
 import re
@@ -28,25 +28,25 @@
 
 ROWS_PER_STEP = 1_000
 REPLICATION_USER = "replication"
-"""The account of the other members; it is not cut off with the clients."""
+"""User name of the other members; exempt from the `cut_clients` fault."""
 
 NO_SUCH_THREAD = 1094
 TOO_MANY_USER_CONNECTIONS = 1203
 INTERRUPTED = 1317
 
-_WORD = re.compile(r"(?:[\s(]|/\*.*?\*/|--[ \t][^\n]*\n|#[^\n]*\n)*([A-Za-z]+)", re.S)
+_KEYWORD = re.compile(r"(?:[\s(]|/\*.*?\*/|--[ \t][^\n]*\n|#[^\n]*\n)*([A-Za-z]+)", re.S)
 _LOCKING_READ = re.compile(r"\bFOR\s+(?:UPDATE|SHARE)\b|\bLOCK\s+IN\s+SHARE\s+MODE\b", re.I)
-_REQUEST = re.compile(r"bramblebeam_request=([^\s*]+)")
+_REQUEST_ID = re.compile(r"bramblebeam_request=([^\s*]+)")
 _KILL = re.compile(r"\s*KILL\s+(?:(QUERY|CONNECTION)\s+)?(\d+)", re.I)
 _AUTOCOMMIT = re.compile(r"\bautocommit\s*=\s*(\w+)", re.I)
 
 
 class DatabaseSession(CallerSession):
-    """Statements of one connection. A transaction's statements are kept here until COMMIT.
+    """One client connection. Holds the statements of an open transaction until COMMIT.
 
-    Until then each of them is tried on the committed rows after the ones before it, and undone; at
-    COMMIT they become one entry of the log, which conflicts (1213, nothing done) when a statement
-    would now affect other rows than the client was told.
+    Each statement is run on the committed rows after the transaction's earlier ones, and rolled
+    back. At COMMIT they become one log entry, which conflicts (1213, no changes) if a statement
+    now has other results than those reported to the client.
     """
 
     def __init__(self, member: "DatabaseMember") -> None:
@@ -64,10 +64,10 @@
     # CallerSession
 
     async def opened(self, connection: ConnectionInfo) -> None:
-        """Admit the client unless its user has all the connections it may have."""
+        """Admit the client unless its user is at its connection limit."""
         self.info = connection
         self.database = connection.database
-        await self._reach()
+        await self._wait_until_reachable()
         journal = self.member.journal
         limit = self.member.settings.maximum_connections.get(connection.user)
         if limit is not None and journal.connections_of(connection.user) >= limit:
@@ -78,8 +78,8 @@
         journal.record_opened(connection.user, self.program)
 
     async def execute(self, sql: str, attributes: dict[str, Any]) -> OkResult | RowsResult:
-        """Run one statement; request and answer wait while the client is cut off."""
-        await self._reach()
+        """Run one statement. Start and result are delayed while clients are cut off."""
+        await self._wait_until_reachable()
         info = self.info
         self.member.journal.record_statement(info.id, info.user, self.in_transaction, sql)
         self.running = sql
@@ -89,25 +89,25 @@
         finally:
             self.running = ""
             self.since = time.monotonic()
-        await self._reach()
+        await self._wait_until_reachable()
         return result
 
     async def use(self, database: str) -> None:
-        """Change the default database; every name exists."""
-        await self._reach()
+        """Change the default database; any name is accepted."""
+        await self._wait_until_reachable()
         self.database = database
 
     async def reset(self) -> None:
-        """Roll back, free the locks, forget the settings."""
-        await self._reach()
-        self._forget_transaction()
+        """Roll back, release the locks and reset the session settings."""
+        await self._wait_until_reachable()
+        self._discard_transaction()
         self._autocommit = True
         self.member.locks.release_all(self.info.id)
 
     async def closed(self) -> None:
-        """Roll back and free the locks, when the member hears of it."""
-        await self._reach()
-        self._forget_transaction()
+        """Roll back and release the locks, but not while clients are cut off."""
+        await self._wait_until_reachable()
+        self._discard_transaction()
         if self._opened:
             self._opened = False
             self.member.locks.release_all(self.info.id)
@@ -121,7 +121,7 @@
         return int(self.member.locks.take(name, self.info.id))
 
     def release_lock(self, name: str) -> int | None:
-        """Free a named lock."""
+        """Release a named lock."""
         return self.member.locks.release(name, self.info.id)
 
     def lock_holder(self, name: str) -> int | None:
@@ -129,7 +129,7 @@
         return self.member.locks.holder(name)
 
     def value(self, name: str) -> Any:
-        """Return what a function without arguments tells of the session."""
+        """Return the value of an SQL function without arguments, such as CONNECTION_ID."""
         values: dict[str, Any] = {
             "CONNECTION_ID": self.info.id,
             "DATABASE": self.database or None,
@@ -154,12 +154,12 @@
         return self._transaction is not None
 
     async def _dispatch(self, sql: str) -> OkResult | RowsResult:
-        word = _WORD.match(sql)
-        if word is None:
+        keyword = _KEYWORD.match(sql)
+        if keyword is None:
             raise CallerError(1065, "42000", "Query was empty")
-        handler = _HANDLERS.get(word.group(1).upper())
+        handler = _HANDLERS.get(keyword.group(1).upper())
         if handler is None:
-            raise CallerError(1235, "42000", f"{word.group(1).upper()} is not supported")
+            raise CallerError(1235, "42000", f"{keyword.group(1).upper()} is not supported")
         return await handler(self, sql)
 
     async def _select(self, sql: str) -> OkResult | RowsResult:
@@ -171,7 +171,7 @@
         return self._rows(self.member.store.read(sql, self, time.time(), before))
 
     def _lock_rows(self, sql: str) -> None:
-        """Have the commit fail if the rows of a locking read change; only a primary may."""
+        """Make the commit fail if the rows of a locking read change. Refused on a replica."""
         self._require_primary()
         if self._transaction is not None:
             digest = self.member.store.digest(sql)
@@ -184,22 +184,22 @@
             self._transaction = Transaction()
         operation = Operation(sql, self.database)
         if self._transaction is None:
-            return await self._commit((operation,), _request_of(sql))
+            return await self._commit((operation,), _request_id_of(sql))
         before = self._transaction.before
         outcome = self.member.store.try_write(operation, before, self, time.time())
         if outcome.error is not None:
             raise outcome.error
-        told = operation._replace(
+        reported_operation = operation._replace(
             affected_rows=outcome.affected_rows, last_insert_id=outcome.last_insert_id
         )
-        self._transaction.operations.append(told)
+        self._transaction.operations.append(reported_operation)
         return self._ok(outcome.affected_rows, outcome.last_insert_id)
 
     async def _define(self, sql: str) -> OkResult:
-        """Run a data definition, which commits the open transaction first."""
+        """Run a data definition statement, after committing any open transaction."""
         await self._end_transaction()
         self._require_primary()
-        return await self._commit((Operation(sql, self.database),), _request_of(sql))
+        return await self._commit((Operation(sql, self.database),), _request_id_of(sql))
 
     async def _commit(self, operations: tuple[Operation, ...], request: str) -> OkResult:
         batch = Batch(time.time(), operations, request)
@@ -207,7 +207,7 @@
             position, outcome = await self.member.write(batch)
         except asyncio.CancelledError as error:
             code = RefusalCode.MAJORITY_NOT_REACHED
-            raise CallerError(int(code), "HY000", "interrupted; it may have run") from error
+            raise CallerError(int(code), "HY000", "interrupted; the write may have run") from error
         if outcome.error is not None:
             raise outcome.error
         info = f"position={position.term}:{position.offset}"
@@ -219,11 +219,11 @@
         return self._ok()
 
     async def _commit_statement(self, sql: str) -> OkResult:
-        return await self._end_transaction(_request_of(sql))
+        return await self._end_transaction(_request_id_of(sql))
 
     async def _end_transaction(self, request: str = "") -> OkResult:
         transaction = self._transaction
-        self._forget_transaction()
+        self._discard_transaction()
         if transaction is None or not transaction.changes_rows:
             return self._ok()
         result = await self._commit(transaction.before, request)
@@ -232,7 +232,7 @@
     async def _rollback(self, sql: str) -> OkResult:
         match = re.search(r"\bTO\s+(?:SAVEPOINT\s+)?`?(\w+)", sql, re.I)
         if match is None:
-            self._forget_transaction()
+            self._discard_transaction()
             return self._ok()
         (self._transaction or Transaction()).roll_back_to(match.group(1))
         return self._ok()
@@ -258,7 +258,7 @@
     async def _kill(self, sql: str) -> OkResult:
         match = _KILL.match(sql)
         if match is None:
-            raise CallerError(1064, "42000", "KILL needs a connection id")
+            raise CallerError(1064, "42000", "KILL requires a connection id")
         connection_id = int(match.group(2))
         query_only = (match.group(1) or "").upper() == "QUERY"
         if connection_id == self.info.id and query_only:
@@ -285,23 +285,23 @@
             return self._rows(Rows((f"Tables_in_{self.database}",), names))
         if words[1:2] in (["WARNINGS"], ["ERRORS"]):
             return self._rows(Rows(("Level", "Code", "Message"), []))
-        raise CallerError(1235, "42000", "This SHOW is not supported")
+        raise CallerError(1235, "42000", "This SHOW statement is not supported")
 
-    async def _nothing(self, sql: str) -> OkResult:
+    async def _no_op(self, sql: str) -> OkResult:
         return self._ok()
 
-    # Help
+    # Helpers
 
     def _require_primary(self) -> None:
         replica = self.member.replica
         if replica.role is not replica.role.PRIMARY:
             raise CallerError(int(RefusalCode.NOT_PRIMARY), "HY000", "not the primary; not run")
 
-    async def _reach(self) -> None:
+    async def _wait_until_reachable(self) -> None:
         if self.info.user != REPLICATION_USER:
             await self.member.reachable.wait()
 
-    def _forget_transaction(self) -> None:
+    def _discard_transaction(self) -> None:
         self._transaction = None
 
     def _ok(self, affected: int = 0, last_insert_id: int = 0, info: str = "") -> OkResult:
@@ -325,7 +325,7 @@
         try:
             rows = rest.fetchmany(ROWS_PER_STEP)
         except sqlite3.Error as error:
-            text = "The rows changed while they were read; retry"
+            text = "Table changed while the result was being read; retry"
             raise CallerError(1412, "HY000", text) from error
         if not rows:
             return
@@ -334,8 +334,8 @@
         await asyncio.sleep(0)
 
 
-def _request_of(sql: str) -> str:
-    match = _REQUEST.search(sql)
+def _request_id_of(sql: str) -> str:
+    match = _REQUEST_ID.search(sql)
     return match.group(1) if match is not None else ""
 
 
@@ -352,7 +352,7 @@
     "COMMIT": DatabaseSession._commit_statement,
     "ROLLBACK": DatabaseSession._rollback,
     "SAVEPOINT": DatabaseSession._savepoint,
-    "RELEASE": DatabaseSession._nothing,
+    "RELEASE": DatabaseSession._no_op,
     "SET": DatabaseSession._set,
     "USE": DatabaseSession._use_statement,
     "KILL": DatabaseSession._kill,
@@ -362,5 +362,5 @@
     "ALTER": DatabaseSession._define,
     "DROP": DatabaseSession._define,
     "TRUNCATE": DatabaseSession._define,
-    "DO": DatabaseSession._nothing,
+    "DO": DatabaseSession._no_op,
 }
--- a/src/bramblebeam/lab/database/sql.py
+++ b/src/bramblebeam/lab/database/sql.py
@@ -1,7 +1,7 @@
-"""Translates MySQL statements for SQLite.
+"""Translates MySQL statements to SQLite.
 
-A statement's literals are taken out first, so that one translation serves all statements of the
-same shape and SQLite's own cache of prepared statements is hit.
+Literals are first replaced by parameters, so that statements that differ only in literals share
+one cached translation and hit SQLite's prepared statement cache.
 """
 
 import re
@@ -30,12 +30,12 @@
 _ESCAPE = {quote: re.compile(rf"\\(.)|{quote}{quote}", re.DOTALL) for quote in "'\""}
 _ESCAPES = {"n": "\n", "t": "\t", "r": "\r", "0": "\0", "b": "\b", "Z": "\x1a"}
 _PARAMETERS_ALLOWED = re.compile(r"\s*(?:SELECT|INSERT|UPDATE|DELETE|REPLACE|WITH)\b", re.I)
-_NUMBERS_KEPT = re.compile(r"\b(?:INTERVAL|(?:ORDER|GROUP)\s+BY\s+\d)", re.I)
-_FROM = re.compile(r"\b(?:FROM|VALUES|SET|WHERE)\b", re.I)
+_KEEPS_NUMBERS = re.compile(r"\b(?:INTERVAL|(?:ORDER|GROUP)\s+BY\s+\d)", re.I)
+_CLAUSE = re.compile(r"\b(?:FROM|VALUES|SET|WHERE)\b", re.I)
 _CURRENT_TIMESTAMP = re.compile(r"\bCURRENT_TIMESTAMP(?:\(\d*\))?", re.I)
 _ON_DUPLICATE = "ON DUPLICATE KEY UPDATE SET"
 _VALUES_OF = re.compile(r"\bVALUES\((\w+)\)", re.I)
-_RENAMED: dict[type, str] = {
+_SQLITE_FUNCTIONS: dict[type, str] = {
     exp.Rand: "RAND",
     exp.CurrentSchema: "DATABASE",
     exp.CurrentUser: "CURRENT_USER",
@@ -44,16 +44,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """A statement without comments, its literals replaced by names, and the literals.
+    """A statement without comments and with its literals replaced by named parameters.
 
-    Names, since a translation may change the order: `LIMIT 5, 6` becomes `LIMIT 6 OFFSET 5`.
+    Parameters are named because a translation can reorder them: `LIMIT 5, 6` becomes
+    `LIMIT 6 OFFSET 5`.
     """
 
     text: str
     parameters: tuple[Any, ...]
 
     def named(self) -> dict[str, Any]:
-        """Return the literals by their names in the text."""
+        """Return the literals by parameter name."""
         return {
             f"{PARAMETER_PREFIX}{number}": value for number, value in enumerate(self.parameters, 1)
         }
@@ -61,22 +62,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Translation:
-    """The statement for SQLite. `table` is what an INSERT or REPLACE writes to."""
+    """The SQLite statement. `table` is the target of an INSERT or REPLACE, else empty."""
 
     sql: str
     table: str = ""
 
 
 def shape_of(sql: str) -> Shape:
-    """Take the literals and comments out of a statement.
+    """Replace literals by parameters and remove comments.
 
-    Literals before the first FROM, VALUES, SET or WHERE stay: a result's columns are named by them.
+    Literals before the first FROM, VALUES, SET or WHERE stay, because they name result columns.
     """
     if not _PARAMETERS_ALLOWED.match(sql):
         return Shape(_TOKEN.sub(_without_comment, sql), ())
-    first = _FROM.search(sql)
+    first = _CLAUSE.search(sql)
     start = first.start() if first is not None else len(sql)
-    keep_numbers = _NUMBERS_KEPT.search(sql) is not None
+    keep_numbers = _KEEPS_NUMBERS.search(sql) is not None
     parameters: list[Any] = []
 
     def replace(match: re.Match[str]) -> str:
@@ -115,14 +116,14 @@
 
 @lru_cache(TRANSLATION_CACHE)
 def translate(text: str) -> Translation:
-    """Return the statement (a shape's text) for SQLite. Raises CallerError 1064."""
+    """Translate the text of a shape to SQLite. Raises CallerError 1064."""
     try:
         parsed = sqlglot.parse(text, read="mysql", error_level=ErrorLevel.RAISE)
     except (SqlglotError, RecursionError) as error:
         text = f"You have an error in your SQL syntax: {error}"
         raise CallerError(SYNTAX_ERROR, "42000", text) from error
     if len(parsed) != 1 or parsed[0] is None:
-        raise CallerError(SYNTAX_ERROR, "42000", "One statement is expected")
+        raise CallerError(SYNTAX_ERROR, "42000", "Expected exactly one statement")
     tree = parsed[0]
     if isinstance(tree, exp.Command):
         return Translation(text, _replace_target(text))
@@ -130,8 +131,8 @@
     tree = _rewrite(tree)
     sql = tree.sql(dialect="sqlite", unsupported_level=ErrorLevel.IGNORE)
     sql = _CURRENT_TIMESTAMP.sub("(NOW())", sql)
-    head, mark, tail = sql.partition(_ON_DUPLICATE)
-    if mark:
+    head, separator, tail = sql.partition(_ON_DUPLICATE)
+    if separator:
         sql = f"{head}ON CONFLICT DO UPDATE SET" + _VALUES_OF.sub(r"excluded.\1", tail)
     return Translation(sql, table.name if table is not None else "")
 
@@ -142,7 +143,7 @@
 
 
 def _rewrite(tree: Any) -> Any:
-    """Change what SQLite spells in another way and sqlglot leaves as it is."""
+    """Rewrite constructs that SQLite lacks and sqlglot does not translate."""
     if isinstance(tree, exp.TruncateTable):
         return exp.delete(tree.expressions[0].name)
     for table in tree.find_all(exp.Table):
@@ -155,7 +156,7 @@
 
 
 def _rename_function(node: Any) -> Any:
-    name = _RENAMED.get(type(node))
+    name = _SQLITE_FUNCTIONS.get(type(node))
     return exp.Anonymous(this=name) if name else node
 
 
--- a/src/bramblebeam/lab/database/store.py
+++ b/src/bramblebeam/lab/database/store.py
@@ -1,4 +1,4 @@
-"""The rows of one member, in SQLite in memory."""
+"""The rows of one member, in an in-memory SQLite database."""
 
 import hashlib
 import random
@@ -17,7 +17,7 @@
 
 CACHED_STATEMENTS = 512
 FIRST_ROWS = 10_000
-"""A result up to this size is read at one moment; the rest of a larger one as it is sent."""
+"""Rows read atomically; the rest of a larger result is read while it is being sent."""
 
 DEADLOCK = 1213
 _SAVEPOINT = "tentative"
@@ -25,24 +25,24 @@
 
 
 class SessionFunctions(Protocol):
-    """What SQL functions ask of the session that runs a statement."""
+    """The session functions that SQL functions call."""
 
     def get_lock(self, name: str) -> int:
-        """Take a named lock without waiting; 1 if it is had."""
+        """Take a named lock without waiting; return 1 if it is held, else 0."""
 
     def release_lock(self, name: str) -> int | None:
-        """Free a named lock."""
+        """Release a named lock."""
 
     def lock_holder(self, name: str) -> int | None:
         """Return the connection that holds a named lock."""
 
     def value(self, name: str) -> Any:
-        """Return CONNECTION_ID, DATABASE, USER and the like."""
+        """Return the value of CONNECTION_ID, DATABASE, USER or a similar function."""
 
 
 @dataclass(slots=True)
 class Rows:
-    """A result: its first rows, and a cursor on the rest if there are more."""
+    """A result: its first rows, and a cursor for the rest if there may be more."""
 
     names: tuple[str, ...]
     first: list[tuple[Any, ...]]
@@ -50,45 +50,45 @@
 
 
 @dataclass(slots=True)
-class _Moment:
-    """What the running statement takes for the time, chance and session."""
+class _StatementContext:
+    """Time, random seed and session that the running statement uses."""
 
     time: float = 0.0
     seed: int = 0
     session: SessionFunctions | None = None
-    chance: random.Random | None = None
+    generator: random.Random | None = None
 
     def random(self) -> random.Random:
-        """Return the source of chance, the same on every member."""
-        if self.chance is None:
-            self.chance = random.Random(self.seed)
-        return self.chance
+        """Return the random generator, seeded identically on every member."""
+        if self.generator is None:
+            self.generator = random.Random(self.seed)
+        return self.generator
 
 
 class RowStore:
-    """Runs statements. All methods are synchronous; errors are CallerError with MySQL's codes."""
+    """Runs statements synchronously. Errors are CallerErrors with MySQL codes."""
 
     def __init__(self) -> None:
         self._database = sqlite3.connect(
             ":memory:", isolation_level=None, cached_statements=CACHED_STATEMENTS
         )
-        self._moment = _Moment()
-        self._counted_tables: dict[str, bool] = {}
+        self._context = _StatementContext()
+        self._has_generated_key_by_table: dict[str, bool] = {}
         self._add_functions()
 
     def close(self) -> None:
-        """Drop the rows."""
+        """Close the database, which drops the rows."""
         self._database.close()
 
     def read(
         self, sql: str, session: SessionFunctions, time: float, before: tuple[Operation, ...] = ()
     ) -> Rows:
-        """Run a statement that changes no rows, after the changes of `before`, which are undone."""
+        """Run a statement that changes no rows, on top of `before`, which is rolled back."""
         if before:
-            with self._tentatively(before, session, time):
+            with self._rolled_back_after(before, session, time):
                 cursor = self._execute(sql)
                 return Rows(_names(cursor), cursor.fetchall())
-        self._moment = _Moment(time, 0, session)
+        self._context = _StatementContext(time, 0, session)
         cursor = self._execute(sql)
         first = cursor.fetchmany(FIRST_ROWS)
         return Rows(_names(cursor), first, cursor if len(first) == FIRST_ROWS else None)
@@ -100,22 +100,22 @@
         session: SessionFunctions,
         time: float,
     ) -> Outcome:
-        """Tell what a statement would come to after `before`; all is undone."""
-        with self._tentatively(before, session, time):
+        """Run a statement after `before`, roll everything back, and return its outcome."""
+        with self._rolled_back_after(before, session, time):
             return self._run(operation)
 
     def apply(self, batch: Batch, seed: int) -> Outcome:
-        """Carry out a committed batch, or nothing of it when a statement fails or conflicts."""
-        self._moment = _Moment(batch.time, seed)
+        """Apply a committed batch; roll it back if a statement fails or conflicts."""
+        self._context = _StatementContext(batch.time, seed)
         self._database.execute("BEGIN")
         outcome = Outcome()
         for operation in batch.operations:
-            outcome = self._checked(operation)
+            outcome = self._run_checked(operation)
             if outcome.error is not None:
                 break
         self._database.execute("COMMIT" if outcome.error is None else "ROLLBACK")
         if any(_DEFINITION.match(operation.sql) for operation in batch.operations):
-            self._counted_tables.clear()
+            self._has_generated_key_by_table.clear()
         return outcome
 
     def table_names(self) -> list[str]:
@@ -126,19 +126,19 @@
         return sorted(name for (name,) in found)
 
     def digest(self, sql: str) -> str:
-        """Return a digest of what a locking read sees now."""
+        """Return a digest of the rows that a locking read sees now."""
         rows = self._execute(sql).fetchall()
         return hashlib.blake2b(repr(rows).encode(), digest_size=16).hexdigest()
 
     @contextmanager
-    def _tentatively(
+    def _rolled_back_after(
         self, before: tuple[Operation, ...], session: SessionFunctions, time: float
     ) -> Iterator[None]:
-        self._moment = _Moment(time, 0, session)
+        self._context = _StatementContext(time, 0, session)
         self._database.execute(f"SAVEPOINT {_SAVEPOINT}")
         try:
             for operation in before:
-                outcome = self._checked(operation)
+                outcome = self._run_checked(operation)
                 if outcome.error is not None:
                     raise outcome.error
             yield
@@ -146,8 +146,8 @@
             self._database.execute(f"ROLLBACK TO {_SAVEPOINT}")
             self._database.execute(f"RELEASE {_SAVEPOINT}")
 
-    def _checked(self, operation: Operation) -> Outcome:
-        """Run a statement and compare with what the client was told."""
+    def _run_checked(self, operation: Operation) -> Outcome:
+        """Run a statement and compare its results with those reported to the client."""
         try:
             if operation.digest:
                 same = self.digest(operation.sql) == operation.digest
@@ -157,8 +157,8 @@
         outcome = self._run(operation)
         if operation.affected_rows == NOT_EXPECTED:
             return outcome
-        told = (operation.affected_rows, operation.last_insert_id)
-        if outcome.error is None and (outcome.affected_rows, outcome.last_insert_id) == told:
+        reported = (operation.affected_rows, operation.last_insert_id)
+        if outcome.error is None and (outcome.affected_rows, outcome.last_insert_id) == reported:
             return outcome
         return Outcome(error=conflict())
 
@@ -170,7 +170,7 @@
         except CallerError as error:
             return Outcome(error=error)
         affected = max(0, cursor.rowcount)
-        if not table or not affected or not self._counts(table):
+        if not table or not affected or not self._has_generated_key(table):
             return Outcome(affected)
         return Outcome(affected, (cursor.lastrowid or 0) - affected + 1)
 
@@ -186,25 +186,27 @@
         except (OverflowError, sqlite3.Warning) as error:
             raise CallerError(1264, "22003", str(error)) from error
 
-    def _counts(self, table: str) -> bool:
-        """Whether the table's key is given by the database (an integer primary key)."""
-        known = self._counted_tables.get(table)
+    def _has_generated_key(self, table: str) -> bool:
+        """Return whether the database assigns the table's key (a single INTEGER primary key)."""
+        known = self._has_generated_key_by_table.get(table)
         if known is None:
             columns = self._database.execute(f'PRAGMA table_info("{table}")').fetchall()
             keys = [str(kind).upper() for _, _, kind, _, _, key in columns if key]
             known = keys == ["INTEGER"]
-            if len(self._counted_tables) > CACHED_STATEMENTS:
-                self._counted_tables.clear()
-            self._counted_tables[table] = known
+            if len(self._has_generated_key_by_table) > CACHED_STATEMENTS:
+                self._has_generated_key_by_table.clear()
+            self._has_generated_key_by_table[table] = known
         return known
 
     def _add_functions(self) -> None:
         add = self._database.create_function
         add("NOW", -1, lambda *_: self._now())
-        add("UNIX_TIMESTAMP", 0, lambda: int(self._moment.time))
-        add("RAND", -1, lambda *_: self._moment.random().random())
+        add("UNIX_TIMESTAMP", 0, lambda: int(self._context.time))
+        add("RAND", -1, lambda *_: self._context.random().random())
         add(
-            "UUID", 0, lambda: str(uuid.UUID(int=self._moment.random().getrandbits(128), version=4))
+            "UUID",
+            0,
+            lambda: str(uuid.UUID(int=self._context.random().getrandbits(128), version=4)),
         )
         add("SLEEP", 1, lambda _: 0)
         add("CONCAT", -1, lambda *parts: None if None in parts else "".join(map(str, parts)))
@@ -218,12 +220,12 @@
             add(name, 0, lambda name=name: self._session().value(name))
 
     def _now(self) -> str:
-        return datetime.fromtimestamp(self._moment.time, UTC).strftime("%Y-%m-%d %H:%M:%S")
+        return datetime.fromtimestamp(self._context.time, UTC).strftime("%Y-%m-%d %H:%M:%S")
 
     def _session(self) -> SessionFunctions:
-        if self._moment.session is None:
-            raise ValueError("the function is not allowed in a replicated statement")
-        return self._moment.session
+        if self._context.session is None:
+            raise ValueError("session functions are not allowed in replicated statements")
+        return self._context.session
 
 
 def _names(cursor: sqlite3.Cursor) -> tuple[str, ...]:
@@ -231,14 +233,14 @@
 
 
 def conflict() -> CallerError:
-    """Return MySQL's error for a transaction that lost against another one: nothing was done."""
+    """Return the MySQL error for a transaction that conflicted with another; no changes remain."""
     return CallerError(DEADLOCK, "40001", "Deadlock found; try restarting transaction; not run")
 
 
 def mysql_error(error: sqlite3.Error) -> CallerError:
-    """Return MySQL's error for one of SQLite's."""
+    """Translate an SQLite error to the corresponding MySQL error."""
     text = str(error)
-    for mark, code, sqlstate in (
+    for fragment, code, sqlstate in (
         ("UNIQUE constraint failed", 1062, "23000"),
         ("NOT NULL constraint failed", 1048, "23000"),
         ("constraint failed", 1452, "23000"),
@@ -251,6 +253,6 @@
         ("incomplete input", 1064, "42000"),
         ("values for", 1136, "21S01"),
     ):
-        if mark in text:
+        if fragment in text:
             return CallerError(code, sqlstate, text)
     return CallerError(1105, "HY000", text)
