--- a/src/bramblebeam/lab/database/information.py
+++ b/src/bramblebeam/lab/database/information.py
@@ -43,7 +43,7 @@
     return _VARIABLE.sub(value, sql)
 
 
-async def wait_as_asked(sql: str, locks: NamedLocks, connection: int) -> None:
+async def wait_for_sleep_and_locks(sql: str, locks: NamedLocks, connection: int) -> None:
     """Wait for the SLEEP and GET_LOCK calls in a statement before it runs.
 
     SQLite's functions are synchronous, so they can't wait: SLEEP returns at once, and GET_LOCK only
--- a/src/bramblebeam/lab/database/session.py
+++ b/src/bramblebeam/lab/database/session.py
@@ -17,7 +17,11 @@
 )
 from bramblebeam.lab.database import commands
 from bramblebeam.lab.database.columns import columns_of
-from bramblebeam.lab.database.information import process_list, wait_as_asked, with_variables
+from bramblebeam.lab.database.information import (
+    process_list,
+    wait_for_sleep_and_locks,
+    with_variables,
+)
 from bramblebeam.lab.database.messages import RefusalCode
 from bramblebeam.lab.database.operations import Batch, Operation
 from bramblebeam.lab.database.store import Rows
@@ -163,7 +167,7 @@
         return await handler(self, sql)
 
     async def _select(self, sql: str) -> OkResult | RowsResult:
-        await wait_as_asked(sql, self.member.locks, self.info.id)
+        await wait_for_sleep_and_locks(sql, self.member.locks, self.info.id)
         if _LOCKING_READ.search(sql):
             self._lock_rows(sql)
         sql = with_variables(sql, self._autocommit)
@@ -178,7 +182,7 @@
             self._transaction.operations.append(Operation(sql, self.database, digest=digest))
 
     async def _write(self, sql: str) -> OkResult:
-        await wait_as_asked(sql, self.member.locks, self.info.id)
+        await wait_for_sleep_and_locks(sql, self.member.locks, self.info.id)
         self._require_primary()
         if not self._autocommit and self._transaction is None:
             self._transaction = Transaction()
