--- a/src/bramblebeam/lab/database/applier.py
+++ b/src/bramblebeam/lab/database/applier.py
@@ -20,7 +20,7 @@
         self._caught_up_at = now
         self._pending_commits: deque[tuple[int, float]] = deque()
 
-    def commit_known(self, commit: int, now: float) -> None:
+    def record_commit(self, commit: int, now: float) -> None:
         """Record at time `now` that the log is committed up to `commit`."""
         if commit > self.commit:
             self.commit = commit
--- a/src/bramblebeam/lab/database/replica.py
+++ b/src/bramblebeam/lab/database/replica.py
@@ -225,7 +225,7 @@
         matched = self.log.holds(message.previous)
         if matched:
             last = self._append_entries(message, effects)
-            self._applier.commit_known(min(message.commit, last), now)
+            self._applier.record_commit(min(message.commit, last), now)
             if message.commit <= last:
                 self._applier.caught_up(now - message.age)
         else:
