--- a/src/bramblebeam/lab/database/applier.py
+++ b/src/bramblebeam/lab/database/applier.py
@@ -26,7 +26,7 @@
             self.commit = commit
             self._pending_commits.append((commit, now))
 
-    def caught_up(self, at: float) -> None:
+    def record_caught_up(self, at: float) -> None:
         """Record that the log held every entry committed by time `at`."""
         self._caught_up_at = max(self._caught_up_at, at)
 
--- a/src/bramblebeam/lab/database/replica.py
+++ b/src/bramblebeam/lab/database/replica.py
@@ -227,7 +227,7 @@
             last = self._append_entries(message, effects)
             self._applier.record_commit(min(message.commit, last), now)
             if message.commit <= last:
-                self._applier.caught_up(now - message.age)
+                self._applier.record_caught_up(now - message.age)
         else:
             last = self._retry_offset(message.previous.offset)
         reply = AppendReply(message.term, self.promised, matched, last, message.round)
