--- a/src/bramblebeam/lab/database/primary.py
+++ b/src/bramblebeam/lab/database/primary.py
@@ -96,7 +96,7 @@
         """Hold new writes until `seconds` after `now`."""
         self._paused_until = now + seconds
 
-    def take_reply(
+    def handle_reply(
         self, sender: MemberId, reply: AppendReply, now: float, effects: Effects
     ) -> None:
         """Process a member's reply in this term and send it the entries that it still lacks."""
--- a/src/bramblebeam/lab/database/replica.py
+++ b/src/bramblebeam/lab/database/replica.py
@@ -208,7 +208,7 @@
             self.primary = None
             self._step_down(effects)
             return
-        self._primary_state.take_reply(sender, reply, now, effects)
+        self._primary_state.handle_reply(sender, reply, now, effects)
 
     # Replica
 
