--- a/src/bramblebeam/lab/database/primary.py
+++ b/src/bramblebeam/lab/database/primary.py
@@ -119,7 +119,7 @@
             token = self._writes.popleft().token
             effects.append(Acknowledged(token, self._log.position(offset)))
 
-    def keep_up(self, now: float, effects: Effects) -> None:
+    def process_pending(self, now: float, effects: Effects) -> None:
         """Answer confirmations, expire requests past their deadline, and send due heartbeats."""
         self._answer_confirms(effects)
         while self._writes and self._writes[0].deadline <= now:
--- a/src/bramblebeam/lab/database/replica.py
+++ b/src/bramblebeam/lab/database/replica.py
@@ -267,7 +267,7 @@
             if primary_state is not None:
                 primary_state.acknowledge(apply.position.offset, effects)
         if primary_state is not None:
-            primary_state.keep_up(now, effects)
+            primary_state.process_pending(now, effects)
 
     def _contact(self, now: float) -> float:
         """Return the seconds since the last contact with the primary or, on it, with a majority.
