--- a/src/bramblebeam/lab/database/primary.py
+++ b/src/bramblebeam/lab/database/primary.py
@@ -129,7 +129,7 @@
         if now >= self.broadcast_at:
             self._broadcast(now, effects)
 
-    def abandon(self, effects: Effects) -> None:
+    def refuse_pending(self, effects: Effects) -> None:
         """Refuse all pending requests because the term has ended."""
         effects.extend(majority_lost(write.token) for write in self._writes)
         effects.extend(not_primary(confirm.token) for confirm in self._confirms)
--- a/src/bramblebeam/lab/database/replica.py
+++ b/src/bramblebeam/lab/database/replica.py
@@ -184,7 +184,7 @@
 
     def _step_down(self, effects: Effects) -> None:
         if self._primary_state is not None:
-            self._primary_state.abandon(effects)
+            self._primary_state.refuse_pending(effects)
             self._primary_state = None
 
     # Primary
