--- a/src/bramblebeam/lab/database/primary.py
+++ b/src/bramblebeam/lab/database/primary.py
@@ -104,7 +104,7 @@
         if progress is not None and progress.next <= len(self._log):
             self._send_append(sender, progress, now, effects)
 
-    def count_majority(self, now: float, effects: Effects) -> None:
+    def advance_commit(self, now: float, effects: Effects) -> None:
         """Append held writes once a pause is over, and commit the entries that a majority holds."""
         while self._held and now >= self._paused_until:
             self._write(self._held.popleft(), now, effects)
--- a/src/bramblebeam/lab/database/replica.py
+++ b/src/bramblebeam/lab/database/replica.py
@@ -261,7 +261,7 @@
     def _advance(self, now: float, effects: Effects) -> None:
         primary_state = self._primary_state
         if primary_state is not None:
-            primary_state.count_majority(now, effects)
+            primary_state.advance_commit(now, effects)
         for apply in self._applier.take_due(self.log, now, primary_state is not None):
             effects.append(apply)
             if primary_state is not None:
