--- a/src/bramblebeam/lab/database/primary.py
+++ b/src/bramblebeam/lab/database/primary.py
@@ -123,7 +123,7 @@
         """Answer confirmations, expire requests past their deadline, and send due heartbeats."""
         self._answer_confirms(effects)
         while self._writes and self._writes[0].deadline <= now:
-            effects.append(majority_lost(self._writes.popleft().token))
+            effects.append(majority_not_reached(self._writes.popleft().token))
         while self._confirms and self._confirms[0].deadline <= now:
             effects.append(not_primary(self._confirms.popleft().token))
         if now >= self.broadcast_at:
@@ -131,7 +131,7 @@
 
     def refuse_pending(self, effects: Effects) -> None:
         """Refuse all pending requests because the term has ended."""
-        effects.extend(majority_lost(write.token) for write in self._writes)
+        effects.extend(majority_not_reached(write.token) for write in self._writes)
         effects.extend(not_primary(confirm.token) for confirm in self._confirms)
         effects.extend(not_primary(held.token) for held in self._held)
 
@@ -194,7 +194,7 @@
         return now - progress.answered_at > PROBE_SECONDS
 
 
-def majority_lost(token: int) -> Refused:
+def majority_not_reached(token: int) -> Refused:
     """Return the refusal of a write that was appended but is not known to be on a majority."""
     detail = "no majority acknowledged the write; it may have run"
     return Refused(token, RefusalCode.MAJORITY_NOT_REACHED, detail)
