--- a/src/bramblebeam/lab/database/primary.py
+++ b/src/bramblebeam/lab/database/primary.py
@@ -100,7 +100,7 @@
         self, sender: MemberId, reply: AppendReply, now: float, effects: Effects
     ) -> None:
         """Process a member's reply in this term and send it the entries that it still lacks."""
-        progress = self._progress.take(sender, reply, now)
+        progress = self._progress.record_reply(sender, reply, now)
         if progress is not None and progress.next <= len(self._log):
             self._send_append(sender, progress, now, effects)
 
--- a/src/bramblebeam/lab/database/progress.py
+++ b/src/bramblebeam/lab/database/progress.py
@@ -47,7 +47,9 @@
         """Return the time (seconds) up to which a majority has replied."""
         return self.reached((m.answered_at for m in self.members.values()), now)
 
-    def take(self, sender: MemberId, reply: AppendReply, now: float) -> MemberProgress | None:
+    def record_reply(
+        self, sender: MemberId, reply: AppendReply, now: float
+    ) -> MemberProgress | None:
         """Record a reply; return the sender's progress, or None if it is not in the group."""
         member = self.members.get(sender)
         if member is None:
