--- a/src/bramblebeam/lab/database/primary.py
+++ b/src/bramblebeam/lab/database/primary.py
@@ -137,7 +137,7 @@
 
     def contact_age(self, now: float) -> float:
         """Return the seconds since a majority last replied."""
-        return now - self._progress.contact(now)
+        return now - self._progress.majority_contact_at(now)
 
     def _write(self, event: Propose, now: float, effects: Effects) -> None:
         if self.contact_age(now) > ISOLATION_SECONDS:
--- a/src/bramblebeam/lab/database/progress.py
+++ b/src/bramblebeam/lab/database/progress.py
@@ -43,7 +43,7 @@
         """Return the latest round that a majority answered."""
         return int(self.reached((m.answered_round for m in self.members.values()), own_round))
 
-    def contact(self, now: float) -> float:
+    def majority_contact_at(self, now: float) -> float:
         """Return the time (seconds) up to which a majority has replied."""
         return self.reached((m.answered_at for m in self.members.values()), now)
 
