--- a/src/bramblebeam/lab/database/store.py
+++ b/src/bramblebeam/lab/database/store.py
@@ -93,7 +93,7 @@
         first = cursor.fetchmany(FIRST_ROWS)
         return Rows(_names(cursor), first, cursor if len(first) == FIRST_ROWS else None)
 
-    def try_write(
+    def dry_run(
         self,
         operation: Operation,
         before: tuple[Operation, ...],
