--- a/src/bramblebeam/lab/database/peers.py
+++ b/src/bramblebeam/lab/database/peers.py
@@ -122,7 +122,7 @@
         """Partition exactly these members from this one."""
         self.cut = frozenset(members)
 
-    def know(self, member: MemberId, address: Address) -> None:
+    def set_address(self, member: MemberId, address: Address) -> None:
         """Store a member's MySQL address."""
         self._addresses[member] = address
 
