--- a/src/bramblebeam/lab/judge/facts.py
+++ b/src/bramblebeam/lab/judge/facts.py
@@ -10,7 +10,7 @@
 )
 from bramblebeam.lab.history.store import History
 
-Place = tuple[int, int]
+LogPosition = tuple[int, int]
 """A position in a group's history: (term, offset)."""
 
 
@@ -45,7 +45,7 @@
         self._complete = bool(ended) and ended[-1].logs_complete
         self._incomplete_groups = frozenset(ended[-1].incomplete_groups) if ended else frozenset()
 
-    def place_of(self, value: str) -> Place | None:
+    def place_of(self, value: str) -> LogPosition | None:
         """Return where the write of `value` is: by the back ends' logs, else by its answer."""
         places = self.committed.get(value)
         return max(places) if places else self._answered.get(value)
@@ -70,16 +70,16 @@
     return {name: Exchange(first, tuple(answers.get(name, ()))) for name, first in sent.items()}
 
 
-def _committed(history: History) -> dict[str, dict[Place, list[BackendCommitted]]]:
+def _committed(history: History) -> dict[str, dict[LogPosition, list[BackendCommitted]]]:
     """Return, for each marker, the positions at which it was committed and who says so."""
-    found: dict[str, dict[Place, list[BackendCommitted]]] = {}
+    found: dict[str, dict[LogPosition, list[BackendCommitted]]] = {}
     for record in history.of(BackendCommitted):
         places = found.setdefault(record.value, {})
         places.setdefault((record.term, record.offset), []).append(record)
     return found
 
 
-def _answered(exchanges: dict[str, Exchange]) -> dict[str, Place]:
+def _answered(exchanges: dict[str, Exchange]) -> dict[str, LogPosition]:
     """Return the position that the answer of each acknowledged write carried."""
     return {
         exchange.sent.value: (exchange.answers[-1].term, exchange.answers[-1].offset)
--- a/src/bramblebeam/lab/judge/requests.py
+++ b/src/bramblebeam/lab/judge/requests.py
@@ -9,7 +9,7 @@
     RequestAnswered,
     RequestSent,
 )
-from bramblebeam.lab.judge.facts import Exchange, Facts, Place
+from bramblebeam.lab.judge.facts import Exchange, Facts, LogPosition
 from bramblebeam.lab.judge.violation import Violation
 
 READ_YOUR_WRITES = "read_your_writes"
@@ -26,7 +26,7 @@
     "Later" is decided by the committed positions that back ends reported, so other sessions may
     write the same key.
     """
-    own: dict[tuple[str, str, str], list[tuple[RequestAnswered, Place]]] = defaultdict(list)
+    own: dict[tuple[str, str, str], list[tuple[RequestAnswered, LogPosition]]] = defaultdict(list)
     commits = _commit_answers(facts)
     for exchange in facts.exchanges.values():
         sent = exchange.sent
@@ -58,7 +58,7 @@
 def _missed_write(
     facts: Facts,
     read: Exchange,
-    own: dict[tuple[str, str, str], list[tuple[RequestAnswered, Place]]],
+    own: dict[tuple[str, str, str], list[tuple[RequestAnswered, LogPosition]]],
 ) -> Violation | None:
     sent = read.sent
     earlier = [
@@ -190,7 +190,7 @@
 
 def _mixed_positions(facts: Facts) -> list[Violation]:
     writes = _writes_by_value(facts)
-    owner: dict[tuple[str, str, Place], tuple[str, BackendCommitted]] = {}
+    owner: dict[tuple[str, str, LogPosition], tuple[str, BackendCommitted]] = {}
     violations = []
     for record in facts.history.of(BackendCommitted):
         sent = writes.get(record.value)
--- a/src/bramblebeam/lab/judge/staleness.py
+++ b/src/bramblebeam/lab/judge/staleness.py
@@ -5,16 +5,16 @@
 from itertools import accumulate
 
 from bramblebeam.lab.history.records import BackendAcknowledged, BackendCommitted, StalenessBound
-from bramblebeam.lab.judge.facts import Exchange, Facts, Place
+from bramblebeam.lab.judge.facts import Exchange, Facts, LogPosition
 from bramblebeam.lab.judge.violation import Violation
 
 BOUNDED_STALENESS = "bounded_staleness"
 MEASURING_ERROR_SECONDS = 0.05
 """How far the recorded times of two processes of one machine may be off each other."""
 
-_NOWHERE: Place = (0, 0)
+_NOWHERE: LogPosition = (0, 0)
 _Key = tuple[str, str]
-_Versions = dict[_Key, tuple[list[float], list[Place]]]
+_Versions = dict[_Key, tuple[list[float], list[LogPosition]]]
 """For each (group, key): times of commits, ascending, and the newest place up to each."""
 
 
@@ -73,7 +73,7 @@
         for exchange in facts.exchanges.values()
         if exchange.sent.operation == "write"
     }
-    first: dict[_Key, dict[Place, float]] = defaultdict(dict)
+    first: dict[_Key, dict[LogPosition, float]] = defaultdict(dict)
     records: list[BackendAcknowledged | BackendCommitted] = [
         *facts.history.of(BackendAcknowledged),
         *facts.history.of(BackendCommitted),
@@ -87,13 +87,15 @@
     return {key: _ascending(times) for key, times in first.items()}
 
 
-def _ascending(times: dict[Place, float]) -> tuple[list[float], list[Place]]:
+def _ascending(times: dict[LogPosition, float]) -> tuple[list[float], list[LogPosition]]:
     ordered = sorted((time, place) for place, time in times.items())
     places = accumulate((place for _, place in ordered), max)
     return [time for time, _ in ordered], list(places)
 
 
-def _newest_before(versions: tuple[list[float], list[Place]] | None, limit: float) -> Place:
+def _newest_before(
+    versions: tuple[list[float], list[LogPosition]] | None, limit: float
+) -> LogPosition:
     if versions is None:
         return _NOWHERE
     times, places = versions
@@ -101,7 +103,7 @@
     return places[index - 1] if index else _NOWHERE
 
 
-def _place_seen(facts: Facts, read: Exchange) -> Place | None:
+def _place_seen(facts: Facts, read: Exchange) -> LogPosition | None:
     """Return the place of the value read, or None where it can't be told."""
     answer = read.answers[-1]
     if not answer.value:
