--- a/src/bramblebeam/lab/judge/facts.py
+++ b/src/bramblebeam/lab/judge/facts.py
@@ -45,7 +45,7 @@
         self._complete = bool(ended) and ended[-1].logs_complete
         self._incomplete_groups = frozenset(ended[-1].incomplete_groups) if ended else frozenset()
 
-    def place_of(self, value: str) -> LogPosition | None:
+    def position_of(self, value: str) -> LogPosition | None:
         """Return where the write of `value` is: by the back ends' logs, else by its answer."""
         places = self.committed.get(value)
         return max(places) if places else self._answered.get(value)
