--- a/src/bramblebeam/lab/judge/facts.py
+++ b/src/bramblebeam/lab/judge/facts.py
@@ -27,7 +27,7 @@
         return self.answers[-1].outcome if self.answers else "lost"
 
 
-class Facts:
+class HistoryIndex:
     """The indexes, built once for all judges."""
 
     def __init__(self, history: History) -> None:
--- a/src/bramblebeam/lab/judge/judge.py
+++ b/src/bramblebeam/lab/judge/judge.py
@@ -6,10 +6,10 @@
 from bramblebeam.lab.history import records as facts_of
 from bramblebeam.lab.history.store import History
 from bramblebeam.lab.judge import lifecycle, requests, staleness
-from bramblebeam.lab.judge.facts import Facts
+from bramblebeam.lab.judge.facts import HistoryIndex
 from bramblebeam.lab.judge.violation import Violation
 
-_JUDGES: dict[str, Callable[[Facts], list[Violation]]] = {
+_JUDGES: dict[str, Callable[[HistoryIndex], list[Violation]]] = {
     requests.READ_YOUR_WRITES: requests.judge_read_your_writes,
     requests.NO_ACK_BY_REPLACED_PRIMARY: requests.judge_no_ack_by_replaced_primary,
     requests.TRANSACTIONS_DO_NOT_MIX: requests.judge_transactions_do_not_mix,
@@ -29,7 +29,7 @@
 
 def judge(history: History) -> list[Violation]:
     """Return every violation found in the history."""
-    facts = Facts(history)
+    facts = HistoryIndex(history)
     return [violation for judge_one in _JUDGES.values() for violation in judge_one(facts)]
 
 
@@ -41,7 +41,7 @@
 
 def examined(history: History) -> dict[str, int]:
     """Return how many observations each judge had to go by (0: it was not put to the test)."""
-    facts = Facts(history)
+    facts = HistoryIndex(history)
     ended = [exchange for exchange in facts.exchanges.values() if exchange.answers]
     reads = [e for e in ended if e.sent.operation == "read" and e.outcome == "ok"]
     wrote = {(e.sent.session, e.sent.group, e.sent.key) for e in ended if e.sent.value}
--- a/src/bramblebeam/lab/judge/lifecycle.py
+++ b/src/bramblebeam/lab/judge/lifecycle.py
@@ -14,7 +14,7 @@
     NodeStopping,
     RowInForce,
 )
-from bramblebeam.lab.judge.facts import Facts
+from bramblebeam.lab.judge.facts import HistoryIndex
 from bramblebeam.lab.judge.violation import Violation
 
 LEAVING_GETS_NO_NEW_WORK = "leaving_gets_no_new_work"
@@ -33,7 +33,7 @@
 """How long an accepted edit may take until it is in force at every node that can be reached."""
 
 
-def judge_leaving_gets_no_new_work(facts: Facts) -> list[Violation]:
+def judge_leaving_gets_no_new_work(facts: HistoryIndex) -> list[Violation]:
     """No work begins on a back end later than the bound after its sign of leaving."""
     leaving: dict[str, BackendLeaving] = {}
     violations = []
@@ -51,7 +51,7 @@
     return violations
 
 
-def judge_planned_stop_cuts_nothing(facts: Facts) -> list[Violation]:
+def judge_planned_stop_cuts_nothing(facts: HistoryIndex) -> list[Violation]:
     """A request in flight at a node when it is told to stop gets its ordinary answer.
 
     Neither is a statement cut that the node took on after that.
@@ -75,7 +75,7 @@
     return violations
 
 
-def judge_slots_never_exceeded(facts: Facts) -> list[Violation]:
+def judge_slots_never_exceeded(facts: HistoryIndex) -> list[Violation]:
     """No back end has more connections than slots."""
     return [
         Violation(
@@ -88,12 +88,12 @@
     ]
 
 
-def judge_configuration_in_force(facts: Facts) -> list[Violation]:
+def judge_configuration_in_force(facts: HistoryIndex) -> list[Violation]:
     """Accepted rows are in force at every reachable node within the bound; versions never fall."""
     return [*_reverted(facts), *_late(facts), *_disagreeing_versions(facts)]
 
 
-def _reverted(facts: Facts) -> list[Violation]:
+def _reverted(facts: HistoryIndex) -> list[Violation]:
     in_force: dict[tuple[str, str], RowInForce] = {}
     violations = []
     for record in facts.history:
@@ -108,7 +108,7 @@
     return violations
 
 
-def _disagreeing_versions(facts: Facts) -> list[Violation]:
+def _disagreeing_versions(facts: HistoryIndex) -> list[Violation]:
     """One version of a row is the same row everywhere."""
     value: dict[tuple[str, int], EditAccepted | RowInForce] = {}
     violations = []
@@ -121,7 +121,7 @@
     return violations
 
 
-def _late(facts: Facts) -> list[Violation]:
+def _late(facts: HistoryIndex) -> list[Violation]:
     spans = _reachable_spans(facts)
     rows: dict[tuple[str, str], list[RowInForce]] = defaultdict(list)
     for row in facts.history.of(RowInForce):
@@ -148,7 +148,7 @@
     return None
 
 
-def _reachable_spans(facts: Facts) -> dict[str, list[tuple[float, float]]]:
+def _reachable_spans(facts: HistoryIndex) -> dict[str, list[tuple[float, float]]]:
     """Return the times in which each node ran and was not cut off."""
     changes: dict[str, list[Any]] = defaultdict(list)
     for record in facts.history:
--- a/src/bramblebeam/lab/judge/requests.py
+++ b/src/bramblebeam/lab/judge/requests.py
@@ -9,7 +9,7 @@
     RequestAnswered,
     RequestSent,
 )
-from bramblebeam.lab.judge.facts import Exchange, Facts, LogPosition
+from bramblebeam.lab.judge.facts import Exchange, HistoryIndex, LogPosition
 from bramblebeam.lab.judge.violation import Violation
 
 READ_YOUR_WRITES = "read_your_writes"
@@ -20,7 +20,7 @@
 AT_MOST_ONCE = "at_most_once"
 
 
-def judge_read_your_writes(facts: Facts) -> list[Violation]:
+def judge_read_your_writes(facts: HistoryIndex) -> list[Violation]:
     """A read sent after the session's own write was answered sees that write or a later one.
 
     "Later" is decided by the committed positions that back ends reported, so other sessions may
@@ -46,7 +46,7 @@
     return violations
 
 
-def _commit_answers(facts: Facts) -> dict[str, RequestAnswered]:
+def _commit_answers(facts: HistoryIndex) -> dict[str, RequestAnswered]:
     """Return, by transaction, the answer that told its caller of the commit."""
     return {
         exchange.sent.transaction: exchange.answers[-1]
@@ -56,7 +56,7 @@
 
 
 def _missed_write(
-    facts: Facts,
+    facts: HistoryIndex,
     read: Exchange,
     own: dict[tuple[str, str, str], list[tuple[RequestAnswered, LogPosition]]],
 ) -> Violation | None:
@@ -81,7 +81,7 @@
     return Violation(READ_YOUR_WRITES, detail, (answer, sent, seen))
 
 
-def judge_no_ack_by_replaced_primary(facts: Facts) -> list[Violation]:
+def judge_no_ack_by_replaced_primary(facts: HistoryIndex) -> list[Violation]:
     """No acknowledged write is lost, and an older term answers nothing sent after a newer one's.
 
     Also no two primaries acknowledge in one term, and back ends agree on each position.
@@ -94,7 +94,7 @@
     ]
 
 
-def _lost_acknowledgements(facts: Facts) -> list[Violation]:
+def _lost_acknowledgements(facts: HistoryIndex) -> list[Violation]:
     violations = []
     for exchange in facts.exchanges.values():
         sent = exchange.sent
@@ -113,7 +113,7 @@
     return violations
 
 
-def _acknowledged_after_newer_term(facts: Facts) -> list[Violation]:
+def _acknowledged_after_newer_term(facts: HistoryIndex) -> list[Violation]:
     violations = []
     newest: dict[str, RequestAnswered] = {}
     for record in facts.history:
@@ -131,7 +131,7 @@
     return violations
 
 
-def _two_primaries_in_one_term(facts: Facts) -> list[Violation]:
+def _two_primaries_in_one_term(facts: HistoryIndex) -> list[Violation]:
     violations = []
     primary: dict[tuple[str, int], BackendAcknowledged] = {}
     for record in facts.history.of(BackendAcknowledged):
@@ -142,7 +142,7 @@
     return violations
 
 
-def _disagreeing_positions(facts: Facts) -> list[Violation]:
+def _disagreeing_positions(facts: HistoryIndex) -> list[Violation]:
     at: dict[tuple[str, int], dict[str, list[BackendCommitted]]] = defaultdict(dict)
     for record in facts.history.of(BackendCommitted):
         at[record.group, record.offset].setdefault(record.instance, []).append(record)
@@ -159,12 +159,12 @@
     return violations
 
 
-def judge_transactions_do_not_mix(facts: Facts) -> list[Violation]:
+def judge_transactions_do_not_mix(facts: HistoryIndex) -> list[Violation]:
     """A back end's transaction holds one session's statements, and all or none are committed."""
     return [*_mixed_connections(facts), *_mixed_positions(facts), *_torn_transactions(facts)]
 
 
-def _mixed_connections(facts: Facts) -> list[Violation]:
+def _mixed_connections(facts: HistoryIndex) -> list[Violation]:
     violations = []
     opened: dict[tuple[str, str], BackendStatement] = {}
     for record in facts.history.of(BackendStatement):
@@ -180,7 +180,7 @@
     return violations
 
 
-def _writes_by_value(facts: Facts) -> dict[str, RequestSent]:
+def _writes_by_value(facts: HistoryIndex) -> dict[str, RequestSent]:
     return {
         exchange.sent.value: exchange.sent
         for exchange in facts.exchanges.values()
@@ -188,7 +188,7 @@
     }
 
 
-def _mixed_positions(facts: Facts) -> list[Violation]:
+def _mixed_positions(facts: HistoryIndex) -> list[Violation]:
     writes = _writes_by_value(facts)
     owner: dict[tuple[str, str, LogPosition], tuple[str, BackendCommitted]] = {}
     violations = []
@@ -205,7 +205,7 @@
     return violations
 
 
-def _torn_transactions(facts: Facts) -> list[Violation]:
+def _torn_transactions(facts: HistoryIndex) -> list[Violation]:
     """A committed transaction has every answered write at one position; a rolled back one none."""
     writes: dict[str, list[RequestSent]] = defaultdict(list)
     ends: dict[str, Exchange] = {}
@@ -232,7 +232,7 @@
     return violations
 
 
-def judge_whole_own_answer(facts: Facts) -> list[Violation]:
+def judge_whole_own_answer(facts: HistoryIndex) -> list[Violation]:
     """Each answer belongs to its caller's request, is whole, and holds what was written there."""
     writes = _writes_by_value(facts)
     violations = []
@@ -274,7 +274,7 @@
     return ""
 
 
-def judge_not_run_is_true(facts: Facts) -> list[Violation]:
+def judge_not_run_is_true(facts: HistoryIndex) -> list[Violation]:
     """A write whose last answer was "not run" is in no log."""
     violations = []
     for exchange in facts.exchanges.values():
@@ -293,7 +293,7 @@
     return violations
 
 
-def judge_at_most_once(facts: Facts) -> list[Violation]:
+def judge_at_most_once(facts: HistoryIndex) -> list[Violation]:
     """A marker is committed at one position at most."""
     violations = []
     for value, places in facts.committed.items():
--- a/src/bramblebeam/lab/judge/staleness.py
+++ b/src/bramblebeam/lab/judge/staleness.py
@@ -5,7 +5,7 @@
 from itertools import accumulate
 
 from bramblebeam.lab.history.records import BackendAcknowledged, BackendCommitted, StalenessBound
-from bramblebeam.lab.judge.facts import Exchange, Facts, LogPosition
+from bramblebeam.lab.judge.facts import Exchange, HistoryIndex, LogPosition
 from bramblebeam.lab.judge.violation import Violation
 
 BOUNDED_STALENESS = "bounded_staleness"
@@ -18,7 +18,7 @@
 """For each (group, key): times of commits, ascending, and the newest place up to each."""
 
 
-def judge_bounded_staleness(facts: Facts) -> list[Violation]:
+def judge_bounded_staleness(facts: HistoryIndex) -> list[Violation]:
     """A read sees each write that was committed more than its bound before it was sent.
 
     The bound is the largest one recorded for the group; reads of a group without any are not
@@ -44,7 +44,7 @@
     return violations
 
 
-def bounded_reads(facts: Facts) -> list[Exchange]:
+def bounded_reads(facts: HistoryIndex) -> list[Exchange]:
     """Return the answered reads of one key whose group has a recorded bound."""
     groups = set(_bounds(facts))
     return [
@@ -57,7 +57,7 @@
     ]
 
 
-def _bounds(facts: Facts) -> dict[str, float]:
+def _bounds(facts: HistoryIndex) -> dict[str, float]:
     """Return the bound of each group (seconds)."""
     bounds: dict[str, float] = {}
     for record in facts.history.of(StalenessBound):
@@ -66,7 +66,7 @@
     return bounds
 
 
-def _versions(facts: Facts) -> _Versions:
+def _versions(facts: HistoryIndex) -> _Versions:
     """Return when each key first had each of its places at any back end."""
     written = {
         exchange.sent.value: (exchange.sent.group, exchange.sent.key)
@@ -103,7 +103,7 @@
     return places[index - 1] if index else _NOWHERE
 
 
-def _place_seen(facts: Facts, read: Exchange) -> LogPosition | None:
+def _place_seen(facts: HistoryIndex, read: Exchange) -> LogPosition | None:
     """Return the place of the value read, or None where it can't be told."""
     answer = read.answers[-1]
     if not answer.value:
