--- a/src/bramblebeam/lab/configuration/store_model.py
+++ b/src/bramblebeam/lab/configuration/store_model.py
@@ -71,7 +71,7 @@
         self.watches.pop(node, None)
         self._clock.after(LATENCY_SECONDS, lambda: self._begin_watch(node, after, tell))
 
-    def leave(self, node: NodeId) -> None:
+    def end_watch(self, node: NodeId) -> None:
         """End the node's watch."""
         self.watches.pop(node, None)
 
--- a/src/bramblebeam/lab/configuration/world.py
+++ b/src/bramblebeam/lab/configuration/world.py
@@ -121,7 +121,7 @@
         node.alive = False
         node.waiting.clear()
         self._begin_absence(node, "restart")
-        self.store.leave(node.name)
+        self.store.end_watch(node.name)
         self.clock.after(DETECTION_SECONDS, self.announce_members)
 
     def restart(self, node: WorldNode) -> None:
@@ -177,7 +177,7 @@
             case WatchStore(after):
                 self.store.watch(node.name, after, self._teller(node))
             case StopReadingStore():
-                self.store.leave(node.name)
+                self.store.end_watch(node.name)
 
     def _teller(self, node: WorldNode) -> Callable[[Any], None]:
         """Return what gives the store's answers to this incarnation of the node."""
@@ -189,7 +189,7 @@
             if node.zone not in self.cut_from_store:
                 self.feed(node, event)
                 return
-            self.store.leave(node.name)
+            self.store.end_watch(node.name)
             failed = StoreFailed(StoreFailure.UNAVAILABLE)
             self.clock.after(STORE_SILENCE_SECONDS, lambda: self.feed(node, failed))
 
