--- a/src/bramblebeam/lab/configuration/process_faults.py
+++ b/src/bramblebeam/lab/configuration/process_faults.py
@@ -54,15 +54,15 @@
                 self._compare(admin, versions)
             await asyncio.sleep(CHECK_SECONDS)
 
-    async def lacking(self) -> int:
+    async def count_outdated_rows(self) -> int:
         """Count the rows that are older at some node than the last one accepted."""
-        lacking = 0
+        count_outdated_rows = 0
         for admin in self._bench.admins.values():
             versions = await self._bench.versions(admin)
             self._compare(admin, versions)
             accepted = self._bench.accepted.items()
-            lacking += sum(versions.get(key, 0) < version for key, version in accepted)
-        return lacking
+            count_outdated_rows += sum(versions.get(key, 0) < version for key, version in accepted)
+        return count_outdated_rows
 
     def _compare(self, admin: str, versions: dict[str, int]) -> None:
         self.checks += 1
