--- a/src/bramblebeam/lab/configuration/world.py
+++ b/src/bramblebeam/lab/configuration/world.py
@@ -74,11 +74,11 @@
             name = NodeId(f"node-{number:04d}")
             zone = ZoneId(f"zone-{number % zones:02d}")
             self.nodes[name] = WorldNode(name, zone, ConfigurationRelay(name, zone, True))
-        self.announce_members()
+        self.publish_members()
         for node in self.nodes.values():
             self.feed(node, Wakeup())
 
-    def announce_members(self) -> None:
+    def publish_members(self) -> None:
         """Tell every node who is alive, at once."""
         members: dict[NodeId, Member] = {}
         owners: dict[ZoneId, list[NodeId]] = {}
@@ -122,7 +122,7 @@
         node.waiting.clear()
         self._begin_absence(node, "restart")
         self.store.end_watch(node.name)
-        self.clock.after(DETECTION_SECONDS, self.announce_members)
+        self.clock.after(DETECTION_SECONDS, self.publish_members)
 
     def restart(self, node: WorldNode) -> None:
         """Start a node anew with nothing."""
@@ -132,7 +132,7 @@
         node.incarnation += 1
         node.relay = ConfigurationRelay(node.name, node.zone, True)
         node.wakeup_at = float("inf")
-        self.announce_members()
+        self.publish_members()
         self.feed(node, Wakeup())
 
     def cut_zone(self, zone: ZoneId) -> None:
