--- a/src/bramblebeam/lab/configuration/process_faults.py
+++ b/src/bramblebeam/lab/configuration/process_faults.py
@@ -72,7 +72,7 @@
             self._seen[admin, key] = version
 
 
-async def inject(bench: FaultyBench, random: Random, ended: asyncio.Event) -> None:
+async def inject_faults(bench: FaultyBench, random: Random, ended: asyncio.Event) -> None:
     """Bring one fault after another, in random order, until `ended`; each is healed."""
     faults = (_store_down, _store_slow, _lose_answers, _cut_watches, _compact, _pause, _restart)
     while not ended.is_set():
--- a/src/bramblebeam/lab/configuration/processes.py
+++ b/src/bramblebeam/lab/configuration/processes.py
@@ -16,7 +16,7 @@
 import aiohttp
 import typer
 
-from bramblebeam.lab.configuration.process_faults import VersionJudge, inject
+from bramblebeam.lab.configuration.process_faults import VersionJudge, inject_faults
 from bramblebeam.lab.configuration.trial import percentiles
 from bramblebeam.lab.ports import free_port
 from bramblebeam.lab.processes import LabProcess, ProcessGroup, process_group
@@ -173,7 +173,7 @@
             ended = asyncio.Event()
             tasks = []
             if faults:
-                tasks.append(asyncio.create_task(inject(bench, Random(seed), ended)))
+                tasks.append(asyncio.create_task(inject_faults(bench, Random(seed), ended)))
             for _ in range(edits):
                 tasks.append(asyncio.create_task(bench.edit(random)))
                 await asyncio.sleep(random.expovariate(rate))
@@ -183,7 +183,7 @@
             await bench.wait_all_ready()
             await asyncio.sleep(SETTLE_SECONDS)
             statistics = await bench.get(f"{bench.platform}/control/statistics")
-            lacking = await judge.lacking()
+            lacking = await judge.count_outdated_rows()
     return {
         "nodes": nodes,
         "zones": zones,
--- a/src/bramblebeam/lab/configuration/trial.py
+++ b/src/bramblebeam/lab/configuration/trial.py
@@ -140,7 +140,7 @@
         for other in self.world.nodes.values():
             if other.relay.table.version_of(edit.key) >= reply.current.version:
                 accepted.applied[other.name] = accepted.at
-        self.world.feed(node, RowWritten(reply.current))
+        self.world.deliver(node, RowWritten(reply.current))
 
     def _note_applied(self, node: WorldNode, rows: tuple[Row, ...]) -> None:
         now = self.world.clock.now
--- a/src/bramblebeam/lab/configuration/world.py
+++ b/src/bramblebeam/lab/configuration/world.py
@@ -76,7 +76,7 @@
             self.nodes[name] = WorldNode(name, zone, ConfigurationRelay(name, zone, True))
         self.publish_members()
         for node in self.nodes.values():
-            self.feed(node, Wakeup())
+            self.deliver(node, Wakeup())
 
     def publish_members(self) -> None:
         """Tell every node who is alive, at once."""
@@ -90,9 +90,9 @@
         sorted_owners = {zone: tuple(sorted(names)) for zone, names in owners.items()}
         changed = MembersChanged(MembersView(members, sorted_owners))
         for node in self.nodes.values():
-            self.feed(node, changed)
+            self.deliver(node, changed)
 
-    def feed(self, node: WorldNode, event: Any) -> None:
+    def deliver(self, node: WorldNode, event: Any) -> None:
         """Give a node one event and carry out the effects; a paused node takes it later."""
         if not node.alive:
             return
@@ -114,7 +114,7 @@
         self._end_absence(node, "pause")
         waiting, node.waiting = node.waiting, []
         for event in waiting:
-            self.feed(node, event)
+            self.deliver(node, event)
 
     def kill(self, node: WorldNode) -> None:
         """End a node; its memory is lost."""
@@ -133,7 +133,7 @@
         node.relay = ConfigurationRelay(node.name, node.zone, True)
         node.wakeup_at = float("inf")
         self.publish_members()
-        self.feed(node, Wakeup())
+        self.deliver(node, Wakeup())
 
     def cut_zone(self, zone: ZoneId) -> None:
         """Cut a zone off from the others and from the store."""
@@ -187,11 +187,11 @@
             if node.incarnation != incarnation:
                 return
             if node.zone not in self.cut_from_store:
-                self.feed(node, event)
+                self.deliver(node, event)
                 return
             self.store.end_watch(node.name)
             failed = StoreFailed(StoreFailure.UNAVAILABLE)
-            self.clock.after(STORE_SILENCE_SECONDS, lambda: self.feed(node, failed))
+            self.clock.after(STORE_SILENCE_SECONDS, lambda: self.deliver(node, failed))
 
         return tell
 
@@ -204,7 +204,7 @@
             return
         delay = self._latency(sender.zone, receiver.zone) * self.random.uniform(1.0, 2.0)
         received = Received(sender.name, message)
-        self.clock.after(delay, lambda: self.feed(receiver, received))
+        self.clock.after(delay, lambda: self.deliver(receiver, received))
 
     def _latency(self, one: ZoneId, other: ZoneId) -> float:
         if one == other:
@@ -221,6 +221,6 @@
         def wake() -> None:
             if node.wakeup_at == due:
                 node.wakeup_at = float("inf")
-                self.feed(node, Wakeup())
+                self.deliver(node, Wakeup())
 
         self.clock.after(max(due - self.clock.now, 1e-6), wake)
--- a/src/bramblebeam/lab/database/commands.py
+++ b/src/bramblebeam/lab/database/commands.py
@@ -86,26 +86,26 @@
 
 async def _promise(member: "DatabaseMember", arguments: str) -> RowsResult:
     term, _ = _term_and_text(arguments)
-    await member.ask(lambda token: PromiseTerm(token, term))
+    await member.request(lambda token: PromiseTerm(token, term))
     return show_status(member)
 
 
 async def _promote(member: "DatabaseMember", arguments: str) -> RowsResult:
     term, text = _term_and_text(arguments)
     members = _endpoints(member, text)
-    await member.ask(lambda token: PromoteMember(token, term, members))
+    await member.request(lambda token: PromoteMember(token, term, members))
     return show_status(member)
 
 
 async def _follow(member: "DatabaseMember", arguments: str) -> RowsResult:
     term, text = _term_and_text(arguments)
     primary = _endpoints(member, text)[0]
-    await member.ask(lambda token: FollowPrimary(token, term, primary))
+    await member.request(lambda token: FollowPrimary(token, term, primary))
     return show_status(member)
 
 
 async def _confirm(member: "DatabaseMember", arguments: str) -> RowsResult:
-    position = await member.ask(ConfirmPosition)
+    position = await member.request(ConfirmPosition)
     return row_of({"term": position.term, "offset": position.offset})
 
 
@@ -130,7 +130,7 @@
         if match is None:
             raise CallerError(1210, "HY000", "Members are written instance=host:port")
         name = MemberId(match.group(1))
-        member.peers.know(name, Address(match.group(2), int(match.group(3))))
+        member.peers.set_address(name, Address(match.group(2), int(match.group(3))))
         names.append(name)
     return tuple(names)
 
--- a/src/bramblebeam/lab/database/member.py
+++ b/src/bramblebeam/lab/database/member.py
@@ -116,11 +116,11 @@
 
         Raises CallerError 3101 (not run) and 3102 (may have run). A cancelled write may still run.
         """
-        answer = await self.ask(lambda token: Propose(token, batch))
+        answer = await self.request(lambda token: Propose(token, batch))
         position, outcome = answer
         return position, outcome
 
-    async def ask(self, event: Callable[[int], Any]) -> Any:
+    async def request(self, event: Callable[[int], Any]) -> Any:
         """Pass the replica an event with a new token; return its answer. Raises CallerError."""
         token = next(self._tokens)
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
--- a/src/bramblebeam/lab/database/primary.py
+++ b/src/bramblebeam/lab/database/primary.py
@@ -110,7 +110,7 @@
             self._write(self._held.popleft(), now, effects)
         held = self._progress.match(len(self._log))
         if held >= self._term_start and held > self._applier.commit:
-            self._applier.commit_known(held, now)
+            self._applier.record_commit(held, now)
             self.broadcast_at = min(self.broadcast_at, now + COMMIT_NOTICE_SECONDS)
 
     def acknowledge(self, offset: int, effects: Effects) -> None:
--- a/src/bramblebeam/lab/database/session.py
+++ b/src/bramblebeam/lab/database/session.py
@@ -171,7 +171,7 @@
         if _LOCKING_READ.search(sql):
             self._lock_rows(sql)
         sql = with_variables(sql, self._autocommit)
-        before = self._transaction.before if self._transaction is not None else ()
+        before = self._transaction.preceding_operations if self._transaction is not None else ()
         return self._rows(self.member.store.read(sql, self, time.time(), before))
 
     def _lock_rows(self, sql: str) -> None:
@@ -189,8 +189,8 @@
         operation = Operation(sql, self.database)
         if self._transaction is None:
             return await self._commit((operation,), _request_id_of(sql))
-        before = self._transaction.before
-        outcome = self.member.store.try_write(operation, before, self, time.time())
+        before = self._transaction.preceding_operations
+        outcome = self.member.store.dry_run(operation, before, self, time.time())
         if outcome.error is not None:
             raise outcome.error
         reported_operation = operation._replace(
@@ -230,7 +230,7 @@
         self._discard_transaction()
         if transaction is None or not transaction.changes_rows:
             return self._ok()
-        result = await self._commit(transaction.before, request)
+        result = await self._commit(transaction.preceding_operations, request)
         return OkResult(info=result.info, autocommit=self._autocommit)
 
     async def _rollback(self, sql: str) -> OkResult:
--- a/src/bramblebeam/lab/database/transaction.py
+++ b/src/bramblebeam/lab/database/transaction.py
@@ -14,7 +14,7 @@
     savepoints: dict[str, int] = field(default_factory=dict)
 
     @property
-    def before(self) -> tuple[Operation, ...]:
+    def preceding_operations(self) -> tuple[Operation, ...]:
         """The statements that the next one follows."""
         return tuple(self.operations)
 
--- a/src/bramblebeam/lab/judge/requests.py
+++ b/src/bramblebeam/lab/judge/requests.py
@@ -32,7 +32,7 @@
         sent = exchange.sent
         if sent.operation != "write" or exchange.outcome != "ok":
             continue
-        place = facts.place_of(sent.value)
+        place = facts.position_of(sent.value)
         answer = commits.get(sent.transaction) if sent.transaction else exchange.answers[-1]
         if place is not None and answer is not None:
             own[sent.session, sent.group, sent.key].append((answer, place))
@@ -72,7 +72,7 @@
     seen = read.answers[-1]
     if sent.transaction and facts.transaction_of(seen.value) == sent.transaction:
         return None
-    seen_place = facts.place_of(seen.value)
+    seen_place = facts.position_of(seen.value)
     if seen_place is None and seen.value and not facts.log_complete(sent.group):
         return None
     if seen_place is not None and seen_place >= place:
--- a/src/bramblebeam/lab/judge/staleness.py
+++ b/src/bramblebeam/lab/judge/staleness.py
@@ -33,7 +33,7 @@
             versions.get((group, exchange.sent.key)),
             exchange.sent.time - bounds[group] - MEASURING_ERROR_SECONDS,
         )
-        seen = _place_seen(facts, exchange)
+        seen = _position_seen(facts, exchange)
         if seen is not None and seen < needed:
             answer = exchange.answers[-1]
             detail = (
@@ -103,7 +103,7 @@
     return places[index - 1] if index else _NOWHERE
 
 
-def _place_seen(facts: HistoryIndex, read: Exchange) -> LogPosition | None:
+def _position_seen(facts: HistoryIndex, read: Exchange) -> LogPosition | None:
     """Return the place of the value read, or None where it can't be told."""
     answer = read.answers[-1]
     if not answer.value:
@@ -111,4 +111,4 @@
     transaction = read.sent.transaction
     if transaction and facts.transaction_of(answer.value) == transaction:
         return None
-    return facts.place_of(answer.value)
+    return facts.position_of(answer.value)
