--- a/src/bramblebeam/lab/configuration/__init__.py
+++ b/src/bramblebeam/lab/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""A trial of the configuration relay in virtual time: many nodes, edits, and faults."""
+"""Simulation of the configuration relay in virtual time, with many nodes, edits and faults."""
--- a/src/bramblebeam/lab/configuration/clock.py
+++ b/src/bramblebeam/lab/configuration/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: a queue of calls, each at its moment."""
+"""Virtual clock with a queue of scheduled calls."""
 
 import heapq
 from collections.abc import Callable
@@ -6,7 +6,7 @@
 
 
 class VirtualClock:
-    """Runs calls in order of their time (seconds), then of their being scheduled."""
+    """Runs calls in order of their time (seconds), and calls at equal times in scheduling order."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -14,7 +14,7 @@
         self._sequence = count()
 
     def after(self, delay: float, call: Callable[[], None]) -> None:
-        """Schedule a call in `delay` seconds."""
+        """Schedule a call after `delay` seconds."""
         heapq.heappush(self._queue, (self.now + delay, next(self._sequence), call))
 
     def run_until(self, end: float) -> None:
--- a/src/bramblebeam/lab/configuration/faults.py
+++ b/src/bramblebeam/lab/configuration/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a trial, at random moments of a seeded source."""
+"""Schedules the faults of a trial at random times from a seeded generator."""
 
 from collections.abc import Callable
 
@@ -9,14 +9,14 @@
 STORE_DOWN_SECONDS = 30.0
 STORE_SLOW_SECONDS = 10.0
 STORE_DELAY_SECONDS = 3.0
-"""More than a writer waits: its write takes effect after it has given up."""
+"""Longer than the writer's timeout, so that writes take effect after it gave up."""
 CUT_SECONDS = 10.0
 PAUSE_SECONDS = 5.0
 RESTART_SECONDS = 6.0
 
 
 def schedule_faults(world: World, seconds: float) -> None:
-    """Schedule every kind of fault, again and again, over `seconds` of virtual time."""
+    """Schedule every type of fault repeatedly over `seconds` of virtual time."""
     world.loss = LOSS
     world.store.lost = LOST_ANSWERS
     periods: tuple[tuple[float, float, Callable[[World], None]], ...] = (
@@ -49,14 +49,14 @@
 
 
 def _cut_zone(world: World) -> None:
-    """Cut one zone from all others and from the store."""
+    """Partition one zone from all others and from the store."""
     zone = world.random.choice(sorted({node.zone for node in world.nodes.values()}))
     world.cut_zone(zone)
     world.clock.after(CUT_SECONDS, lambda: world.heal_zone(zone))
 
 
 def _cut_zone_from_store(world: World) -> None:
-    """Cut one zone from the store only: it gets its rows from the others."""
+    """Partition one zone from the store only; it gets its rows from the other zones."""
     zone = world.random.choice(sorted({node.zone for node in world.nodes.values()}))
     world.cut_from_store.add(zone)
     world.clock.after(CUT_SECONDS, lambda: world.cut_from_store.discard(zone))
--- a/src/bramblebeam/lab/configuration/process_faults.py
+++ b/src/bramblebeam/lab/configuration/process_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a run on real processes, and the judge of what the nodes have in force."""
+"""Fault injection for runs on real processes, and a check of the rows in force at the nodes."""
 
 import asyncio
 from random import Random
@@ -15,11 +15,11 @@
 STORE_DOWN_SECONDS = 6.0
 STORE_SLOW_SECONDS = 4.0
 STORE_DELAY_MS = 2_500
-"""More than a node waits for an answer: a write takes effect after the writer gave up."""
+"""Longer than a node's request timeout, so that writes take effect after the node gave up."""
 
 
 class FaultyBench(Protocol):
-    """What faults and judge need of the run."""
+    """The parts of a run that fault injection and the judge use."""
 
     http: aiohttp.ClientSession
     platform: str
@@ -28,23 +28,23 @@
     accepted: dict[str, int]
 
     async def start_node(self, number: int) -> None:
-        """Start, or start again, one node."""
+        """Start or restart a node."""
 
     async def versions(self, admin: str) -> dict[str, int]:
         """Return the version of each row in force at a node."""
 
 
 class VersionJudge:
-    """Reads the rows in force at every node again and again; counts versions that went back."""
+    """Polls the rows in force at every node and counts versions that decreased."""
 
     def __init__(self, bench: FaultyBench) -> None:
         self.reverted = 0
         self.checks = 0
         self._bench = bench
-        self._seen: dict[tuple[str, str], int] = {}
+        self._latest_versions: dict[tuple[str, str], int] = {}
 
     async def run(self) -> None:
-        """Check until cancelled. A restarted node has a new address: it counts as a new one."""
+        """Poll until cancelled. A restarted node has a new address and counts as a new node."""
         while True:
             for admin in list(self._bench.admins.values()):
                 try:
@@ -55,25 +55,25 @@
             await asyncio.sleep(CHECK_SECONDS)
 
     async def count_outdated_rows(self) -> int:
-        """Count the rows that are older at some node than the last one accepted."""
-        count_outdated_rows = 0
+        """Count the rows that are older at a node than the last accepted version."""
+        outdated = 0
         for admin in self._bench.admins.values():
             versions = await self._bench.versions(admin)
             self._compare(admin, versions)
             accepted = self._bench.accepted.items()
-            count_outdated_rows += sum(versions.get(key, 0) < version for key, version in accepted)
-        return count_outdated_rows
+            outdated += sum(versions.get(key, 0) < version for key, version in accepted)
+        return outdated
 
     def _compare(self, admin: str, versions: dict[str, int]) -> None:
         self.checks += 1
         for key, version in versions.items():
-            if version < self._seen.get((admin, key), 0):
+            if version < self._latest_versions.get((admin, key), 0):
                 self.reverted += 1
-            self._seen[admin, key] = version
+            self._latest_versions[admin, key] = version
 
 
 async def inject_faults(bench: FaultyBench, random: Random, ended: asyncio.Event) -> None:
-    """Bring one fault after another, in random order, until `ended`; each is healed."""
+    """Inject random faults one after another until `ended` is set, healing each."""
     faults = (_store_down, _store_slow, _lose_answers, _cut_watches, _compact, _pause, _restart)
     while not ended.is_set():
         await random.choice(faults)(bench, random)
--- a/src/bramblebeam/lab/configuration/processes.py
+++ b/src/bramblebeam/lab/configuration/processes.py
@@ -1,7 +1,7 @@
-"""Edits through real nodes: real processes on loopback, the stand-in platform, the HTTP API.
+"""Edits through the HTTP API of real node processes on loopback, with the simulated platform.
 
-Prints, as JSON, the time from an edit's acceptance to its being confirmed in force at every node,
-and the store's own count of watches.
+Prints as JSON the time from acceptance of an edit to confirmation that it is in force at every
+node, and the number of watches that the store counted.
 """
 
 import asyncio
@@ -28,17 +28,17 @@
 REQUEST_TIMEOUT = aiohttp.ClientTimeout(total=12.0)
 SEEDS = 3
 SETTLE_SECONDS = 6.0
-"""Longer than a reader waits for a store that was down; then the watches are counted."""
+"""Wait before counting the watches; longer than a reader's backoff after a store outage."""
 
 HOST = "127.0.0.1"
 
 
 class NotReadyError(Exception):
-    """The nodes did not come to one state in time."""
+    """The nodes did not become ready in time."""
 
 
 class Bench:
-    """A platform and nodes in zones, and operators who edit rows at random nodes."""
+    """A platform and nodes in zones, with edits of random rows at random nodes."""
 
     def __init__(
         self, http: aiohttp.ClientSession, processes: ProcessGroup, nodes: int, zones: int
@@ -55,22 +55,22 @@
         self._zones = zones
 
     async def start(self) -> None:
-        """Start everything and wait until every node has every node in its view, and its rows."""
+        """Start all processes and wait until every node is ready and has all nodes in its view."""
         rows = [
             {"kind": "weight", "name": f"row-{number}", "spec": {"instance": f"row-{number}"}}
             for number in range(ROWS)
         ]
-        file = self.processes.directory / "rows.json"
-        file.write_text(json.dumps(rows))
+        rows_file = self.processes.directory / "rows.json"
+        rows_file.write_text(json.dumps(rows))
         arguments = ["-m", "bramblebeam.lab.platform", "--listen", f"{HOST}:0"]
-        platform = await self.processes.start("platform", [*arguments, "--rows", str(file)])
+        platform = await self.processes.start("platform", [*arguments, "--rows", str(rows_file)])
         self.platform = _url(platform.address("listen"))
         for number in range(len(self._peers)):
             await self.start_node(number)
         await self.wait_all_ready()
 
     async def start_node(self, number: int) -> None:
-        """Start, or start again, one node at the same peer address."""
+        """Start or restart a node at its fixed peer address."""
         name = f"node-{number}"
         others = [index for index in range(len(self._peers)) if index != number][:SEEDS]
         seeds = [
@@ -86,9 +86,9 @@
         self.admins[name] = _url(started.address("admin"))
 
     async def wait_all_ready(self) -> None:
-        """Wait until each node has its rows and knows of all the others having them.
+        """Wait until each node has its rows and sees that all other nodes have them.
 
-        Raises NotReadyError with what the last node asked told.
+        Raises NotReadyError with the status of the last node queried.
         """
         until = time.monotonic() + READY_SECONDS
         for admin in self.admins.values():
@@ -104,7 +104,7 @@
         return nodes == len(self._peers) and not any(zone["behind"] for zone in status["zones"])
 
     async def edit(self, random: Random) -> None:
-        """Edit a random row at a random node and follow it to its being in force everywhere."""
+        """Edit a random row at a random node and wait until the edit is in force everywhere."""
         key = f"weight/row-{random.randrange(ROWS)}"
         admin = self.admins[random.choice(sorted(self.admins))]
         value = random.randrange(1, 1000)
@@ -130,7 +130,7 @@
             await self._confirm(version)
 
     async def _confirm(self, version: int) -> None:
-        """Ask nodes that answer until the version is in force everywhere."""
+        """Poll a responding node until the version is in force everywhere, and record the delay."""
         began = time.monotonic()
         while time.monotonic() - began < CONFIRM_SECONDS:
             for admin in list(self.admins.values()):
@@ -162,7 +162,7 @@
 async def run(
     nodes: int, zones: int, edits: int, rate: float, faults: bool, seed: int
 ) -> dict[str, Any]:
-    """Run the edits at `rate` a second and return the figures."""
+    """Run the edits at `rate` per second and return the results."""
     random = Random(seed)
     with TemporaryDirectory() as name:
         async with process_group(Path(name)) as processes, aiohttp.ClientSession() as http:
@@ -183,7 +183,7 @@
             await bench.wait_all_ready()
             await asyncio.sleep(SETTLE_SECONDS)
             statistics = await bench.get(f"{bench.platform}/control/statistics")
-            lacking = await judge.count_outdated_rows()
+            outdated = await judge.count_outdated_rows()
     return {
         "nodes": nodes,
         "zones": zones,
@@ -193,7 +193,7 @@
         "confirmed_in_force_ms": percentiles(sorted(bench.delays)),
         "reverted": judge.reverted,
         "checks": judge.checks,
-        "accepted_rows_lacking_at_end": lacking,
+        "accepted_rows_lacking_at_end": outdated,
         "store_watches_open": statistics["watches_open"],
         "store_watches_peak": statistics["watches_open_peak"],
         "store_lists": statistics["lists"],
@@ -207,12 +207,14 @@
 def main(
     nodes: Annotated[int, typer.Option(help="Node processes.")] = 9,
     zones: Annotated[int, typer.Option(help="Zones.")] = 3,
-    edits: Annotated[int, typer.Option(help="Edits in all.")] = 200,
-    rate: Annotated[float, typer.Option(help="Edits a second.")] = 10.0,
-    faults: Annotated[bool, typer.Option(help="Pauses, kills, and faults of the store.")] = False,
-    seed: Annotated[int, typer.Option(help="Of every random choice.")] = 1,
+    edits: Annotated[int, typer.Option(help="Total number of edits.")] = 200,
+    rate: Annotated[float, typer.Option(help="Edits per second.")] = 10.0,
+    faults: Annotated[
+        bool, typer.Option(help="Inject node pauses, kills and store faults.")
+    ] = False,
+    seed: Annotated[int, typer.Option(help="Seed of all random choices.")] = 1,
 ) -> None:
-    """Run the edits on real processes; print the figures as JSON. Exit code 1: rows went back."""
+    """Run the edits on real processes; print the results as JSON. Exit code 1: rows reverted."""
     result = asyncio.run(run(nodes, zones, edits, rate, faults, seed))
     typer.echo(json.dumps(result))
     if result["reverted"] or result["accepted_rows_lacking_at_end"]:
--- a/src/bramblebeam/lab/configuration/size.py
+++ b/src/bramblebeam/lab/configuration/size.py
@@ -1,4 +1,4 @@
-"""What the rows of a large system cost one node: memory, start, and each edit."""
+"""Measures what the rows of a large system cost a node: memory, start time, time per edit."""
 
 import json
 import time
@@ -24,15 +24,15 @@
     for number in range(groups):
         group = f"group{number}"
         members = [
-            {"instance": f"{group}-{place}", "zone": f"zone-{place}", "host": "10.0.0.1", "port": 1}
-            for place in range(1, MEMBERS + 1)
+            {"instance": f"{group}-{index}", "zone": f"zone-{index}", "host": "10.0.0.1", "port": 1}
+            for index in range(1, MEMBERS + 1)
         ]
         specs.append((RowKey("group", group), {"members": members}))
         for member in members:
             name = str(member["instance"])
             specs.append((RowKey("weight", name), {"instance": name, "read_weight": 100}))
-        for place in range(SERVICES):
-            service = f"service{place}"
+        for index in range(SERVICES):
+            service = f"service{index}"
             spec = {"service": service, "group": group, "slots": 5, "burst": 5, "queue": 100}
             specs.append((RowKey("limit", f"{service}.{group}"), spec))
     return tuple(
@@ -42,7 +42,7 @@
 
 
 def main(groups: Annotated[int, typer.Option(help="Database groups.")] = 10_000) -> None:
-    """Print the costs as JSON."""
+    """Print the measured costs as JSON."""
     rows = make_rows(groups)
     count = len(rows)
     tracemalloc.start()
@@ -69,7 +69,7 @@
 
 
 def _edit_seconds(relay: ConfigurationRelay, builder: ViewBuilder, rows: tuple[Row, ...]) -> float:
-    """Return the processor time of one row that comes into force, without the network."""
+    """Return the CPU time (seconds) to put one changed row into force, without the network."""
     began = time.process_time()
     for number in range(EDITS):
         row = rows[number * 7 % len(rows)]
--- a/src/bramblebeam/lab/configuration/store_model.py
+++ b/src/bramblebeam/lab/configuration/store_model.py
@@ -1,4 +1,4 @@
-"""The platform's store in virtual time, with its faults."""
+"""The platform's store in virtual time, with injected faults."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -36,17 +36,17 @@
 LATENCY_SECONDS = 0.005
 TIMEOUT_SECONDS = 2.0
 
-Answer = Callable[[Any], None]
+Callback = Callable[[Any], None]
 
 
 @dataclass
 class _Watch:
     version: int
-    tell: Answer
+    notify: Callback
 
 
 class StoreModel:
-    """One store. `slow`: seconds more for each request; `lost`: share of write answers lost."""
+    """A store. `slow`: extra request delay (seconds); `lost`: fraction of lost write answers."""
 
     def __init__(self, clock: VirtualClock, random: Random) -> None:
         self.objects = ObjectStore(history=500)
@@ -61,86 +61,86 @@
         self._clock = clock
         self._random = random
 
-    def list(self, tell: Answer) -> None:
+    def list(self, notify: Callback) -> None:
         """List every row."""
         self.lists += 1
-        self._request(self._listing, StoreFailed(StoreFailure.UNAVAILABLE), tell)
+        self._request(self._listing, StoreFailed(StoreFailure.UNAVAILABLE), notify)
 
-    def watch(self, node: NodeId, after: int, tell: Answer) -> None:
-        """Watch from a version, in place of the node's watch before."""
+    def watch(self, node: NodeId, after: int, notify: Callback) -> None:
+        """Watch from a version, replacing the node's previous watch."""
         self.watches.pop(node, None)
-        self._clock.after(LATENCY_SECONDS, lambda: self._begin_watch(node, after, tell))
+        self._clock.after(LATENCY_SECONDS, lambda: self._begin_watch(node, after, notify))
 
     def end_watch(self, node: NodeId) -> None:
         """End the node's watch."""
         self.watches.pop(node, None)
 
     def cut_watches(self) -> None:
-        """End every watch; each watcher is told."""
+        """End every watch and notify the watchers."""
         ended = list(self.watches.values())
         self.watches.clear()
         for watch in ended:
-            watch.tell(StoreFailed(StoreFailure.UNAVAILABLE))
+            watch.notify(StoreFailed(StoreFailure.UNAVAILABLE))
 
-    def read(self, effect: ReadRow, tell: Answer) -> None:
+    def read(self, effect: ReadRow, notify: Callback) -> None:
         """Read one row for an edit."""
-        self._request(lambda: RowRead(self._stored(effect.key)), StoreUnanswered(True, ""), tell)
+        self._request(lambda: RowRead(self._stored(effect.key)), StoreUnanswered(True, ""), notify)
 
-    def write(self, effect: WriteRow, tell: Answer) -> None:
-        """Write one row for an edit; the effect may come long after the writer gave up."""
+    def write(self, effect: WriteRow, notify: Callback) -> None:
+        """Write one row for an edit. The write may take effect after the writer timed out."""
         self._request(
             lambda: self._write(effect.written),
             StoreUnanswered(True, "no answer"),
-            tell,
+            notify,
             lost=self._random.random() < self.lost,
         )
 
     def _request(
-        self, effect: Callable[[], Any], failure: Any, tell: Answer, lost: bool = False
+        self, effect: Callable[[], Any], failure: Any, notify: Callback, lost: bool = False
     ) -> None:
         answered: list[bool] = []
 
-        def give(answer: Any) -> None:
+        def notify_once(answer: Any) -> None:
             if not answered:
                 answered.append(True)
-                tell(answer)
+                notify(answer)
 
-        def arrive() -> None:
+        def execute() -> None:
             if self.down:
-                self._clock.after(LATENCY_SECONDS, lambda: give(failure))
+                self._clock.after(LATENCY_SECONDS, lambda: notify_once(failure))
                 return
             answer = effect()
             if not lost:
-                self._clock.after(LATENCY_SECONDS, lambda: give(answer))
+                self._clock.after(LATENCY_SECONDS, lambda: notify_once(answer))
 
-        self._clock.after(LATENCY_SECONDS + self.slow, arrive)
-        self._clock.after(TIMEOUT_SECONDS, lambda: give(failure))
+        self._clock.after(LATENCY_SECONDS + self.slow, execute)
+        self._clock.after(TIMEOUT_SECONDS, lambda: notify_once(failure))
 
     def _listing(self) -> RowsListed:
         rows = tuple(_row(found) for found in self.objects.list())
         return RowsListed(self.objects.version, rows)
 
-    def _begin_watch(self, node: NodeId, after: int, tell: Answer) -> None:
+    def _begin_watch(self, node: NodeId, after: int, notify: Callback) -> None:
         if self.down:
-            tell(StoreFailed(StoreFailure.UNAVAILABLE))
+            notify(StoreFailed(StoreFailure.UNAVAILABLE))
             return
-        self.watches[node] = _Watch(after, tell)
+        self.watches[node] = _Watch(after, notify)
         self.watches_peak = max(self.watches_peak, len(self.watches))
-        self._feed(node, self.watches[node])
+        self._send_changes(node, self.watches[node])
 
-    def _feed(self, node: NodeId, watch: _Watch) -> None:
+    def _send_changes(self, node: NodeId, watch: _Watch) -> None:
         if self.watches.get(node) is not watch:
             return
         try:
             changes = list(self.objects.changes_after(watch.version))
         except CompactedError:
             del self.watches[node]
-            watch.tell(StoreFailed(StoreFailure.EXPIRED))
+            watch.notify(StoreFailed(StoreFailure.EXPIRED))
             return
         watch.version = self.objects.version
         if changes:
             rows = tuple(_changed_row(change) for change in changes)
-            watch.tell(RowsWatched(watch.version, rows))
+            watch.notify(RowsWatched(watch.version, rows))
 
     def _stored(self, key: RowKey) -> StoreRow | None:
         try:
@@ -163,20 +163,20 @@
         except (ConflictError, NotFoundError):
             return RowConflicted()
         self.written.append((stored.version, row.change_id))
-        self._tell_watches()
+        self._schedule_watch_updates()
         return RowAccepted(Row(row.key, stored.version, row.spec, row.change_id))
 
     def remove_any(self) -> None:
-        """Remove the object of a random row by other means than the nodes."""
+        """Delete a random object directly in the store, bypassing the nodes."""
         found = self._random.choice([None, *self.objects.list()])
         if found is not None and not self.down:
             removed = self.objects.delete(found.name, found.version)
             self.deletions.setdefault(RowKey(*found.name), []).append(removed.version)
-            self._tell_watches()
+            self._schedule_watch_updates()
 
-    def _tell_watches(self) -> None:
+    def _schedule_watch_updates(self) -> None:
         for node, watch in list(self.watches.items()):
-            self._clock.after(LATENCY_SECONDS, lambda n=node, w=watch: self._feed(n, w))  # type: ignore[misc]
+            self._clock.after(LATENCY_SECONDS, lambda n=node, w=watch: self._send_changes(n, w))  # type: ignore[misc]
 
 
 def _row(found: StoredObject) -> Row:
--- a/src/bramblebeam/lab/configuration/trial.py
+++ b/src/bramblebeam/lab/configuration/trial.py
@@ -1,4 +1,4 @@
-"""Edits under faults: time to in force, what reverted, and who watched the store."""
+"""Edits under faults: time until in force, reverted rows, and load on the store."""
 
 import json
 from dataclasses import asdict, dataclass, field
@@ -23,19 +23,19 @@
 
 ROWS = 50
 DELETIONS = 0.2
-"""Share of the edits of a row that delete it."""
+"""Fraction of the edits that delete the row."""
 
 EDIT_SECONDS = 8.0
 SPREAD_SECONDS = 3.0
-"""A node that begins to serve must have the edits accepted longer ago than this."""
+"""A node that becomes ready must have edits accepted longer ago than this."""
 
 SETTLE_SECONDS = 20.0
-"""After the last edit and fault, before the tables are compared."""
+"""Time after the last edit and fault before the tables are compared."""
 
 
 @dataclass
-class Accepted:
-    """One edit that its operator was told is written."""
+class AcceptedEdit:
+    """An edit that was reported to its operator as written."""
 
     row: Row
     at: float
@@ -44,10 +44,10 @@
 
 @dataclass
 class TrialResult:
-    """Times in milliseconds. `in_force_ms`: from the operator's answer to the last node in reach.
+    """Results of a trial. `in_force_ms`: time from answer of an edit until the last node has it.
 
-    The time in which a node was dead, paused or cut off does not count for that node; it does in
-    `in_force_with_absent_ms`.
+    Time during which a node was dead, paused or cut off is excluded for that node; it is included
+    in `in_force_with_absent_ms`. Times are in milliseconds.
     """
 
     seed: int
@@ -67,22 +67,22 @@
 
 
 class Trial:
-    """Runs edits at random nodes on random rows, and judges what the nodes applied."""
+    """Runs edits of random rows at random nodes, and checks what the nodes applied."""
 
     def __init__(self, world: World, edits: int, seconds: float) -> None:
         self.world = world
-        self.accepted: list[Accepted] = []
+        self.accepted: list[AcceptedEdit] = []
         self.ended: list[tuple[EditRow, EditReply]] = []
         self.reverted = 0
         self._edits = edits
         self._seconds = seconds
-        self._seen: dict[tuple[NodeId, int, RowKey], int] = {}
-        self._open: dict[RowKey, list[Accepted]] = {}
-        world.on_applied = self._note_applied
+        self._latest_versions: dict[tuple[NodeId, int, RowKey], int] = {}
+        self._open: dict[RowKey, list[AcceptedEdit]] = {}
+        world.on_applied = self._record_applied
         world.on_ready = self._check_ready
 
     def run(self) -> None:
-        """Schedule the edits evenly, run them, and let everything settle."""
+        """Schedule the edits evenly and run until the system has settled."""
         for number in range(self._edits):
             at = 5.0 + self._seconds * number / self._edits
             self.world.clock.after(at, lambda n=number: self._begin(n))  # type: ignore[misc]
@@ -110,10 +110,10 @@
     def _drive(
         self, node: WorldNode, edit: EditRow, machine: EditMachine, effects: list[Any]
     ) -> None:
-        """Carry out an edit's effects; its node goes on with it even while others pause."""
+        """Execute an edit's effects. The edit continues even while its node is paused."""
         world = self.world
 
-        def tell(event: Any) -> None:
+        def handle_event(event: Any) -> None:
             self._drive(node, edit, machine, machine.handle(event, world.clock.now))
 
         for effect in effects:
@@ -121,20 +121,22 @@
                 self._finish(node, edit, effect.reply)
                 return
             if node.zone in world.cut_from_store:
-                world.clock.after(TIMEOUT_SECONDS, lambda: tell(StoreUnanswered(True, "cut off")))
+                world.clock.after(
+                    TIMEOUT_SECONDS, lambda: handle_event(StoreUnanswered(True, "cut off"))
+                )
             elif isinstance(effect, ReadRow):
-                world.store.read(effect, tell)
+                world.store.read(effect, handle_event)
             else:
-                world.store.write(effect, tell)
+                world.store.write(effect, handle_event)
         due = machine.next_wakeup()
         if not effects and due is not None:
-            world.clock.after(max(due - world.clock.now, 0.0), lambda: tell(Wakeup()))
+            world.clock.after(max(due - world.clock.now, 0.0), lambda: handle_event(Wakeup()))
 
     def _finish(self, node: WorldNode, edit: EditRow, reply: EditReply) -> None:
         self.ended.append((edit, reply))
         if reply.status is not EditStatus.WRITTEN or reply.current is None:
             return
-        accepted = Accepted(reply.current, self.world.clock.now)
+        accepted = AcceptedEdit(reply.current, self.world.clock.now)
         self.accepted.append(accepted)
         self._open.setdefault(edit.key, []).append(accepted)
         for other in self.world.nodes.values():
@@ -142,19 +144,19 @@
                 accepted.applied[other.name] = accepted.at
         self.world.deliver(node, RowWritten(reply.current))
 
-    def _note_applied(self, node: WorldNode, rows: tuple[Row, ...]) -> None:
+    def _record_applied(self, node: WorldNode, rows: tuple[Row, ...]) -> None:
         now = self.world.clock.now
         for row in rows:
-            place = (node.name, node.incarnation, row.key)
-            if row.version <= self._seen.get(place, 0):
+            row_at_node = (node.name, node.incarnation, row.key)
+            if row.version <= self._latest_versions.get(row_at_node, 0):
                 self.reverted += 1
-            self._seen[place] = row.version
+            self._latest_versions[row_at_node] = row.version
             for accepted in self._open.get(row.key, ()):
                 if row.version >= accepted.row.version:
                     accepted.applied.setdefault(node.name, now)
 
     def _check_ready(self, node: WorldNode) -> None:
-        """A node that begins to serve must have what was in force everywhere before."""
+        """Check that a node that becomes ready has the edits already in force everywhere."""
         for accepted in self.accepted:
             others = [other for other in self.world.nodes.values() if _serves(other)]
             everywhere = all(other.name in accepted.applied for other in others if other != node)
@@ -163,7 +165,7 @@
                 self.reverted += 1
 
     def _lacks(self, node: WorldNode, row: Row) -> bool:
-        """Whether the node has an older version, or none though the row was not deleted since."""
+        """Return whether the node has an older version, or none without a later deletion."""
         table = node.relay.table
         if table.get(row.key) is not None:
             return table.version_of(row.key) < row.version
@@ -171,10 +173,10 @@
         return not any(row.version <= deleted <= table.complete for deleted in deletions)
 
     def delays(self, with_absent: bool) -> list[float]:
-        """Return, for each accepted edit, the time until the last node had it (milliseconds)."""
+        """Return the time until the last node had each accepted edit (milliseconds), sorted."""
         return sorted(self._delay(accepted, with_absent) for accepted in self.accepted)
 
-    def _delay(self, accepted: Accepted, with_absent: bool) -> float:
+    def _delay(self, accepted: AcceptedEdit, with_absent: bool) -> float:
         slowest = 0.0
         for node in self.world.nodes.values():
             applied = accepted.applied.get(node.name, float("inf"))
@@ -185,18 +187,18 @@
         return slowest * 1000
 
     def false_answers(self) -> int:
-        """Count the edits whose answer the store's history contradicts."""
+        """Count duplicate writes, and edits whose answer contradicts the store's history."""
         written = [change for _, change in self.world.store.written]
         wrong = len(written) - len(set(written))
         for edit, reply in self.ended:
             done = edit.change_id in written
-            told_done = reply.status is EditStatus.WRITTEN
-            if reply.status is not EditStatus.UNKNOWN and done != told_done:
+            reported_done = reply.status is EditStatus.WRITTEN
+            if reply.status is not EditStatus.UNKNOWN and done != reported_done:
                 wrong += 1
         return wrong
 
     def differing_tables(self) -> int:
-        """Count the nodes whose rows are not the store's."""
+        """Count the nodes whose rows differ from the store's."""
         stored = {
             RowKey(*found.name): found.version
             for found in self.world.store.objects.list()
@@ -204,8 +206,8 @@
         }
         differ = 0
         for node in self.world.nodes.values():
-            mine = {row.key: row.version for row in node.relay.table if row.spec}
-            differ += mine != stored
+            node_rows = {row.key: row.version for row in node.relay.table if row.spec}
+            differ += node_rows != stored
         return differ
 
 
@@ -214,13 +216,13 @@
 
 
 def _absent_within(node: WorldNode, begin: float, end: float) -> float:
-    """Return how many seconds of the span the node was dead, paused or cut off."""
+    """Return for how many seconds of the span the node was dead, paused or cut off."""
     overlaps = (min(until, end) - max(since, begin) for since, until in node.absences)
     return sum(overlap for overlap in overlaps if overlap > 0)
 
 
 def percentiles(values: list[float]) -> dict[str, float]:
-    """Return p50, p99 and the maximum of sorted values."""
+    """Return the p50, p99 and maximum of sorted values."""
     if not values:
         return {}
     last = len(values) - 1
@@ -229,7 +231,7 @@
 
 
 def run_trial(seed: int, zones: int, nodes: int, edits: int, seconds: float) -> TrialResult:
-    """Run one trial and return its figures."""
+    """Run one trial and return its results."""
     world = World(seed, zones, nodes)
     schedule_faults(world, seconds)
     trial = Trial(world, edits, seconds)
@@ -257,13 +259,15 @@
 
 
 def main(
-    seed: Annotated[int, typer.Option(help="Of every random choice.")] = 1,
-    zones: Annotated[int, typer.Option(help="Zones, three a region.")] = 6,
-    nodes: Annotated[int, typer.Option(help="Nodes in all zones.")] = 60,
-    edits: Annotated[int, typer.Option(help="Edits in all.")] = 1_000,
-    seconds: Annotated[float, typer.Option(help="Virtual time of the edits.")] = 600.0,
+    seed: Annotated[int, typer.Option(help="Seed of all random choices.")] = 1,
+    zones: Annotated[int, typer.Option(help="Zones; three form a region.")] = 6,
+    nodes: Annotated[int, typer.Option(help="Total number of nodes.")] = 60,
+    edits: Annotated[int, typer.Option(help="Total number of edits.")] = 1_000,
+    seconds: Annotated[
+        float, typer.Option(help="Virtual duration of the edits (seconds).")
+    ] = 600.0,
 ) -> None:
-    """Run one trial; print its figures as JSON. Exit code 1: something reverted or differs."""
+    """Run one trial; print the results as JSON. Exit code 1: a check failed."""
     result = run_trial(seed, zones, nodes, edits, seconds)
     typer.echo(json.dumps(asdict(result)))
     if result.reverted or result.lost_or_false_answers or result.tables_differ:
--- a/src/bramblebeam/lab/configuration/world.py
+++ b/src/bramblebeam/lab/configuration/world.py
@@ -1,4 +1,4 @@
-"""Nodes with the real relay on a network and clock of virtual time."""
+"""Nodes that run the real configuration relay on a simulated network and clock."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -24,23 +24,23 @@
 
 ZONE_LATENCY = 0.0005
 REGION_LATENCY = 0.0015
-FAR_LATENCY = 0.020
+REMOTE_LATENCY = 0.020
 ZONES_A_REGION = 3
 DETECTION_SECONDS = 3.0
-"""How long members take to learn that a node died."""
+"""Delay until the members detect that a node died."""
 
-STORE_SILENCE_SECONDS = 2.0
-"""How long a node cut off from the store takes to notice."""
+STORE_CUT_DETECTION_SECONDS = 2.0
+"""Delay until a node that is cut off from the store detects it."""
 
-_NOWHERE = Address("127.0.0.1", 0)
+_UNUSED_ADDRESS = Address("127.0.0.1", 0)
 
 
 @dataclass
 class WorldNode:
-    """One node; `waiting`: events that came while it was paused.
+    """One node. `waiting`: events that arrived while it was paused.
 
-    `absences`: the spans (seconds) in which it was dead, paused or cut off; `absent_for`: the
-    reasons of the one that lasts.
+    `absences`: time spans (seconds) in which it was dead, paused or cut off; `absent_for`: the
+    reasons of the current absence.
     """
 
     name: NodeId
@@ -79,12 +79,14 @@
             self.deliver(node, Wakeup())
 
     def publish_members(self) -> None:
-        """Tell every node who is alive, at once."""
+        """Deliver the current membership to every node immediately."""
         members: dict[NodeId, Member] = {}
         owners: dict[ZoneId, list[NodeId]] = {}
         for node in self.nodes.values():
             if node.alive:
-                spec = NodeSpec(node.name, node.zone, "", _NOWHERE, _NOWHERE, _NOWHERE)
+                spec = NodeSpec(
+                    node.name, node.zone, "", _UNUSED_ADDRESS, _UNUSED_ADDRESS, _UNUSED_ADDRESS
+                )
                 members[node.name] = Member(spec, node.incarnation, MemberState.ALIVE)
                 owners.setdefault(node.zone, []).append(node.name)
         sorted_owners = {zone: tuple(sorted(names)) for zone, names in owners.items()}
@@ -93,7 +95,7 @@
             self.deliver(node, changed)
 
     def deliver(self, node: WorldNode, event: Any) -> None:
-        """Give a node one event and carry out the effects; a paused node takes it later."""
+        """Deliver an event to a node and execute the effects; queue it if the node is paused."""
         if not node.alive:
             return
         if node.paused:
@@ -104,12 +106,12 @@
         self._set_wakeup(node)
 
     def pause(self, node: WorldNode) -> None:
-        """Stop a node without its knowing."""
+        """Pause a node, like a stopped process."""
         node.paused = True
         self._begin_absence(node, "pause")
 
     def resume(self, node: WorldNode) -> None:
-        """Let a paused node go on with what has come meanwhile."""
+        """Resume a paused node and deliver the queued events."""
         node.paused = False
         self._end_absence(node, "pause")
         waiting, node.waiting = node.waiting, []
@@ -117,7 +119,7 @@
             self.deliver(node, event)
 
     def kill(self, node: WorldNode) -> None:
-        """End a node; its memory is lost."""
+        """Kill a node, which loses its state."""
         node.alive = False
         node.waiting.clear()
         self._begin_absence(node, "restart")
@@ -125,7 +127,7 @@
         self.clock.after(DETECTION_SECONDS, self.publish_members)
 
     def restart(self, node: WorldNode) -> None:
-        """Start a node anew with nothing."""
+        """Start a new incarnation of a node, without state."""
         node.alive = True
         node.paused = False
         self._end_absence(node, "pause")
@@ -136,7 +138,7 @@
         self.deliver(node, Wakeup())
 
     def cut_zone(self, zone: ZoneId) -> None:
-        """Cut a zone off from the others and from the store."""
+        """Partition a zone from the others and from the store."""
         self.cut_zones.add(zone)
         self.cut_from_store.add(zone)
         for node in self.nodes.values():
@@ -144,7 +146,7 @@
                 self._begin_absence(node, "cut")
 
     def heal_zone(self, zone: ZoneId) -> None:
-        """End a zone's cut."""
+        """End the partition of a zone."""
         self.cut_zones.discard(zone)
         self.cut_from_store.discard(zone)
         for node in self.nodes.values():
@@ -173,17 +175,17 @@
                 self._end_absence(node, "restart")
                 self.on_ready(node)
             case ListStore():
-                self.store.list(self._teller(node))
+                self.store.list(self._store_callback(node))
             case WatchStore(after):
-                self.store.watch(node.name, after, self._teller(node))
+                self.store.watch(node.name, after, self._store_callback(node))
             case StopReadingStore():
                 self.store.end_watch(node.name)
 
-    def _teller(self, node: WorldNode) -> Callable[[Any], None]:
-        """Return what gives the store's answers to this incarnation of the node."""
+    def _store_callback(self, node: WorldNode) -> Callable[[Any], None]:
+        """Return a callback that delivers store answers to the current incarnation of the node."""
         incarnation = node.incarnation
 
-        def tell(event: Any) -> None:
+        def deliver_answer(event: Any) -> None:
             if node.incarnation != incarnation:
                 return
             if node.zone not in self.cut_from_store:
@@ -191,14 +193,14 @@
                 return
             self.store.end_watch(node.name)
             failed = StoreFailed(StoreFailure.UNAVAILABLE)
-            self.clock.after(STORE_SILENCE_SECONDS, lambda: self.deliver(node, failed))
+            self.clock.after(STORE_CUT_DETECTION_SECONDS, lambda: self.deliver(node, failed))
 
-        return tell
+        return deliver_answer
 
     def _send(self, sender: WorldNode, receiver: WorldNode, message: Any) -> None:
         self.messages += 1
-        apart = sender.zone != receiver.zone
-        if apart and (sender.zone in self.cut_zones or receiver.zone in self.cut_zones):
+        different_zones = sender.zone != receiver.zone
+        if different_zones and (sender.zone in self.cut_zones or receiver.zone in self.cut_zones):
             return
         if self.random.random() < self.loss:
             return
@@ -210,7 +212,7 @@
         if one == other:
             return ZONE_LATENCY
         same_region = int(one[-2:]) // ZONES_A_REGION == int(other[-2:]) // ZONES_A_REGION
-        return REGION_LATENCY if same_region else FAR_LATENCY
+        return REGION_LATENCY if same_region else REMOTE_LATENCY
 
     def _set_wakeup(self, node: WorldNode) -> None:
         due = node.relay.next_wakeup()
--- a/src/bramblebeam/lab/history/__init__.py
+++ b/src/bramblebeam/lab/history/__init__.py
@@ -1,4 +1,4 @@
-"""What callers, back ends and nodes saw during a run, recorded as facts with their times."""
+"""Timestamped observations of callers, back ends and nodes during a run."""
 
 from bramblebeam.lab.history.records import Record
 from bramblebeam.lab.history.store import History, read_history, write_history
--- a/src/bramblebeam/lab/history/records.py
+++ b/src/bramblebeam/lab/history/records.py
@@ -1,8 +1,8 @@
-"""The records of a run's history.
+"""The record types of a run's history.
 
-Each record is one observation by one party: a caller, a back end, a node or the party that injects
-faults. Times are seconds of one clock that the whole run shares. Names are plain strings, so that
-a history shares no type with the code that produced it.
+Each record is one observation by a caller, a back end, a node or the fault injector. Times are
+seconds of one clock shared by the whole run. Names are plain strings, so that a history shares no
+types with the code that produced it.
 """
 
 from dataclasses import dataclass, field
@@ -18,10 +18,9 @@
 class RequestSent:
     """A caller sent a request to a node.
 
-    `request` is unique in the run; a repeat of the same request is sent under the same name.
-    `value` is the marker that a write stores under `key`: unique in the run, empty for a read.
-    `transaction`: empty, or the name of the transaction that the request belongs to.
-    `operation` `commit` and `rollback` end that transaction.
+    `request` is unique in the run; a retry of the same request uses the same name. `value` is the
+    marker that a write stores under `key`: unique in the run, empty for a read. `transaction` is
+    the name of the request's transaction, or empty; `commit` and `rollback` operations end it.
     """
 
     time: float
@@ -38,12 +37,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAnswered:
-    """A caller got the final answer of a request, or lost its connection.
+    """A caller received the final answer to a request, or lost its connection.
 
-    `key` and `value` of a read: what the answer's row held (empty `value`: no row).
-    `expected_rows` and `rows`: how many rows the whole answer has, and how many arrived.
-    `term` and `offset`: the position that a write's answer carried (0: none).
-    `reason`: the refusal's reason, in capitals, or empty.
+    `key` and `value`: the row in a read's answer (empty `value`: no row). `expected_rows` and
+    `rows`: how many rows the complete answer has, and how many arrived. `term` and `offset`: the
+    position in a write's answer (0: none). `reason`: the refusal's reason in capitals, or empty.
     """
 
     time: float
@@ -92,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendStatement:
-    """A back end began a statement on one of its connections (`value`: the marker, or empty)."""
+    """A back end started a statement on a connection (`value`: the marker, or empty)."""
 
     time: float
     instance: str
@@ -105,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendConnections:
-    """A back end counted its open connections that take slots, and the slots that it has."""
+    """A back end counted its open connections that occupy slots, and its slots."""
 
     time: float
     instance: str
@@ -116,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendLeaving:
-    """A back end showed the sign that it leaves (`leaving` false: it stays after all)."""
+    """A back end reported that it is leaving (`leaving` false: that it no longer is)."""
 
     time: float
     instance: str
@@ -126,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendWorkStarted:
-    """A back end began new work: a statement outside any transaction, or a transaction."""
+    """A back end started new work: a transaction, or a statement outside one."""
 
     time: float
     instance: str
@@ -135,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeStarted:
-    """A node began to take requests, with an empty memory."""
+    """A node started to accept requests, without any earlier state."""
 
     time: float
     node: str
@@ -144,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeStopping:
-    """A node was told to stop as planned."""
+    """A node was told to stop (a planned stop)."""
 
     time: float
     node: str
@@ -153,7 +151,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeStopped:
-    """A node is gone, by a planned stop or by a fault."""
+    """A node ended, by a planned stop or a fault."""
 
     time: float
     node: str
@@ -162,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeCut:
-    """A node is paused or cut off from every source of rows (`cut` false: it is back)."""
+    """A node was paused or cut off from every source of rows (`cut` false: no longer)."""
 
     time: float
     node: str
@@ -172,7 +170,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EditAccepted:
-    """An operator was told that the change of row `key` was accepted as `version`."""
+    """The change of row `key` was reported to an operator as accepted, as `version`."""
 
     time: float
     key: str
@@ -195,7 +193,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultInjected:
-    """A fault began or ended. Read by people and by plots, not by the judge."""
+    """A fault began or ended. For reports and plots; the judge ignores it."""
 
     time: float
     fault: str
@@ -206,7 +204,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StalenessBound:
-    """The row of a service lets reads of the group be this stale (milliseconds)."""
+    """A service's configuration row allows reads of the group this staleness (milliseconds)."""
 
     time: float
     group: str
--- a/src/bramblebeam/lab/history/store.py
+++ b/src/bramblebeam/lab/history/store.py
@@ -1,4 +1,4 @@
-"""Holds a history in memory and keeps it as JSON lines."""
+"""An in-memory history, and its storage as JSON lines."""
 
 from collections.abc import Iterable, Iterator
 from pathlib import Path
@@ -13,19 +13,19 @@
 
 
 class History:
-    """The records of one run, ordered by time (records of equal time keep their order)."""
+    """The records of one run in a stable order by time."""
 
     def __init__(self, records: Iterable[Any] = ()) -> None:
         self._records: list[Any] = list(records)
         self._sorted = False
 
     def add(self, record: Any) -> None:
-        """Take one record. Records may come in any order."""
+        """Add a record. Records may be added in any order."""
         self._records.append(record)
         self._sorted = False
 
     def extend(self, records: Iterable[Any]) -> None:
-        """Take many records."""
+        """Add several records."""
         self._records.extend(records)
         self._sorted = False
 
@@ -51,6 +51,6 @@
 
 
 def read_history(path: Path) -> History:
-    """Read a history of JSON lines. Raises pydantic.ValidationError for a line that is none."""
+    """Read a history from JSON lines. Raises pydantic.ValidationError for an invalid line."""
     lines = path.read_bytes().splitlines()
     return History(_ADAPTER.validate_json(line) for line in lines if line)
--- a/src/bramblebeam/lab/judge/__init__.py
+++ b/src/bramblebeam/lab/judge/__init__.py
@@ -1,4 +1,4 @@
-"""Judges a recorded history by the system's invariants. Shares no logic with what it judges."""
+"""Checks a recorded history against the system's invariants. Shares no code with the product."""
 
 from bramblebeam.lab.judge.judge import INVARIANTS, counts, examined, judge
 from bramblebeam.lab.judge.violation import Violation
--- a/src/bramblebeam/lab/judge/facts.py
+++ b/src/bramblebeam/lab/judge/facts.py
@@ -1,4 +1,4 @@
-"""Indexes over a history that several judges read."""
+"""Indexes over a history that several judges share."""
 
 from dataclasses import dataclass
 
@@ -11,24 +11,24 @@
 from bramblebeam.lab.history.store import History
 
 LogPosition = tuple[int, int]
-"""A position in a group's history: (term, offset)."""
+"""A position in the log of a group: (term, offset)."""
 
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """One request and its answers, as its caller saw them. `sent` is the first sending."""
+    """One request and its answers, as its caller saw them. `sent` is the first attempt."""
 
     sent: RequestSent
     answers: tuple[RequestAnswered, ...]
 
     @property
     def outcome(self) -> str:
-        """Return how the request ended, as far as its caller knows."""
+        """The final outcome as the caller knows it; `lost` without any answer."""
         return self.answers[-1].outcome if self.answers else "lost"
 
 
 class HistoryIndex:
-    """The indexes, built once for all judges."""
+    """Indexes over one history, built once for all judges."""
 
     def __init__(self, history: History) -> None:
         self.history = history
@@ -46,16 +46,19 @@
         self._incomplete_groups = frozenset(ended[-1].incomplete_groups) if ended else frozenset()
 
     def position_of(self, value: str) -> LogPosition | None:
-        """Return where the write of `value` is: by the back ends' logs, else by its answer."""
-        places = self.committed.get(value)
-        return max(places) if places else self._answered.get(value)
+        """Return the position of the write of `value`.
+
+        It comes from the back ends' logs or else from the answer to the write.
+        """
+        positions = self.committed.get(value)
+        return max(positions) if positions else self._answered.get(value)
 
     def transaction_of(self, value: str) -> str:
         """Return the transaction that wrote `value`, or an empty string."""
         return self._transactions.get(value, "")
 
     def log_complete(self, group: str) -> bool:
-        """Whether every committed write of the group is in the history."""
+        """Return whether the history has every committed write of the group."""
         return self._complete and group not in self._incomplete_groups
 
 
@@ -71,12 +74,12 @@
 
 
 def _committed(history: History) -> dict[str, dict[LogPosition, list[BackendCommitted]]]:
-    """Return, for each marker, the positions at which it was committed and who says so."""
-    found: dict[str, dict[LogPosition, list[BackendCommitted]]] = {}
+    """Return the commit records of each marker, grouped by position."""
+    by_value: dict[str, dict[LogPosition, list[BackendCommitted]]] = {}
     for record in history.of(BackendCommitted):
-        places = found.setdefault(record.value, {})
-        places.setdefault((record.term, record.offset), []).append(record)
-    return found
+        positions = by_value.setdefault(record.value, {})
+        positions.setdefault((record.term, record.offset), []).append(record)
+    return by_value
 
 
 def _answered(exchanges: dict[str, Exchange]) -> dict[str, LogPosition]:
--- a/src/bramblebeam/lab/judge/lifecycle.py
+++ b/src/bramblebeam/lab/judge/lifecycle.py
@@ -1,4 +1,4 @@
-"""Judges of slots, leaving back ends, planned stops and rows in force."""
+"""Checks slots, leaving back ends, planned stops and configuration rows in force."""
 
 from collections import defaultdict
 from typing import Any
@@ -23,47 +23,49 @@
 SLOTS_NEVER_EXCEEDED = "slots_never_exceeded"
 
 LEAVING_BOUND_SECONDS = 3.0
-"""How long after its sign a leaving back end may still get new work."""
+"""How long a back end may still get new work after it reported that it is leaving."""
 
 REFUSED = "STOPPING"
 INTERRUPTED = "MYSQL_1053"
-"""What a caller is told of a statement that is new to a stopping node, or that it cut."""
+"""Reasons reported to a caller: a stopping node refused a new statement, or interrupted one."""
 
 IN_FORCE_BOUND_SECONDS = 9.0
-"""How long an accepted edit may take until it is in force at every node that can be reached."""
+"""How long an accepted edit may take to be in force at every reachable node."""
 
 
-def judge_leaving_gets_no_new_work(facts: HistoryIndex) -> list[Violation]:
-    """No work begins on a back end later than the bound after its sign of leaving."""
+def judge_leaving_gets_no_new_work(index: HistoryIndex) -> list[Violation]:
+    """Check that a leaving back end starts no new work after the bound."""
     leaving: dict[str, BackendLeaving] = {}
     violations = []
-    for record in facts.history:
+    for record in index.history:
         if isinstance(record, BackendLeaving):
             if record.leaving:
                 leaving.setdefault(record.instance, record)
             else:
                 leaving.pop(record.instance, None)
         elif isinstance(record, BackendWorkStarted):
-            sign = leaving.get(record.instance)
-            if sign is not None and record.time > sign.time + LEAVING_BOUND_SECONDS:
-                detail = f"{record.instance} got work {record.time - sign.time:.3f} s after it"
-                violations.append(Violation(LEAVING_GETS_NO_NEW_WORK, detail, (sign, record)))
+            report = leaving.get(record.instance)
+            if report is not None and record.time > report.time + LEAVING_BOUND_SECONDS:
+                detail = (
+                    f"leaving {record.instance} got work {record.time - report.time:.3f} s later"
+                )
+                violations.append(Violation(LEAVING_GETS_NO_NEW_WORK, detail, (report, record)))
     return violations
 
 
-def judge_planned_stop_cuts_nothing(facts: HistoryIndex) -> list[Violation]:
-    """A request in flight at a node when it is told to stop gets its ordinary answer.
+def judge_planned_stop_cuts_nothing(index: HistoryIndex) -> list[Violation]:
+    """Check that requests in flight at a node when it is told to stop get their ordinary answer.
 
-    Neither is a statement cut that the node took on after that.
+    Statements that the node accepted after that must not be interrupted either.
     """
     stopping: dict[str, list[NodeStopping]] = defaultdict(list)
-    for record in facts.history.of(NodeStopping):
+    for record in index.history.of(NodeStopping):
         stopping[record.node].append(record)
     violations = []
-    for exchange in facts.exchanges.values():
+    for exchange in index.exchanges.values():
         sent = exchange.sent
         for stop in stopping.get(sent.node, ()):
-            answered = exchange.answers[0].time if exchange.answers else facts.end
+            answered = exchange.answers[0].time if exchange.answers else index.end
             reason = exchange.answers[0].reason if exchange.answers else ""
             in_flight = sent.time < stop.time < answered
             refused = in_flight and (exchange.outcome == "lost" or reason == REFUSED)
@@ -75,44 +77,44 @@
     return violations
 
 
-def judge_slots_never_exceeded(facts: HistoryIndex) -> list[Violation]:
-    """No back end has more connections than slots."""
+def judge_slots_never_exceeded(index: HistoryIndex) -> list[Violation]:
+    """Check that no back end has more connections than slots."""
     return [
         Violation(
             SLOTS_NEVER_EXCEEDED,
             f"{record.instance} has {record.connections} connections for {record.slots} slots",
             (record,),
         )
-        for record in facts.history.of(BackendConnections)
+        for record in index.history.of(BackendConnections)
         if record.connections > record.slots
     ]
 
 
-def judge_configuration_in_force(facts: HistoryIndex) -> list[Violation]:
-    """Accepted rows are in force at every reachable node within the bound; versions never fall."""
-    return [*_reverted(facts), *_late(facts), *_disagreeing_versions(facts)]
+def judge_configuration_in_force(index: HistoryIndex) -> list[Violation]:
+    """Check that accepted rows come into force in time everywhere, and versions never decrease."""
+    return [*_reverted(index), *_late(index), *_disagreeing_versions(index)]
 
 
-def _reverted(facts: HistoryIndex) -> list[Violation]:
+def _reverted(index: HistoryIndex) -> list[Violation]:
     in_force: dict[tuple[str, str], RowInForce] = {}
     violations = []
-    for record in facts.history:
+    for record in index.history:
         if isinstance(record, NodeStarted):
             in_force = {at: row for at, row in in_force.items() if at[0] != record.node}
         elif isinstance(record, RowInForce):
             before = in_force.get((record.node, record.key))
             if before is not None and record.version < before.version:
-                detail = f"{record.node} fell from {before.version} to {record.version}"
+                detail = f"{record.node} reverted from {before.version} to {record.version}"
                 violations.append(Violation(CONFIGURATION_IN_FORCE, detail, (before, record)))
             in_force[record.node, record.key] = record
     return violations
 
 
-def _disagreeing_versions(facts: HistoryIndex) -> list[Violation]:
-    """One version of a row is the same row everywhere."""
+def _disagreeing_versions(index: HistoryIndex) -> list[Violation]:
+    """Find versions of a row that have different contents at different parties."""
     value: dict[tuple[str, int], EditAccepted | RowInForce] = {}
     violations = []
-    for record in facts.history:
+    for record in index.history:
         if isinstance(record, EditAccepted | RowInForce) and record.value:
             first = value.setdefault((record.key, record.version), record)
             if first.value != record.value:
@@ -121,26 +123,29 @@
     return violations
 
 
-def _late(facts: HistoryIndex) -> list[Violation]:
-    spans = _reachable_spans(facts)
+def _late(index: HistoryIndex) -> list[Violation]:
+    spans = _reachable_spans(index)
     rows: dict[tuple[str, str], list[RowInForce]] = defaultdict(list)
-    for row in facts.history.of(RowInForce):
+    for row in index.history.of(RowInForce):
         rows[row.node, row.key].append(row)
     violations = []
-    for edit in facts.history.of(EditAccepted):
+    for edit in index.history.of(EditAccepted):
         for node, node_spans in spans.items():
             deadline = _deadline(node_spans, edit.time)
-            if deadline is None or deadline > facts.end:
+            if deadline is None or deadline > index.end:
                 continue
-            came = rows.get((node, edit.key), ())
-            if not any(row.version >= edit.version and row.time <= deadline for row in came):
-                detail = f"version {edit.version} of {edit.key} is not in force at {node} in time"
+            versions = rows.get((node, edit.key), ())
+            if not any(row.version >= edit.version and row.time <= deadline for row in versions):
+                detail = f"version {edit.version} of {edit.key} was not in force at {node} in time"
                 violations.append(Violation(CONFIGURATION_IN_FORCE, detail, (edit,)))
     return violations
 
 
 def _deadline(spans: list[tuple[float, float]], accepted: float) -> float | None:
-    """Return when the first span that is long enough after the edit has run out its bound."""
+    """Return when the edit must be in force at a node, or None if it has no such time.
+
+    That is the bound after the edit, or after the start of the first span that lasts as long.
+    """
     for start, end in spans:
         deadline = max(start, accepted) + IN_FORCE_BOUND_SECONDS
         if deadline <= end:
@@ -148,15 +153,15 @@
     return None
 
 
-def _reachable_spans(facts: HistoryIndex) -> dict[str, list[tuple[float, float]]]:
-    """Return the times in which each node ran and was not cut off."""
+def _reachable_spans(index: HistoryIndex) -> dict[str, list[tuple[float, float]]]:
+    """Return the time spans in which each node was running and not cut off."""
     changes: dict[str, list[Any]] = defaultdict(list)
-    for record in facts.history:
+    for record in index.history:
         if isinstance(record, NodeStarted | NodeStopped | NodeCut):
             changes[record.node].append(record)
     spans: dict[str, list[tuple[float, float]]] = {}
     for node, records in changes.items():
-        spans[node] = _spans_of(records, facts.end)
+        spans[node] = _spans_of(records, index.end)
     return spans
 
 
--- a/src/bramblebeam/lab/judge/requests.py
+++ b/src/bramblebeam/lab/judge/requests.py
@@ -1,4 +1,4 @@
-"""Judges of what callers were answered against what the back ends did."""
+"""Checks the answers that callers got against the records of the back ends."""
 
 from collections import defaultdict
 
@@ -20,131 +20,136 @@
 AT_MOST_ONCE = "at_most_once"
 
 
-def judge_read_your_writes(facts: HistoryIndex) -> list[Violation]:
-    """A read sent after the session's own write was answered sees that write or a later one.
+def judge_read_your_writes(index: HistoryIndex) -> list[Violation]:
+    """Check that a read sent after the answer to the session's own write sees it or a later one.
 
-    "Later" is decided by the committed positions that back ends reported, so other sessions may
+    Writes are ordered by the committed positions that back ends recorded, so other sessions may
     write the same key.
     """
     own: dict[tuple[str, str, str], list[tuple[RequestAnswered, LogPosition]]] = defaultdict(list)
-    commits = _commit_answers(facts)
-    for exchange in facts.exchanges.values():
+    commits = _commit_answers(index)
+    for exchange in index.exchanges.values():
         sent = exchange.sent
         if sent.operation != "write" or exchange.outcome != "ok":
             continue
-        place = facts.position_of(sent.value)
+        position = index.position_of(sent.value)
         answer = commits.get(sent.transaction) if sent.transaction else exchange.answers[-1]
-        if place is not None and answer is not None:
-            own[sent.session, sent.group, sent.key].append((answer, place))
+        if position is not None and answer is not None:
+            own[sent.session, sent.group, sent.key].append((answer, position))
     violations = []
-    for exchange in facts.exchanges.values():
+    for exchange in index.exchanges.values():
         if exchange.sent.operation != "read" or exchange.outcome != "ok":
             continue
-        violation = _missed_write(facts, exchange, own)
+        violation = _missed_write(index, exchange, own)
         if violation is not None:
             violations.append(violation)
     return violations
 
 
-def _commit_answers(facts: HistoryIndex) -> dict[str, RequestAnswered]:
-    """Return, by transaction, the answer that told its caller of the commit."""
+def _commit_answers(index: HistoryIndex) -> dict[str, RequestAnswered]:
+    """Return, by transaction, the answer that confirmed the commit to the caller."""
     return {
         exchange.sent.transaction: exchange.answers[-1]
-        for exchange in facts.exchanges.values()
+        for exchange in index.exchanges.values()
         if exchange.sent.operation == "commit" and exchange.outcome == "ok"
     }
 
 
 def _missed_write(
-    facts: HistoryIndex,
+    index: HistoryIndex,
     read: Exchange,
     own: dict[tuple[str, str, str], list[tuple[RequestAnswered, LogPosition]]],
 ) -> Violation | None:
     sent = read.sent
     earlier = [
-        (place, answer)
-        for answer, place in own.get((sent.session, sent.group, sent.key), ())
+        (position, answer)
+        for answer, position in own.get((sent.session, sent.group, sent.key), ())
         if answer.time < sent.time
     ]
     if not earlier:
         return None
-    place, answer = max(earlier, key=lambda item: item[0])
+    position, answer = max(earlier, key=lambda item: item[0])
     seen = read.answers[-1]
-    if sent.transaction and facts.transaction_of(seen.value) == sent.transaction:
+    if sent.transaction and index.transaction_of(seen.value) == sent.transaction:
         return None
-    seen_place = facts.position_of(seen.value)
-    if seen_place is None and seen.value and not facts.log_complete(sent.group):
+    seen_position = index.position_of(seen.value)
+    if seen_position is None and seen.value and not index.log_complete(sent.group):
         return None
-    if seen_place is not None and seen_place >= place:
+    if seen_position is not None and seen_position >= position:
         return None
-    detail = f"session {sent.session} wrote at {place} and then read {seen.value!r} of {seen_place}"
+    detail = f"{sent.session} wrote at {position} and then read {seen.value!r} at {seen_position}"
     return Violation(READ_YOUR_WRITES, detail, (answer, sent, seen))
 
 
-def judge_no_ack_by_replaced_primary(facts: HistoryIndex) -> list[Violation]:
-    """No acknowledged write is lost, and an older term answers nothing sent after a newer one's.
+def judge_no_ack_by_replaced_primary(index: HistoryIndex) -> list[Violation]:
+    """Check that only the current primary acknowledges writes and that none of them is lost.
 
-    Also no two primaries acknowledge in one term, and back ends agree on each position.
+    An older term must not answer a request sent after the answer of a newer term. One primary at
+    most acknowledges in each term, and the back ends agree on the contents of each position.
     """
     return [
-        *_lost_acknowledgements(facts),
-        *_acknowledged_after_newer_term(facts),
-        *_two_primaries_in_one_term(facts),
-        *_disagreeing_positions(facts),
+        *_lost_acknowledgements(index),
+        *_acknowledged_after_newer_term(index),
+        *_two_primaries_in_one_term(index),
+        *_disagreeing_positions(index),
     ]
 
 
-def _lost_acknowledgements(facts: HistoryIndex) -> list[Violation]:
+def _lost_acknowledgements(index: HistoryIndex) -> list[Violation]:
     violations = []
-    for exchange in facts.exchanges.values():
+    for exchange in index.exchanges.values():
         sent = exchange.sent
         if sent.operation != "write" or sent.transaction or exchange.outcome != "ok":
             continue
-        if facts.log_complete(sent.group) and sent.value not in facts.committed:
-            detail = f"write of {sent.value!r} was acknowledged and is in no log"
+        if index.log_complete(sent.group) and sent.value not in index.committed:
+            detail = f"acknowledged write of {sent.value!r} is in no log"
             violations.append(
                 Violation(NO_ACK_BY_REPLACED_PRIMARY, detail, (sent, exchange.answers[-1]))
             )
-    for record in facts.history.of(BackendAcknowledged):
-        places = facts.committed.get(record.value, {})
-        if facts.log_complete(record.group) and (record.term, record.offset) not in places:
-            detail = f"{record.instance} acknowledged {record.value!r}, which is not in its place"
+    for record in index.history.of(BackendAcknowledged):
+        positions = index.committed.get(record.value, {})
+        if index.log_complete(record.group) and (record.term, record.offset) not in positions:
+            detail = (
+                f"{record.instance} acknowledged {record.value!r}, not committed at that position"
+            )
             violations.append(Violation(NO_ACK_BY_REPLACED_PRIMARY, detail, (record,)))
     return violations
 
 
-def _acknowledged_after_newer_term(facts: HistoryIndex) -> list[Violation]:
+def _acknowledged_after_newer_term(index: HistoryIndex) -> list[Violation]:
     violations = []
     newest: dict[str, RequestAnswered] = {}
-    for record in facts.history:
+    for record in index.history:
         if isinstance(record, RequestAnswered) and record.outcome == "ok" and record.term:
-            exchange = facts.exchanges.get(record.request)
+            exchange = index.exchanges.get(record.request)
             if exchange is None or exchange.sent.operation == "read":
                 continue
             known = newest.get(exchange.sent.group)
             if known is None or record.term > known.term:
                 newest[exchange.sent.group] = record
             elif record.term < known.term and exchange.sent.time > known.time:
-                detail = f"term {record.term} answered what was sent after term {known.term} did"
+                detail = f"term {record.term} answered a request sent after term {known.term} did"
                 records = (known, exchange.sent, record)
                 violations.append(Violation(NO_ACK_BY_REPLACED_PRIMARY, detail, records))
     return violations
 
 
-def _two_primaries_in_one_term(facts: HistoryIndex) -> list[Violation]:
+def _two_primaries_in_one_term(index: HistoryIndex) -> list[Violation]:
     violations = []
     primary: dict[tuple[str, int], BackendAcknowledged] = {}
-    for record in facts.history.of(BackendAcknowledged):
+    for record in index.history.of(BackendAcknowledged):
         first = primary.setdefault((record.group, record.term), record)
         if first.instance != record.instance:
-            detail = f"{first.instance} and {record.instance} both acknowledged in {record.term}"
+            detail = (
+                f"{first.instance} and {record.instance} both acknowledged in term {record.term}"
+            )
             violations.append(Violation(NO_ACK_BY_REPLACED_PRIMARY, detail, (first, record)))
     return violations
 
 
-def _disagreeing_positions(facts: HistoryIndex) -> list[Violation]:
+def _disagreeing_positions(index: HistoryIndex) -> list[Violation]:
     at: dict[tuple[str, int], dict[str, list[BackendCommitted]]] = defaultdict(dict)
-    for record in facts.history.of(BackendCommitted):
+    for record in index.history.of(BackendCommitted):
         at[record.group, record.offset].setdefault(record.instance, []).append(record)
     violations = []
     for (group, offset), by_instance in at.items():
@@ -159,15 +164,15 @@
     return violations
 
 
-def judge_transactions_do_not_mix(facts: HistoryIndex) -> list[Violation]:
-    """A back end's transaction holds one session's statements, and all or none are committed."""
-    return [*_mixed_connections(facts), *_mixed_positions(facts), *_torn_transactions(facts)]
+def judge_transactions_do_not_mix(index: HistoryIndex) -> list[Violation]:
+    """Check that a transaction has statements of one session only, and commits all or none."""
+    return [*_mixed_connections(index), *_mixed_positions(index), *_partial_transactions(index)]
 
 
-def _mixed_connections(facts: HistoryIndex) -> list[Violation]:
+def _mixed_connections(index: HistoryIndex) -> list[Violation]:
     violations = []
     opened: dict[tuple[str, str], BackendStatement] = {}
-    for record in facts.history.of(BackendStatement):
+    for record in index.history.of(BackendStatement):
         connection = (record.instance, record.connection)
         begin = opened.get(connection)
         if begin is not None and begin.session != record.session:
@@ -180,19 +185,19 @@
     return violations
 
 
-def _writes_by_value(facts: HistoryIndex) -> dict[str, RequestSent]:
+def _writes_by_value(index: HistoryIndex) -> dict[str, RequestSent]:
     return {
         exchange.sent.value: exchange.sent
-        for exchange in facts.exchanges.values()
+        for exchange in index.exchanges.values()
         if exchange.sent.operation == "write"
     }
 
 
-def _mixed_positions(facts: HistoryIndex) -> list[Violation]:
-    writes = _writes_by_value(facts)
+def _mixed_positions(index: HistoryIndex) -> list[Violation]:
+    writes = _writes_by_value(index)
     owner: dict[tuple[str, str, LogPosition], tuple[str, BackendCommitted]] = {}
     violations = []
-    for record in facts.history.of(BackendCommitted):
+    for record in index.history.of(BackendCommitted):
         sent = writes.get(record.value)
         if sent is None:
             continue
@@ -200,16 +205,16 @@
         at = (record.instance, record.group, (record.term, record.offset))
         first_name, first = owner.setdefault(at, (name, record))
         if first_name != name:
-            detail = f"one commit holds writes of {first_name} and {name}"
+            detail = f"one commit contains writes of {first_name} and {name}"
             violations.append(Violation(TRANSACTIONS_DO_NOT_MIX, detail, (first, record)))
     return violations
 
 
-def _torn_transactions(facts: HistoryIndex) -> list[Violation]:
-    """A committed transaction has every answered write at one position; a rolled back one none."""
+def _partial_transactions(index: HistoryIndex) -> list[Violation]:
+    """Find committed transactions with split or missing writes, and uncommitted ones with any."""
     writes: dict[str, list[RequestSent]] = defaultdict(list)
     ends: dict[str, Exchange] = {}
-    for exchange in facts.exchanges.values():
+    for exchange in index.exchanges.values():
         sent = exchange.sent
         if not sent.transaction:
             continue
@@ -219,25 +224,25 @@
             ends[sent.transaction] = exchange
     violations = []
     for name, end in ends.items():
-        if not facts.log_complete(end.sent.group):
+        if not index.log_complete(end.sent.group):
             continue
-        places = [frozenset(facts.committed.get(sent.value, {})) for sent in writes[name]]
+        positions = [frozenset(index.committed.get(sent.value, {})) for sent in writes[name]]
         committed = end.sent.operation == "commit" and end.outcome == "ok"
-        whole = len(set(places)) <= 1 and all(places) if committed else not any(places)
+        whole = len(set(positions)) <= 1 and all(positions) if committed else not any(positions)
         if not whole:
-            denied = end.sent.operation == "commit" and end.outcome == "not_run"
-            invariant = NOT_RUN_IS_TRUE if denied else TRANSACTIONS_DO_NOT_MIX
-            detail = f"transaction {name} ({end.sent.operation}: {end.outcome}) is at {places}"
+            reported_not_run = end.sent.operation == "commit" and end.outcome == "not_run"
+            invariant = NOT_RUN_IS_TRUE if reported_not_run else TRANSACTIONS_DO_NOT_MIX
+            detail = f"transaction {name} ({end.sent.operation}: {end.outcome}) is at {positions}"
             violations.append(Violation(invariant, detail, (*writes[name], end.answers[-1])))
     return violations
 
 
-def judge_whole_own_answer(facts: HistoryIndex) -> list[Violation]:
-    """Each answer belongs to its caller's request, is whole, and holds what was written there."""
-    writes = _writes_by_value(facts)
+def judge_whole_own_answer(index: HistoryIndex) -> list[Violation]:
+    """Check that each answer matches the caller's request, is complete, and has a written value."""
+    writes = _writes_by_value(index)
     violations = []
-    for record in facts.history.of(RequestAnswered):
-        exchange = facts.exchanges.get(record.request)
+    for record in index.history.of(RequestAnswered):
+        exchange = index.exchanges.get(record.request)
         fault = _answer_fault(record, exchange, writes)
         if fault:
             sent = (exchange.sent,) if exchange else ()
@@ -249,10 +254,10 @@
     answer: RequestAnswered, exchange: Exchange | None, writes: dict[str, RequestSent]
 ) -> str:
     if exchange is None:
-        return f"an answer to {answer.request}, which nobody sent"
+        return f"answer to {answer.request}, which no caller sent"
     sent = exchange.sent
     if sent.session != answer.session:
-        return f"the answer to {sent.session} went to {answer.session}"
+        return f"the answer for {sent.session} went to {answer.session}"
     if answer.outcome != "ok":
         return ""
     if answer.rows != answer.expected_rows:
@@ -264,7 +269,7 @@
 
 def _row_fault(sent: RequestSent, answer: RequestAnswered, written: RequestSent | None) -> str:
     if answer.key != sent.key:
-        return f"asked for {sent.key}, got {answer.key}"
+        return f"requested {sent.key}, got {answer.key}"
     if written is None:
         return f"value {answer.value!r} was never written"
     if (written.key, written.group) != (sent.key, sent.group):
@@ -274,31 +279,31 @@
     return ""
 
 
-def judge_not_run_is_true(facts: HistoryIndex) -> list[Violation]:
-    """A write whose last answer was "not run" is in no log."""
+def judge_not_run_is_true(index: HistoryIndex) -> list[Violation]:
+    """Check that a write whose answers were all "not run" is in no log."""
     violations = []
-    for exchange in facts.exchanges.values():
+    for exchange in index.exchanges.values():
         sent = exchange.sent
         if sent.operation != "write" or exchange.outcome != "not_run":
             continue
         if any(answer.outcome != "not_run" for answer in exchange.answers):
             continue
-        found = facts.committed.get(sent.value)
+        found = index.committed.get(sent.value)
         if found:
             first = next(iter(found.values()))[0]
-            detail = f"{sent.value!r} was refused as not run and is committed"
+            detail = f"{sent.value!r} was refused as not run but is committed"
             violations.append(
                 Violation(NOT_RUN_IS_TRUE, detail, (sent, exchange.answers[-1], first))
             )
     return violations
 
 
-def judge_at_most_once(facts: HistoryIndex) -> list[Violation]:
-    """A marker is committed at one position at most."""
+def judge_at_most_once(index: HistoryIndex) -> list[Violation]:
+    """Check that each marker is committed at one position at most."""
     violations = []
-    for value, places in facts.committed.items():
-        if len(places) > 1 and value:
-            records = tuple(records[0] for records in places.values())
-            detail = f"{value!r} ran at {sorted(places)}"
+    for value, positions in index.committed.items():
+        if len(positions) > 1 and value:
+            records = tuple(records[0] for records in positions.values())
+            detail = f"{value!r} was committed at {sorted(positions)}"
             violations.append(Violation(AT_MOST_ONCE, detail, records))
     return violations
--- a/src/bramblebeam/lab/judge/staleness.py
+++ b/src/bramblebeam/lab/judge/staleness.py
@@ -1,4 +1,4 @@
-"""Judges that no read was answered staler than its row allows, from what was committed when."""
+"""Checks that no read is staler than its group's bound, by the recorded commit times."""
 
 from bisect import bisect_left
 from collections import defaultdict
@@ -10,30 +10,30 @@
 
 BOUNDED_STALENESS = "bounded_staleness"
 MEASURING_ERROR_SECONDS = 0.05
-"""How far the recorded times of two processes of one machine may be off each other."""
+"""Maximum difference between the recorded times of two processes on one machine."""
 
-_NOWHERE: LogPosition = (0, 0)
+_START: LogPosition = (0, 0)
 _Key = tuple[str, str]
 _Versions = dict[_Key, tuple[list[float], list[LogPosition]]]
-"""For each (group, key): times of commits, ascending, and the newest place up to each."""
+"""For each (group, key): commit times, ascending, and the newest position up to each."""
 
 
-def judge_bounded_staleness(facts: HistoryIndex) -> list[Violation]:
-    """A read sees each write that was committed more than its bound before it was sent.
+def judge_bounded_staleness(index: HistoryIndex) -> list[Violation]:
+    """Check that a read sees each write committed longer than the bound before it was sent.
 
-    The bound is the largest one recorded for the group; reads of a group without any are not
-    judged. Reads inside a transaction see what their connection's primary has and are judged too.
+    The bound is the largest one recorded for the group; reads of a group without a bound are not
+    checked. Reads in a transaction run on the primary and are checked too.
     """
-    bounds = _bounds(facts)
-    versions = _versions(facts)
+    bounds = _bounds(index)
+    versions = _versions(index)
     violations = []
-    for exchange in bounded_reads(facts):
+    for exchange in bounded_reads(index):
         group = exchange.sent.group
         needed = _newest_before(
             versions.get((group, exchange.sent.key)),
             exchange.sent.time - bounds[group] - MEASURING_ERROR_SECONDS,
         )
-        seen = _position_seen(facts, exchange)
+        seen = _position_seen(index, exchange)
         if seen is not None and seen < needed:
             answer = exchange.answers[-1]
             detail = (
@@ -44,12 +44,12 @@
     return violations
 
 
-def bounded_reads(facts: HistoryIndex) -> list[Exchange]:
-    """Return the answered reads of one key whose group has a recorded bound."""
-    groups = set(_bounds(facts))
+def bounded_reads(index: HistoryIndex) -> list[Exchange]:
+    """Return the successful reads of a key in a group with a recorded bound."""
+    groups = set(_bounds(index))
     return [
         exchange
-        for exchange in facts.exchanges.values()
+        for exchange in index.exchanges.values()
         if exchange.sent.operation == "read"
         and exchange.sent.key
         and exchange.outcome == "ok"
@@ -57,58 +57,58 @@
     ]
 
 
-def _bounds(facts: HistoryIndex) -> dict[str, float]:
-    """Return the bound of each group (seconds)."""
+def _bounds(index: HistoryIndex) -> dict[str, float]:
+    """Return the staleness bound of each group (seconds)."""
     bounds: dict[str, float] = {}
-    for record in facts.history.of(StalenessBound):
+    for record in index.history.of(StalenessBound):
         known = bounds.get(record.group, 0.0)
         bounds[record.group] = max(known, record.staleness_ms / 1000)
     return bounds
 
 
-def _versions(facts: HistoryIndex) -> _Versions:
-    """Return when each key first had each of its places at any back end."""
+def _versions(index: HistoryIndex) -> _Versions:
+    """Return when any back end first recorded each position of each key."""
     written = {
         exchange.sent.value: (exchange.sent.group, exchange.sent.key)
-        for exchange in facts.exchanges.values()
+        for exchange in index.exchanges.values()
         if exchange.sent.operation == "write"
     }
     first: dict[_Key, dict[LogPosition, float]] = defaultdict(dict)
     records: list[BackendAcknowledged | BackendCommitted] = [
-        *facts.history.of(BackendAcknowledged),
-        *facts.history.of(BackendCommitted),
+        *index.history.of(BackendAcknowledged),
+        *index.history.of(BackendCommitted),
     ]
     for record in records:
         key = written.get(record.value)
         if key is None:
             continue
-        place = (record.term, record.offset)
-        first[key][place] = min(record.time, first[key].get(place, record.time))
+        position = (record.term, record.offset)
+        first[key][position] = min(record.time, first[key].get(position, record.time))
     return {key: _ascending(times) for key, times in first.items()}
 
 
 def _ascending(times: dict[LogPosition, float]) -> tuple[list[float], list[LogPosition]]:
-    ordered = sorted((time, place) for place, time in times.items())
-    places = accumulate((place for _, place in ordered), max)
-    return [time for time, _ in ordered], list(places)
+    ordered = sorted((time, position) for position, time in times.items())
+    positions = accumulate((position for _, position in ordered), max)
+    return [time for time, _ in ordered], list(positions)
 
 
 def _newest_before(
     versions: tuple[list[float], list[LogPosition]] | None, limit: float
 ) -> LogPosition:
     if versions is None:
-        return _NOWHERE
-    times, places = versions
-    index = bisect_left(times, limit)
-    return places[index - 1] if index else _NOWHERE
+        return _START
+    times, positions = versions
+    earlier = bisect_left(times, limit)
+    return positions[earlier - 1] if earlier else _START
 
 
-def _position_seen(facts: HistoryIndex, read: Exchange) -> LogPosition | None:
-    """Return the place of the value read, or None where it can't be told."""
+def _position_seen(index: HistoryIndex, read: Exchange) -> LogPosition | None:
+    """Return the position of the value read, or None if it is unknown."""
     answer = read.answers[-1]
     if not answer.value:
-        return _NOWHERE
+        return _START
     transaction = read.sent.transaction
-    if transaction and facts.transaction_of(answer.value) == transaction:
+    if transaction and index.transaction_of(answer.value) == transaction:
         return None
-    return facts.position_of(answer.value)
+    return index.position_of(answer.value)
--- a/src/bramblebeam/lab/judge/violation.py
+++ b/src/bramblebeam/lab/judge/violation.py
@@ -1,4 +1,4 @@
-"""What a judge reports."""
+"""The violation that a judge reports."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One invariant broken once, with the records that show it."""
+    """One violation of an invariant, with the records that show it."""
 
     invariant: str
     detail: str
--- a/src/bramblebeam/lab/platform/__init__.py
+++ b/src/bramblebeam/lab/platform/__init__.py
@@ -1,1 +1,1 @@
-"""A stand-in for the platform's object store: versions, conflicts, watches, and faults."""
+"""A simulated platform object store with versions, conflicts, watches and injected faults."""
--- a/src/bramblebeam/lab/platform/__main__.py
+++ b/src/bramblebeam/lab/platform/__main__.py
@@ -13,12 +13,12 @@
 
 
 def main(
-    listen: Annotated[str, typer.Option(help="HOST:PORT; port 0 lets the system choose.")],
+    listen: Annotated[str, typer.Option(help="HOST:PORT; port 0 picks a free port.")],
     rows: Annotated[
-        Path | None, typer.Option(help="JSON file with a list of {kind, name, spec}.")
+        Path | None, typer.Option(help="JSON file with a list of {kind, name, spec} objects.")
     ] = None,
 ) -> None:
-    """Serve until SIGTERM or SIGINT; the first line of output is JSON with the address in use."""
+    """Serve until SIGTERM or SIGINT. The first output line is JSON with the bound address."""
     host, _, port = listen.rpartition(":")
     asyncio.run(_serve(host, int(port), rows))
 
@@ -38,7 +38,7 @@
 
 
 def load_rows(server: PlatformServer, path: Path) -> None:
-    """Create the rows of a JSON file in the server's store."""
+    """Load the rows of a JSON file into the server's store."""
     for row in json.loads(path.read_text()):
         server.store.create(ObjectName(row["kind"], row["name"]), row["spec"], {})
 
--- a/src/bramblebeam/lab/platform/faults.py
+++ b/src/bramblebeam/lab/platform/faults.py
@@ -1,14 +1,14 @@
-"""What the stand-in platform is told to do wrong."""
+"""Fault settings and statistics of the simulated platform."""
 
 from pydantic import BaseModel, ConfigDict, Field
 
 
 class Faults(BaseModel):
-    """The faults in force. All off by default.
+    """The active faults. All are off by default.
 
-    `down`: every request is cut before it takes effect. `slow_ms`: each answer is late by this.
-    `lose_answers`: this many of the next writes take effect and then lose their answer.
-    `watch_silent`: watches stay open and tell nothing. `machine_lag_s`: age of the machine list.
+    `down`: abort every request before it takes effect. `slow_ms`: delay before each request.
+    `lose_answers`: number of next writes that take effect but get no response. `watch_silent`:
+    watches stay open but send nothing. `machine_lag_s`: age of the machine list that is served.
     """
 
     model_config = ConfigDict(extra="forbid", validate_assignment=True)
@@ -21,7 +21,7 @@
 
 
 class Statistics(BaseModel):
-    """Counters since the start, and the watches that are open now."""
+    """Counters since the start, and the number of watches open now."""
 
     requests: int = 0
     writes: int = 0
--- a/src/bramblebeam/lab/platform/machines.py
+++ b/src/bramblebeam/lab/platform/machines.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving machines, as old as the lag it is told to have."""
+"""The platform's list of live and leaving machines, with its history for stale reads."""
 
 from typing import Any, Literal
 
@@ -18,7 +18,7 @@
 
 
 class MachineList:
-    """Versions of the list with the time (seconds, monotonic) each was set."""
+    """All versions of the list, each with the time (seconds, monotonic) at which it was set."""
 
     def __init__(self) -> None:
         self._versions: list[tuple[float, tuple[Machine, ...]]] = []
@@ -28,13 +28,13 @@
         self._versions.append((now, tuple(machines)))
 
     def at(self, moment: float) -> tuple[Machine, ...]:
-        """Return the list as it stood at `moment`; the first one if `moment` is before all."""
-        found: tuple[Machine, ...] = self._versions[0][1] if self._versions else ()
+        """Return the list as of `moment`, or the first version if `moment` precedes it."""
+        result: tuple[Machine, ...] = self._versions[0][1] if self._versions else ()
         for set_at, machines in self._versions:
             if set_at <= moment:
-                found = machines
-        return found
+                result = machines
+        return result
 
     def as_objects(self, moment: float) -> list[dict[str, Any]]:
-        """Return the list at `moment` as JSON values."""
+        """Return the list as of `moment` as JSON values."""
         return [machine.model_dump() for machine in self.at(moment)]
--- a/src/bramblebeam/lab/platform/server.py
+++ b/src/bramblebeam/lab/platform/server.py
@@ -1,4 +1,4 @@
-"""The stand-in platform over HTTP: objects, watches, the machine list and the control end."""
+"""HTTP server of the simulated platform: objects, watches, machine list and fault control."""
 
 import asyncio
 import json
@@ -26,7 +26,7 @@
 
 
 def object_json(found: StoredObject) -> dict[str, Any]:
-    """Return an object as the API shows it."""
+    """Return the API representation of an object."""
     metadata = {
         "name": found.name.name,
         "resourceVersion": str(found.version),
@@ -36,7 +36,7 @@
 
 
 class PlatformServer:
-    """One stand-in platform on one loopback port."""
+    """A simulated platform on a loopback port."""
 
     def __init__(self, store: ObjectStore | None = None) -> None:
         self.store = store or ObjectStore()
@@ -48,8 +48,8 @@
         self._runner: web.AppRunner | None = None
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> Address:
-        """Listen; return the address in use."""
-        application = web.Application(middlewares=[self._faulty])
+        """Start listening and return the bound address."""
+        application = web.Application(middlewares=[self._inject_faults])
         application.add_routes(self._routes())
         self._runner = web.AppRunner(application, access_log=None, shutdown_timeout=0.5)
         await self._runner.setup()
@@ -66,19 +66,19 @@
             self._runner = None
 
     def set_faults(self, faults: Faults) -> None:
-        """Put `faults` in force; going down cuts the open watches."""
+        """Activate `faults`; `down` also closes the open watches."""
         self.faults = faults
         if faults.down:
             self.cut_watches()
-        self._wake_watches()
+        self._notify_watches()
 
     def cut_watches(self) -> None:
-        """Close every open watch without a word."""
+        """Abort every open watch."""
         self._cut.set()
         self._cut = asyncio.Event()
-        self._wake_watches()
+        self._notify_watches()
 
-    def _wake_watches(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -100,20 +100,20 @@
         ]
 
     @web.middleware
-    async def _faulty(self, request: web.Request, handler: Any) -> web.StreamResponse:
+    async def _inject_faults(self, request: web.Request, handler: Any) -> web.StreamResponse:
         if request.path.startswith("/control/"):
-            return await _answer_errors(request, handler)
+            return await _translate_errors(request, handler)
         self.statistics.requests += 1
         if self.faults.slow_ms:
             await asyncio.sleep(self.faults.slow_ms / 1000)
         if self.faults.down:
             return _abort(request)
         before = self.store.version
-        response = await _answer_errors(request, handler)
+        response = await _translate_errors(request, handler)
         if self.store.version == before or request.method == "GET":
             return response
         self.statistics.writes += 1
-        self._wake_watches()
+        self._notify_watches()
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
             self.statistics.answers_lost += 1
@@ -140,14 +140,16 @@
         peak = max(self.statistics.watches_open_peak, self.statistics.watches_open)
         self.statistics.watches_open_peak = peak
         try:
-            await self._feed(response, kind, version)
+            await self._stream_changes(response, kind, version)
         except (ConnectionError, CompactedError):
             pass
         finally:
             self.statistics.watches_open -= 1
         return _abort(request)
 
-    async def _feed(self, response: web.StreamResponse, kind: str | None, version: int) -> None:
+    async def _stream_changes(
+        self, response: web.StreamResponse, kind: str | None, version: int
+    ) -> None:
         cut = self._cut
         while not cut.is_set():
             changed = self._changed
@@ -218,14 +220,14 @@
 
 
 def _abort(request: web.Request) -> web.StreamResponse:
-    """Drop the connection without an answer."""
+    """Close the connection without a response."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response(status=503)
 
 
-async def _answer_errors(request: web.Request, handler: Any) -> web.StreamResponse:
-    """Turn the store's exceptions into HTTP errors."""
+async def _translate_errors(request: web.Request, handler: Any) -> web.StreamResponse:
+    """Translate the store's exceptions to HTTP errors."""
     try:
         response: web.StreamResponse = await handler(request)
     except NotFoundError:
--- a/src/bramblebeam/lab/platform/store.py
+++ b/src/bramblebeam/lab/platform/store.py
@@ -1,7 +1,7 @@
-"""The objects of the stand-in platform, without any input or output.
+"""The objects of the simulated platform, without I/O.
 
-One version counter serves the whole store and only grows. A bounded history of changes feeds the
-watches; a watch from a version that fell out of it fails with `CompactedError`.
+One version counter serves the whole store and only a restore decreases it. Watches read a bounded
+history of changes; a watch from a version older than the history fails with `CompactedError`.
 """
 
 from collections import deque
@@ -15,23 +15,23 @@
 
 
 class ConflictError(Exception):
-    """The object is not at the version that the writer expected. `current` is None if absent."""
+    """The object is not at the expected version. `current` is None if it does not exist."""
 
     def __init__(self, current: "StoredObject | None") -> None:
-        super().__init__("the object has another version")
+        super().__init__("object is not at the expected version")
         self.current = current
 
 
 class NotFoundError(Exception):
-    """There is no object of this name."""
+    """No object has this name."""
 
 
 class CompactedError(Exception):
-    """The changes after the asked version are no longer kept, or the version is not reached yet."""
+    """The changes after the requested version are compacted, or the version is in the future."""
 
 
 class ObjectName(NamedTuple):
-    """Names one object."""
+    """The kind and name that identify an object."""
 
     kind: str
     name: str
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One entry of the history. A deletion carries the last object with the deletion's version."""
+    """A change in the history. A deletion has the last object with the deletion's version."""
 
     type: ChangeType
     object: StoredObject
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreSnapshot:
-    """A backup: what `restore` puts back."""
+    """A backup for `restore`."""
 
     version: int
     objects: dict[ObjectName, StoredObject]
@@ -80,13 +80,13 @@
             raise NotFoundError from error
 
     def list(self, kind: str | None = None) -> Iterable[StoredObject]:
-        """Return all objects of a kind (None: of every kind)."""
+        """Return all objects of a kind (None: of all kinds)."""
         return [found for found in self._objects.values() if kind in (None, found.name.kind)]
 
     def create(
         self, name: ObjectName, spec: dict[str, Any], annotations: dict[str, str]
     ) -> StoredObject:
-        """Add an object. Raises ConflictError if there is one already."""
+        """Create an object. Raises ConflictError if it already exists."""
         if name in self._objects:
             raise ConflictError(self._objects[name])
         return self._write("ADDED", name, spec, annotations)
@@ -95,12 +95,12 @@
         self, name: ObjectName, version: int, spec: dict[str, Any], annotations: dict[str, str]
     ) -> StoredObject:
         """Replace the object at `version`. Raises NotFoundError, ConflictError."""
-        self._check(name, version)
+        self._require_version(name, version)
         return self._write("MODIFIED", name, spec, annotations)
 
     def delete(self, name: ObjectName, version: int) -> StoredObject:
-        """Remove the object at `version`. Raises NotFoundError, ConflictError."""
-        current = self._check(name, version)
+        """Delete the object at `version`. Raises NotFoundError, ConflictError."""
+        current = self._require_version(name, version)
         return self._write("DELETED", name, current.spec, current.annotations)
 
     def changes_after(self, version: int, kind: str | None = None) -> Iterable[Change]:
@@ -117,7 +117,7 @@
         return newer
 
     def compact(self) -> None:
-        """Forget the history: every watch from an older version fails from now on."""
+        """Discard the history, so that watches from older versions fail from now on."""
         self._history.clear()
         self._compacted_through = self.version
 
@@ -126,12 +126,12 @@
         return StoreSnapshot(self.version, dict(self._objects))
 
     def restore(self, snapshot: StoreSnapshot) -> None:
-        """Go back to a backup, its version counter too, as a careless restore does."""
+        """Restore a backup and its version counter, so that versions are reused, as a fault."""
         self.version = snapshot.version
         self._objects = dict(snapshot.objects)
         self.compact()
 
-    def _check(self, name: ObjectName, version: int) -> StoredObject:
+    def _require_version(self, name: ObjectName, version: int) -> StoredObject:
         current = self.get(name)
         if current.version != version:
             raise ConflictError(current)
@@ -146,10 +146,10 @@
             del self._objects[name]
         else:
             self._objects[name] = written
-        self._remember(Change(type_, written))
+        self._add_to_history(Change(type_, written))
         return written
 
-    def _remember(self, change: Change) -> None:
+    def _add_to_history(self, change: Change) -> None:
         if len(self._history) == self._history.maxlen:
             self._compacted_through = self._history[0].object.version
         self._history.append(change)
--- a/tests/test_database_adversity.py
+++ b/tests/test_database_adversity.py
@@ -1,6 +1,6 @@
-"""A group over real sockets with cuts, restarts from log files and changes of primary.
+"""A group over real sockets with partitions, restarts from log files and changes of primary.
 
-What was acknowledged must be there in the end, and what was refused as not run must not.
+Acknowledged writes must not be lost, and writes refused as not run must not be applied.
 """
 
 import asyncio
@@ -20,15 +20,18 @@
 STEP_SECONDS = 0.1
 
 
-def own_loopback_host() -> str:
-    """Return a loopback address of this process: a member takes its former port again, which on the
-    common address another process's outgoing connection may have meanwhile."""
+def private_loopback_host() -> str:
+    """Return a loopback address that only this process uses.
+
+    A restarted member binds its former port again. On 127.0.0.1 an outgoing connection of another
+    process may have taken that port meanwhile.
+    """
     number = os.getpid()
     return f"127.{1 + number // 250 % 250}.{1 + number % 250}.1"
 
 
 class RealGroup:
-    """Three members in this process that can be stopped and started from their log files."""
+    """Three members in this process that can be stopped and restarted from their log files."""
 
     def __init__(self, directory: Path, seed: int) -> None:
         self.directory = directory
@@ -41,7 +44,7 @@
     async def start(self, name: str) -> None:
         settings = MemberSettings(
             InstanceId(name),
-            listen=self.addresses.get(name, Address(own_loopback_host(), 0)),
+            listen=self.addresses.get(name, Address(private_loopback_host(), 0)),
             log=self.directory / name,
         )
         member = DatabaseMember(settings)
@@ -52,7 +55,7 @@
     async def stop(self, name: str) -> None:
         await self.members.pop(name).stop()
 
-    async def ask(self, name: str, sql: str) -> tuple[object, ...] | None:
+    async def query(self, name: str, sql: str) -> tuple[object, ...] | None:
         try:
             connection = await BackendConnection.connect(
                 self.addresses[name], "control", "", timeout=0.5
@@ -66,25 +69,25 @@
         finally:
             connection.abort()
 
-    async def change_primary(self, silent: str = "") -> None:
-        """Act as a controller that does not reach the member `silent`."""
+    async def change_primary(self, unreachable: str = "") -> None:
+        """Change the primary as a controller that can't reach the member `unreachable`."""
         self.highest_term += 1
         term = self.highest_term
         granted: dict[str, Position] = {}
-        for name in [name for name in self.members if name != silent]:
-            row = await self.ask(name, f"CALL bramblebeam.promise({term})")
+        for name in [name for name in self.members if name != unreachable]:
+            row = await self.query(name, f"CALL bramblebeam.promise({term})")
             if row is not None:
                 granted[name] = Position(int(str(row[3])), int(str(row[4])))
         if len(granted) < 2:
             return
-        best = max(granted, key=lambda name: granted[name])
+        candidate = max(granted, key=lambda name: granted[name])
         listed = ",".join(f"{n}={a.host}:{a.port}" for n, a in self.addresses.items())
-        if await self.ask(best, f"CALL bramblebeam.promote({term}, '{listed}')") is not None:
-            self.primary = best
+        if await self.query(candidate, f"CALL bramblebeam.promote({term}, '{listed}')") is not None:
+            self.primary = candidate
 
 
 class Outcomes:
-    """What the clients were told of each value."""
+    """The outcomes that were reported to the clients, by value."""
 
     def __init__(self) -> None:
         self.acknowledged: set[int] = set()
@@ -130,14 +133,14 @@
         connection.abort()
 
 
-async def disturb(group: RealGroup) -> None:
+async def inject_fault(group: RealGroup) -> None:
     action = group.random.random()
     name = group.random.choice(sorted(group.addresses))
     if action < 0.35:
         cut = group.primary
         group.members[cut].peers.set_cut(["*"])
         await asyncio.sleep(STEP_SECONDS)
-        await group.change_primary(silent=cut)
+        await group.change_primary(unreachable=cut)
         await asyncio.sleep(STEP_SECONDS)
         group.members[cut].peers.set_cut([])
     elif action < 0.7:
@@ -155,7 +158,9 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-async def test_acknowledged_writes_survive_and_refusals_are_true(seed: int, tmp_path: Path) -> None:
+async def test_acknowledged_writes_survive_and_refused_writes_do_not_run(
+    seed: int, tmp_path: Path
+) -> None:
     group = RealGroup(tmp_path, seed)
     for name in ("db0", "db1", "db2"):
         await group.start(name)
@@ -166,7 +171,7 @@
     outcomes, stopped = Outcomes(), asyncio.Event()
     clients = [asyncio.create_task(client(group, outcomes, stopped)) for _ in range(CLIENTS)]
     for _ in range(ROUNDS):
-        await disturb(group)
+        await inject_fault(group)
     stopped.set()
     await asyncio.gather(*clients)
     await group.change_primary()
--- a/tests/test_database_member.py
+++ b/tests/test_database_member.py
@@ -1,4 +1,4 @@
-"""Members of the stand-in group over real sockets: rows, transactions, locks, terms and faults."""
+"""Members of a simulated group over real sockets: SQL, transactions, locks, terms and faults."""
 
 import asyncio
 import contextlib
@@ -24,7 +24,7 @@
         self.members = members
         self.controls = [ControlServer(member, LOOPBACK) for member in members]
 
-    def listed(self) -> str:
+    def endpoint_list(self) -> str:
         return ",".join(_endpoint(member) for member in self.members)
 
     async def promote(self, index: int, term: int, without: tuple[int, ...] = ()) -> None:
@@ -32,7 +32,7 @@
             if number not in without:
                 await self.run(member, f"CALL bramblebeam.promise({term})")
         chosen = self.members[index]
-        await self.run(chosen, f"CALL bramblebeam.promote({term}, '{self.listed()}')")
+        await self.run(chosen, f"CALL bramblebeam.promote({term}, '{self.endpoint_list()}')")
 
     async def run(self, member: DatabaseMember, sql: str) -> Any:
         connection = await connect(member, "control")
@@ -73,12 +73,12 @@
     return await BackendConnection.connect(member.address, user, "", program, 5.0, "depot")
 
 
-async def until(check: Any) -> None:
+async def wait_until(check: Any) -> None:
     for _ in range(2_500):
         if check():
             return
         await asyncio.sleep(0.002)
-    raise AssertionError("the condition did not come true")
+    raise AssertionError("condition not met in time")
 
 
 async def refused(connection: BackendConnection, sql: str) -> int:
@@ -97,7 +97,7 @@
         result = await primary.execute("INSERT INTO t (v) VALUES ('a'), ('it''s \\n')")
         assert (result.affected_rows, result.last_insert_id) == (2, 1)
         assert result.info == "position=1:3"
-        await until(lambda: group.members[1].status().applied.offset == 3)
+        await wait_until(lambda: group.members[1].status().applied.offset == 3)
         replica = await connect(group.members[1])
         rows = (await replica.execute("SELECT id, v FROM t WHERE id > 0 ORDER BY id")).rows
         assert rows == ((1, "a"), (2, "it's \n"))
@@ -113,7 +113,7 @@
         await replica.close()
 
 
-async def test_statements_that_sqlite_spells_otherwise() -> None:
+async def test_mysql_statements_that_sqlite_writes_differently() -> None:
     async with group_of(1) as group:
         await group.promote(0, 1)
         c = await connect(group.members[0])
@@ -140,20 +140,20 @@
         await c.close()
 
 
-async def test_replicated_statements_agree_on_time_and_chance() -> None:
+async def test_replicated_statements_agree_on_time_and_random_values() -> None:
     async with group_of(3) as group:
         await group.promote(0, 1)
         c = await connect(group.members[0])
         await c.execute("CREATE TABLE t (id INT, d DATETIME DEFAULT CURRENT_TIMESTAMP, r REAL)")
         await c.execute("INSERT INTO t (id, r) VALUES (1, RAND()), (UNIX_TIMESTAMP(), RAND())")
-        await until(lambda: all(m.status().applied.offset == 3 for m in group.members))
+        await wait_until(lambda: all(m.status().applied.offset == 3 for m in group.members))
         contents = [m.store._database.execute("SELECT * FROM t").fetchall() for m in group.members]
         assert contents[0] == contents[1] == contents[2]
         assert contents[0][0][1] is not None
         await c.close()
 
 
-async def test_transactions_see_their_own_writes_and_conflict_truthfully() -> None:
+async def test_transactions_see_their_own_writes_and_report_conflicts() -> None:
     async with group_of(3) as group:
         await group.promote(0, 1)
         one, two = await connect(group.members[0]), await connect(group.members[0])
@@ -204,15 +204,15 @@
         assert (await other.execute("SELECT IS_USED_LOCK('owner')")).rows == ((holder.id,),)
         result = await other.execute("SHOW PROCESSLIST")
         names = [column.name for column in result.columns]
-        listed = {row[0]: dict(zip(names, row, strict=True)) for row in result.rows}
-        assert listed[holder.id]["Info"] == "bramblebeam/n1/5"
-        assert listed[holder.id]["User"] == "app"
+        processes = {row[0]: dict(zip(names, row, strict=True)) for row in result.rows}
+        assert processes[holder.id]["Info"] == "bramblebeam/n1/5"
+        assert processes[holder.id]["User"] == "app"
         waiting = asyncio.create_task(other.execute("SELECT GET_LOCK('owner', 5)"))
         control = await connect(member, "control")
         await control.kill(holder.id, query_only=False)
         assert (await waiting).rows == ((1,),)
         sleeping = asyncio.create_task(other.execute("SELECT SLEEP(30)"))
-        await until(lambda: member.sessions[other.id].running.startswith("SELECT SLEEP"))
+        await wait_until(lambda: member.sessions[other.id].running.startswith("SELECT SLEEP"))
         await control.kill(other.id, query_only=True)
         with pytest.raises(StatementError) as killed:
             await sleeping
@@ -220,11 +220,11 @@
         assert await refused(control, "KILL 999999") == 1094
         assert member.journal.statistics()["highest_connections_of_user"]["app"] == 2
         await other.close()
-        await until(lambda: member.locks.holder("owner") is None)
+        await wait_until(lambda: member.locks.holder("owner") is None)
         await control.close()
 
 
-async def test_change_of_primary_and_return_of_the_old_one() -> None:
+async def test_former_primary_rejoins_as_replica_after_a_change_of_primary() -> None:
     async with group_of(3) as group:
         await group.promote(0, 1)
         old = await connect(group.members[0])
@@ -235,13 +235,13 @@
         await asyncio.sleep(0.02)
         await group.promote(1, 2, without=(0,))
         new = await connect(group.members[1])
-        await until(lambda: group.members[1].status().applied.term == 2)
+        await wait_until(lambda: group.members[1].status().applied.term == 2)
         await new.execute("INSERT INTO t VALUES (3)")
         with pytest.raises(StatementError) as lost:
             await uncertain
         assert lost.value.code == 3102
         group.fault(0, cut_peers=[])
-        await until(lambda: group.members[0].status().applied.offset == 5)
+        await wait_until(lambda: group.members[0].status().applied.offset == 5)
         assert (await old.execute("SELECT id FROM t ORDER BY id")).rows == ((1,), (3,))
         assert await refused(old, "INSERT INTO t VALUES (4)") == 3101
         assert await refused(new, "CALL bramblebeam.promise(2)") == 3100
@@ -258,8 +258,8 @@
         assert member.replica.promised == number
         connection = await connect(member)
         await connection.execute(f"CALL bramblebeam.promise({number + 1})")
-        listed = _endpoint(member)
-        await connection.execute(f"CALL bramblebeam.promote({number + 1}, '{listed}')")
+        endpoint = _endpoint(member)
+        await connection.execute(f"CALL bramblebeam.promote({number + 1}, '{endpoint}')")
         if number == 0:
             await connection.execute("CREATE TABLE t (id INT)")
         await connection.execute(f"INSERT INTO t VALUES ({number})")
@@ -271,7 +271,7 @@
             file.write(b"\x83\x02")
 
 
-async def test_cut_clients_hang_and_go_on_when_healed() -> None:
+async def test_cut_clients_hang_and_continue_when_healed() -> None:
     async with group_of(1) as group:
         await group.promote(0, 1)
         member = group.members[0]
@@ -287,7 +287,7 @@
         await connection.close()
 
 
-async def test_control_end_over_http() -> None:
+async def test_control_interface_over_http() -> None:
     async with group_of(1) as group, aiohttp.ClientSession() as http:
         await group.promote(0, 1)
         url = f"http://127.0.0.1:{group.controls[0].address.port}"
--- a/tests/test_database_replica.py
+++ b/tests/test_database_replica.py
@@ -1,4 +1,4 @@
-"""The replicated log under loss, reordering, pauses, restarts and several controllers at once."""
+"""The replicated log under loss, reordering, pauses, restarts and concurrent controllers."""
 
 import heapq
 import itertools
@@ -34,7 +34,7 @@
 
 
 class Disk:
-    """What a member has persisted."""
+    """The persisted state of a member."""
 
     def __init__(self) -> None:
         self.promised = 0
@@ -48,7 +48,7 @@
 
 
 class Cluster:
-    """Members in virtual time on a network with faults, and the record of what they did."""
+    """Members in virtual time on a faulty network, with a record of their effects."""
 
     def __init__(self, size: int, seed: int, loss: float = 0.0, delay: float = 0.002) -> None:
         self.random = random.Random(seed)
@@ -72,13 +72,13 @@
     def post(self, name: NodeId, event: Any, delay: float = 0.0) -> None:
         heapq.heappush(self.queue, (self.now + delay, next(self.order), name, event))
 
-    def ask(self, name: NodeId, make: Any, *arguments: Any) -> int:
+    def request(self, name: NodeId, make: Any, *arguments: Any) -> int:
         token = next(self.tokens)
         self.post(name, make(token, *arguments))
         return token
 
     def propose(self, name: NodeId, value: Any) -> int:
-        token = self.ask(name, Propose, value)
+        token = self.request(name, Propose, value)
         self.proposed[token] = value
         return token
 
@@ -100,16 +100,16 @@
             del self.wakeups[name]
         member = self.members[name]
         for effect in member.handle(event, self.now):
-            self.carry_out(name, effect)
-        due = member.next_wakeup()
-        if due is not None:
-            due = max(due, self.now + 1e-6)
+            self.execute_effect(name, effect)
+        wakeup_at = member.next_wakeup()
+        if wakeup_at is not None:
+            wakeup_at = max(wakeup_at, self.now + 1e-6)
             known = self.wakeups.get(name)
-            if known is None or due < known or known <= self.now:
-                self.wakeups[name] = due
-                heapq.heappush(self.queue, (due, next(self.order), name, Wakeup()))
+            if known is None or wakeup_at < known or known <= self.now:
+                self.wakeups[name] = wakeup_at
+                heapq.heappush(self.queue, (wakeup_at, next(self.order), name, Wakeup()))
 
-    def carry_out(self, name: NodeId, effect: Any) -> None:
+    def execute_effect(self, name: NodeId, effect: Any) -> None:
         if isinstance(effect, DISK_EFFECTS):
             self.disks[name].write(effect)
         elif isinstance(effect, Send):
@@ -143,16 +143,16 @@
         self.members[name] = Replica(name, self.now, disk.promised, disk.entries)
 
     def promote(self, name: NodeId, term: int) -> None:
-        """Promise on all members and promote one, without faults."""
-        tokens = [self.ask(member, PromiseTerm, term) for member in self.names]
+        """Obtain the promises of all members and promote one; requires a healthy network."""
+        tokens = [self.request(member, PromiseTerm, term) for member in self.names]
         self.run(0.001)
         assert all(isinstance(self.answers[token], TermAccepted) for token in tokens)
-        token = self.ask(name, PromoteMember, term, tuple(self.names))
+        token = self.request(name, PromoteMember, term, tuple(self.names))
         self.run(0.02)
         assert isinstance(self.answers[token], TermAccepted)
 
     def check(self) -> None:
-        """No acknowledged write is lost; histories agree; one acknowledging primary a term."""
+        """Check that acknowledged writes are kept, histories agree, and terms have one primary."""
         primaries: dict[int, set[NodeId]] = {}
         for position, (name, value) in self.acknowledged.items():
             primaries.setdefault(position.term, set()).add(name)
@@ -197,7 +197,7 @@
     cluster.check()
 
 
-def test_promise_ends_the_old_primary_and_its_tail_is_dropped() -> None:
+def test_promise_ends_the_old_primary_and_its_uncommitted_entries_are_dropped() -> None:
     cluster = Cluster(3, seed=1)
     first, second, third = cluster.names
     cluster.promote(first, 1)
@@ -207,9 +207,9 @@
     lost = cluster.propose(first, "lost")
     cluster.run(0.01)
     for member in (second, third):
-        cluster.ask(member, PromiseTerm, 2)
+        cluster.request(member, PromiseTerm, 2)
     cluster.run(0.01)
-    cluster.ask(second, PromoteMember, 2, tuple(cluster.names))
+    cluster.request(second, PromoteMember, 2, tuple(cluster.names))
     after = cluster.propose(second, "after")
     cluster.run(0.05)
     assert isinstance(cluster.answers[after], Acknowledged)
@@ -224,7 +224,7 @@
     cluster.check()
 
 
-def test_commands_out_of_turn_are_refused() -> None:
+def test_stale_commands_are_refused() -> None:
     cluster = Cluster(3, seed=1)
     first, second, _ = cluster.names
     cluster.promote(first, 3)
@@ -236,32 +236,32 @@
         (second, FollowPrimary, (2, first)),
         (first, FollowPrimary, (3, second)),
     ):
-        token = cluster.ask(name, make, *arguments)
+        token = cluster.request(name, make, *arguments)
         cluster.run(0.001)
         assert cluster.answers[token].code is RefusalCode.TERM_TAKEN
-    again = cluster.ask(first, PromoteMember, 3, tuple(cluster.names))
+    again = cluster.request(first, PromoteMember, 3, tuple(cluster.names))
     cluster.run(0.001)
     assert isinstance(cluster.answers[again], TermAccepted)
 
 
-def test_confirm_needs_a_round_begun_after_the_question() -> None:
+def test_confirm_needs_a_round_started_after_the_request() -> None:
     cluster = Cluster(3, seed=1)
     first, second, third = cluster.names
     cluster.promote(first, 1)
     write = cluster.propose(first, "a")
-    question = cluster.ask(first, ConfirmPosition)
+    confirmation = cluster.request(first, ConfirmPosition)
     cluster.run(0.1)
     assert isinstance(cluster.answers[write], Acknowledged)
-    assert cluster.answers[question].position >= Position(1, 2)
+    assert cluster.answers[confirmation].position >= Position(1, 2)
     cluster.cut = {(first, second), (first, third)}
-    unanswered = cluster.ask(first, ConfirmPosition)
+    unanswered = cluster.request(first, ConfirmPosition)
     cluster.run(1.0)
     assert unanswered not in cluster.answers
     cluster.run(1.5)
     assert cluster.answers[unanswered].code is RefusalCode.NOT_PRIMARY
 
 
-def test_lag_delays_applying_and_shows_as_staleness() -> None:
+def test_lag_delays_applying_and_is_reported_as_staleness() -> None:
     cluster = Cluster(3, seed=1)
     first, second, _ = cluster.names
     cluster.promote(first, 1)
@@ -277,7 +277,7 @@
     assert cluster.members[second].status(cluster.now).lag < 0.2
 
 
-def test_paused_writes_wait_and_are_refused_as_not_run_by_a_change() -> None:
+def test_paused_writes_wait_and_a_change_of_primary_refuses_them() -> None:
     cluster = Cluster(3, seed=1)
     first = cluster.names[0]
     cluster.promote(first, 1)
@@ -290,7 +290,7 @@
     cluster.post(first, PauseWrites(5.0))
     refused = cluster.propose(first, "b")
     cluster.run(0.1)
-    cluster.ask(first, PromiseTerm, 2)
+    cluster.request(first, PromiseTerm, 2)
     cluster.run(0.1)
     assert cluster.answers[refused].code is RefusalCode.NOT_PRIMARY
 
@@ -315,89 +315,94 @@
 
 
 class Controller:
-    """Changes the primary by the rules, one step at a time, with answers that may be late."""
+    """Changes the primary, one protocol step per call; answers may arrive between steps or later.
 
-    def __init__(self, cluster: Cluster, obey: bool = True) -> None:
+    Without `follow_protocol` it promotes the member with the lowest last position.
+    """
+
+    def __init__(self, cluster: Cluster, follow_protocol: bool = True) -> None:
         self.cluster = cluster
-        self.obey = obey
+        self.follow_protocol = follow_protocol
         self.term = 0
-        self.asked: dict[NodeId, int] = {}
+        self.requested: dict[NodeId, int] = {}
         self.promoting = False
 
     def step(self) -> None:
         cluster = self.cluster
-        if not self.asked:
-            seen = max(member.promised for member in cluster.members.values())
-            self.term = seen + cluster.random.randint(1, 2)
+        if not self.requested:
+            highest = max(member.promised for member in cluster.members.values())
+            self.term = highest + cluster.random.randint(1, 2)
             self.promoting = False
             for name in cluster.names:
                 if cluster.random.random() < 0.8:
-                    self.asked[name] = cluster.ask(name, PromiseTerm, self.term)
+                    self.requested[name] = cluster.request(name, PromiseTerm, self.term)
             return
         granted = [
             name
-            for name, token in self.asked.items()
+            for name, token in self.requested.items()
             if isinstance(cluster.answers.get(token), TermAccepted)
         ]
         needed = len(cluster.names) // 2 + 1
         if not self.promoting and len(granted) >= needed:
-            choose = max if self.obey else min
-            best = choose(granted, key=lambda name: cluster.promises[self.asked[name]])
-            cluster.ask(best, PromoteMember, self.term, tuple(cluster.names))
+            choose = max if self.follow_protocol else min
+            candidate = choose(granted, key=lambda name: cluster.promises[self.requested[name]])
+            cluster.request(candidate, PromoteMember, self.term, tuple(cluster.names))
             self.promoting = True
         else:
-            self.asked = {}
+            self.requested = {}
 
 
 class ControlledCluster(Cluster):
-    """Also keeps the last position that each promise was answered with."""
+    """Also records the member's last position at each accepted command."""
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
         super().__init__(*arguments, **options)
         self.promises: dict[int, Position] = {}
 
-    def carry_out(self, name: NodeId, effect: Any) -> None:
-        super().carry_out(name, effect)
+    def execute_effect(self, name: NodeId, effect: Any) -> None:
+        super().execute_effect(name, effect)
         if isinstance(effect, TermAccepted):
             self.promises[effect.token] = self.members[name].log.last
 
 
-def run_adversity(seed: int, steps: int, obey: bool) -> ControlledCluster:
-    chance = random.Random(seed)
-    cluster = ControlledCluster(chance.choice((3, 3, 5)), seed, chance.choice((0.0, 0.05, 0.3)))
-    controllers = [Controller(cluster, obey) for _ in range(3)]
+def run_with_faults(seed: int, steps: int, follow_protocol: bool) -> ControlledCluster:
+    generator = random.Random(seed)
+    cluster = ControlledCluster(
+        generator.choice((3, 3, 5)), seed, generator.choice((0.0, 0.05, 0.3))
+    )
+    controllers = [Controller(cluster, follow_protocol) for _ in range(3)]
     for step in range(steps):
-        cluster.run(chance.uniform(0.0, 0.06))
-        action = chance.random()
-        name = chance.choice(cluster.names)
+        cluster.run(generator.uniform(0.0, 0.06))
+        action = generator.random()
+        name = generator.choice(cluster.names)
         if action < 0.55:
             for target in cluster.names:
                 if cluster.members[target].role is Role.PRIMARY:
                     cluster.propose(target, step)
         elif action < 0.72:
-            chance.choice(controllers).step()
+            generator.choice(controllers).step()
         elif action < 0.80:
-            cluster.paused[name] = cluster.now + chance.uniform(0.0, 0.5)
+            cluster.paused[name] = cluster.now + generator.uniform(0.0, 0.5)
         elif action < 0.86:
-            cluster.cut = {(name, other) for other in cluster.names if chance.random() < 0.7}
-            cluster.cut |= {(other, name) for other in cluster.names if chance.random() < 0.7}
+            cluster.cut = {(name, other) for other in cluster.names if generator.random() < 0.7}
+            cluster.cut |= {(other, name) for other in cluster.names if generator.random() < 0.7}
         elif action < 0.92:
             cluster.cut = set()
         elif action < 0.95:
             cluster.restart(name)
         elif action < 0.97:
-            cluster.post(name, SetLag(chance.choice((0.0, 0.3))))
+            cluster.post(name, SetLag(generator.choice((0.0, 0.3))))
         else:
-            cluster.ask(name, ConfirmPosition)
+            cluster.request(name, ConfirmPosition)
         cluster.check()
     return cluster
 
 
-def test_adversity_keeps_every_acknowledged_write() -> None:
+def test_faults_keep_every_acknowledged_write() -> None:
     acknowledged = 0
     terms: set[int] = set()
     for seed in range(60):
-        cluster = run_adversity(seed, steps=150, obey=True)
+        cluster = run_with_faults(seed, steps=150, follow_protocol=True)
         cluster.cut = set()
         cluster.paused = {}
         cluster.loss = 0.0
@@ -417,7 +422,7 @@
     assert len(terms) > 10
 
 
-def test_choosing_the_wrong_member_is_seen() -> None:
+def test_promoting_the_wrong_member_is_detected() -> None:
     with pytest.raises(AssertionError):
         for seed in range(60):
-            run_adversity(seed, steps=150, obey=False)
+            run_with_faults(seed, steps=150, follow_protocol=False)
--- a/tests/test_database_sql.py
+++ b/tests/test_database_sql.py
@@ -1,4 +1,4 @@
-"""Literals of prepared statements, and the translation of statements for the stand-in's rows."""
+"""Literals of prepared statements, and the translation of MySQL statements to SQLite."""
 
 import re
 import struct
@@ -30,7 +30,7 @@
 
 @settings(max_examples=300)
 @given(st.lists(VALUES, max_size=5))
-def test_bound_values_are_read_back_and_never_change_the_statement(values: list[Any]) -> None:
+def test_bound_values_round_trip_and_do_not_change_the_statement(values: list[Any]) -> None:
     sql = "UPDATE t SET a = '?'" + "".join(f", c{index} = ?" for index in range(len(values)))
     statement = PreparedStatement(1, split_at_placeholders(sql))
     assert statement.parameter_count == len(values)
@@ -50,26 +50,26 @@
     assert [shape.parameters for shape in shapes] == [(first, 5), (second, 5)]
 
 
-def bind(type_code: int, value: bytes) -> Any:
+def read_bound_value(type_code: int, value: bytes) -> Any:
     packet = b"\0\1" + bytes([type_code, 0]) + value
     return read_parameters(PacketReader(packet), 1, "utf-8", False, None)[0][1]
 
 
 @pytest.mark.parametrize("value", [float("inf"), float("nan")])
-def test_reals_that_are_no_numbers_are_refused(value: float) -> None:
+def test_non_finite_doubles_are_refused(value: float) -> None:
     with pytest.raises(MalformedPacketError):
-        bind(DOUBLE, struct.pack("<d", value))
+        read_bound_value(DOUBLE, struct.pack("<d", value))
 
 
 @pytest.mark.parametrize("text", ["1 OR 1=1", "", "1_0", "٣", "1)--", "nan"])
-def test_decimals_that_are_no_numbers_are_refused(text: str) -> None:
+def test_invalid_decimals_are_refused(text: str) -> None:
     data = text.encode()
     with pytest.raises(MalformedPacketError):
-        bind(NEWDECIMAL, bytes([len(data)]) + data)
+        read_bound_value(NEWDECIMAL, bytes([len(data)]) + data)
 
 
 def test_decimals_keep_their_digits() -> None:
-    assert sql_literal(bind(NEWDECIMAL, b"\x06-12.50")) == "-12.50"
+    assert sql_literal(read_bound_value(NEWDECIMAL, b"\x06-12.50")) == "-12.50"
 
 
 @pytest.mark.parametrize(
@@ -96,7 +96,7 @@
     assert translate(shape_of(mysql).text).sql == sqlite
 
 
-def test_what_is_not_one_statement_is_refused() -> None:
+def test_invalid_or_multiple_statements_are_refused() -> None:
     for sql in ("SELECT 1; DELETE FROM t", "SELECT a FROM t WHERE (", "INSERT INTO t VALUES (1"):
         with pytest.raises(CallerError) as refused:
             translate(shape_of(sql).text)
--- a/tests/test_lab_judge.py
+++ b/tests/test_lab_judge.py
@@ -1,4 +1,4 @@
-"""Each judge reports a small bad history and passes the good one that resembles it."""
+"""Each judge accepts a valid history and reports a violation added to it."""
 
 import dataclasses
 from pathlib import Path
@@ -40,8 +40,8 @@
     return BackendCommitted(1.0, instance, "g", term, offset, value)
 
 
-def good() -> list[object]:
-    """Every kind of observation, and nothing wrong."""
+def valid_history() -> list[object]:
+    """Return a history with every type of observation and no violation."""
     return [
         NodeStarted(0.0, "n1"),
         StalenessBound(0.0, "g", 10_000),
@@ -79,7 +79,7 @@
     ]
 
 
-BAD: dict[str, tuple[str, list[object]]] = {
+VIOLATIONS: dict[str, tuple[str, list[object]]] = {
     "a read misses the session's own write": (
         "read_your_writes",
         [sent(6.0, "b1", "read"), answered(6.1, "b1", key="k")],
@@ -213,26 +213,26 @@
 }
 
 
-def test_a_good_history_passes_and_puts_each_invariant_to_the_test() -> None:
-    history = History(good())
+def test_valid_history_passes_and_exercises_each_invariant() -> None:
+    history = History(valid_history())
     assert judge(history) == []
     assert all(examined(history).values())
     assert set(examined(history)) == set(INVARIANTS)
 
 
-@pytest.mark.parametrize("name", BAD)
-def test_a_bad_history_is_reported(name: str) -> None:
-    invariant, records = BAD[name]
-    violations = judge(History([*good(), *records]))
+@pytest.mark.parametrize("name", VIOLATIONS)
+def test_violation_is_reported(name: str) -> None:
+    invariant, records = VIOLATIONS[name]
+    violations = judge(History([*valid_history(), *records]))
     assert {violation.invariant for violation in violations} == {invariant}
     assert counts(violations)[invariant] == len(violations)
 
 
-def test_every_invariant_has_a_bad_history() -> None:
-    assert {invariant for invariant, _ in BAD.values()} == set(INVARIANTS)
+def test_every_invariant_has_a_violating_history() -> None:
+    assert {invariant for invariant, _ in VIOLATIONS.values()} == set(INVARIANTS)
 
 
-def test_a_read_within_its_bound_may_miss_a_write() -> None:
+def test_read_may_miss_a_write_within_its_staleness_bound() -> None:
     records = [
         sent(6.0, "b1", "write", value="w9"),
         BackendAcknowledged(6.05, "a", "g", 1, 9, "w9"),
@@ -241,19 +241,19 @@
         sent(16.0, "b2", "read", session="s2"),
         answered(16.2, "b2", session="s2", key="k", value="w1", rows=1, expected_rows=1),
     ]
-    assert judge(History([*good(), *records])) == []
+    assert judge(History([*valid_history(), *records])) == []
 
 
-def test_a_node_that_is_cut_off_has_its_time_after_the_cut() -> None:
+def test_in_force_bound_starts_after_a_cut_ends() -> None:
     records = [NodeStarted(0.0, "n2"), NodeCut(2.0, "n2"), NodeCut(20.0, "n2", cut=False)]
     in_time = RowInForce(28.9, "n2", "limit/x", 4)
     late = dataclasses.replace(in_time, time=29.1)
-    assert judge(History([*good(), *records, in_time])) == []
-    assert len(judge(History([*good(), *records, late]))) == 1
+    assert judge(History([*valid_history(), *records, in_time])) == []
+    assert len(judge(History([*valid_history(), *records, late]))) == 1
 
 
-def test_a_history_survives_its_file(tmp_path: Path) -> None:
+def test_history_round_trips_through_its_file(tmp_path: Path) -> None:
     path = tmp_path / "history.jsonl"
-    history = History(good())
+    history = History(valid_history())
     write_history(path, history)
     assert list(read_history(path)) == list(history)
