--- a/src/bramblebeam/lab/configuration/faults.py
+++ b/src/bramblebeam/lab/configuration/faults.py
@@ -4,8 +4,8 @@
 
 from bramblebeam.lab.configuration.world import World
 
-LOSS = 0.02
-LOST_ANSWERS = 0.05
+MESSAGE_LOSS_FRACTION = 0.02
+LOST_ANSWER_FRACTION = 0.05
 STORE_DOWN_SECONDS = 30.0
 STORE_SLOW_SECONDS = 10.0
 STORE_DELAY_SECONDS = 3.0
@@ -17,8 +17,8 @@
 
 def schedule_faults(world: World, seconds: float) -> None:
     """Schedule every type of fault repeatedly over `seconds` of virtual time."""
-    world.loss = LOSS
-    world.store.lost = LOST_ANSWERS
+    world.loss = MESSAGE_LOSS_FRACTION
+    world.store.lost = LOST_ANSWER_FRACTION
     periods: tuple[tuple[float, float, Callable[[World], None]], ...] = (
         (150.0, STORE_DOWN_SECONDS, _store_down),
         (110.0, STORE_SLOW_SECONDS, _store_slow),
--- a/src/bramblebeam/lab/configuration/process_faults.py
+++ b/src/bramblebeam/lab/configuration/process_faults.py
@@ -8,10 +8,10 @@
 
 from bramblebeam.lab.processes import LabProcess
 
-CHECK_SECONDS = 0.3
-FAULT_PAUSE_SECONDS = 2.0
+CHECK_INTERVAL_SECONDS = 0.3
+FAULT_INTERVAL_SECONDS = 2.0
 NODE_PAUSE_SECONDS = 2.0
-NODE_DEAD_SECONDS = 3.0
+NODE_DOWN_SECONDS = 3.0
 STORE_DOWN_SECONDS = 6.0
 STORE_SLOW_SECONDS = 4.0
 STORE_DELAY_MS = 2_500
@@ -52,7 +52,7 @@
                 except (aiohttp.ClientError, TimeoutError, KeyError):
                     continue
                 self._compare(admin, versions)
-            await asyncio.sleep(CHECK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     async def count_outdated_rows(self) -> int:
         """Count the rows that are older at a node than the last accepted version."""
@@ -77,7 +77,7 @@
     faults = (_store_down, _store_slow, _lose_answers, _cut_watches, _compact, _pause, _restart)
     while not ended.is_set():
         await random.choice(faults)(bench, random)
-        await asyncio.sleep(FAULT_PAUSE_SECONDS)
+        await asyncio.sleep(FAULT_INTERVAL_SECONDS)
 
 
 async def _set_faults(bench: FaultyBench, **faults: Any) -> None:
@@ -125,5 +125,5 @@
     process = bench.nodes[f"node-{number}"]
     process.kill()
     await process.wait()
-    await asyncio.sleep(NODE_DEAD_SECONDS)
+    await asyncio.sleep(NODE_DOWN_SECONDS)
     await bench.start_node(number)
--- a/src/bramblebeam/lab/configuration/processes.py
+++ b/src/bramblebeam/lab/configuration/processes.py
@@ -1,4 +1,4 @@
-"""Edits through the HTTP API of real node processes on loopback, with the simulated platform.
+"""Edits through the HTTP API of real node processes on loopback, with the stand-in platform.
 
 Prints as JSON the time from acceptance of an edit to confirmation that it is in force at every
 node, and the number of watches that the store counted.
@@ -22,9 +22,9 @@
 from bramblebeam.lab.processes import LabProcess, ProcessGroup, process_group
 
 ROWS = 20
-READY_SECONDS = 30.0
-CONFIRM_SECONDS = 20.0
-POLL_SECONDS = 0.01
+READY_TIMEOUT_SECONDS = 30.0
+CONFIRM_TIMEOUT_SECONDS = 20.0
+POLL_INTERVAL_SECONDS = 0.01
 REQUEST_TIMEOUT = aiohttp.ClientTimeout(total=12.0)
 SEEDS = 3
 SETTLE_SECONDS = 6.0
@@ -90,7 +90,7 @@
 
         Raises NotReadyError with the status of the last node queried.
         """
-        until = time.monotonic() + READY_SECONDS
+        until = time.monotonic() + READY_TIMEOUT_SECONDS
         for admin in self.admins.values():
             while not self._is_ready(status := await self.get(f"{admin}/api/v1/status")):
                 if time.monotonic() > until:
@@ -132,7 +132,7 @@
     async def _confirm(self, version: int) -> None:
         """Poll a responding node until the version is in force everywhere, and record the delay."""
         began = time.monotonic()
-        while time.monotonic() - began < CONFIRM_SECONDS:
+        while time.monotonic() - began < CONFIRM_TIMEOUT_SECONDS:
             for admin in list(self.admins.values()):
                 try:
                     found = await self.get(f"{admin}/api/v1/in-force?version={version}")
@@ -142,8 +142,8 @@
                     self.delays.append((time.monotonic() - began) * 1000)
                     return
                 break
-            await asyncio.sleep(POLL_SECONDS)
-        self.delays.append(CONFIRM_SECONDS * 1000)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
+        self.delays.append(CONFIRM_TIMEOUT_SECONDS * 1000)
 
     async def versions(self, admin: str) -> dict[str, int]:
         """Return the version of each row in force at a node."""
--- a/src/bramblebeam/lab/configuration/trial.py
+++ b/src/bramblebeam/lab/configuration/trial.py
@@ -22,11 +22,11 @@
 from bramblebeam.lab.configuration.world import World, WorldNode
 
 ROWS = 50
-DELETIONS = 0.2
+DELETION_FRACTION = 0.2
 """Fraction of the edits that delete the row."""
 
-EDIT_SECONDS = 8.0
-SPREAD_SECONDS = 3.0
+EDIT_DEADLINE_SECONDS = 8.0
+PROPAGATION_SECONDS = 3.0
 """A node that becomes ready must have edits accepted longer ago than this."""
 
 SETTLE_SECONDS = 20.0
@@ -97,14 +97,16 @@
         key = RowKey("weight", f"row-{world.random.randrange(ROWS)}")
         in_force = node.relay.table.get(key)
         spec = (
-            "" if in_force and in_force.spec and world.random.random() < DELETIONS else f"{number}"
+            ""
+            if in_force and in_force.spec and world.random.random() < DELETION_FRACTION
+            else f"{number}"
         )
         expected = in_force.version if in_force and in_force.spec else 0
         if not spec and not expected:
             return
         edit = EditRow(key, expected, spec, f"change-{number}")
         version = in_force.version if in_force else 0
-        machine = EditMachine(edit, version, world.clock.now + EDIT_SECONDS)
+        machine = EditMachine(edit, version, world.clock.now + EDIT_DEADLINE_SECONDS)
         self._drive(node, edit, machine, machine.begin())
 
     def _drive(
@@ -160,7 +162,7 @@
         for accepted in self.accepted:
             others = [other for other in self.world.nodes.values() if _serves(other)]
             everywhere = all(other.name in accepted.applied for other in others if other != node)
-            old = self.world.clock.now - accepted.at > SPREAD_SECONDS
+            old = self.world.clock.now - accepted.at > PROPAGATION_SECONDS
             if everywhere and old and self._lacks(node, accepted.row):
                 self.reverted += 1
 
--- a/src/bramblebeam/lab/configuration/world.py
+++ b/src/bramblebeam/lab/configuration/world.py
@@ -22,11 +22,11 @@
 from bramblebeam.lab.configuration.clock import VirtualClock
 from bramblebeam.lab.configuration.store_model import StoreModel
 
-ZONE_LATENCY = 0.0005
-REGION_LATENCY = 0.0015
-REMOTE_LATENCY = 0.020
-ZONES_A_REGION = 3
-DETECTION_SECONDS = 3.0
+ZONE_LATENCY_SECONDS = 0.0005
+REGION_LATENCY_SECONDS = 0.0015
+REMOTE_LATENCY_SECONDS = 0.020
+ZONES_PER_REGION = 3
+FAILURE_DETECTION_SECONDS = 3.0
 """Delay until the members detect that a node died."""
 
 STORE_CUT_DETECTION_SECONDS = 2.0
@@ -124,7 +124,7 @@
         node.waiting.clear()
         self._begin_absence(node, "restart")
         self.store.end_watch(node.name)
-        self.clock.after(DETECTION_SECONDS, self.publish_members)
+        self.clock.after(FAILURE_DETECTION_SECONDS, self.publish_members)
 
     def restart(self, node: WorldNode) -> None:
         """Start a new incarnation of a node, without state."""
@@ -210,9 +210,9 @@
 
     def _latency(self, one: ZoneId, other: ZoneId) -> float:
         if one == other:
-            return ZONE_LATENCY
-        same_region = int(one[-2:]) // ZONES_A_REGION == int(other[-2:]) // ZONES_A_REGION
-        return REGION_LATENCY if same_region else REMOTE_LATENCY
+            return ZONE_LATENCY_SECONDS
+        same_region = int(one[-2:]) // ZONES_PER_REGION == int(other[-2:]) // ZONES_PER_REGION
+        return REGION_LATENCY_SECONDS if same_region else REMOTE_LATENCY_SECONDS
 
     def _set_wakeup(self, node: WorldNode) -> None:
         due = node.relay.next_wakeup()
--- a/src/bramblebeam/lab/database/information.py
+++ b/src/bramblebeam/lab/database/information.py
@@ -30,7 +30,7 @@
 }
 
 
-def with_variables(sql: str, autocommit: bool) -> str:
+def substitute_variables(sql: str, autocommit: bool) -> str:
     """Replace system variables in a statement by their values. Raises CallerError 1193."""
 
     def value(match: re.Match[str]) -> str:
--- a/src/bramblebeam/lab/database/member.py
+++ b/src/bramblebeam/lab/database/member.py
@@ -1,4 +1,4 @@
-"""One member of the simulated group: replicated log, rows, peer links and MySQL listener."""
+"""One member of the stand-in group: replicated log, rows, peer links and MySQL listener."""
 
 import asyncio
 import itertools
--- a/src/bramblebeam/lab/database/peers.py
+++ b/src/bramblebeam/lab/database/peers.py
@@ -13,7 +13,7 @@
 logger = logging.getLogger(__name__)
 
 CODEC = Codec({1: Append, 2: AppendReply})
-EVERYBODY = "*"
+ALL_MEMBERS = "*"
 RECONNECT_SECONDS = 0.05
 CONNECT_TIMEOUT_SECONDS = 1.0
 MAXIMUM_BUFFERED_BYTES = 32 * 1024 * 1024
@@ -145,7 +145,7 @@
             self._deliver(sender, message)
 
     def _is_cut(self, member: MemberId) -> bool:
-        return member in self.cut or EVERYBODY in self.cut
+        return member in self.cut or ALL_MEMBERS in self.cut
 
     def _send_now(self, to: MemberId, message: Any) -> None:
         if isinstance(message, AppendReply):
--- a/src/bramblebeam/lab/database/primary.py
+++ b/src/bramblebeam/lab/database/primary.py
@@ -34,7 +34,7 @@
 ISOLATION_SECONDS = 0.5
 """Without replies from a majority for this long, writes are refused before they are appended."""
 
-CONTACT_FRESH_SECONDS = 3 * HEARTBEAT_SECONDS
+RECENT_CONTACT_SECONDS = 3 * HEARTBEAT_SECONDS
 ENTRIES_PER_APPEND = 500
 
 Effects = list[Any]
--- a/src/bramblebeam/lab/database/progress.py
+++ b/src/bramblebeam/lab/database/progress.py
@@ -30,22 +30,24 @@
         """Number of members in a majority, including the primary."""
         return (len(self.members) + 1) // 2 + 1
 
-    def reached(self, values: Iterable[float], own: float) -> float:
+    def majority_value(self, values: Iterable[float], own: float) -> float:
         """Return the highest value that a majority has reached, counting the primary's `own`."""
         ranked = sorted([own, *values], reverse=True)
         return ranked[self.majority - 1]
 
     def match(self, own_last: int) -> int:
         """Return the offset up to which a majority holds the primary's log."""
-        return int(self.reached((m.match for m in self.members.values()), own_last))
+        return int(self.majority_value((m.match for m in self.members.values()), own_last))
 
     def answered_round(self, own_round: int) -> int:
         """Return the latest round that a majority answered."""
-        return int(self.reached((m.answered_round for m in self.members.values()), own_round))
+        return int(
+            self.majority_value((m.answered_round for m in self.members.values()), own_round)
+        )
 
     def majority_contact_at(self, now: float) -> float:
         """Return the time (seconds) up to which a majority has replied."""
-        return self.reached((m.answered_at for m in self.members.values()), now)
+        return self.majority_value((m.answered_at for m in self.members.values()), now)
 
     def record_reply(
         self, sender: MemberId, reply: AppendReply, now: float
--- a/src/bramblebeam/lab/database/replica.py
+++ b/src/bramblebeam/lab/database/replica.py
@@ -35,7 +35,7 @@
     SetLeaving,
     TermAccepted,
 )
-from bramblebeam.lab.database.primary import CONTACT_FRESH_SECONDS, Effects, Primary, not_primary
+from bramblebeam.lab.database.primary import RECENT_CONTACT_SECONDS, Effects, Primary, not_primary
 
 
 class Replica:
@@ -277,4 +277,4 @@
         if self._primary_state is None:
             return max(0.0, now - self._contact_at)
         age = self._primary_state.contact_age(now)
-        return 0.0 if age <= CONTACT_FRESH_SECONDS else age
+        return 0.0 if age <= RECENT_CONTACT_SECONDS else age
--- a/src/bramblebeam/lab/database/session.py
+++ b/src/bramblebeam/lab/database/session.py
@@ -20,7 +20,7 @@
 from bramblebeam.lab.database.information import (
     process_list,
     wait_for_sleep_and_locks,
-    with_variables,
+    substitute_variables,
 )
 from bramblebeam.lab.database.messages import RefusalCode
 from bramblebeam.lab.database.operations import Batch, Operation
@@ -109,7 +109,7 @@
         self.member.locks.release_all(self.info.id)
 
     async def closed(self) -> None:
-        """Roll back and release the locks, but not while clients are cut off."""
+        """Roll back and release the locks; delayed while clients are cut off."""
         await self._wait_until_reachable()
         self._discard_transaction()
         if self._opened:
@@ -170,7 +170,7 @@
         await wait_for_sleep_and_locks(sql, self.member.locks, self.info.id)
         if _LOCKING_READ.search(sql):
             self._lock_rows(sql)
-        sql = with_variables(sql, self._autocommit)
+        sql = substitute_variables(sql, self._autocommit)
         before = self._transaction.preceding_operations if self._transaction is not None else ()
         return self._rows(self.member.store.read(sql, self, time.time(), before))
 
@@ -262,7 +262,7 @@
     async def _kill(self, sql: str) -> OkResult:
         match = _KILL.match(sql)
         if match is None:
-            raise CallerError(1064, "42000", "KILL requires a connection id")
+            raise CallerError(1064, "42000", "KILL needs a connection id")
         connection_id = int(match.group(2))
         query_only = (match.group(1) or "").upper() == "QUERY"
         if connection_id == self.info.id and query_only:
--- a/src/bramblebeam/lab/platform/faults.py
+++ b/src/bramblebeam/lab/platform/faults.py
@@ -1,4 +1,4 @@
-"""Fault settings and statistics of the simulated platform."""
+"""Fault settings and statistics of the stand-in platform."""
 
 from pydantic import BaseModel, ConfigDict, Field
 
--- a/src/bramblebeam/lab/platform/server.py
+++ b/src/bramblebeam/lab/platform/server.py
@@ -1,4 +1,4 @@
-"""HTTP server of the simulated platform: objects, watches, machine list and fault control."""
+"""HTTP server of the stand-in platform: objects, watches, machine list and fault control."""
 
 import asyncio
 import json
@@ -36,7 +36,7 @@
 
 
 class PlatformServer:
-    """A simulated platform on a loopback port."""
+    """A stand-in platform on a loopback port."""
 
     def __init__(self, store: ObjectStore | None = None) -> None:
         self.store = store or ObjectStore()
--- a/src/bramblebeam/lab/platform/store.py
+++ b/src/bramblebeam/lab/platform/store.py
@@ -1,4 +1,4 @@
-"""The objects of the simulated platform, without I/O.
+"""The objects of the stand-in platform, without I/O.
 
 One version counter serves the whole store and only a restore decreases it. Watches read a bounded
 history of changes; a watch from a version older than the history fails with `CompactedError`.
--- a/tests/test_database_member.py
+++ b/tests/test_database_member.py
@@ -1,4 +1,4 @@
-"""Members of a simulated group over real sockets: SQL, transactions, locks, terms and faults."""
+"""Members of a stand-in group over real sockets: SQL, transactions, locks, terms and faults."""
 
 import asyncio
 import contextlib
