--- a/src/bramblebeam/lab/database/session.py
+++ b/src/bramblebeam/lab/database/session.py
@@ -19,8 +19,8 @@
 from bramblebeam.lab.database.columns import columns_of
 from bramblebeam.lab.database.information import (
     process_list,
-    wait_for_sleep_and_locks,
     substitute_variables,
+    wait_for_sleep_and_locks,
 )
 from bramblebeam.lab.database.messages import RefusalCode
 from bramblebeam.lab.database.operations import Batch, Operation
--- a/src/bramblebeam/lab/platform/__init__.py
+++ b/src/bramblebeam/lab/platform/__init__.py
@@ -1,1 +1,1 @@
-"""A stand-in for the platform object store with versions, conflicts, watches and injected faults."""
+"""A stand-in for the platform object store, with versions, conflicts, watches and faults."""
