--- a/src/bramblebeam/lab/judge/judge.py
+++ b/src/bramblebeam/lab/judge/judge.py
@@ -33,7 +33,7 @@
     return [violation for judge_one in _JUDGES.values() for violation in judge_one(index)]
 
 
-def counts(violations: Iterable[Violation]) -> dict[str, int]:
+def count_violations(violations: Iterable[Violation]) -> dict[str, int]:
     """Return the number of violations of each invariant, including those with none."""
     found = Counter(violation.invariant for violation in violations)
     return {invariant: found[invariant] for invariant in INVARIANTS}
--- a/src/bramblebeam/lab/run.py
+++ b/src/bramblebeam/lab/run.py
@@ -15,7 +15,7 @@
 from bramblebeam.lab.faults import FaultInjector
 from bramblebeam.lab.history import History, write_history
 from bramblebeam.lab.history.records import RunEnded
-from bramblebeam.lab.judge import counts, examined, judge
+from bramblebeam.lab.judge import count_violations, examined, judge
 from bramblebeam.lab.load import LoadGenerator
 from bramblebeam.lab.measures import (
     delays,
@@ -104,7 +104,7 @@
             mode="processes",
             nodes=len(self.scenario.topology.nodes),
             statements=self.load.statements,
-            invariant_violations=counts(violations),
+            invariant_violations=count_violations(violations),
             replica_read_share=replica_read_share(reads),
             failover_gap_ms=failover_gaps(self.history),
             config_in_force_ms=delays(in_force),
--- a/src/bramblebeam/lab/simulator/run.py
+++ b/src/bramblebeam/lab/simulator/run.py
@@ -14,7 +14,7 @@
 
 from bramblebeam.lab.history import History
 from bramblebeam.lab.history.records import NodeStarted, RunEnded
-from bramblebeam.lab.judge import Violation, counts, examined, judge
+from bramblebeam.lab.judge import Violation, count_violations, examined, judge
 from bramblebeam.lab.load import LoadGenerator
 from bramblebeam.lab.measures import (
     delays,
@@ -163,7 +163,7 @@
             mode="simulator",
             nodes=len(self.scenario.topology.nodes),
             statements=load.statements,
-            invariant_violations=counts(violations),
+            invariant_violations=count_violations(violations),
             replica_read_share=replica_read_share(reads),
             failover_gap_ms=failover_gaps(self.history),
             config_in_force_ms=delays(in_force),
--- a/tests/test_lab_judge.py
+++ b/tests/test_lab_judge.py
@@ -23,7 +23,7 @@
     RunEnded,
     StalenessBound,
 )
-from bramblebeam.lab.judge import INVARIANTS, counts, examined, judge
+from bramblebeam.lab.judge import INVARIANTS, count_violations, examined, judge
 
 
 def sent(time: float, request: str, operation: str, **fields: str) -> RequestSent:
@@ -225,7 +225,7 @@
     invariant, records = VIOLATIONS[name]
     violations = judge(History([*valid_history(), *records]))
     assert {violation.invariant for violation in violations} == {invariant}
-    assert counts(violations)[invariant] == len(violations)
+    assert count_violations(violations)[invariant] == len(violations)
 
 
 def test_every_invariant_has_a_violating_history() -> None:
