--- a/src/bramblebeam/lab/judge/judge.py
+++ b/src/bramblebeam/lab/judge/judge.py
@@ -39,7 +39,7 @@
     return {invariant: found[invariant] for invariant in INVARIANTS}
 
 
-def examined(history: History) -> dict[str, int]:
+def count_observations(history: History) -> dict[str, int]:
     """Return the number of relevant observations per invariant (0: it was not exercised)."""
     index = HistoryIndex(history)
     ended = [exchange for exchange in index.exchanges.values() if exchange.answers]
--- a/src/bramblebeam/lab/run.py
+++ b/src/bramblebeam/lab/run.py
@@ -15,7 +15,7 @@
 from bramblebeam.lab.faults import FaultInjector
 from bramblebeam.lab.history import History, write_history
 from bramblebeam.lab.history.records import RunEnded
-from bramblebeam.lab.judge import count_violations, examined, judge
+from bramblebeam.lab.judge import count_observations, count_violations, judge
 from bramblebeam.lab.load import LoadGenerator
 from bramblebeam.lab.measures import (
     delays,
@@ -118,7 +118,7 @@
             control=self.cost,
             duration_seconds=duration,
             moves=self.load.moves,
-            examined=examined(self.history),
+            examined=count_observations(self.history),
             reasons=dict(self.load.reasons.most_common()),
             primary_changes=primary_changes(self.history),
             faults=fault_spans(self.history, self.start),
--- a/src/bramblebeam/lab/simulator/run.py
+++ b/src/bramblebeam/lab/simulator/run.py
@@ -14,7 +14,7 @@
 
 from bramblebeam.lab.history import History
 from bramblebeam.lab.history.records import NodeStarted, RunEnded
-from bramblebeam.lab.judge import Violation, count_violations, examined, judge
+from bramblebeam.lab.judge import Violation, count_observations, count_violations, judge
 from bramblebeam.lab.load import LoadGenerator
 from bramblebeam.lab.measures import (
     delays,
@@ -176,7 +176,7 @@
             ),
             duration_seconds=self.scenario.load.duration_seconds,
             moves=load.moves,
-            examined=examined(self.history),
+            examined=count_observations(self.history),
             reasons=dict(load.reasons.most_common()),
             faults=fault_spans(self.history, self.start),
             bins=time_bins(load.samples, reads, self.history, self.start),
--- a/tests/test_lab_judge.py
+++ b/tests/test_lab_judge.py
@@ -23,7 +23,7 @@
     RunEnded,
     StalenessBound,
 )
-from bramblebeam.lab.judge import INVARIANTS, count_violations, examined, judge
+from bramblebeam.lab.judge import INVARIANTS, count_observations, count_violations, judge
 
 
 def sent(time: float, request: str, operation: str, **fields: str) -> RequestSent:
@@ -216,8 +216,8 @@
 def test_valid_history_passes_and_exercises_each_invariant() -> None:
     history = History(valid_history())
     assert judge(history) == []
-    assert all(examined(history).values())
-    assert set(examined(history)) == set(INVARIANTS)
+    assert all(count_observations(history).values())
+    assert set(count_observations(history)) == set(INVARIANTS)
 
 
 @pytest.mark.parametrize("name", VIOLATIONS)
