--- a/src/bramblebeam/lab/database/primary.py
+++ b/src/bramblebeam/lab/database/primary.py
@@ -70,9 +70,9 @@
         self._term_start = len(log) + 1
         self._round = 0
         self._paused_until = now
-        self._held: deque[Propose] = deque()
-        self._writes: deque[_PendingWrite] = deque()
-        self._confirms: deque[_PendingConfirm] = deque()
+        self._held_writes: deque[Propose] = deque()
+        self._pending_writes: deque[_PendingWrite] = deque()
+        self._pending_confirms: deque[_PendingConfirm] = deque()
 
     def begin(self, now: float, effects: Effects) -> None:
         """Append the term's first entry and broadcast it."""
@@ -82,7 +82,7 @@
     def propose(self, event: Propose, now: float, effects: Effects) -> None:
         """Append a client's write, or hold it while writes are paused."""
         if now < self._paused_until:
-            self._held.append(event)
+            self._held_writes.append(event)
         else:
             self._write(event, now, effects)
 
@@ -90,7 +90,7 @@
         """Start a round; replies to it from a majority confirm that the term is still current."""
         self._broadcast(now, effects)
         deadline = now + MAJORITY_TIMEOUT_SECONDS
-        self._confirms.append(_PendingConfirm(token, self._round, deadline))
+        self._pending_confirms.append(_PendingConfirm(token, self._round, deadline))
 
     def pause_writes(self, seconds: float, now: float) -> None:
         """Hold new writes until `seconds` after `now`."""
@@ -106,34 +106,34 @@
 
     def advance_commit(self, now: float, effects: Effects) -> None:
         """Append held writes once a pause is over, and commit the entries that a majority holds."""
-        while self._held and now >= self._paused_until:
-            self._write(self._held.popleft(), now, effects)
-        held = self._progress.match(len(self._log))
-        if held >= self._term_start and held > self._applier.commit:
-            self._applier.record_commit(held, now)
+        while self._held_writes and now >= self._paused_until:
+            self._write(self._held_writes.popleft(), now, effects)
+        majority_offset = self._progress.match(len(self._log))
+        if majority_offset >= self._term_start and majority_offset > self._applier.commit:
+            self._applier.record_commit(majority_offset, now)
             self.broadcast_at = min(self.broadcast_at, now + COMMIT_NOTICE_SECONDS)
 
     def acknowledge(self, offset: int, effects: Effects) -> None:
         """Acknowledge the write whose entry was just applied, if a client waits for it."""
-        if self._writes and self._writes[0].offset == offset:
-            token = self._writes.popleft().token
+        if self._pending_writes and self._pending_writes[0].offset == offset:
+            token = self._pending_writes.popleft().token
             effects.append(Acknowledged(token, self._log.position(offset)))
 
     def process_pending(self, now: float, effects: Effects) -> None:
         """Answer confirmations, expire requests past their deadline, and send due heartbeats."""
         self._answer_confirms(effects)
-        while self._writes and self._writes[0].deadline <= now:
-            effects.append(majority_not_reached(self._writes.popleft().token))
-        while self._confirms and self._confirms[0].deadline <= now:
-            effects.append(not_primary(self._confirms.popleft().token))
+        while self._pending_writes and self._pending_writes[0].deadline <= now:
+            effects.append(majority_not_reached(self._pending_writes.popleft().token))
+        while self._pending_confirms and self._pending_confirms[0].deadline <= now:
+            effects.append(not_primary(self._pending_confirms.popleft().token))
         if now >= self.broadcast_at:
             self._broadcast(now, effects)
 
     def refuse_pending(self, effects: Effects) -> None:
         """Refuse all pending requests because the term has ended."""
-        effects.extend(majority_not_reached(write.token) for write in self._writes)
-        effects.extend(not_primary(confirm.token) for confirm in self._confirms)
-        effects.extend(not_primary(held.token) for held in self._held)
+        effects.extend(majority_not_reached(write.token) for write in self._pending_writes)
+        effects.extend(not_primary(confirm.token) for confirm in self._pending_confirms)
+        effects.extend(not_primary(held.token) for held in self._held_writes)
 
     def contact_age(self, now: float) -> float:
         """Return the seconds since a majority last replied."""
@@ -145,7 +145,7 @@
             return
         self._append(Entry(self.term, event.payload), effects)
         deadline = now + MAJORITY_TIMEOUT_SECONDS
-        self._writes.append(_PendingWrite(event.token, len(self._log), deadline))
+        self._pending_writes.append(_PendingWrite(event.token, len(self._log), deadline))
         for member, progress in self._progress.members.items():
             if not self._is_unresponsive(progress, now):
                 self._send_append(member, progress, now, effects)
@@ -185,9 +185,9 @@
         if self._applier.applied < self._term_start:
             return
         confirmed_round = self._progress.answered_round(self._round)
-        while self._confirms and self._confirms[0].round <= confirmed_round:
+        while self._pending_confirms and self._pending_confirms[0].round <= confirmed_round:
             position = self._log.position(self._applier.commit)
-            effects.append(Confirmed(self._confirms.popleft().token, position))
+            effects.append(Confirmed(self._pending_confirms.popleft().token, position))
 
     @staticmethod
     def _is_unresponsive(progress: MemberProgress, now: float) -> bool:
