--- a/src/bramblebeam/lab/bench/__init__.py
+++ b/src/bramblebeam/lab/bench/__init__.py
@@ -1,4 +1,4 @@
-"""What a node costs: statements a second and a core, added latency, memory of a connection."""
+"""Benchmark of a node: statements per second and core, added latency, memory per connection."""
 
 from bramblebeam.lab.bench.cli import application
 
--- a/src/bramblebeam/lab/bench/cli.py
+++ b/src/bramblebeam/lab/bench/cli.py
@@ -1,4 +1,4 @@
-"""`bramblebeam lab bench`: the table of docs/PERFORMANCE.md."""
+"""The command `bramblebeam lab bench`, which measures the table of docs/PERFORMANCE.md."""
 
 import asyncio
 import tempfile
@@ -14,7 +14,7 @@
 from bramblebeam.lab.processes import process_group
 from bramblebeam.lab.rows import Address
 
-application = typer.Typer(help="What a node costs.")
+application = typer.Typer(help="Measure the cost of a node.")
 
 CONNECTIONS = 16
 LATENCY_RATE = 460.0
@@ -25,11 +25,13 @@
 
 @application.command()
 def bench(
-    seconds: Annotated[float, typer.Option(help="Length of each measurement.")] = 5.0,
-    connections: Annotated[str, typer.Option(help="Idle connections to measure.")] = "1000,5000",
-    planned: Annotated[bool, typer.Option(help="Also run a node at its planned size.")] = True,
+    seconds: Annotated[float, typer.Option(help="Duration of each measurement (seconds).")] = 5.0,
+    connections: Annotated[
+        str, typer.Option(help="Numbers of idle connections, comma-separated.")
+    ] = "1000,5000",
+    planned: Annotated[bool, typer.Option(help="Also measure a node at its planned load.")] = True,
 ) -> None:
-    """Compare statements direct to a database and through nodes; weigh idle connections."""
+    """Compare direct statements with statements through nodes; measure idle connections."""
     counts = [int(text) for text in connections.split(",") if text]
     asyncio.run(_bench(seconds, counts, planned))
 
@@ -40,13 +42,13 @@
             cluster = Cluster(bench_scenario(2), processes)
             await cluster.start()
             await prepare(cluster)
-            await _statements(cluster, seconds)
-            await _idle(cluster, counts)
+            await _compare_statements(cluster, seconds)
+            await _measure_idle(cluster, counts)
             if planned:
-                await _planned(cluster, seconds)
+                await _measure_planned(cluster, seconds)
 
 
-async def _statements(cluster: Cluster, seconds: float) -> None:
+async def _compare_statements(cluster: Cluster, seconds: float) -> None:
     pids = {
         "database": [process.pid for process in cluster.databases.values()],
         "nodes": [process.pid for process in cluster.nodes.values()],
@@ -81,7 +83,7 @@
     )
 
 
-async def _idle(cluster: Cluster, counts: list[int]) -> None:
+async def _measure_idle(cluster: Cluster, counts: list[int]) -> None:
     node, process = next(iter(cluster.nodes.items()))
     for count in counts:
         cost = await idle_cost(cluster.clients[node], process.pid, count)
@@ -95,7 +97,7 @@
     )
 
 
-async def _planned(cluster: Cluster, seconds: float) -> None:
+async def _measure_planned(cluster: Cluster, seconds: float) -> None:
     node, process = next(iter(cluster.nodes.items()))
     address = cluster.clients[node]
     load = await planned_load(address, process.pid, PLANNED_CONNECTIONS, PLANNED_RATE, seconds)
--- a/src/bramblebeam/lab/bench/cluster.py
+++ b/src/bramblebeam/lab/bench/cluster.py
@@ -1,4 +1,4 @@
-"""The processes of a bench: one group of three, and one or two nodes in its zone."""
+"""The cluster of a benchmark: one group of three members, and nodes in the same zone."""
 
 import asyncio
 import time
@@ -21,11 +21,11 @@
 
 
 class BenchError(Exception):
-    """The cluster did not become ready. The text holds the last error."""
+    """The cluster did not become ready in time; the message holds the last error."""
 
 
 def bench_scenario(nodes: int) -> Scenario:
-    """Return a scenario with one group of three and `nodes` nodes, all in one zone."""
+    """Return a scenario with one group of three members and `nodes` nodes, all in one zone."""
     members = tuple(Member(instance=name, zone=ZONE) for name in MEMBERS)
     return Scenario(
         name="bench",
@@ -43,26 +43,26 @@
 
 
 async def prepare(cluster: Cluster) -> None:
-    """Wait until the group takes writes through every node; fill the table. Raises BenchError."""
+    """Wait until writes succeed through every node; fill the table. Raises BenchError."""
     for node, address in cluster.clients.items():
         client = CallerClient(f"setup-{node}", SERVICE, GROUP, False)
-        await _until_ok(client, node, address, CREATE_TABLE)
+        await _retry_until_ok(client, node, address, CREATE_TABLE)
         for number in range(ROWS):
             sql = f"REPLACE INTO stops (k, v) VALUES ('k{number}', 'value {number}')"
-            await _until_ok(client, node, address, sql)
+            await _retry_until_ok(client, node, address, sql)
         await client.close()
 
 
-async def _until_ok(client: CallerClient, node: str, address: Address, sql: str) -> None:
+async def _retry_until_ok(client: CallerClient, node: str, address: Address, sql: str) -> None:
     deadline = time.monotonic() + READY_SECONDS
-    last = "no answer"
+    last_error = "no answer"
     while time.monotonic() < deadline:
         if not client.connected:
-            last = (await client.connect(node, address)).text
+            last_error = (await client.connect(node, address)).text
         if client.connected:
             answer = await client.execute(sql)
             if answer.ok:
                 return
-            last = answer.outcome.text
+            last_error = answer.outcome.text
         await asyncio.sleep(0.1)
-    raise BenchError(f"{node}: {sql[:40]}: {last}")
+    raise BenchError(f"{node}: {sql[:40]}: {last_error}")
--- a/src/bramblebeam/lab/bench/idle.py
+++ b/src/bramblebeam/lab/bench/idle.py
@@ -1,4 +1,4 @@
-"""Memory and processor time of a node for idle client connections."""
+"""Memory and CPU time that idle client connections cost a node."""
 
 import asyncio
 import time
@@ -12,12 +12,12 @@
 CONNECT_BATCH = 50
 ACTIVE_CONNECTIONS = 64
 SETTLE_SECONDS = 2.0
-WATCH_SECONDS = 5.0
+MEASUREMENT_SECONDS = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedLoad:
-    """A node with its planned connections and statements. `cpu_percent`: of one core."""
+    """Cost of a node at its planned load. `cpu_percent`: of one core."""
 
     connections: int
     times: Latency
@@ -27,9 +27,9 @@
 
 @dataclass(frozen=True, slots=True)
 class IdleCost:
-    """What `connections` idle connections cost a node.
+    """Cost of `connections` idle connections at a node.
 
-    `cpu_percent`: of one core, all of the node's work included.
+    `cpu_percent`: of one core, including all background work of the node.
     """
 
     connections: int
@@ -39,7 +39,7 @@
 
 
 async def open_many(address: Address, connections: int) -> list[Any]:
-    """Return so many idle connections."""
+    """Open `connections` idle connections, in batches."""
     opened: list[Any] = []
     while len(opened) < connections:
         batch = min(CONNECT_BATCH, connections - len(opened))
@@ -48,13 +48,13 @@
 
 
 async def idle_cost(address: Address, pid: int, connections: int) -> IdleCost:
-    """Open connections, let them be, and measure the node."""
+    """Open connections, leave them idle, and measure the node."""
     before = resident_bytes(pid)
     opened = await open_many(address, connections)
     await asyncio.sleep(SETTLE_SECONDS)
     after = resident_bytes(pid)
     used = cpu_seconds(pid)
-    await asyncio.sleep(WATCH_SECONDS)
+    await asyncio.sleep(MEASUREMENT_SECONDS)
     used = cpu_seconds(pid) - used
     for connection in opened:
         connection.close()
@@ -62,7 +62,7 @@
     return IdleCost(
         connections,
         (after - before) / connections / 1_024,
-        used / WATCH_SECONDS * 100,
+        used / MEASUREMENT_SECONDS * 100,
         after / 1_048_576,
     )
 
@@ -70,7 +70,7 @@
 async def planned_load(
     address: Address, pid: int, connections: int, rate: float, seconds: float
 ) -> PlannedLoad:
-    """Keep connections open and send statements, a fifth of them writes, at an even rate."""
+    """Measure a node with open connections and a constant rate of statements, 20% writes."""
     opened = await open_many(address, connections - ACTIVE_CONNECTIONS)
     used = cpu_seconds(pid)
     started = time.monotonic()
--- a/src/bramblebeam/lab/bench/statements.py
+++ b/src/bramblebeam/lab/bench/statements.py
@@ -16,14 +16,14 @@
 READ = "SELECT v FROM stops WHERE k = 'k{number}'"
 WRITE = "UPDATE stops SET v = 'value {sequence}' WHERE k = 'k{number}'"
 WRITE_EVERY = 5
-LOWEST_MICROSECONDS = 1
-HIGHEST_MICROSECONDS = 60_000_000
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Throughput:
-    """Statements a second, and processor time a statement of the measured processes (µs)."""
+    """Statements run, and CPU time per statement of the measured processes (µs)."""
 
     statements: int
     seconds: float
@@ -31,18 +31,21 @@
 
     @property
     def rate(self) -> float:
-        """Return the statements a second."""
+        """Statements per second."""
         return self.statements / self.seconds
 
     @property
     def per_core(self) -> float:
-        """Return the statements a second that one core of the measured processes carries."""
+        """Statements per second and core of the measured processes."""
         return 1e6 / self.cpu_microseconds if self.cpu_microseconds else 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Latency:
-    """Percentiles of the time from the intended send to the answer (milliseconds)."""
+    """Percentiles of the time from the scheduled send to the result (milliseconds).
+
+    `late`: number of statements that were sent after their scheduled time.
+    """
 
     p50: float
     p99: float
@@ -51,13 +54,13 @@
 
 
 async def connect(address: Address) -> Any:
-    """Return an asyncmy connection to a node or a database."""
+    """Open an asyncmy connection to a node or a database."""
     host, port = address
     return await asyncmy.connect(host=host, port=port, user=SERVICE, db=GROUP, autocommit=True)
 
 
 def statement(number: int, writes: bool) -> str:
-    """Return the statement of this number; with `writes`, each fifth one is a write."""
+    """Return statement `number` of the sequence; with `writes`, every fifth one is a write."""
     if writes and number % WRITE_EVERY == 0:
         return WRITE.format(sequence=number, number=number % ROWS)
     return READ.format(number=number % ROWS)
@@ -66,13 +69,16 @@
 async def throughput(
     address: Address, connections: int, seconds: float, writes: bool, pids: Sequence[int]
 ) -> Throughput:
-    """Run statements as fast as the connections get answers."""
+    """Measure closed-loop throughput: each connection sends as soon as it has its result."""
     opened = [await connect(address) for _ in range(connections)]
     end = time.monotonic() + seconds
     used = sum(cpu_seconds(pid) for pid in pids)
     started = time.monotonic()
     counts = await asyncio.gather(
-        *(_loop(connection, index, end, writes) for index, connection in enumerate(opened))
+        *(
+            _run_closed_loop(connection, index, end, writes)
+            for index, connection in enumerate(opened)
+        )
     )
     elapsed = time.monotonic() - started
     used = sum(cpu_seconds(pid) for pid in pids) - used
@@ -82,7 +88,7 @@
     return Throughput(total, elapsed, used / total * 1e6)
 
 
-async def _loop(connection: Any, index: int, end: float, writes: bool) -> int:
+async def _run_closed_loop(connection: Any, index: int, end: float, writes: bool) -> int:
     count = 0
     async with connection.cursor() as cursor:
         while time.monotonic() < end:
@@ -95,8 +101,8 @@
 async def latency(
     address: Address, rate: float, connections: int, seconds: float, writes: bool
 ) -> Latency:
-    """Send statements at an even rate, whatever the answers do."""
-    histogram = HdrHistogram(LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS)
+    """Measure open-loop latency at a constant rate of statements."""
+    histogram = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     free: asyncio.Queue[Any] = asyncio.Queue()
     opened = [await connect(address) for _ in range(connections)]
     for connection in opened:
@@ -112,7 +118,7 @@
             await asyncio.sleep(pause)
         else:
             late += 1
-        tasks.append(asyncio.create_task(_timed(free, due, number, writes, histogram)))
+        tasks.append(asyncio.create_task(_run_timed(free, due, number, writes, histogram)))
     await asyncio.gather(*tasks)
     for connection in opened:
         connection.close()
@@ -124,7 +130,7 @@
     )
 
 
-async def _timed(
+async def _run_timed(
     free: asyncio.Queue[Any], due: float, number: int, writes: bool, histogram: HdrHistogram
 ) -> None:
     connection = await free.get()
--- a/src/bramblebeam/lab/load/__init__.py
+++ b/src/bramblebeam/lab/load/__init__.py
@@ -1,4 +1,4 @@
-"""The callers of a run: sessions over a real MySQL driver, and an open-loop schedule."""
+"""The callers of a run: an open-loop load generator with sessions over a real MySQL driver."""
 
 from bramblebeam.lab.load.generator import LoadGenerator
 
--- a/src/bramblebeam/lab/load/client.py
+++ b/src/bramblebeam/lab/load/client.py
@@ -1,4 +1,4 @@
-"""One caller session over asyncmy, which can move between nodes with or without its token."""
+"""A caller's session over asyncmy that can move between nodes, with or without a causal token."""
 
 import asyncio
 from collections.abc import Mapping, Sequence
@@ -14,12 +14,12 @@
 CONNECT_TIMEOUT_SECONDS = 5.0
 
 NodeAddresses = Mapping[str, tuple[str, int]]
-"""The callers' address of each node that is up, by the node's name."""
+"""Client address of each running node, by node name."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The whole answer of one statement, or its error."""
+    """The complete result of one statement, or its error."""
 
     outcome: CallerOutcome
     rows: Sequence[Sequence[Any]] = ()
@@ -33,7 +33,7 @@
 
 
 class CallerClient:
-    """A caller's session. `name` empty: the session has no name and does not roam."""
+    """A caller's session. An empty `name` is a session without a name, which does not roam."""
 
     def __init__(self, name: str, service: str, group: str, carries_token: bool) -> None:
         self.name = name
@@ -46,14 +46,14 @@
 
     @property
     def connected(self) -> bool:
-        """Whether the session has a connection that the node has not closed."""
+        """Whether the session has an open connection."""
         if self._connection is None:
             return False
         transport = self._connection._transport
         return transport is not None and not transport.is_closing()
 
     async def connect(self, node: str, address: tuple[str, int]) -> CallerOutcome:
-        """Connect to a node; nothing was sent of any statement when this fails."""
+        """Connect to a node. No statement has been sent if this fails."""
         self.abandon()
         connection: Any = Connection(  # type: ignore[no-untyped-call]
             host=address[0],
@@ -70,13 +70,13 @@
                 await connection.connect()
         except (MySQLError, OSError, TimeoutError, asyncio.IncompleteReadError) as error:
             connection.close()
-            return _outcome(error)
+            return _outcome_of_exception(error)
         self.node = node
         self._connection = connection
         return SUCCESS
 
     async def move(self, node: str, address: tuple[str, int]) -> CallerOutcome:
-        """Leave the present node for another one, with the token where this session carries it."""
+        """Reconnect to another node, passing the causal token on if `carries_token`."""
         if self.connected and self.carries_token:
             answer = await self.execute("SELECT @@bramblebeam_token")
             self._token = str(answer.rows[0][0]) if answer.ok and answer.rows else ""
@@ -84,7 +84,7 @@
         return await self.connect(node, address)
 
     async def execute(self, sql: str) -> Answer:
-        """Run one statement. A lost connection is closed; `connected` tells."""
+        """Run one statement. If the connection is lost, `connected` is False afterwards."""
         if not self.connected:
             self.abandon()
             return Answer(CallerOutcome("lost", text="no connection"))
@@ -92,7 +92,7 @@
             async with asyncio.timeout(STATEMENT_TIMEOUT_SECONDS):
                 affected = await self._connection.query(sql)
         except (MySQLError, OSError, TimeoutError, asyncio.IncompleteReadError) as error:
-            outcome = _outcome(error)
+            outcome = _outcome_of_exception(error)
             if outcome.outcome == "lost":
                 self.abandon()
             return Answer(outcome)
@@ -103,7 +103,7 @@
         return Answer(SUCCESS, rows=result.rows)
 
     def abandon(self) -> None:
-        """Drop the connection without a goodbye, as a client that vanishes."""
+        """Abort the connection without COM_QUIT, like a client that crashes."""
         if self._connection is not None:
             transport = self._connection._transport
             if transport is not None:
@@ -112,7 +112,7 @@
             self._connection = None
 
     async def close(self) -> None:
-        """Say goodbye and close."""
+        """Close the connection cleanly."""
         if self._connection is None:
             return
         connection, self._connection = self._connection, None
@@ -131,7 +131,7 @@
         return attributes
 
 
-def _outcome(error: BaseException) -> CallerOutcome:
+def _outcome_of_exception(error: BaseException) -> CallerOutcome:
     if isinstance(error, MySQLError) and error.args and isinstance(error.args[0], int):
         return outcome_of(error.args[0], str(error.args[-1]))
     return CallerOutcome("lost", text=f"{type(error).__name__}: {error}")
--- a/src/bramblebeam/lab/load/generator.py
+++ b/src/bramblebeam/lab/load/generator.py
@@ -1,6 +1,7 @@
-"""Open-loop load: work arrives by its own schedule, whether or not earlier work has ended.
+"""Open-loop load generator: work arrives on schedule, whether or not earlier work has finished.
 
-Latency counts from the intended time of a piece of work, so that a stall shows in full.
+Latency is measured from the scheduled time of a work item, so that a stall is counted in full
+(no coordinated omission).
 """
 
 import asyncio
@@ -16,21 +17,21 @@
 from bramblebeam.lab.load.session import LoadSession, SessionPlan, Work
 from bramblebeam.lab.scenario import Load, Service
 
-LONGEST_LATENCY_US = 120_000_000
-MAXIMUM_SESSIONS_PER_SERVICE = 16
+MAX_LATENCY_US = 120_000_000
+MAX_SESSIONS_PER_SERVICE = 16
 SCAN_SHARE = 0.02
 STATEMENTS_PER_TRANSACTION = 5
 DRAIN_SECONDS = 25.0
 
 
 class LoadGenerator:
-    """The callers of every service of a scenario."""
+    """Generates the load of every service of a scenario and records the outcomes."""
 
     def __init__(self, load: Load, nodes: NodeAddresses, history: History, seed: int) -> None:
         self.load = load
-        self.latency = HdrHistogram(1, LONGEST_LATENCY_US, 3)
+        self.latency = HdrHistogram(1, MAX_LATENCY_US, 3)
         self.samples: list[tuple[float, float]] = []
-        """(intended time, latency in milliseconds) of each piece of work."""
+        """(scheduled time, latency in milliseconds) of each work item."""
         self.outcomes: Counter[str] = Counter()
         self.reasons: Counter[str] = Counter()
         self.statements = 0
@@ -43,17 +44,17 @@
 
     @property
     def moves(self) -> int:
-        """How often sessions moved between nodes."""
+        """Number of moves of sessions between nodes."""
         return sum(session.moves for session in self._sessions)
 
     async def run(self, stop: Callable[[], bool] | None = None) -> None:
-        """Offer the load for its duration, then let what was offered end."""
+        """Generate the load for its duration or until `stop`, then wait for outstanding work."""
         end = time.monotonic() + self.load.duration_seconds
         workers: list[asyncio.Task[None]] = []
         schedules = []
         for service in self.load.services:
             queues = self._open_sessions(service, workers)
-            schedules.append(asyncio.create_task(self._offer(queues, end, stop)))
+            schedules.append(asyncio.create_task(self._schedule_arrivals(queues, end, stop)))
         await asyncio.gather(*schedules)
         await self._drain(workers)
 
@@ -61,7 +62,7 @@
         self, service: Service, workers: list[asyncio.Task[None]]
     ) -> list[asyncio.Queue[tuple[float, Work]]]:
         queues = []
-        for number in range(min(service.connections, MAXIMUM_SESSIONS_PER_SERVICE)):
+        for number in range(min(service.connections, MAX_SESSIONS_PER_SERVICE)):
             name = f"{service.name}-{number}"
             client = CallerClient(name, service.name, service.group, carries_token=number % 4 != 0)
             plan = SessionPlan(self.load.keys, self.load.roaming)
@@ -70,47 +71,49 @@
             queue: asyncio.Queue[tuple[float, Work]] = asyncio.Queue()
             self._sessions.append(session)
             queues.append(queue)
-            workers.append(asyncio.create_task(self._work(session, queue)))
+            workers.append(asyncio.create_task(self._run_worker(session, queue)))
         self._queues.extend(queues)
         return queues
 
-    async def _offer(
+    async def _schedule_arrivals(
         self,
         queues: list[asyncio.Queue[tuple[float, Work]]],
         end: float,
         stop: Callable[[], bool] | None,
     ) -> None:
         random = Random(self._random.getrandbits(64))
-        intended = time.monotonic()
-        while intended < end and not (stop is not None and stop()):
-            work = self._choose(random)
+        scheduled = time.monotonic()
+        while scheduled < end and not (stop is not None and stop()):
+            work = self._choose_work(random)
             queue = random.choice(queues)
-            await asyncio.sleep(max(0.0, intended - time.monotonic()))
-            queue.put_nowait((intended, work))
-            intended += random.expovariate(self._arrivals_per_second())
+            await asyncio.sleep(max(0.0, scheduled - time.monotonic()))
+            queue.put_nowait((scheduled, work))
+            scheduled += random.expovariate(self._arrivals_per_second())
 
     def _arrivals_per_second(self) -> float:
-        """Return one service's rate of pieces of work, of which a transaction is one."""
+        """Return the arrival rate of work items per service; a transaction is one item."""
         load = self.load
         transactions = (1 - load.read_share) * load.transaction_share
         statements_per_arrival = 1 + transactions * (STATEMENTS_PER_TRANSACTION - 1)
         rate = load.statements_per_second * self.rate_factor / len(load.services)
         return rate / statements_per_arrival
 
-    def _choose(self, random: Random) -> Work:
+    def _choose_work(self, random: Random) -> Work:
         if random.random() < self.load.read_share:
             return "scan" if random.random() < SCAN_SHARE else "read"
         if random.random() < self.load.transaction_share:
             return "transaction"
         return "write_with_id" if random.random() < self.load.request_id_share else "write"
 
-    async def _work(self, session: LoadSession, queue: asyncio.Queue[tuple[float, Work]]) -> None:
+    async def _run_worker(
+        self, session: LoadSession, queue: asyncio.Queue[tuple[float, Work]]
+    ) -> None:
         while True:
-            intended, work = await queue.get()
+            scheduled, work = await queue.get()
             answers = await session.run(work)
-            latency = time.monotonic() - intended
+            latency = time.monotonic() - scheduled
             self.latency.record_value(max(1, int(latency * 1_000_000)))
-            self.samples.append((intended, latency * 1000))
+            self.samples.append((scheduled, latency * 1000))
             for _, answer in answers:
                 self._count(answer)
             queue.task_done()
--- a/src/bramblebeam/lab/load/outcome.py
+++ b/src/bramblebeam/lab/load/outcome.py
@@ -1,6 +1,6 @@
-"""What a caller makes of an error: the ranges of codes as docs/errors.md publishes them.
+"""Classification of errors from a caller's view, by the code ranges of docs/errors.md.
 
-Kept apart from the product's own table on purpose: a caller has only the page.
+Deliberately independent of the product's own table: a caller has only the documentation.
 """
 
 import re
@@ -12,7 +12,7 @@
 RAN_CODES = range(9_200, 9_300)
 UNKNOWN_CODES = range(9_300, 9_400)
 DRIVER_CODES = range(2_000, 3_000)
-"""Codes that the driver makes itself when it loses its connection."""
+"""Client-side codes that the driver raises when it loses its connection."""
 
 REASONS = {
     1: "QUEUE_FULL",
@@ -35,12 +35,12 @@
     18: "BAD_REQUEST",
 }
 
-_RETRY_AFTER = re.compile(r"retry after (\d+) ms")
+_RETRY_AFTER_PATTERN = re.compile(r"retry after (\d+) ms")
 
 
 @dataclass(frozen=True, slots=True)
 class CallerOutcome:
-    """How a statement ended for its caller. `code` 0: it succeeded."""
+    """Outcome of a statement as its caller sees it. `code` 0 means success."""
 
     outcome: Outcome
     reason: str = ""
@@ -53,17 +53,17 @@
 
 
 def outcome_of(code: int, text: str) -> CallerOutcome:
-    """Return what an error of the driver or the server says of the statement."""
+    """Classify an error code and message of the driver or the server."""
     if code in DRIVER_CODES or code == 0:
         return CallerOutcome("lost", code=code, text=text)
-    for codes, outcome in _OUTCOMES:
+    for codes, outcome in _OUTCOME_BY_RANGE:
         if code in codes:
             reason = REASONS.get(code - codes.start, str(code))
             return CallerOutcome(outcome, reason, code, text, _retry_after(text))
     return CallerOutcome("not_run", f"MYSQL_{code}", code, text)
 
 
-_OUTCOMES: tuple[tuple[range, Outcome], ...] = (
+_OUTCOME_BY_RANGE: tuple[tuple[range, Outcome], ...] = (
     (NOT_RUN_CODES, "not_run"),
     (RAN_CODES, "ran"),
     (UNKNOWN_CODES, "unknown"),
@@ -71,5 +71,5 @@
 
 
 def _retry_after(text: str) -> int:
-    found = _RETRY_AFTER.search(text)
-    return int(found[1]) if found else 0
+    match = _RETRY_AFTER_PATTERN.search(text)
+    return int(match[1]) if match else 0
--- a/src/bramblebeam/lab/load/session.py
+++ b/src/bramblebeam/lab/load/session.py
@@ -1,4 +1,4 @@
-"""One session's work: reads, writes, transactions and moves, each recorded as its caller saw it."""
+"""A load session: reads, writes, transactions and moves, recorded as the caller sees them."""
 
 import asyncio
 import itertools
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionPlan:
-    """What a session does. `roaming`: chance of a move before a piece of work."""
+    """Parameters of a session. `roaming`: probability of a move before each work item."""
 
     keys: int
     roaming: float
 
 
 class LoadSession:
-    """A session that works through one piece of work after another."""
+    """A caller session that runs one work item at a time."""
 
     def __init__(
         self,
@@ -47,8 +47,8 @@
         self.moves = 0
 
     async def run(self, work: Work) -> list[tuple[str, Answer]]:
-        """Do one piece of work; return each statement's operation and answer."""
-        if not await self._be_connected():
+        """Run one work item; return the operation and answer of each statement."""
+        if not await self._ensure_connected():
             return []
         match work:
             case "read":
@@ -62,16 +62,16 @@
             case "transaction":
                 return await self.transaction()
 
-    def _turned_away(self, answer: Answer) -> None:
-        """Leave a node that is stopping: another one takes the session."""
+    def _leave_stopping_node(self, answer: Answer) -> None:
+        """Disconnect from a node that is stopping; the next work item connects to another one."""
         if answer.outcome.reason == "STOPPING":
             self.client.abandon()
 
     def _key(self) -> str:
         return f"k{self.random.randrange(self.plan.keys)}"
 
-    async def _be_connected(self) -> bool:
-        """Move when it is time to, and connect where there is no connection."""
+    async def _ensure_connected(self) -> bool:
+        """Move to another node at random, or reconnect if there is no connection."""
         names = list(self.nodes)
         moves = self.client.name and self.random.random() < self.plan.roaming
         if self.client.connected and moves and len(names) > 1:
@@ -89,54 +89,54 @@
         return self.client.connected
 
     async def move_to(self, node: str) -> bool:
-        """Leave the present node for another one; tell whether that one took the session."""
+        """Move to another node; return whether it accepted the session."""
         outcome = await self.client.move(node, self.nodes[node])
         self.moves += 1
         return outcome.outcome == "ok"
 
     async def read_key(self, key: str, transaction: str = "") -> tuple[str, Answer]:
-        """Read one row; the comment names the read in the back end's log."""
-        request = self._sent("read", key=key, transaction=transaction)
+        """Read one row; the SQL comment identifies the read in the back end's log."""
+        request = self._record_request("read", key=key, transaction=transaction)
         sql = f"SELECT k, v FROM entries WHERE k = '{key}' /* {request.request} */"
         answer = await self.client.execute(sql)
         row = answer.rows[0] if answer.ok and answer.rows else ("", "")
-        self._answered(request, answer, str(row[0]), str(row[1]), expected_rows=1)
+        self._record_answer(request, answer, str(row[0]), str(row[1]), expected_rows=1)
         return "read", answer
 
     async def _scan(self) -> tuple[str, Answer]:
-        request = self._sent("read")
+        request = self._record_request("read")
         answer = await self.client.execute("SELECT k, v FROM entries WHERE k LIKE 'k%' ORDER BY k")
-        self._answered(request, answer, expected_rows=self.plan.keys)
+        self._record_answer(request, answer, expected_rows=self.plan.keys)
         return "read", answer
 
     async def read_slowly(self, key: str, seconds: float) -> tuple[str, Answer]:
-        """Read one row by a statement that takes the given time at the back end."""
-        request = self._sent("read", key=key)
+        """Read one row with a statement that takes the given time at the back end."""
+        request = self._record_request("read", key=key)
         sql = f"SELECT k, v, SLEEP({seconds}) FROM entries WHERE k = '{key}'"
         answer = await self.client.execute(sql)
         row = answer.rows[0] if answer.ok and answer.rows else ("", "")
-        self._answered(request, answer, str(row[0]), str(row[1]), expected_rows=1)
+        self._record_answer(request, answer, str(row[0]), str(row[1]), expected_rows=1)
         return "read", answer
 
     async def write_key(
         self, key: str, with_id: bool = False, transaction: str = ""
     ) -> tuple[str, Answer]:
-        """Write one row; with a request id, repeat the write where its fate is not known."""
+        """Write one row; with a request id, retry the write once if its outcome is unknown."""
         value = f"w{next(_numbers)}"
-        request = self._sent("write", key, value, transaction)
+        request = self._record_request("write", key, value, transaction)
         hint = f"/* bramblebeam_request={request.request} */ " if with_id else ""
         sql = f"{hint}UPDATE entries SET v = '{value}' WHERE k = '{key}'"
         answer = await self.client.execute(sql)
-        self._answered(request, answer)
+        self._record_answer(request, answer)
         if with_id and answer.outcome.outcome in ("lost", "unknown"):
-            answer = await self._repeat(request, sql) or answer
+            answer = await self._retry(request, sql) or answer
         return "write", answer
 
-    async def _repeat(self, request: RequestSent, sql: str) -> Answer | None:
-        """Send a request whose fate is unknown again, under the same request id."""
-        if not await self._be_connected():
+    async def _retry(self, request: RequestSent, sql: str) -> Answer | None:
+        """Retry a request of unknown outcome under the same request id."""
+        if not await self._ensure_connected():
             return None
-        again = RequestSent(
+        retried = RequestSent(
             time.monotonic(),
             self.client.node,
             request.session,
@@ -146,13 +146,13 @@
             request.key,
             request.value,
         )
-        self.history.add(again)
+        self.history.add(retried)
         answer = await self.client.execute(sql)
-        self._answered(again, answer)
+        self._record_answer(retried, answer)
         return answer
 
     async def transaction(self, pause_seconds: float = 0.0) -> list[tuple[str, Answer]]:
-        """Write one or two rows and read one in a transaction, with a pause before its end."""
+        """Run a transaction with one or two writes and, after a pause, one read."""
         name = f"t{next(_numbers)}"
         begin = await self.client.execute("BEGIN")
         if not begin.ok:
@@ -173,12 +173,12 @@
     ) -> list[tuple[str, Answer]]:
         if not self.client.connected:
             return []
-        request = self._sent(operation, transaction=transaction)
+        request = self._record_request(operation, transaction=transaction)
         answer = await self.client.execute(operation.upper())
-        self._answered(request, answer)
+        self._record_answer(request, answer)
         return [(operation, answer)]
 
-    def _sent(
+    def _record_request(
         self,
         operation: Literal["read", "write", "commit", "rollback"],
         key: str = "",
@@ -199,7 +199,7 @@
         self.history.add(request)
         return request
 
-    def _answered(
+    def _record_answer(
         self,
         request: RequestSent,
         answer: Answer,
@@ -221,4 +221,4 @@
                 reason=answer.outcome.reason,
             )
         )
-        self._turned_away(answer)
+        self._leave_stopping_node(answer)
--- a/src/bramblebeam/lab/report/__init__.py
+++ b/src/bramblebeam/lab/report/__init__.py
@@ -1,4 +1,4 @@
-"""Pages about runs: one run with plots, and two runs side by side."""
+"""Reports of runs: an HTML page of one run with plots, and a comparison of two runs."""
 
 from bramblebeam.lab.report.compare import compare_text
 from bramblebeam.lab.report.page import write_report
--- a/src/bramblebeam/lab/report/compare.py
+++ b/src/bramblebeam/lab/report/compare.py
@@ -1,4 +1,4 @@
-"""Two runs side by side."""
+"""Comparison of two runs in a text table."""
 
 from rich.console import Console
 from rich.table import Table
@@ -10,7 +10,7 @@
 
 
 def compare_text(before: RunResult, after: RunResult) -> str:
-    """Return a table of both runs' figures and violations."""
+    """Return a text table of both runs' figures and violations."""
     table = Table(title="before and after")
     table.add_column("figure")
     table.add_column(f"{before.scenario}, seed {before.seed}", justify="right")
--- a/src/bramblebeam/lab/report/page.py
+++ b/src/bramblebeam/lab/report/page.py
@@ -1,4 +1,4 @@
-"""The page of one run: figures, faults, violations and plots in a single HTML file."""
+"""HTML report of one run: figures, faults, violations and plots in a single file."""
 
 import tempfile
 from collections.abc import Sequence
@@ -11,25 +11,25 @@
 
 
 def write_report(result: RunResult, page: Path) -> None:
-    """Write the page of a run. The plots are inside, so that the one file can be sent on."""
+    """Write the report of a run. Plots are embedded, so that the file can be shared alone."""
     with tempfile.TemporaryDirectory() as directory:
         plots = draw_plots(result, Path(directory))
         images = [heading(title) + image(path.read_bytes()) for title, path in plots]
     parts = [
-        _pairs("Figure", "Value", figures_of(result)),
+        _two_column_table("Figure", "Value", figures_of(result)),
         heading("Invariants"),
         _invariants(result),
         *images,
         heading("Faults"),
-        _pairs("Fault", "Seconds", _faults(result)),
-        _list("Violations", result.violations),
-        _list("Faults that this mode does not inject", result.faults_not_injected),
+        _two_column_table("Fault", "Seconds", _faults(result)),
+        _bullet_section("Violations", result.violations),
+        _bullet_section("Faults that this mode does not inject", result.faults_not_injected),
     ]
     title = f"{result.scenario}, seed {result.seed}, {result.mode}"
     page.write_text(document(title, parts), encoding="utf-8")
 
 
-def _pairs(name: str, value: str, rows: Sequence[tuple[str, str]]) -> str:
+def _two_column_table(name: str, value: str, rows: Sequence[tuple[str, str]]) -> str:
     return table((name, value), [(Cell(key), Cell(text, is_figure=True)) for key, text in rows])
 
 
@@ -50,5 +50,5 @@
     return rows
 
 
-def _list(title: str, items: Sequence[str]) -> str:
+def _bullet_section(title: str, items: Sequence[str]) -> str:
     return heading(title) + bullets(items) if items else ""
--- a/src/bramblebeam/lab/report/plots.py
+++ b/src/bramblebeam/lab/report/plots.py
@@ -1,4 +1,4 @@
-"""The plots of a run, drawn by matplotlib without a display."""
+"""Plots of a run, drawn by matplotlib without a display."""
 
 from collections.abc import Callable, Sequence
 from pathlib import Path
@@ -14,13 +14,13 @@
 DOTS_PER_INCH = 110
 FAULT_COLOUR = "#b55d60"
 LABEL_GAP_SECONDS = 0.2
-SHORTEST_SPAN_SECONDS = 0.3
+MIN_SPAN_SECONDS = 0.3
 
 Draw = Callable[[Any, RunResult], None]
 
 
 def draw_plots(result: RunResult, directory: Path) -> list[tuple[str, Path]]:
-    """Draw every plot that the result has figures for; return titles and PNG files."""
+    """Draw every plot that the result has data for; return the titles and PNG files."""
     drawn = []
     for name, (title, has_figures, draw) in PLOTS.items():
         if not has_figures(result):
@@ -33,10 +33,10 @@
 
 def _draw_one(result: RunResult, draw: Draw, path: Path) -> None:
     lanes = max(1, len(result.faults))
-    strip = INCHES_PER_LANE * lanes
-    size = (WIDTH_INCHES, PLOT_INCHES + strip)
+    strip_inches = INCHES_PER_LANE * lanes
+    size = (WIDTH_INCHES, PLOT_INCHES + strip_inches)
     figure = Figure(figsize=size, dpi=DOTS_PER_INCH, layout="constrained")
-    top, axes = figure.subplots(2, 1, sharex=True, height_ratios=(strip, PLOT_INCHES))
+    top, axes = figure.subplots(2, 1, sharex=True, height_ratios=(strip_inches, PLOT_INCHES))
     _draw_faults(top, result.faults)
     draw(axes, result)
     for fault in result.faults:
@@ -49,15 +49,15 @@
 
 
 def _draw_faults(axes: Any, faults: Sequence[FaultSpan]) -> None:
-    """Draw one bar a fault, each on its own line with its name beside it."""
+    """Draw one labelled bar per fault, each in a lane of its own."""
     for lane, fault in enumerate(faults):
-        end = max(fault.end or fault.begin, fault.begin + SHORTEST_SPAN_SECONDS)
+        end = max(fault.end or fault.begin, fault.begin + MIN_SPAN_SECONDS)
         axes.barh(lane, end - fault.begin, left=fault.begin, height=0.7, color=FAULT_COLOUR)
         label = f"{fault.kind} {fault.target}".strip()
-        late = fault.begin > faults[-1].begin / 2
-        place = fault.begin - LABEL_GAP_SECONDS if late else end + LABEL_GAP_SECONDS
-        side = "right" if late else "left"
-        axes.text(place, lane, label, fontsize=7, va="center", ha=side)
+        is_late = fault.begin > faults[-1].begin / 2
+        label_x = fault.begin - LABEL_GAP_SECONDS if is_late else end + LABEL_GAP_SECONDS
+        side = "right" if is_late else "left"
+        axes.text(label_x, lane, label, fontsize=7, va="center", ha=side)
     axes.invert_yaxis()
     axes.set_yticks([])
     axes.set_title("faults", fontsize=8, loc="left")
--- a/src/bramblebeam/lab/report/summary.py
+++ b/src/bramblebeam/lab/report/summary.py
@@ -1,11 +1,11 @@
-"""A run's figures as lines of text, shared by the page, the comparison and the terminal."""
+"""Figures of a run as text, shared by the HTML report, the comparison and the terminal."""
 
 from bramblebeam.lab.result import RunResult
 from bramblebeam.pages.text import NOT_MEASURED, number, share
 
 
 def figures_of(result: RunResult) -> list[tuple[str, str]]:
-    """Return the figures of a run with their names and units."""
+    """Return the label with unit and the formatted value of each figure of a run."""
     gaps = ", ".join(f"{gap:.0f}" for gap in result.failover_gap_ms) or NOT_MEASURED
     errors = result.errors
     in_force = result.config_in_force_ms
--- a/src/bramblebeam/lab/report/terminal.py
+++ b/src/bramblebeam/lab/report/terminal.py
@@ -1,4 +1,4 @@
-"""A run's result for people at a terminal."""
+"""Result of a run as text for a terminal."""
 
 from rich.console import Console
 from rich.table import Table
@@ -10,7 +10,7 @@
 
 
 def result_text(result: RunResult) -> str:
-    """Return the figures and the invariants of a run as tables."""
+    """Return tables of a run's figures and invariants, followed by its violations."""
     console = Console(width=WIDTH, no_color=True, highlight=False)
     with console.capture() as captured:
         console.print(_figures(result))
--- a/src/bramblebeam/lab/schedules/__init__.py
+++ b/src/bramblebeam/lab/schedules/__init__.py
@@ -1,1 +1,1 @@
-"""Random schedules of faults: the watchers' machines against the members' own, in virtual time."""
+"""Random fault schedules in virtual time for the state machines of watchers and group members."""
--- a/src/bramblebeam/lab/schedules/cli.py
+++ b/src/bramblebeam/lab/schedules/cli.py
@@ -15,11 +15,13 @@
 
 @application.command()
 def schedules(
-    count: Annotated[int, typer.Option(help="How many schedules.")] = 200,
-    first: Annotated[int, typer.Option(help="Seed of the first; the others count up.")] = 0,
-    members: Annotated[int, typer.Option(help="Members of the group.")] = 3,
+    count: Annotated[int, typer.Option(help="Number of schedules to run.")] = 200,
+    first: Annotated[
+        int, typer.Option(help="Seed of the first schedule; later ones increment it.")
+    ] = 0,
+    members: Annotated[int, typer.Option(help="Number of members of the group.")] = 3,
 ) -> None:
-    """Change primaries under random faults in virtual time; exit code 1: something was violated."""
+    """Run random fault schedules against one group in virtual time. Exit code 1: violations."""
     violations: dict[int, str] = {}
     promotions = acknowledged = 0
     for seed in range(first, first + count):
--- a/src/bramblebeam/lab/schedules/clock.py
+++ b/src/bramblebeam/lab/schedules/clock.py
@@ -1,15 +1,15 @@
-"""Virtual time, and a network that delays, loses and cuts."""
+"""A virtual clock, and a network with delays, loss and cuts."""
 
 import heapq
 import random
 from collections.abc import Callable
 from itertools import count
 
-SHORTEST_DELAY = 0.0005
+MIN_DELAY_SECONDS = 0.0005
 
 
 class VirtualClock:
-    """Carries calls out in the order of their times (seconds)."""
+    """Event queue in virtual time: runs scheduled calls in time order (seconds)."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -17,11 +17,11 @@
         self._order = count()
 
     def at(self, delay: float, call: Callable[[], None]) -> None:
-        """Carry `call` out after `delay`."""
+        """Schedule `call` after `delay` seconds."""
         heapq.heappush(self._queue, (self.now + delay, next(self._order), call))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock and run the calls that become due."""
         end = self.now + seconds
         while self._queue and self._queue[0][0] <= end:
             self.now, _, call = heapq.heappop(self._queue)
@@ -30,36 +30,36 @@
 
 
 class Network:
-    """What happens to messages; all of it is drawn from `source`."""
+    """Delays and losses of messages, all drawn from `source`."""
 
     def __init__(self, source: random.Random) -> None:
         self.healed = False
         self.cut: set[frozenset[str]] = set()
         self._random = source
-        self._drop = source.choice((0.0, 0.0, 0.05, 0.2))
-        self._lose_answer = source.choice((0.0, 0.1, 0.3))
-        self._slowest = source.choice((0.002, 0.02))
+        self._loss_rate = source.choice((0.0, 0.0, 0.05, 0.2))
+        self._reply_loss_rate = source.choice((0.0, 0.1, 0.3))
+        self._max_delay = source.choice((0.002, 0.02))
 
     def delay(self) -> float:
-        """Return the time that the next message takes (seconds)."""
-        return self._random.uniform(SHORTEST_DELAY, self._slowest)
+        """Draw the latency of the next message (seconds)."""
+        return self._random.uniform(MIN_DELAY_SECONDS, self._max_delay)
 
     def command_delay(self) -> float:
-        """Return the time that a command takes; some come seconds late."""
+        """Draw the latency of a command (seconds); 2% are seconds late until the network heals."""
         late = not self.healed and self._random.random() < 0.02
         return self._random.uniform(0.5, 4.0) if late else self.delay()
 
     def loses(self, one: str, other: str) -> bool:
-        """Whether the next message between the two is lost."""
+        """Draw whether the next message between two participants is lost."""
         if frozenset((one, other)) in self.cut:
             return True
-        return not self.healed and self._random.random() < self._drop
+        return not self.healed and self._random.random() < self._loss_rate
 
     def loses_answer(self) -> bool:
-        """Whether the answer to a command that was carried out is lost."""
-        return not self.healed and self._random.random() < self._lose_answer
+        """Draw whether the reply to an executed command is lost."""
+        return not self.healed and self._random.random() < self._reply_loss_rate
 
     def heal(self) -> None:
-        """Lose nothing more."""
+        """End all cuts and stop losing messages."""
         self.healed = True
         self.cut.clear()
--- a/src/bramblebeam/lab/schedules/members.py
+++ b/src/bramblebeam/lab/schedules/members.py
@@ -1,4 +1,4 @@
-"""The members of one group in virtual time: their machines, disks and faults."""
+"""The members of one group in virtual time: their state machines, disks and faults."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
@@ -16,12 +16,15 @@
 
 
 class HistoryError(Exception):
-    """Two members applied different entries at one place."""
+    """Two members applied different entries at the same log offset."""
 
 
 @dataclass
 class Member:
-    """A member's machine, what it has on disk, and the faults it is under (seconds)."""
+    """A member's state machine, its persisted state and its current faults.
+
+    `waiting`: callbacks of commands without a result yet, by token. `paused_until`: seconds.
+    """
 
     name: InstanceId
     replica: Replica
@@ -33,7 +36,7 @@
 
 
 class Members:
-    """Drives the members; notes what they acknowledged and applied."""
+    """Drives the members; records the writes that they acknowledged and applied."""
 
     def __init__(self, clock: VirtualClock, network: Network, names: Iterable[InstanceId]) -> None:
         self.acknowledged: dict[Position, int] = {}
@@ -47,7 +50,7 @@
     def order(
         self, name: InstanceId, event: Callable[[int], Any], answered: Callable[[Any], None]
     ) -> None:
-        """Give a live member an event with a token; `answered` takes its answer."""
+        """Pass an event with a new token to a live member; `answered` is called with the result."""
         token = next(self._tokens)
         order = event(token)
         waiting = self.all[name].waiting
@@ -57,43 +60,43 @@
             waiting.pop(token)(db.TermAccepted(token))
 
     def write_everywhere(self) -> None:
-        """Write, now and for ever, to every member that takes itself for the primary."""
+        """Write periodically to every member that considers itself the primary."""
         self._clock.at(WRITE_INTERVAL, self.write_everywhere)
         for member in self.all.values():
             if member.replica.role is Role.PRIMARY and not member.dead:
                 self._write(member.name, next(self._payloads))
 
     def feed(self, name: InstanceId, event: Any) -> None:
-        """Bring an event to a member: now, when its pause is over, or never if it is dead."""
+        """Deliver an event to a member, after its pause if it is paused; drop it if it is dead."""
         member = self.all[name]
         if member.dead:
             return
         replica = member.replica
         if member.paused_until > self._clock.now:
             delay = member.paused_until - self._clock.now
-            self._clock.at(delay, lambda: self._feed_same(name, replica, event))
+            self._clock.at(delay, lambda: self._deliver_deferred(name, replica, event))
             return
         for effect in replica.handle(event, self._clock.now):
-            self._carry_out(member, effect)
+            self._execute(member, effect)
         due = replica.next_wakeup()
         if due is not None:
             delay = max(due - self._clock.now, 0.0)
             self._clock.at(delay, lambda: self._wake(name, replica, due))
 
     def pause(self, name: InstanceId, seconds: float) -> None:
-        """Stop a live member's process for a while."""
+        """Pause a live member's process."""
         member = self.all[name]
         if not member.dead:
             member.paused_until = self._clock.now + seconds
 
     def kill(self, name: InstanceId) -> None:
-        """End a member's process; its disk stays."""
+        """Kill a member's process; its disk is kept."""
         member = self.all[name]
         member.dead = True
         member.waiting.clear()
 
     def restart(self, name: InstanceId) -> None:
-        """Start a dead member from its disk."""
+        """Restart a dead member from its disk."""
         member = self.all[name]
         if member.dead:
             member.dead = False
@@ -108,16 +111,16 @@
 
         self.order(name, lambda token: db.Propose(token, payload), answered)
 
-    def _feed_same(self, name: InstanceId, replica: Replica, event: Any) -> None:
-        """Bring an event that waited, unless the process that it waited for was killed."""
+    def _deliver_deferred(self, name: InstanceId, replica: Replica, event: Any) -> None:
+        """Deliver a deferred event, unless the member's process was replaced in the meantime."""
         if self.all[name].replica is replica:
             self.feed(name, event)
 
     def _wake(self, name: InstanceId, replica: Replica, due: float) -> None:
         if replica.next_wakeup() == due:
-            self._feed_same(name, replica, Wakeup())
+            self._deliver_deferred(name, replica, Wakeup())
 
-    def _carry_out(self, member: Member, effect: Any) -> None:
+    def _execute(self, member: Member, effect: Any) -> None:
         match effect:
             case Send(to=to, message=message):
                 self._send(member.name, InstanceId(to), message)
@@ -126,7 +129,7 @@
             case db.PersistEntries(first=first, entries=entries):
                 member.disk[first - 1 :] = entries
             case db.Apply(position=position, payload=payload):
-                self._note_applied(position, payload)
+                self._record_applied(position, payload)
             case (
                 db.Acknowledged(token=token)
                 | db.TermAccepted(token=token)
@@ -139,8 +142,8 @@
             received = Received(NodeId(sender), message)
             self._clock.at(self._network.delay(), lambda: self.feed(to, received))
 
-    def _note_applied(self, position: Position, payload: Any) -> None:
+    def _record_applied(self, position: Position, payload: Any) -> None:
         entry = (position.term, payload)
         known = self._applied.setdefault(position.offset, entry)
         if known != entry:
-            raise HistoryError(f"at {position.offset}: {entry} after {known}")
+            raise HistoryError(f"offset {position.offset}: applied {entry}, previously {known}")
--- a/src/bramblebeam/lab/schedules/schedule.py
+++ b/src/bramblebeam/lab/schedules/schedule.py
@@ -1,4 +1,4 @@
-"""One seeded schedule: faults at random, then calm, then the judgement."""
+"""One seeded schedule: random faults, a period without faults, then the checks."""
 
 import random
 from itertools import count
@@ -18,21 +18,21 @@
 from bramblebeam.lab.schedules.watchers import Watchers
 
 START_SECONDS = 30.0
-"""A group must take its first write within this time."""
-START_STEP = 0.5
+"""Time within which a group must acknowledge its first write."""
+START_POLL_SECONDS = 0.5
 FAULT_SECONDS = 6.0
 HEALED_SECONDS = 8.0
-LAST_WRITES = 20
-"""Writes that may be without an acknowledgement at the end."""
+MAX_UNACKNOWLEDGED_WRITES = 20
+"""Log entries that may be unacknowledged at the end."""
 
 WATCHERS = 3
 FAULT_KINDS = 7
-LONGEST_FAULT = 4.0
+MAX_FAULT_SECONDS = 4.0
 ADDRESS = Address("127.0.0.1", 3306)
 
 
 class Schedule:
-    """A group under random faults. The seed settles everything."""
+    """A group under random faults, fully determined by the seed."""
 
     def __init__(self, seed: int, member_count: int) -> None:
         self.clock = VirtualClock()
@@ -47,7 +47,7 @@
         self._requests = count(1)
 
     def run(self) -> str:
-        """Carry the schedule out; return what was violated, or an empty text."""
+        """Run the schedule; return a description of the violation, or an empty string."""
         try:
             self._run()
         except (HistoryError, AssertionError) as error:
@@ -57,22 +57,22 @@
     def _run(self) -> None:
         self.members.write_everywhere()
         while not self.members.acknowledged and self.clock.now < START_SECONDS:
-            self.clock.run(START_STEP)
-        self._fault()
+            self.clock.run(START_POLL_SECONDS)
+        self._inject_fault()
         self.clock.run(FAULT_SECONDS)
         self._network.heal()
         for name in self.members.all:
             self.members.restart(name)
         self.clock.run(HEALED_SECONDS)
 
-    def _fault(self) -> None:
-        """Put one fault in force and plan the next."""
+    def _inject_fault(self) -> None:
+        """Inject one fault and schedule the next."""
         if self._network.healed:
             return
-        self.clock.at(self._random.uniform(0.1, 0.8), self._fault)
+        self.clock.at(self._random.uniform(0.1, 0.8), self._inject_fault)
         name = self._random.choice(list(self.members.all))
         node = self._random.choice(self.watchers.nodes)
-        duration = self._random.uniform(0.1, LONGEST_FAULT)
+        duration = self._random.uniform(0.1, MAX_FAULT_SECONDS)
         match self._random.randrange(FAULT_KINDS):
             case 0:
                 self.members.kill(name)
@@ -100,15 +100,15 @@
         leaders = [m for m in self.members.all.values() if m.replica.role is Role.PRIMARY]
         newest = max(leaders, key=lambda member: member.replica.term, default=None)
         if newest is None or not acknowledged:
-            return "the group has no primary or never took a write"
+            return "the group has no primary or never acknowledged a write"
         log = newest.replica.log
         for position, payload in acknowledged.items():
             if not log.holds(position) or log.entry(position.offset).payload != payload:
                 return f"the acknowledged write at {position} is lost"
         last = max(acknowledged)
-        if last.term != newest.replica.term or len(log) - last.offset >= LAST_WRITES:
-            return "the group takes no writes"
+        if last.term != newest.replica.term or len(log) - last.offset >= MAX_UNACKNOWLEDGED_WRITES:
+            return "the group no longer acknowledges writes"
         followed = {member.replica.primary for member in self.members.all.values()}
         if followed != {NodeId(newest.name)}:
-            return f"members follow {followed} and not {newest.name}"
+            return f"members follow {followed} instead of {newest.name}"
         return ""
--- a/src/bramblebeam/lab/schedules/translate.py
+++ b/src/bramblebeam/lab/schedules/translate.py
@@ -1,4 +1,4 @@
-"""The watchers' commands as events of a member's machine, and what comes back."""
+"""Translation of watchers' commands into members' events, and of the results into events."""
 
 from typing import Any
 
@@ -21,7 +21,7 @@
 
 
 def order_of(token: int, command: Any) -> Any:
-    """Return the event of a member's machine for a command other than a query."""
+    """Return the member's event for a command other than a status query."""
     match command:
         case events.Promise(term=term):
             return db.PromiseTerm(token, term)
@@ -34,7 +34,7 @@
 
 
 def answer_of(command: Any, accepted: bool, status: MemberStatus) -> Any:
-    """Return the event that a command's result is for its watcher, or None for no event."""
+    """Return the watcher's event for the result of a command, or None if there is none."""
     if isinstance(command, events.QueryStatus):
         return events.StatusObserved(command.instance, status, command.queried_at)
     outcome = CommandOutcome.DONE if accepted else CommandOutcome.REFUSED
@@ -42,7 +42,10 @@
 
 
 def failure_of(command: Any, refused: bool) -> Any:
-    """Return the event of a command without an answer; `refused`: nothing listens."""
+    """Return the watcher's event for a command without a reply.
+
+    `refused`: the member refused the connection, so the command was not executed.
+    """
     if isinstance(command, events.QueryStatus):
         return events.StatusFailed(command.instance, command.queried_at, refused)
     outcome = CommandOutcome.REFUSED if refused else CommandOutcome.LOST
@@ -61,7 +64,7 @@
 
 
 def status_of(name: InstanceId, replica: Replica, now: float) -> MemberStatus:
-    """Return a member's status as its MySQL end would tell it."""
+    """Return a member's status as its MySQL endpoint would report it."""
     status = replica.status(now)
     return MemberStatus(
         name,
--- a/src/bramblebeam/lab/schedules/watchers.py
+++ b/src/bramblebeam/lab/schedules/watchers.py
@@ -22,7 +22,7 @@
 
 
 class Watchers:
-    """Drives the watchers' machines and carries their commands to the members."""
+    """Drives the watchers' state machines and sends their commands to the members."""
 
     def __init__(
         self,
@@ -44,38 +44,38 @@
             self.replace(node)
 
     def replace(self, node: NodeId) -> None:
-        """Start a watcher, or replace it by one that remembers nothing."""
+        """Start a watcher, or replace it by a new one without any state."""
         group: GroupId = self._specs[0].group
         self._machines[node] = GroupMachine(group, node)
         self.tell(node, events.GroupReconfigured(self._specs, True, self.nodes))
 
     def pause(self, node: NodeId, seconds: float) -> None:
-        """Stop a watcher for a while."""
+        """Pause a watcher."""
         self._paused_until[node] = self._clock.now + seconds
 
     def tell(self, node: NodeId, event: Any) -> None:
-        """Bring an event to a watcher, now or when its pause is over."""
+        """Deliver an event to a watcher, after its pause if it is paused."""
         machine = self._machines[node]
         wait = self._paused_until.get(node, 0.0) - self._clock.now
         if wait > 0:
-            self._clock.at(wait, lambda: self._tell_same(node, machine, event))
+            self._clock.at(wait, lambda: self._deliver_deferred(node, machine, event))
             return
         for effect in machine.handle(event, self._clock.now):
-            self._carry_out(node, machine, effect)
+            self._execute(node, machine, effect)
         due = machine.next_wakeup()
         if due is not None:
             delay = max(due - self._clock.now, 0.0)
             self._clock.at(delay, lambda: self._wake(node, machine, due))
 
-    def _tell_same(self, node: NodeId, machine: GroupMachine, event: Any) -> None:
+    def _deliver_deferred(self, node: NodeId, machine: GroupMachine, event: Any) -> None:
         if self._machines[node] is machine:
             self.tell(node, event)
 
     def _wake(self, node: NodeId, machine: GroupMachine, due: float) -> None:
         if machine.next_wakeup() == due:
-            self._tell_same(node, machine, Wakeup())
+            self._deliver_deferred(node, machine, Wakeup())
 
-    def _carry_out(self, node: NodeId, machine: GroupMachine, effect: Any) -> None:
+    def _execute(self, node: NodeId, machine: GroupMachine, effect: Any) -> None:
         match effect:
             case Send(to=to, message=message):
                 if not self._network.loses(node, to):
@@ -84,16 +84,16 @@
             case events.ChangeCompleted():
                 self.promotions += 1
             case _ if isinstance(effect, COMMANDS):
-                self._command(node, machine, effect)
+                self._send_command(node, machine, effect)
 
-    def _command(self, node: NodeId, machine: GroupMachine, command: Any) -> None:
-        """Send a command; its watcher gets one answer, at the latest when the time is over."""
+    def _send_command(self, node: NodeId, machine: GroupMachine, command: Any) -> None:
+        """Send a command; its watcher gets exactly one result, a failure after the timeout."""
         answered: list[bool] = []
 
         def answer(event: Any) -> None:
             if not answered and event is not None:
                 answered.append(True)
-                self._tell_same(node, machine, event)
+                self._deliver_deferred(node, machine, event)
 
         self._clock.at(command.timeout, lambda: answer(failure_of(command, refused=False)))
         if not self._network.loses(node, command.instance):
@@ -110,14 +110,14 @@
         if wait > 0:
             replica = member.replica
 
-            def arrive_same() -> None:
+            def arrive_deferred() -> None:
                 if member.replica is replica:
                     self._arrive(node, command, answer)
 
-            self._clock.at(wait, arrive_same)
+            self._clock.at(wait, arrive_deferred)
             return
 
-        def back(result: Any) -> None:
+        def reply(result: Any) -> None:
             accepted = isinstance(result, db.TermAccepted)
             status = status_of(member.name, member.replica, self._clock.now)
             event = answer_of(command, accepted, status)
@@ -125,6 +125,6 @@
                 self._clock.at(self._network.delay(), lambda: answer(event))
 
         if isinstance(command, events.QueryStatus):
-            back(None)
+            reply(None)
         else:
-            self._members.order(member.name, lambda token: order_of(token, command), back)
+            self._members.order(member.name, lambda token: order_of(token, command), reply)
--- a/src/bramblebeam/lab/simulator/cli.py
+++ b/src/bramblebeam/lab/simulator/cli.py
@@ -13,31 +13,37 @@
 
 VIOLATED = 1
 BAD_INPUT = 2
-MOST_PROCESSES = 4
+MAX_PROCESSES = 4
 
-ScenarioArgument = Annotated[str, typer.Argument(help="A scenario's file, or the name of one.")]
-MutateOption = Annotated[str, typer.Option(help="A fault put into the code; see --help.")]
+ScenarioArgument = Annotated[
+    str, typer.Argument(help="Path of a scenario file, or a scenario's name.")
+]
+MutateOption = Annotated[str, typer.Option(help="Mutation to apply to the code; empty: none.")]
 SecondsOption = Annotated[float, typer.Option(help="Length of the load (virtual seconds).")]
 RateOption = Annotated[float, typer.Option(help="Statements a second.")]
 ClockStepOption = Annotated[
-    float, typer.Option(min=0.0, help="Nodes' clocks move in such steps (seconds); 0: exactly.")
+    float, typer.Option(min=0.0, help="Resolution of the nodes' clocks (seconds); 0: exact.")
+]
+KindsOption = Annotated[
+    str, typer.Option(help="Fault kinds, comma-separated; empty: chosen by the seed.")
 ]
-KindsOption = Annotated[str, typer.Option(help="Fault kinds, by commas; empty: by the seed.")]
 
 
 @application.command()
 def sweep(
     scenario: ScenarioArgument,
-    seeds: Annotated[str, typer.Option(help="A..B, both included.")] = "1..20",
+    seeds: Annotated[str, typer.Option(help="Range A..B, inclusive.")] = "1..20",
     mutate: MutateOption = "",
     seconds: SecondsOption = 12.0,
     rate: RateOption = 60.0,
     kinds: KindsOption = "",
     clock_step: ClockStepOption = 0.0,
-    jobs: Annotated[int, typer.Option(min=1, max=MOST_PROCESSES, help="Processes.")] = 2,
-    as_json: Annotated[bool, typer.Option("--json", help="Totals as one JSON object.")] = False,
+    jobs: Annotated[int, typer.Option(min=1, max=MAX_PROCESSES, help="Processes.")] = 2,
+    as_json: Annotated[
+        bool, typer.Option("--json", help="Print the totals as one JSON object.")
+    ] = False,
 ) -> None:
-    """Simulate a scenario with each seed's faults and judge each run. Exit code 0: all good."""
+    """Simulate a scenario once per seed and judge each run. Exit code 0: every run passed."""
     first, _, last = seeds.partition("..")
     cases = [
         _case(scenario, seed, mutate, seconds, rate, kinds, clock_step)
@@ -47,36 +53,36 @@
     for outcome in run_cases(cases, jobs):
         totals.add(outcome)
         if not outcome.good:
-            typer.echo(_bad_line(outcome), err=True)
-    typer.echo(json.dumps(_summary(totals)) if as_json else _text(totals, scenario))
+            typer.echo(_failure_line(outcome), err=True)
+    typer.echo(json.dumps(_totals_json(totals)) if as_json else _totals_text(totals, scenario))
     sys.exit(VIOLATED if totals.bad else 0)
 
 
 @application.command()
 def replay(
     scenario: ScenarioArgument,
-    seed: Annotated[int, typer.Option(help="The seed of the sweep.")],
+    seed: Annotated[int, typer.Option(help="Seed to run.")],
     mutate: MutateOption = "",
     seconds: SecondsOption = 12.0,
     rate: RateOption = 60.0,
     kinds: KindsOption = "",
     clock_step: ClockStepOption = 0.0,
 ) -> None:
-    """Run one seed of a sweep again and tell, where it fails, what happened."""
+    """Run one seed of a sweep again and print a trace if it fails."""
     case = _case(scenario, seed, mutate, seconds, rate, kinds, clock_step)
     outcome = next(run_cases([case]))
     typer.echo("\n".join(outcome.trace))
-    typer.echo(_bad_line(outcome) if not outcome.good else f"seed {seed}: nothing was violated")
+    typer.echo(_failure_line(outcome) if not outcome.good else f"seed {seed}: no violations")
     sys.exit(0 if outcome.good else VIOLATED)
 
 
 @application.command()
 def mutations(
-    names: Annotated[str, typer.Option(help="Names by commas; empty: all.")] = "",
-    seeds: Annotated[int, typer.Option(help="Seeds to try until one shows it.")] = 3,
-    jobs: Annotated[int, typer.Option(min=1, max=MOST_PROCESSES, help="Processes.")] = 2,
+    names: Annotated[str, typer.Option(help="Comma-separated names; empty: all.")] = "",
+    seeds: Annotated[int, typer.Option(help="Seeds to run per mutation.")] = 3,
+    jobs: Annotated[int, typer.Option(min=1, max=MAX_PROCESSES, help="Processes.")] = 2,
 ) -> None:
-    """Put each fault into the code and see that the judge reports it. Exit code 0: all are."""
+    """Check that the judge reports every mutation. Exit code 0: all are reported."""
     from bramblebeam.lab.simulator.mutations import MUTATIONS, mutation_case
 
     chosen = [name for name in names.split(",") if name] or list(MUTATIONS)
@@ -121,13 +127,13 @@
     )
 
 
-def _bad_line(outcome: CaseOutcome) -> str:
+def _failure_line(outcome: CaseOutcome) -> str:
     found = outcome.result.invariant_violations if outcome.result else {}
     violated = ", ".join(f"{name} {count}" for name, count in found.items() if count)
     return f"seed {outcome.seed} [{'; '.join(outcome.faults)}]: {violated} {outcome.broken}"
 
 
-def _summary(totals: SweepTotals) -> dict[str, object]:
+def _totals_json(totals: SweepTotals) -> dict[str, object]:
     return {
         "cases": totals.cases,
         "statements": totals.statements,
@@ -138,7 +144,7 @@
     }
 
 
-def _text(totals: SweepTotals, scenario: str) -> str:
+def _totals_text(totals: SweepTotals, scenario: str) -> str:
     lines = [f"{scenario}: {totals.cases} seeds, {totals.statements} statements"]
     lines += [
         f"  {name}: {count} violations in {totals.examined[name]} observations"
--- a/src/bramblebeam/lab/simulator/cluster.py
+++ b/src/bramblebeam/lab/simulator/cluster.py
@@ -1,4 +1,4 @@
-"""A scenario's platform, database groups, nodes and callers on simulated hosts."""
+"""The platform, database groups, nodes and callers of a scenario on simulated hosts."""
 
 from __future__ import annotations
 
@@ -25,13 +25,17 @@
 CLIENT_PORT = 7001
 ADMIN_PORT = 7002
 SEEDS_PER_NODE = 3
-DRIFT = 0.02
-"""Clocks of nodes run at most this part too fast or too slow."""
-LARGEST_OFFSET = 10_000.0
+MAX_DRIFT = 0.02
+"""Largest relative error of the rate of a node's clock."""
+MAX_CLOCK_OFFSET = 10_000.0
+"""Largest offset of a node's clock (seconds)."""
 
 
 class SimulatedCluster:
-    """What `lab.cluster.Cluster` is for real processes. `clock_step`: of the nodes' clocks."""
+    """Simulated counterpart of `lab.cluster.Cluster`.
+
+    `clock_step`: resolution of the nodes' clocks (seconds), 0 for exact clocks.
+    """
 
     def __init__(
         self,
@@ -54,52 +58,52 @@
         topology = scenario.topology
         self.node_addresses = _addresses("10.1.0", topology.nodes)
         self.instance_addresses = _addresses("10.2.0", topology.instances)
-        self.callers = self._connected(Host("callers", CLIENT_ZONE, "10.4.0.1"))
+        self.callers = self._attach(Host("callers", CLIENT_ZONE, "10.4.0.1"))
         self.database_addresses = {
             name: (address, MYSQL_PORT) for name, address in self.instance_addresses.items()
         }
         rows = initial_rows(scenario, self.database_addresses)
-        host = self._connected(Host("platform", PLATFORM_ZONE, "10.3.0.1"))
+        host = self._attach(Host("platform", PLATFORM_ZONE, "10.3.0.1"))
         self.platform = SimulatedPlatform(loop, self.network, host, rows)
 
-    def _connected(self, host: Host) -> Host:
-        """Connect a host to the network, in place of the one before it at its address."""
+    def _attach(self, host: Host) -> Host:
+        """Attach a host to the network, replacing the previous host at its address."""
         self.network.hosts[host.address] = host
         return host
 
     @property
     def platform_url(self) -> str:
-        """Return the address of the platform's store."""
+        """Return the base URL of the platform's store."""
         return f"http://{self.platform.host.address}:{PLATFORM_PORT}"
 
     def admin_url(self, node: str) -> str:
-        """Return the administration API of a node."""
+        """Return the base URL of a node's administration API."""
         return f"http://{self.node_addresses[node]}:{ADMIN_PORT}"
 
     async def start(self) -> None:
-        """Start everything."""
+        """Start the platform, then all databases, then all nodes."""
         await self.platform.start()
         topology = self.scenario.topology
         await asyncio.gather(*(self.start_database(name) for name in topology.instances))
         await asyncio.gather(*(self.start_node(name) for name in topology.nodes))
 
     async def start_database(self, instance: str) -> None:
-        """Start, or start again, one database server; its log file outlives it."""
+        """Start or restart one database server. Its log file persists across restarts."""
         address = self.instance_addresses[instance]
         self.network.databases.add(address)
-        host = self._connected(Host(instance, self.scenario.topology.instances[instance], address))
+        host = self._attach(Host(instance, self.scenario.topology.instances[instance], address))
         log = self.directory / f"{instance}.entries"
         database = SimulatedDatabase(self._loop, self.network, host, instance, log)
         self.databases[instance] = database
         await database.start()
 
     async def start_node(self, node: str) -> None:
-        """Start, or start again, one node, with another clock, and let callers know of it."""
+        """Start or restart one node with a new random clock, and publish its client address."""
         zone = self.scenario.topology.nodes[node]
         address = self.node_addresses[node]
-        rate = self._random.uniform(1 - DRIFT, 1 + DRIFT)
-        offset = self._random.uniform(0.0, LARGEST_OFFSET)
-        host = self._connected(Host(node, zone, address, rate, offset, self._clock_step))
+        rate = self._random.uniform(1 - MAX_DRIFT, 1 + MAX_DRIFT)
+        offset = self._random.uniform(0.0, MAX_CLOCK_OFFSET)
+        host = self._attach(Host(node, zone, address, rate, offset, self._clock_step))
         settings = self._settings(node, address)
         self.nodes[node] = SimulatedNode(self._loop, self.network, host, settings)
         await self.nodes[node].start()
--- a/src/bramblebeam/lab/simulator/collect.py
+++ b/src/bramblebeam/lab/simulator/collect.py
@@ -1,4 +1,4 @@
-"""Collects what the simulated back ends and nodes saw."""
+"""Collects the records of simulated databases and the events of simulated nodes."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 
 class SimulatedRecorder(BackendRecorder):
-    """Reads the members' journals."""
+    """Reads the journals of the simulated members directly."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         super().__init__(cluster, None)  # type: ignore[arg-type]
         self._simulated = cluster
 
     async def fetch(self, instance: str) -> bool:
-        """Take a member's records of its present life; tell whether it runs."""
+        """Collect a member's records of its current incarnation; return whether it is running."""
         if not self._simulated.databases[instance].host.alive:
             return False
         self.take(instance)
         return True
 
     def collect_now(self, history: History) -> None:
-        """Add the facts of every member that runs."""
+        """Add the records of every running member to the history."""
         for group in self._simulated.scenario.topology.groups:
             names = [member.instance for member in group.members]
             for name in names:
@@ -38,7 +38,7 @@
             self._add_group(history, group.name, names)
 
     def take(self, instance: str) -> None:
-        """Take a member's records of its present life."""
+        """Collect a member's records of its current incarnation."""
         journal = self._simulated.databases[instance].member.journal
         records = {kind: list(_records(journal, kind)) for kind in RECORD_KINDS}
         self._lives[instance].append(records)
@@ -50,7 +50,7 @@
 
 
 class EventCollector(logging.Handler):
-    """Takes the nodes' events: rows in force for the history, all of them for the trace."""
+    """Log handler that adds rows in force to the history and keeps every event for the trace."""
 
     def __init__(self, loop: VirtualLoop, history: History) -> None:
         super().__init__(logging.INFO)
@@ -60,7 +60,7 @@
         self._history = history
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Take one event of the host that runs."""
+        """Record one event of the current host."""
         host = CURRENT_HOST.get()
         if host is None:
             return
--- a/src/bramblebeam/lab/simulator/determinism.py
+++ b/src/bramblebeam/lab/simulator/determinism.py
@@ -1,6 +1,6 @@
-"""Makes every clock and random source of this process follow from one seed.
+"""Makes every clock and random source of this process deterministic, based on one seed.
 
-Only for a process that runs one simulation and ends: nothing is put back.
+Only for a process that runs one simulation and then exits: the replacements are not undone.
 """
 
 import os
@@ -14,13 +14,13 @@
 from bramblebeam.lab.simulator.loop import VirtualLoop
 from bramblebeam.lab.simulator.transports import SocketInfo
 
-FIRST_DATE = 1_700_000_000.0
-"""The date at the start of a simulation (seconds since 1970)."""
+START_TIMESTAMP = 1_700_000_000.0
+"""Wall-clock time at the start of a simulation (seconds since 1970)."""
 NANOSECONDS = 1_000_000_000
 
 
 def take_over(loop: VirtualLoop, seed: int) -> None:
-    """Replace clocks, random sources and the way that aiohttp makes sockets."""
+    """Replace the clocks, the random sources and aiohttp's creation of sockets."""
     _replace_clocks(loop)
     _replace_random(seed)
     connector: Any = aiohttp.connector
@@ -29,16 +29,16 @@
 
 def _replace_clocks(loop: VirtualLoop) -> None:
     time.monotonic = loop.time
-    time.time = lambda: FIRST_DATE + loop.now
-    time.time_ns = lambda: int((FIRST_DATE + loop.now) * NANOSECONDS)
+    time.time = lambda: START_TIMESTAMP + loop.now
+    time.time_ns = lambda: int((START_TIMESTAMP + loop.now) * NANOSECONDS)
 
 
 def _replace_random(seed: int) -> None:
     source = random.Random(seed)
-    plain_seed = random.Random.seed
+    original_seed = random.Random.seed
 
     def seed_from_source(self: random.Random, a: Any = None, version: int = 2) -> None:
-        plain_seed(self, source.getrandbits(64) if a is None else a, version)
+        original_seed(self, source.getrandbits(64) if a is None else a, version)
 
     random.Random.seed = seed_from_source  # type: ignore[method-assign]
     os.urandom = source.randbytes
@@ -46,6 +46,6 @@
 
 
 async def _start_connection(addr_infos: Sequence[Any], **options: Any) -> SocketInfo:
-    """Stand for the sockets that aiohttp opens by itself; the stream is opened with them."""
+    """Return a placeholder for the socket that aiohttp would open; `connect` opens the stream."""
     host, port = addr_infos[0][4][:2]
     return SocketInfo((host, port))
--- a/src/bramblebeam/lab/simulator/faults.py
+++ b/src/bramblebeam/lab/simulator/faults.py
@@ -1,4 +1,4 @@
-"""Injects every kind of fault into a simulation."""
+"""Fault injection for the simulator, one method per fault kind."""
 
 from __future__ import annotations
 
@@ -26,17 +26,20 @@
 from bramblebeam.lab.simulator.processes import SimulatedProcess
 
 LOST_ANSWERS = 1_000_000
+"""More answers than a run has, so that the store loses every one while the fault lasts."""
 STALE_LIST_SECONDS = 60.0
 DEFAULT_LAG_MS = 500
 DEFAULT_SLOW_MS = 1_000
 DEFAULT_BURST = 3.0
+"""Factor of the load's rate."""
 DEFAULT_LOSS = 0.1
+"""Probability that a message is lost."""
 
 Heal = Callable[[], object]
 
 
 class SimulatedFaults:
-    """Carries out the faults of one run and records when each began and ended."""
+    """Injects the faults of one run and records when each began and ended."""
 
     def __init__(
         self,
@@ -53,9 +56,9 @@
         self._load = load
         self._history = history
         self._tasks: set[asyncio.Task[None]] = set()
-        self._members: dict[str, dict[str, object]] = {}
-        self._store: dict[str, object] = {}
-        self._begin: dict[FaultKind, Callable[[Fault], Heal]] = {
+        self._member_faults: dict[str, dict[str, object]] = {}
+        self._store_faults: dict[str, object] = {}
+        self._injectors: dict[FaultKind, Callable[[Fault], Heal]] = {
             "primary_kill": self._primary_kill,
             "primary_cut": self._primary_cut,
             "primary_pause": self._primary_pause,
@@ -77,28 +80,28 @@
         }
 
     async def run(self, faults: Sequence[Fault], start: float) -> None:
-        """Carry out the faults; `start` is when the load began. Ends when all are healed."""
-        await asyncio.gather(*(self._one(fault, start) for fault in faults))
+        """Inject the faults; return when all are healed. `start`: when the load began."""
+        await asyncio.gather(*(self._inject(fault, start) for fault in faults))
         if self._tasks:
             await asyncio.wait(self._tasks)
 
-    async def _one(self, fault: Fault, start: float) -> None:
+    async def _inject(self, fault: Fault, start: float) -> None:
         await asyncio.sleep(max(0.0, start + fault.at - time.monotonic()))
         self._history.add(FaultInjected(time.monotonic(), fault.kind, fault.target, True))
-        heal = self._begin[fault.kind](fault)
+        heal = self._injectors[fault.kind](fault)
         await asyncio.sleep(fault.duration)
         heal()
         self._history.add(FaultInjected(time.monotonic(), fault.kind, fault.target, False))
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    # Databases.
+    # Databases
 
     def _primary(self, group: str) -> str:
-        """Return the member that is the primary of the highest term, or else the first member."""
+        """Return the primary with the highest term, or the first member if there is no primary."""
         names = [
             member.instance
             for found in self._cluster.scenario.topology.groups
@@ -115,24 +118,24 @@
     def _kill_database(self, instance: str) -> Heal:
         database = self._cluster.databases[instance]
         if not database.host.alive:
-            return _nothing
+            return _no_heal
         self._recorder.take(instance)
         database.kill()
-        return lambda: self._spawn(self._restart_database(instance))
+        return lambda: self._start_task(self._restart_database(instance))
 
     async def _restart_database(self, instance: str) -> None:
         await self._cluster.start_database(instance)
         self._set_member_faults(instance)
 
     def _set_member_faults(self, instance: str, **faults: object) -> None:
-        known = self._members.setdefault(instance, {})
+        known = self._member_faults.setdefault(instance, {})
         known.update(faults)
         database = self._cluster.databases[instance]
         if database.host.alive and known:
             database.set_faults(**known)
 
     def _primary_cut(self, fault: Fault) -> Heal:
-        """Cut the primary off from members and clients; or, with a value, from members only."""
+        """Partition the primary from all other hosts or, if the fault has a value, members only."""
         instance = self._primary(fault.target)
         address = self._cluster.instance_addresses[instance]
         if not fault.value:
@@ -159,31 +162,31 @@
 
         return heal
 
-    # Nodes.
+    # Nodes
 
     def _node_kill(self, fault: Fault) -> Heal:
         node = self._cluster.nodes[fault.target]
         if not node.host.alive:
-            return _nothing
+            return _no_heal
         self._cluster.clients.pop(fault.target, None)
         node.kill()
         self._history.add(NodeStopped(time.monotonic(), fault.target))
-        return lambda: self._spawn(self._start_node(fault.target))
+        return lambda: self._start_task(self._start_node(fault.target))
 
     def _node_stop(self, fault: Fault) -> Heal:
         node = self._cluster.nodes[fault.target]
         if not node.host.alive or node.host.paused:
-            return _nothing
+            return _no_heal
         self._cluster.clients.pop(fault.target, None)
         self._history.add(NodeStopping(time.monotonic(), fault.target))
         node.terminate()
 
-        async def start_again() -> None:
+        async def restart() -> None:
             await node.wait()
             self._history.add(NodeStopped(time.monotonic(), fault.target))
             await self._start_node(fault.target)
 
-        return lambda: self._spawn(start_again())
+        return lambda: self._start_task(restart())
 
     async def _start_node(self, node: str) -> None:
         self._history.add(NodeStarted(time.monotonic(), node))
@@ -211,17 +214,17 @@
 
         return heal
 
-    # The network.
+    # Network
 
     def _zone_cut(self, fault: Fault) -> Heal:
-        """Cut a zone off from the other zones and the platform; callers still reach its nodes."""
+        """Partition a zone from other zones and the platform; callers still reach its nodes."""
         inside = self._zone(fault.target)
         callers = self._cluster.callers.address
         outside = [at for at in self._network.hosts if at not in inside and at != callers]
         return self._cut_nodes(fault.target, [(inside, outside), (outside, inside)])
 
     def _one_way_cut(self, fault: Fault) -> Heal:
-        """Let nothing out of a zone, but everything in."""
+        """Block everything that leaves a zone; incoming messages still arrive."""
         inside = self._zone(fault.target)
         callers = self._cluster.callers.address
         outside = [at for at in self._network.hosts if at not in inside and at != callers]
@@ -237,8 +240,8 @@
         heals = [self._network.cut(sources, targets) for sources, targets in cuts]
 
         def heal() -> None:
-            for heal_one in heals:
-                heal_one()
+            for heal_cut in heals:
+                heal_cut()
             for node in nodes:
                 self._history.add(NodeCut(time.monotonic(), node, False))
 
@@ -252,7 +255,7 @@
 
         return heal
 
-    # The platform, operators and callers.
+    # Platform, operators and callers
 
     def _fault_store(self, **faults: object) -> Heal:
         self._set_store_faults(faults)
@@ -260,14 +263,14 @@
         return lambda: self._set_store_faults(healthy)
 
     def _set_store_faults(self, faults: dict[str, object]) -> None:
-        self._store.update(faults)
+        self._store_faults.update(faults)
         platform = self._cluster.platform
-        platform.soon(platform.server.set_faults, PlatformFaults.model_validate(self._store))
+        platform.soon(platform.server.set_faults, PlatformFaults.model_validate(self._store_faults))
 
     def _operator_race(self, fault: Fault) -> Heal:
         callers = self._cluster.callers
         self._tasks.add(callers.spawn(self._operators.race(fault.target)))
-        return _nothing
+        return _no_heal
 
     def _burst(self, fault: Fault) -> Heal:
         self._load.rate_factor = fault.value or DEFAULT_BURST
@@ -278,5 +281,5 @@
         return heal
 
 
-def _nothing() -> None:
-    """There is nothing to heal."""
+def _no_heal() -> None:
+    """Heal a fault that was not injected or ends by itself."""
--- a/src/bramblebeam/lab/simulator/hosts.py
+++ b/src/bramblebeam/lab/simulator/hosts.py
@@ -1,4 +1,4 @@
-"""The machines of a simulation, and which of them the running code belongs to."""
+"""Simulated hosts, and the context variable with the host that the current code runs on."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 CURRENT_HOST: contextvars.ContextVar[Host | None] = contextvars.ContextVar("host", default=None)
 
 
-SHORTEST_WAIT = 1e-4
-"""A clock with steps is looked at again after so long at the earliest: a turn takes as much (s)."""
+MIN_TIMER_DELAY = 1e-4
+"""Shortest delay of a timer of a stepped clock (seconds): the time one iteration takes."""
 
 
 class Host:
-    """One life of one process on a machine of its own. A restart makes a new `Host`.
+    """One incarnation of one process on a machine of its own. A restart creates a new `Host`.
 
-    `rate` and `offset` tell its monotonic clock from the simulation's: rate * time + offset. Code
-    of the host sees it move in steps of `step` seconds, 0: exactly.
+    Its monotonic clock is `rate` * simulation time + `offset`, rounded down to a multiple of `step`
+    seconds; 0 means no rounding.
     """
 
     def __init__(
@@ -47,25 +47,26 @@
         self.context.run(CURRENT_HOST.set, self)
 
     def clock(self, time: float) -> float:
-        """Return what this machine's monotonic clock shows at a time of the simulation."""
+        """Return the reading of this host's monotonic clock at a simulation time."""
         exact = time * self.rate + self.offset
         return math.floor(exact / self.step) * self.step if self.step else exact
 
     def timer(self, clock: float, now: float) -> float:
-        """Return when a timer comes that is set now for a time of this machine's clock.
+        """Return the simulation time at which a timer set now for a time of this clock fires.
 
-        With steps it counts from the clock as it is seen, and comes when as much has passed: it
-        does not wait for a step, and always lies ahead where its time has not come.
+        On a stepped clock the delay is measured from the current rounded reading, so the timer does
+        not wait for the next step, and a timer that is not due yet always fires in the future.
         """
         if not self.step:
             return self.simulation_time(clock)
         ahead = clock - self.clock(now)
-        return now + max(ahead, SHORTEST_WAIT) / self.rate if ahead > 0 else now
+        return now + max(ahead, MIN_TIMER_DELAY) / self.rate if ahead > 0 else now
 
     def simulation_time(self, clock: float) -> float:
-        """Return the first time of the simulation at which this machine's clock shows `clock`.
+        """Return the first simulation time at which this host's clock reads `clock`.
 
-        Never earlier by rounding: a timer that found its time not come would be set for ever.
+        The result is never early by rounding: a timer that fires before it is due would be set
+        again without end.
         """
         time = (clock - self.offset) / self.rate
         while self.clock(time) < clock:
@@ -73,9 +74,9 @@
         return time
 
     def run(self, call: Callable[..., T], *arguments: Any) -> T:
-        """Call a function as code of this host."""
+        """Call a function in this host's context."""
         return self.context.copy().run(call, *arguments)
 
     def spawn(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
-        """Run a task as code of this host."""
+        """Start a task in this host's context."""
         return self.run(asyncio.get_running_loop().create_task, work)
--- a/src/bramblebeam/lab/simulator/loop.py
+++ b/src/bramblebeam/lab/simulator/loop.py
@@ -1,4 +1,4 @@
-"""An asyncio event loop in virtual time: it never waits, and its clock jumps to the next event."""
+"""An asyncio event loop in virtual time: its clock jumps to the next timer instead of waiting."""
 
 from __future__ import annotations
 
@@ -16,67 +16,70 @@
     from bramblebeam.lab.simulator.network import Network
 
 FIRST_TIME = 1_000.0
-"""The clock at the start of a simulation (seconds)."""
+"""Value of the loop's clock at the start of a simulation (seconds)."""
 CLOCK_RESOLUTION = 1e-9
-WATCHED_ROUNDS = 500
-MOST_ROUNDS_A_SECOND = 60_000
-"""Rounds of the loop in one second of its time, above which a simulation counts as stalled."""
+STALL_SAMPLE_ITERATIONS = 500
+"""Iterations whose callbacks are counted before a stall is reported."""
+MAX_ITERATIONS_PER_SECOND = 60_000
+"""Loop iterations per second of virtual time above which a simulation counts as stalled."""
 
 
 class SimulationStalledError(Exception):
-    """Time does not go on: nothing can happen any more, or something happens without end."""
+    """Virtual time no longer advances: all tasks are blocked, or callbacks run in a busy loop."""
 
 
 class _Selector(selectors.SelectSelector):
-    """Has no events ever; time passes in its place."""
+    """Selector that never reports I/O events; it advances virtual time instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
         self.advance: Callable[[float], None] = lambda seconds: None
-        self._rounds = 0
+        self._iterations = 0
         self._second = 0.0
-        self._seen: Counter[str] = Counter()
+        self._callback_counts: Counter[str] = Counter()
         self.ready: Callable[[], Iterable[asyncio.Handle]] = tuple
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise SimulationStalledError("every task waits for another one")
+            raise SimulationStalledError("deadlock: no timer is scheduled and no callback is ready")
         self._second += timeout
-        self._rounds += 1
-        if self._rounds > MOST_ROUNDS_A_SECOND:
-            self._watch()
+        self._iterations += 1
+        if self._iterations > MAX_ITERATIONS_PER_SECOND:
+            self._sample_callbacks()
         if self._second >= 1.0:
             self._second = 0.0
-            self._rounds = 0
+            self._iterations = 0
         self.advance(timeout)
         return []
 
-    def _watch(self) -> None:
-        """See for a while what runs again and again, then give up."""
-        self._seen.update(_description(handle) for handle in self.ready())
-        if self._rounds > MOST_ROUNDS_A_SECOND + WATCHED_ROUNDS:
-            often = ", ".join(f"{name} {count}" for name, count in self._seen.most_common(4))
-            raise SimulationStalledError(f"again and again without a pause: {often}")
+    def _sample_callbacks(self) -> None:
+        """Count the callbacks that run, then raise SimulationStalledError with the most common."""
+        self._callback_counts.update(_description(handle) for handle in self.ready())
+        if self._iterations > MAX_ITERATIONS_PER_SECOND + STALL_SAMPLE_ITERATIONS:
+            most_common = ", ".join(
+                f"{name} {count}" for name, count in self._callback_counts.most_common(4)
+            )
+            raise SimulationStalledError(f"busy loop without progress of time: {most_common}")
 
 
 def _description(handle: asyncio.Handle) -> str:
-    """Name a handle's host and code: for a task, the functions that it is in."""
+    """Return a handle's host and callback; for a task, the innermost functions of its stack."""
     callback: Any = handle._callback  # type: ignore[attr-defined]
     host = handle._context.get(CURRENT_HOST)  # type: ignore[attr-defined]
-    place = host.name if host else "network"
+    location = host.name if host else "network"
     task = getattr(callback, "__self__", None)
     if not isinstance(task, asyncio.Task):
-        return f"{place} {getattr(callback, '__qualname__', repr(callback))}"
+        return f"{location} {getattr(callback, '__qualname__', repr(callback))}"
     names = []
     work: Any = task.get_coro()
     while hasattr(work, "cr_code"):
         names.append(work.cr_code.co_qualname)
         work = work.cr_await
-    return f"{place} {' > '.join(names[-3:])}"
+    return f"{location} {' > '.join(names[-3:])}"
 
 
-def _is_held(handle: asyncio.Handle) -> bool:
-    """Whether the handle's host can't run it: it is dead, or paused, and then takes it later."""
+def _is_suspended(handle: asyncio.Handle) -> bool:
+    """Whether a handle must not run now: its host is dead, or paused and defers the handle."""
     context: contextvars.Context = handle._context  # type: ignore[attr-defined]
     host = context.get(CURRENT_HOST)
     if host is None or (host.alive and not host.paused):
@@ -88,18 +91,22 @@
 
 class _Handle(asyncio.Handle):
     def _run(self) -> None:
-        if not _is_held(self):
+        if not _is_suspended(self):
             super()._run()
 
 
 class _TimerHandle(asyncio.TimerHandle):
     def _run(self) -> None:
-        if not _is_held(self):
+        if not _is_suspended(self):
             super()._run()
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """The loop. Code of a host sees that host's clock; network calls go to `network`."""
+    """The event loop of a simulation.
+
+    Code that runs as a host reads that host's clock. Connections and sockets are opened on
+    `network`.
+    """
 
     def __init__(self) -> None:
         selector = _Selector()
@@ -113,14 +120,14 @@
         self.set_exception_handler(lambda loop, context: None)
 
     def _advance(self, seconds: float) -> None:
-        """Go to the next timer, or by `seconds` where timers were cancelled meanwhile."""
+        """Advance the clock to the next timer, or by `seconds` if the timers were cancelled."""
         self.now += seconds
         timers = self._scheduled  # type: ignore[attr-defined]
         if timers and seconds > 0:
             self.now = max(self.now, min(timers[0]._when, self.now + CLOCK_RESOLUTION))
 
     def time(self) -> float:
-        """Return the running host's clock (seconds)."""
+        """Return the current host's clock (seconds)."""
         host = CURRENT_HOST.get()
         return self.now if host is None else host.clock(self.now)
 
@@ -131,7 +138,7 @@
         *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Call at a time of the running host's clock."""
+        """Schedule a call at a time of the current host's clock."""
         host = CURRENT_HOST.get()
         moment = when if host is None else host.timer(when, self.now)
         timer = _TimerHandle(moment, callback, args, self, context)
@@ -146,7 +153,7 @@
         *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Call after `delay` seconds of the running host's clock."""
+        """Schedule a call after `delay` seconds of the current host's clock."""
         return self.call_at(self.time() + delay, callback, *args, context=context)
 
     def _call_soon(
@@ -160,13 +167,13 @@
         return handle
 
     def resume(self, host: Host) -> None:
-        """Let a paused host run what came meanwhile."""
+        """Resume a paused host and run the callbacks that were deferred."""
         host.paused = False
         deferred, host.deferred = host.deferred, []
         self._ready.extend(deferred)  # type: ignore[attr-defined]
 
     async def create_connection(self, *args: Any, **options: Any) -> Any:
-        """Connect over the simulated network."""
+        """Open a stream over the simulated network."""
         assert self.network is not None
         return await self.network.connect(*args, **options)
 
@@ -176,14 +183,14 @@
         return self.network.listen(*args, **options)
 
     async def create_datagram_endpoint(self, *args: Any, **options: Any) -> Any:
-        """Open a datagram socket of the simulated network."""
+        """Open a datagram socket on the simulated network."""
         assert self.network is not None
         return self.network.open_datagrams(*args, **options)
 
     def run_in_executor(  # type: ignore[override]
         self, executor: Any, func: Callable[..., Any], *args: Any
     ) -> Any:
-        """Call at once: there are no threads."""
+        """Call the function synchronously: the simulation has no threads."""
         future = self.create_future()
         future.set_result(func(*args))
         return future
@@ -194,7 +201,10 @@
     work: Coroutine[Any, Any, Any],
     context: contextvars.Context | None = None,
 ) -> asyncio.Task[Any]:
-    """Keep a host's tasks: those of a dead host must not be finished by the garbage collector."""
+    """Create a task and keep a reference to it in its host.
+
+    The garbage collector would otherwise close the coroutines of a dead host and run their cleanup.
+    """
     task: asyncio.Task[Any] = asyncio.Task(work, loop=loop, context=context)
     host = CURRENT_HOST.get()
     if host is not None:
--- a/src/bramblebeam/lab/simulator/mutations.py
+++ b/src/bramblebeam/lab/simulator/mutations.py
@@ -1,7 +1,7 @@
-"""Faults put into the product's code at run time, each of which the judge must report.
+"""Mutations: bugs patched into the product's code at run time, each of which the judge must report.
 
-A mutation is in force in the process of one simulation only. Each comes with the faults under
-which it shows.
+A mutation affects only the process that applies it. Each one lists the injected faults that make
+its effect visible.
 """
 
 from __future__ import annotations
@@ -33,7 +33,11 @@
 
 
 class Mutation(NamedTuple):
-    """`invariant`: what the judge must report. `faults`: what it shows under."""
+    """A bug to patch in.
+
+    `invariant`: the violation that the judge must report. `faults`: the injected faults that make
+    the bug visible.
+    """
 
     invariant: str
     faults: tuple[Fault, ...]
@@ -41,24 +45,24 @@
 
 
 def apply_mutation(name: str) -> None:
-    """Put one mutation in force in this process; an empty name: none. Raises KeyError."""
+    """Apply one mutation to this process; an empty name applies none. Raises KeyError."""
     if name:
         MUTATIONS[name].apply()
 
 
 def _replace(owner: Any, name: str, make: Callable[[Any], Any]) -> None:
-    """Put what `make` returns for the present value in its place."""
+    """Replace an attribute by what `make` returns for its current value."""
     setattr(owner, name, make(getattr(owner, name)))
 
 
 def _ignore_floor() -> None:
-    """Reads take any replica, whatever the session wrote."""
+    """Reads go to any replica, regardless of the session's own writes."""
     _replace(Session, "floor", lambda real: lambda self, group: ZERO_POSITION)
     _replace(Session, "must_confirm", lambda real: lambda self, group: False)
 
 
 def _promote_lowest() -> None:
-    """A change of primary chooses the member that holds least."""
+    """A change of primary promotes the member with the shortest log."""
 
     def choose(promises: Mapping[InstanceId, MemberStatus], *preferences: Any) -> InstanceId:
         return min(promises, key=lambda instance: promises[instance].last)
@@ -67,12 +71,12 @@
 
 
 def _acknowledge_alone() -> None:
-    """A primary of the stand-in group acknowledges what it alone holds."""
+    """A primary of the stand-in database acknowledges writes that no other member has."""
     _replace(GroupProgress, "match", lambda real: lambda self, own_length: own_length)
 
 
 def _share_transactions() -> None:
-    """A connection in a transaction serves other sessions between its statements."""
+    """A connection in a transaction is shared with other sessions between its statements."""
 
     def make(real: Any) -> Any:
         def pin(self: Any, name: str, session: str, slot: Any, now: float) -> Any:
@@ -85,7 +89,7 @@
 
 
 def _drop_last_row() -> None:
-    """An answer of several rows loses its last one."""
+    """A result set of several rows loses the last one."""
 
     def make(real: Any) -> Any:
         def reply(self: Any, *arguments: Any) -> Any:
@@ -99,7 +103,7 @@
 
 
 def _deny_doubt() -> None:
-    """A statement whose answer was lost at the back end counts as not run."""
+    """A statement whose outcome at the back end is unknown is reported as not run."""
 
     def make(real: Any) -> Any:
         return lambda *arguments, **options: real(*arguments, **(options | {"in_doubt": False}))
@@ -108,7 +112,7 @@
 
 
 def _use_leaving() -> None:
-    """Nobody heeds the sign of leaving."""
+    """The pool and the routing directory ignore that an instance is leaving."""
 
     def make_admit(real: Any) -> Any:
         def admit(request: Any, status: Any, *others: Any) -> Any:
@@ -125,7 +129,7 @@
 
 
 def _stop_at_once() -> None:
-    """A planned stop waits for nothing."""
+    """A planned stop does not wait for work in flight."""
 
     async def drain(self: Any) -> None:
         return
@@ -135,7 +139,7 @@
 
 
 def _drop_rows() -> None:
-    """A node takes the first version of a row only."""
+    """A node applies only the first version of a row."""
 
     def make(real: Any) -> Any:
         return lambda self, row: row.key not in self._rows and real(self, row)
@@ -144,7 +148,7 @@
 
 
 def _open_more_slots() -> None:
-    """An owner opens more connections than the rows allow."""
+    """A slot owner opens more connections than the configuration allows."""
 
     def make(real: Any) -> Any:
         return property(lambda self: real.fget(self) + EXTRA_SLOTS)
@@ -156,21 +160,21 @@
     return Fault(at=at, kind=kind, target=target, duration=duration, value=value)
 
 
-_LAGGING = tuple(
+_LAGGING_REPLICAS = tuple(
     _fault(1.0, "replica_lag", instance, 9.0, 400.0) for instance in ("parcels-b", "parcels-c")
 )
-_CUT_IN_TURN = (
+_CONSECUTIVE_CUTS = (
     _fault(3.0, "zone_cut", "south-2", 3.0),
     _fault(5.0, "primary_cut", "parcels", 6.0),
 )
-_DOUBTS = (
+_LOST_ANSWERS = (
     _fault(0.5, "message_loss", "", 11.0, 0.2),
     *(_fault(at, "primary_kill", "parcels", 1.0) for at in (2.0, 5.0, 8.0)),
 )
 
 MUTATIONS: dict[str, Mutation] = {
-    "ignore_floor": Mutation("read_your_writes", _LAGGING, _ignore_floor),
-    "promote_lowest": Mutation("read_your_writes", _CUT_IN_TURN, _promote_lowest),
+    "ignore_floor": Mutation("read_your_writes", _LAGGING_REPLICAS, _ignore_floor),
+    "promote_lowest": Mutation("read_your_writes", _CONSECUTIVE_CUTS, _promote_lowest),
     "acknowledge_alone": Mutation(
         "no_ack_by_replaced_primary",
         (_fault(3.0, "primary_cut", "parcels", 4.0, 1.0),),
@@ -178,7 +182,7 @@
     ),
     "share_transactions": Mutation("transactions_do_not_mix", (), _share_transactions),
     "drop_last_row": Mutation("whole_own_answer", (), _drop_last_row),
-    "deny_doubt": Mutation("at_most_once", _DOUBTS, _deny_doubt),
+    "deny_doubt": Mutation("at_most_once", _LOST_ANSWERS, _deny_doubt),
     "use_leaving": Mutation(
         "leaving_gets_no_new_work",
         (_fault(2.0, "instance_leaving", "parcels-b", 8.0),),
@@ -197,11 +201,11 @@
     "drop_rows": Mutation("configuration_in_force_and_never_reverts", (), _drop_rows),
     "open_more_slots": Mutation("slots_never_exceeded", (), _open_more_slots),
 }
-"""Each shows in the scenario `small` with its faults."""
+"""Mutations by name. Each is detectable in the scenario `small` under its faults."""
 
 
 def mutation_case(name: str, seed: int) -> Case:
-    """Return the simulation in which a mutation shows. Raises KeyError."""
+    """Return the case that makes a mutation's violation visible. Raises KeyError."""
     scenario = load_scenario(SCENARIO)
     load = scenario.load.model_copy(update={"statements_per_second": RATE})
     faults = {"load": load, "faults": MUTATIONS[name].faults}
--- a/src/bramblebeam/lab/simulator/network.py
+++ b/src/bramblebeam/lab/simulator/network.py
@@ -1,4 +1,4 @@
-"""The simulated network: latency by zone, cuts in either direction, loss, refused connections."""
+"""The simulated network: latency by zone, one-way cuts, message loss and refused connections."""
 
 from __future__ import annotations
 
@@ -27,36 +27,36 @@
 FIRST_PORT = 40_000
 MILLISECONDS = 1_000
 
-Socket = tuple[str, int]
+SocketAddress = tuple[str, int]
 
-_WITHOUT_HOST = contextvars.Context()
+_NO_HOST_CONTEXT = contextvars.Context()
 
 
 class Network:
-    """All hosts, listeners, sockets and the faults between them."""
+    """All hosts, listeners and sockets, and the network faults in effect."""
 
     def __init__(self, loop: VirtualLoop, topology: Topology, random: Random) -> None:
         self.loop = loop
         self.random = random
         self.loss = 0.0
         self.hosts: dict[str, Host] = {}
-        """The present life of each machine, by address."""
+        """Current incarnation of each host, by address."""
         self.databases: set[str] = set()
-        """Addresses of database servers, to which connecting takes longer."""
+        """Addresses of database servers, which take longer to connect to."""
         self._topology = topology
         self._latency = topology.latency
         self._cuts: Counter[tuple[str, str]] = Counter()
-        self._listeners: dict[Socket, tuple[Server, Callable[[], Any], Host]] = {}
-        self._datagrams: dict[Socket, DatagramSocket] = {}
+        self._listeners: dict[SocketAddress, tuple[Server, Callable[[], Any], Host]] = {}
+        self._datagrams: dict[SocketAddress, DatagramSocket] = {}
         self._endpoints: dict[Host, list[Endpoint]] = {}
         self._stalled: dict[Pipe, None] = {}
-        self._ports = FIRST_PORT
-        self._healed = asyncio.Event()
+        self._last_port = FIRST_PORT
+        self._cut_healed = asyncio.Event()
 
-    # Faults.
+    # Faults
 
     def cut(self, sources: Iterable[str], targets: Iterable[str]) -> Callable[[], None]:
-        """Let nothing pass from one set of addresses to another; return how to end that."""
+        """Block all messages from `sources` to `targets`; return the function that ends the cut."""
         pairs = [(one, other) for one in sources for other in targets if one != other]
         self._cuts.update(pairs)
 
@@ -67,23 +67,23 @@
         return heal
 
     def cut_off(self, addresses: Iterable[str]) -> Callable[[], None]:
-        """Cut a set of addresses off from all the others, both ways."""
+        """Partition `addresses` from all other hosts; return the function that ends it."""
         inside = set(addresses)
         outside = {address for address in self.hosts if address not in inside}
         heals = [self.cut(inside, outside), self.cut(outside, inside)]
 
         def heal() -> None:
-            for heal_one in heals:
-                heal_one()
+            for heal_cut in heals:
+                heal_cut()
 
         return heal
 
     def is_cut(self, source: str, target: str) -> bool:
-        """Whether nothing passes from `source` to `target` now."""
+        """Whether messages from `source` to `target` are currently blocked."""
         return self._cuts[source, target] > 0
 
     def kill(self, host: Host) -> None:
-        """End a host's life: its code runs no more, and its connections are reset."""
+        """Kill a host: its code no longer runs and its connections are reset."""
         host.alive = False
         host.deferred.clear()
         self._listeners = {at: kept for at, kept in self._listeners.items() if kept[2] is not host}
@@ -97,13 +97,13 @@
         stalled, self._stalled = self._stalled, {}
         for pipe in stalled:
             pipe.retry()
-        self._healed.set()
-        self._healed = asyncio.Event()
+        self._cut_healed.set()
+        self._cut_healed = asyncio.Event()
 
-    # Latency.
+    # Latency and loss
 
     def delay(self, source: Host, target: Host) -> float:
-        """Draw the time of one message (seconds)."""
+        """Draw the latency of one message (seconds)."""
         return self._base_delay(source, target) * self.random.uniform(1.0, 1.2)
 
     def _base_delay(self, source: Host, target: Host) -> float:
@@ -121,20 +121,20 @@
         return (latency.zone_ms if near else latency.region_ms) / MILLISECONDS
 
     def lost(self) -> bool:
-        """Draw whether a message is lost."""
+        """Draw whether one message is lost."""
         return self.loss > 0 and self.random.random() < self.loss
 
     def stall(self, pipe: Pipe) -> None:
-        """Keep a stream that met a cut, to go on when it heals."""
+        """Register a stream that is blocked by a cut; it is retried when a cut heals."""
         self._stalled[pipe] = None
 
-    # What the event loop is asked for.
+    # Operations of the event loop
 
     def listen(
         self, factory: Callable[[], Any], host: str | None = None, port: int = 0, **options: Any
     ) -> Server:
-        """Listen for streams. Raises OSError for an address in use."""
-        owner = _running_host()
+        """Listen for streams. Raises OSError if the address is in use."""
+        owner = _current_host()
         address = (host or owner.address, port or self._next_port())
         if address in self._listeners:
             raise OSError(98, f"{address} is in use")
@@ -142,7 +142,7 @@
         self._listeners[address] = (server, factory, owner)
         return server
 
-    def _stop_listening(self, address: Socket) -> None:
+    def _stop_listening(self, address: SocketAddress) -> None:
         self._listeners.pop(address, None)
 
     async def connect(
@@ -154,33 +154,35 @@
         sock: SocketInfo | None = None,
         **options: Any,
     ) -> tuple[Endpoint, Any]:
-        """Open a stream. Raises ConnectionRefusedError; waits for ever where nothing passes."""
+        """Open a stream. Raises ConnectionRefusedError; does not return while a cut lasts."""
         if sock is not None:
             host, port = sock.address
         assert host is not None and port is not None
-        source = _running_host()
+        source = _current_host()
         target = (host, port)
         listener = await self._reach(source, target)
         protocol = factory()
         here = (source.address, self._next_port())
         near = Endpoint(self, source, listener[2], here, target)
-        far = Endpoint(self, listener[2], source, target, here)
-        near.join(far)
-        for endpoint in (near, far):
+        accepted = Endpoint(self, listener[2], source, target, here)
+        near.join(accepted)
+        for endpoint in (near, accepted):
             self._endpoints.setdefault(endpoint.host, []).append(endpoint)
-        far.open(listener[1])
+        accepted.open(listener[1])
         near.start(protocol)
         return near, protocol
 
-    async def _reach(self, source: Host, target: Socket) -> tuple[Server, Callable[[], Any], Host]:
-        """Wait out the handshake; return the listener."""
+    async def _reach(
+        self, source: Host, target: SocketAddress
+    ) -> tuple[Server, Callable[[], Any], Host]:
+        """Wait for the duration of the handshake; return the listener."""
         host = self._host_at(target[0])
         delay = self.delay(source, host) + self.delay(host, source)
         if target[0] in self.databases:
             delay += self._latency.connect_ms / MILLISECONDS
         await asyncio.sleep(delay)
         while self.is_cut(source.address, target[0]) or self.is_cut(target[0], source.address):
-            await self._healed.wait()
+            await self._cut_healed.wait()
             await asyncio.sleep(RETRANSMISSION_SECONDS)
         listener = self._listeners.get(target)
         if listener is None:
@@ -194,10 +196,10 @@
         return host
 
     def open_datagrams(
-        self, factory: Callable[[], Any], local_addr: Socket | None = None, **options: Any
+        self, factory: Callable[[], Any], local_addr: SocketAddress | None = None, **options: Any
     ) -> tuple[DatagramSocket, Any]:
-        """Open a datagram socket."""
-        owner = _running_host()
+        """Open a datagram socket. Raises OSError if the address is in use."""
+        owner = _current_host()
         host, port = local_addr or (owner.address, 0)
         address = (host, port or self._next_port())
         if address in self._datagrams:
@@ -208,8 +210,8 @@
         self.loop.call_soon(protocol.connection_made, socket)
         return socket, protocol
 
-    def send_datagram(self, source: DatagramSocket, data: bytes, target: Socket) -> None:
-        """Deliver a datagram once, late, twice, crossed or never."""
+    def send_datagram(self, source: DatagramSocket, data: bytes, target: SocketAddress) -> None:
+        """Send a datagram, which may be delayed, duplicated, reordered or lost."""
         host = self.hosts.get(target[0])
         if host is None or self.lost():
             return
@@ -220,7 +222,7 @@
                 delay *= self.random.uniform(1.0, 4.0)
             self.at(delay, self._deliver_datagram, source, data, target)
 
-    def _deliver_datagram(self, source: DatagramSocket, data: bytes, target: Socket) -> None:
+    def _deliver_datagram(self, source: DatagramSocket, data: bytes, target: SocketAddress) -> None:
         socket = self._datagrams.get(target)
         if socket is None or self.is_cut(source.host.address, target[0]):
             return
@@ -229,27 +231,27 @@
         self.loop.call_soon(receive, data, source.address, context=context)
 
     def close_datagrams(self, socket: DatagramSocket) -> None:
-        """Close a datagram socket."""
+        """Unregister a datagram socket."""
         if self._datagrams.get(socket.address) is socket:
             del self._datagrams[socket.address]
 
     def forget(self, endpoint: Endpoint) -> None:
-        """Forget a stream's end that is closed."""
+        """Unregister a closed endpoint."""
         endpoints = self._endpoints.get(endpoint.host)
         if endpoints is not None and endpoint in endpoints:
             endpoints.remove(endpoint)
 
     def at(self, delay: float, call: Callable[..., Any], *arguments: Any) -> None:
-        """Call after `delay` seconds as no host's code."""
-        _WITHOUT_HOST.run(self.loop.call_later, delay, call, *arguments)
+        """Schedule a call after `delay` seconds, outside any host's context."""
+        _NO_HOST_CONTEXT.run(self.loop.call_later, delay, call, *arguments)
 
     def _next_port(self) -> int:
-        self._ports += 1
-        return self._ports
+        self._last_port += 1
+        return self._last_port
 
 
-def _running_host() -> Host:
+def _current_host() -> Host:
     host = CURRENT_HOST.get()
     if host is None:
-        raise RuntimeError("only code of a host may use the network")
+        raise RuntimeError("the simulated network was used outside a host's context")
     return host
--- a/src/bramblebeam/lab/simulator/plan.py
+++ b/src/bramblebeam/lab/simulator/plan.py
@@ -1,4 +1,4 @@
-"""The faults that a sweep draws for each seed: every kind alone, and every pair of kinds."""
+"""Random choice of a sweep's faults: every kind alone and every pair of kinds, by seed."""
 
 from itertools import combinations_with_replacement
 from random import Random
@@ -6,9 +6,9 @@
 from bramblebeam.lab.scenario import FAULT_KINDS, Fault, FaultKind, Scenario
 
 FIRST_FAULT_SECONDS = 1.0
-SHORTEST_SECONDS = 0.3
-LONGEST_SECONDS = 5.0
-DROPS = (0.02, 0.1, 0.2)
+MIN_FAULT_SECONDS = 0.3
+MAX_FAULT_SECONDS = 5.0
+LOSS_RATES = (0.02, 0.1, 0.2)
 LAGS_MS = (100.0, 500.0, 2_000.0)
 KEYS = 6
 
@@ -16,13 +16,13 @@
     *((kind,) for kind in FAULT_KINDS),
     *combinations_with_replacement(FAULT_KINDS, 2),
 )
-"""What the faults of consecutive seeds are made of."""
+"""Fault kinds by seed, used cyclically by consecutive seeds."""
 
 
 def sweep_scenario(
     scenario: Scenario, seed: int, seconds: float, rate: float, kinds: tuple[FaultKind, ...] = ()
 ) -> Scenario:
-    """Return the scenario with few keys, another load, and faults drawn by the seed."""
+    """Return the scenario with a load on few keys and with faults drawn by the seed."""
     kinds = kinds or COMBINATIONS[seed % len(COMBINATIONS)]
     random = Random(seed)
     load = scenario.load.model_copy(
@@ -41,10 +41,10 @@
 
 
 def _draw(scenario: Scenario, kind: FaultKind, seconds: float, random: Random) -> Fault:
-    longest = min(LONGEST_SECONDS, seconds / 2)
+    longest = min(MAX_FAULT_SECONDS, seconds / 2)
     value = 0.0
     if kind == "message_loss":
-        value = random.choice(DROPS)
+        value = random.choice(LOSS_RATES)
     elif kind == "replica_lag":
         value = random.choice(LAGS_MS)
     elif kind == "primary_cut":
@@ -53,6 +53,6 @@
         at=random.uniform(FIRST_FAULT_SECONDS, seconds / 2),
         kind=kind,
         target=random.choice(scenario.targets(kind)),
-        duration=random.uniform(SHORTEST_SECONDS, longest),
+        duration=random.uniform(MIN_FAULT_SECONDS, longest),
         value=value,
     )
--- a/src/bramblebeam/lab/simulator/processes.py
+++ b/src/bramblebeam/lab/simulator/processes.py
@@ -1,4 +1,4 @@
-"""The simulated processes: what a run may do to each, as to a real one."""
+"""Simulated processes, with the same controls as real ones: start, kill, pause, resume, stop."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class SimulatedProcess:
-    """One process on a host of its own."""
+    """A process on a host of its own."""
 
     def __init__(self, loop: VirtualLoop, network: Network, host: Host) -> None:
         self.host = host
@@ -33,32 +33,32 @@
         self._ended = asyncio.Event()
 
     def kill(self) -> None:
-        """End it at once."""
+        """Kill the process and reset its connections."""
         self._network.kill(self.host)
         self._ended.set()
 
     def pause(self) -> None:
-        """Stop it until `resume`."""
+        """Suspend the process until `resume`."""
         self.host.paused = True
 
     def resume(self) -> None:
-        """Let it go on."""
+        """Resume a paused process."""
         self._loop.resume(self.host)
 
     async def wait(self) -> None:
-        """Return when it has ended."""
+        """Wait until the process has ended."""
         await self._ended.wait()
 
     async def start(self) -> None:
-        """Start what runs on the host; return when it is up."""
+        """Start the process; return when it is up or has been killed."""
         await self._call(self.serve())
 
     async def serve(self) -> None:
-        """Start, as code of the host."""
+        """Start the servers and services; runs in the host's context."""
         raise NotImplementedError
 
     async def _call(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Run a part to its end, or to the end of the host."""
+        """Run a coroutine on the host until it finishes or the process ends."""
         task = self.host.spawn(work)
         ended = asyncio.ensure_future(self._ended.wait())
         await asyncio.wait((task, ended), return_when=asyncio.FIRST_COMPLETED)
@@ -67,12 +67,12 @@
             task.result()
 
     def soon(self, call: Callable[..., Any], *arguments: Any) -> None:
-        """Call as code of the host."""
+        """Schedule a call in the host's context."""
         self._loop.call_soon(call, *arguments, context=self.host.context.copy())
 
 
 class SimulatedPlatform(SimulatedProcess):
-    """The stand-in platform with its rows."""
+    """The stand-in platform with its initial rows."""
 
     def __init__(self, loop: VirtualLoop, network: Network, host: Host, rows: list[Any]) -> None:
         super().__init__(loop, network, host)
@@ -81,12 +81,12 @@
             self.server.store.create(ObjectName(row["kind"], row["name"]), row["spec"], {})
 
     async def serve(self) -> None:
-        """Listen."""
+        """Start listening."""
         await self.server.start(self.host.address, PLATFORM_PORT)
 
 
 class SimulatedDatabase(SimulatedProcess):
-    """One member of a stand-in group. `log` outlives it."""
+    """One member of a stand-in database group. The file `log` persists across restarts."""
 
     def __init__(
         self, loop: VirtualLoop, network: Network, host: Host, instance: str, log: Path
@@ -103,16 +103,16 @@
         self._control = ControlServer(self.member, Address(address, 0))
 
     async def serve(self) -> None:
-        """Listen."""
+        """Start listening."""
         await self.member.start()
 
     def set_faults(self, **faults: Any) -> None:
-        """Put faults of the member itself in force."""
+        """Set the member's own faults, such as lag."""
         self.soon(self._control.apply, Faults(**faults))
 
 
 class SimulatedNode(SimulatedProcess):
-    """One node, with every service of a real one."""
+    """A node with every service of a real one."""
 
     def __init__(
         self, loop: VirtualLoop, network: Network, host: Host, settings: NodeSettings
@@ -131,7 +131,7 @@
         self._network.at(0.0, self.kill)
 
     def terminate(self) -> None:
-        """Begin a planned stop."""
+        """Start a planned stop: drain, then end the process."""
         self.host.spawn(self._stop())
 
     async def _stop(self) -> None:
--- a/src/bramblebeam/lab/simulator/run.py
+++ b/src/bramblebeam/lab/simulator/run.py
@@ -1,4 +1,4 @@
-"""Runs one scenario in the simulator, judges and measures it."""
+"""Runs one scenario in the simulator, then judges and measures the run."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 from bramblebeam.lab.simulator.mutations import apply_mutation
 
 SETTLE_SECONDS = 10.0
-VIOLATIONS_SHOWN = 20
-STATIC_EVENT_LEVEL = logging.INFO
+MAX_VIOLATIONS_SHOWN = 20
+EVENT_LOG_LEVEL = logging.INFO
 
 
 class SimulationError(Exception):
-    """The simulation did not come to its end. The text says why; `events` is what happened."""
+    """A simulation ended without a result; `events` holds what happened until then."""
 
     def __init__(self, text: str, events: list[tuple[float, str, str]] | None = None) -> None:
         super().__init__(text)
@@ -50,9 +50,9 @@
 
 @dataclass(frozen=True)
 class Simulation:
-    """What one simulation gives: its result, and what a reader needs to follow it.
+    """Result of one simulation, with the history and events behind it.
 
-    `stalled`: why it was cut short, or empty.
+    `stalled`: why the simulation stalled, empty if it ran to its end.
     """
 
     result: RunResult
@@ -63,7 +63,7 @@
 
 
 def simulate_scenario(scenario: Scenario, seed: int) -> RunResult:
-    """Run a scenario as it is, in a process of its own. Raises SimulationError."""
+    """Run a scenario with its own faults in a new process. Raises SimulationError."""
     from bramblebeam.lab.simulator.sweep import Case, run_cases
 
     outcome = next(run_cases([Case(scenario, seed, drawn=False)]))
@@ -75,9 +75,9 @@
 def simulate(
     scenario: Scenario, seed: int, mutation: str = "", clock_step: float = 0.0
 ) -> Simulation:
-    """Run in this process, whose clocks and random sources are taken over for good.
+    """Run a scenario in this process; its clocks and random sources stay replaced afterwards.
 
-    `clock_step`: nodes see their clocks move in steps of so many seconds, 0: exactly.
+    `clock_step`: resolution of the nodes' clocks (seconds), 0 for exact clocks.
     """
     loop = VirtualLoop()
     take_over(loop, seed)
@@ -87,7 +87,7 @@
         try:
             return loop.run_until_complete(run.run())
         except SimulationStalledError as error:
-            return run.cut_short(str(error))
+            return run.judge_stalled(str(error))
         except SetupError as error:
             raise SimulationError(str(error), run.events.lines) from error
 
@@ -110,7 +110,7 @@
         product = logging.getLogger("bramblebeam")
         product.handlers = [self.events]
         product.propagate = False
-        product.setLevel(STATIC_EVENT_LEVEL)
+        product.setLevel(EVENT_LOG_LEVEL)
         self.start = 0.0
         self.generator: LoadGenerator | None = None
         self.operators: Operators | None = None
@@ -119,9 +119,9 @@
         for node in self.scenario.topology.nodes:
             self.history.add(NodeStarted(time.monotonic(), node))
         await self.cluster.start()
-        return await self.cluster.callers.spawn(self._offer())
+        return await self.cluster.callers.spawn(self._run_load())
 
-    async def _offer(self) -> Simulation:
+    async def _run_load(self) -> Simulation:
         load = self.scenario.load
         async with aiohttp.ClientSession() as http:
             await prepare(self.cluster, self.history)  # type: ignore[arg-type]
@@ -143,8 +143,8 @@
         self.history.add(RunEnded(time.monotonic(), True, incomplete))
         return self._result(generator, operators)
 
-    def cut_short(self, reason: str) -> Simulation:
-        """Judge what happened until the simulation stalled. Raises SimulationError."""
+    def judge_stalled(self, reason: str) -> Simulation:
+        """Judge a stalled run by its history so far. Raises SimulationError before the load."""
         if self.generator is None or self.operators is None:
             raise SimulationError(reason, self.events.lines)
         self.recorder.collect_now(self.history)
@@ -184,7 +184,7 @@
             conflicts_shown=operators.conflicts,
             violations=[
                 f"{violation.invariant}: {violation.detail}"
-                for violation in violations[:VIOLATIONS_SHOWN]
+                for violation in violations[:MAX_VIOLATIONS_SHOWN]
             ],
         )
         return Simulation(result, violations, self.history, self.events.lines, stalled)
--- a/src/bramblebeam/lab/simulator/sweep.py
+++ b/src/bramblebeam/lab/simulator/sweep.py
@@ -1,4 +1,4 @@
-"""Runs many seeds, each in a process of its own that starts from the same state."""
+"""Runs simulations for many seeds, each in a fresh process with the same initial state."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 from bramblebeam.lab.simulator.plan import sweep_scenario
 
 HASH_SEED = "0"
-"""Python's hashes decide the order of sets, so they too must be the same in each process."""
+"""PYTHONHASHSEED of every process: string hashes determine the iteration order of sets."""
 CASE_TIMEOUT_SECONDS = 300.0
-TRACE_LINES = 400
+MAX_TRACE_LINES = 400
 
 
 @dataclass(frozen=True)
 class Case:
-    """One simulation to run. `drawn`: its faults are drawn by the seed.
+    """One simulation to run.
 
-    `clock_step`: of the nodes' clocks (seconds), 0: they are exact.
+    `drawn`: replace the scenario's load and faults by ones drawn by the seed. `clock_step`:
+    resolution of the nodes' clocks (seconds), 0 for exact clocks.
     """
 
     scenario: Scenario
@@ -36,7 +37,7 @@
     clock_step: float = 0.0
 
     def prepared(self) -> Scenario:
-        """Return the scenario that runs."""
+        """Return the scenario to run."""
         if not self.drawn:
             return self.scenario
         return sweep_scenario(self.scenario, self.seed, self.seconds, self.rate, self.kinds)
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True)
 class CaseOutcome:
-    """What a case gave. `broken`: why there is no result, or a service that failed."""
+    """Outcome of a case. `broken`: why there is no result or a stall or failed service, if any."""
 
     seed: int
     faults: tuple[str, ...]
@@ -54,13 +55,13 @@
 
     @property
     def good(self) -> bool:
-        """Whether the run ended, nothing was violated and no service failed."""
+        """Whether the run finished without violations and without a failed service."""
         return self.result is not None and not self.result.violated and not self.broken
 
 
 @dataclass
 class SweepTotals:
-    """Sums over the cases of a sweep."""
+    """Totals over the cases of a sweep."""
 
     cases: int = 0
     statements: int = 0
@@ -70,7 +71,7 @@
     bad: list[CaseOutcome] = field(default_factory=list)
 
     def add(self, outcome: CaseOutcome) -> None:
-        """Take one case."""
+        """Add the outcome of one case."""
         self.cases += 1
         self.fault_kinds.update(fault.split()[0] for fault in outcome.faults)
         if not outcome.good:
@@ -82,7 +83,7 @@
 
 
 def run_case(case: Case) -> CaseOutcome:
-    """Run one case in this process, which is of no use afterwards."""
+    """Run one case in this process, which can't run another one afterwards."""
     from bramblebeam.lab.simulator.loop import FIRST_TIME
     from bramblebeam.lab.simulator.run import SimulationError, simulate
     from bramblebeam.lab.simulator.trace import readable_trace, service_failures
@@ -96,19 +97,19 @@
         simulation = simulate(scenario, case.seed, case.mutation, case.clock_step)
     except SimulationError as error:
         events = [f"{at - FIRST_TIME:9.4f} {host}: {text}" for at, host, text in error.events]
-        return CaseOutcome(case.seed, faults, None, str(error), tuple(events[-TRACE_LINES:]))
+        return CaseOutcome(case.seed, faults, None, str(error), tuple(events[-MAX_TRACE_LINES:]))
     except Exception as error:
         lines = tuple(traceback.format_exc().splitlines())
         return CaseOutcome(case.seed, faults, None, f"{type(error).__name__}: {error}", lines)
     broken = simulation.stalled or service_failures(simulation)
     result = simulation.result
     failed = bool(broken or result.violated)
-    trace = tuple(readable_trace(simulation)[-TRACE_LINES:]) if failed else ()
+    trace = tuple(readable_trace(simulation)[-MAX_TRACE_LINES:]) if failed else ()
     return CaseOutcome(case.seed, faults, result, broken, trace)
 
 
 def run_cases(cases: Iterable[Case], processes: int = 1) -> Iterator[CaseOutcome]:
-    """Run each case in a fresh process; yield the outcomes in order."""
+    """Run each case in a fresh process; yield the outcomes in the order of the cases."""
     before = os.environ.get("PYTHONHASHSEED")
     os.environ["PYTHONHASHSEED"] = HASH_SEED
     try:
@@ -120,7 +121,7 @@
                 try:
                     yield outcome.get(timeout=CASE_TIMEOUT_SECONDS * (len(pending) + 1))
                 except multiprocessing.TimeoutError:
-                    yield CaseOutcome(case.seed, (), None, "no end in time")
+                    yield CaseOutcome(case.seed, (), None, "the case timed out")
     finally:
         if before is None:
             del os.environ["PYTHONHASHSEED"]
--- a/src/bramblebeam/lab/simulator/trace.py
+++ b/src/bramblebeam/lab/simulator/trace.py
@@ -1,4 +1,4 @@
-"""A simulation told line by line, for people."""
+"""Human-readable trace of a simulation."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def service_failures(simulation: Simulation) -> str:
-    """Return the first event that tells of a service that failed, or an empty text."""
+    """Return the first event that reports a failed service, or an empty string."""
     for time, host, text in simulation.events:
         if text.startswith(_FAILURES):
             return f"{time - FIRST_TIME:.3f} {host} {text}"
@@ -21,8 +21,8 @@
 
 
 def readable_trace(simulation: Simulation) -> list[str]:
-    """Return faults, events, and the requests that violations name, by time; violations last."""
-    named = {
+    """Return faults, events and requests involved in violations by time, then the violations."""
+    involved = {
         record.request
         for violation in simulation.violations
         for record in violation.records
@@ -33,14 +33,14 @@
         if isinstance(record, FaultInjected):
             verb = "begins" if record.begins else "ends"
             lines.append((record.time, f"FAULT {record.fault} {record.target} {verb}"))
-        elif isinstance(record, RequestSent | RequestAnswered) and record.request in named:
+        elif isinstance(record, RequestSent | RequestAnswered) and record.request in involved:
             lines.append((record.time, _request_line(record)))
     lines.sort(key=lambda line: line[0])
-    told = [f"{time - FIRST_TIME:9.4f} {text}" for time, text in lines]
+    trace = [f"{time - FIRST_TIME:9.4f} {text}" for time, text in lines]
     for violation in simulation.violations:
-        told.append(f"VIOLATION {violation.invariant}: {violation.detail}")
-        told += [f"    {record}" for record in violation.records]
-    return told
+        trace.append(f"VIOLATION {violation.invariant}: {violation.detail}")
+        trace += [f"    {record}" for record in violation.records]
+    return trace
 
 
 def _request_line(record: Any) -> str:
--- a/src/bramblebeam/lab/simulator/transports.py
+++ b/src/bramblebeam/lab/simulator/transports.py
@@ -1,9 +1,9 @@
-"""Streams and datagram sockets of the simulated network, as asyncio transports."""
+"""Asyncio transports for streams and datagram sockets of the simulated network."""
 
 from __future__ import annotations
 
 import asyncio
-import socket as real_socket
+import socket
 from collections.abc import Callable
 from enum import Enum
 from typing import TYPE_CHECKING, Any, NamedTuple
@@ -17,7 +17,7 @@
 
 
 class Signal(Enum):
-    """What a stream carries besides bytes."""
+    """Control items of a stream: end of stream and connection reset."""
 
     END = 1
     RESET = 2
@@ -27,43 +27,43 @@
 
 
 class SocketInfo:
-    """What libraries ask of a socket."""
+    """The socket interface that libraries use on a transport."""
 
-    family = real_socket.AF_INET
-    type = real_socket.SOCK_STREAM
+    family = socket.AF_INET
+    type = socket.SOCK_STREAM
     proto = 0
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
 
     def getsockname(self) -> tuple[str, int]:
-        """Return the address."""
+        """Return the local address."""
         return self.address
 
     def setsockopt(self, *options: Any) -> None:
-        """Take any option."""
+        """Accept and ignore any option."""
 
     def close(self) -> None:
-        """Do nothing: the transport is closed for itself."""
+        """Do nothing: the transport is closed separately."""
 
 
 class Server:
-    """A listener."""
+    """A listening socket, returned by `create_server`."""
 
     def __init__(self, address: tuple[str, int], close: Callable[[], None]) -> None:
         self.sockets = (SocketInfo(address),)
         self._close = close
 
     def close(self) -> None:
-        """Accept no more streams."""
+        """Stop accepting streams."""
         self._close()
 
     def is_serving(self) -> bool:
-        """Whether streams are accepted."""
+        """Return True."""
         return True
 
     async def wait_closed(self) -> None:
-        """Return at once."""
+        """Return immediately: nothing has to be waited for."""
 
 
 class _Sent(NamedTuple):
@@ -71,7 +71,7 @@
 
 
 class Pipe:
-    """One direction of a stream: in order, without loss, as late as the network makes it."""
+    """One direction of a stream: reliable and in order, with the network's latency."""
 
     def __init__(self, network: Network, source: Endpoint, target: Endpoint) -> None:
         self._network = network
@@ -81,7 +81,7 @@
         self._stalled: list[Item] = []
 
     def send(self, item: Item) -> None:
-        """Send bytes, the end or a reset."""
+        """Send bytes, the end of the stream or a reset; a lost message arrives late instead."""
         network = self._network
         arrival = network.loop.now + network.delay(self._source.host, self._target.host)
         if network.lost():
@@ -96,10 +96,10 @@
             self._stalled.append(item)
             network.stall(self)
         else:
-            self._hand_over(item)
+            self._deliver(item)
 
     def retry(self) -> None:
-        """Go on after a cut has healed, when the sender next tries."""
+        """Deliver stalled items after a cut has healed, at the sender's next retransmission."""
         delay = self._network.delay(self._source.host, self._target.host)
         self._network.at(RETRANSMISSION_SECONDS + delay, self._flush)
 
@@ -110,9 +110,9 @@
             return
         stalled, self._stalled = self._stalled, []
         for item in stalled:
-            self._hand_over(item)
+            self._deliver(item)
 
-    def _hand_over(self, item: Item) -> None:
+    def _deliver(self, item: Item) -> None:
         target = self._target
         if not target.host.alive:
             if item is not Signal.RESET:
@@ -123,7 +123,7 @@
 
 
 class Endpoint(asyncio.Transport):
-    """One end of a stream."""
+    """One endpoint of a stream."""
 
     def __init__(
         self,
@@ -142,30 +142,30 @@
         self._out: Pipe | None = None
         self._closed = False
         self._paused = False
-        self._waiting: list[Item] = []
+        self._buffered: list[Item] = []
 
     def join(self, other: Endpoint) -> None:
-        """Connect both directions."""
+        """Connect two endpoints in both directions."""
         self._out = Pipe(self._network, self, other)
         other._out = Pipe(self._network, other, self)
 
     def start(self, protocol: Any) -> None:
-        """Begin with a protocol."""
+        """Attach the protocol and notify it of the connection."""
         self._protocol = protocol
         protocol.connection_made(self)
 
     def open(self, factory: Callable[[], Any]) -> None:
-        """Begin at the listening end, when its process comes to it."""
+        """Accept the stream at the listening endpoint, as soon as its process runs."""
         context = self.host.context.copy()
         self._network.loop.call_soon(lambda: self.start(factory()), context=context)
 
     def receive(self, item: Item) -> None:
-        """Take what arrived."""
+        """Handle bytes, the end of the stream or a reset from the peer."""
         if self._closed:
             if item is not Signal.RESET:
                 self.reset_peer()
         elif self._paused and item is not Signal.RESET:
-            self._waiting.append(item)
+            self._buffered.append(item)
         elif item is Signal.RESET:
             self._lost(ConnectionResetError(104, "connection reset by peer"))
         elif item is Signal.END:
@@ -187,12 +187,12 @@
             data = data[taken:]
 
     def reset_peer(self) -> None:
-        """Tell the other end that this one is gone."""
+        """Send a reset to the peer."""
         if self._out is not None:
             self._out.send(Signal.RESET)
 
     def die(self) -> None:
-        """End with the host: its system resets the stream."""
+        """Close because the host was killed; its operating system resets the stream."""
         if not self._closed:
             self._closed = True
             self.reset_peer()
@@ -208,12 +208,12 @@
     # asyncio.Transport
 
     def write(self, data: Any) -> None:
-        """Send bytes."""
+        """Send data, unless the endpoint is closed."""
         if not self._closed and self._out is not None and data:
             self._out.send(bytes(data))
 
     def write_eof(self) -> None:
-        """Send the end."""
+        """Send the end of the stream."""
         if not self._closed and self._out is not None:
             self._out.send(Signal.END)
 
@@ -222,47 +222,47 @@
         return True
 
     def close(self) -> None:
-        """Close after what was written."""
+        """Close; data written before is still delivered."""
         if not self._closed and self._out is not None:
             self._out.send(Signal.END)
             self._lost(None)
 
     def abort(self) -> None:
-        """Close at once."""
+        """Reset the stream and close."""
         if not self._closed:
             self.reset_peer()
             self._lost(None)
 
     def is_closing(self) -> bool:
-        """Whether the end is closed."""
+        """Whether this endpoint is closed."""
         return self._closed
 
     def is_reading(self) -> bool:
-        """Whether data is handed over as it comes."""
+        """Whether received data is passed to the protocol."""
         return not self._paused
 
     def pause_reading(self) -> None:
-        """Keep what comes."""
+        """Buffer received data."""
         self._paused = True
 
     def resume_reading(self) -> None:
-        """Hand over what was kept."""
+        """Pass buffered data to the protocol."""
         if self._paused:
             self._paused = False
-            waiting, self._waiting = self._waiting, []
-            for item in waiting:
+            buffered, self._buffered = self._buffered, []
+            for item in buffered:
                 context = self.host.context.copy()
                 self._network.loop.call_soon(self.receive, item, context=context)
 
     def get_write_buffer_size(self) -> int:
-        """Return 0: the network takes everything."""
+        """Return 0: the network accepts all data at once."""
         return 0
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Take any limits."""
+        """Accept and ignore any limits."""
 
     def set_protocol(self, protocol: Any) -> None:
-        """Change the protocol."""
+        """Replace the protocol."""
         self._protocol = protocol
 
     def get_protocol(self) -> Any:
@@ -271,7 +271,7 @@
 
 
 class DatagramSocket(asyncio.DatagramTransport):
-    """A datagram socket."""
+    """Transport of a simulated datagram socket."""
 
     def __init__(
         self, network: Network, host: Host, address: tuple[str, int], protocol: Any
@@ -289,13 +289,13 @@
             self._network.send_datagram(self, bytes(data), (addr[0], addr[1]))
 
     def close(self) -> None:
-        """Close."""
+        """Close the socket and release its address."""
         if not self._closed:
             self._closed = True
             self._network.close_datagrams(self)
 
     def abort(self) -> None:
-        """Close."""
+        """Close the socket."""
         self.close()
 
     def is_closing(self) -> bool:
--- a/src/bramblebeam/lab/simulator/virtual_members.py
+++ b/src/bramblebeam/lab/simulator/virtual_members.py
@@ -1,4 +1,4 @@
-"""A network of membership machines in virtual time: latency, loss, cuts, pauses, restarts."""
+"""Membership state machines in virtual time, with latency, loss, cuts, pauses and restarts."""
 
 import heapq
 import itertools
@@ -20,12 +20,12 @@
 
 ZONE_LATENCY = 0.000_25
 REGION_LATENCY = 0.001_5
-FAR_LATENCY = 0.020
+CROSS_REGION_LATENCY = 0.020
 
 
 @dataclass(slots=True)
 class Traffic:
-    """What one node sent and took, IP and UDP headers included in the bytes."""
+    """Messages and bytes that one node sent and received; bytes include IP and UDP headers."""
 
     sent: int = 0
     received: int = 0
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class VirtualNode:
-    """One node of the network."""
+    """A node: its state machine, its latest published view and its traffic."""
 
     spec: NodeSpec
     machine: MembershipMachine
@@ -50,7 +50,7 @@
 
 
 class VirtualNetwork:
-    """Carries effects between machines. All choices come from `seed`."""
+    """Executes the machines' effects. All random choices are derived from `seed`."""
 
     def __init__(
         self, seed: int, timing: MembershipTiming | None = None, loss: float = 0.0
@@ -74,7 +74,7 @@
         members: Iterable[MemberUpdate] = (),
         incarnation: int = 1,
     ) -> VirtualNode:
-        """Start a node, in place of its former life where it had one."""
+        """Start a node, replacing its previous incarnation if there is one."""
         machine = MembershipMachine(
             spec,
             incarnation,
@@ -91,23 +91,23 @@
         return node
 
     def kill(self, node: NodeId) -> None:
-        """End a node without a word."""
+        """Kill a node without a leave announcement."""
         self.nodes[node].alive = False
 
     def pause(self, node: NodeId, seconds: float) -> None:
-        """Stop a node for a while; what comes meanwhile waits for it."""
+        """Pause a node; events that arrive in the meantime are delivered afterwards."""
         self.nodes[node].paused_until = self.now + seconds
 
     def cut(self, separated: Filter) -> None:
-        """Lose what a node sends to another where `separated` says so, until `heal`."""
+        """Drop messages between pairs of nodes for which `separated` is true, until `heal`."""
         self._cuts.append(separated)
 
     def heal(self) -> None:
-        """End every cut."""
+        """Remove all cuts."""
         self._cuts.clear()
 
     def tell(self, node: NodeId, event: Any) -> None:
-        """Give a node's machine an event."""
+        """Pass an event to a node's machine."""
         self._handle(self.nodes[node], event)
 
     def living(self) -> list[VirtualNode]:
@@ -115,11 +115,11 @@
         return [node for node in self.nodes.values() if node.alive]
 
     def run(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time."""
         self.run_until(lambda: False, seconds)
 
     def run_until(self, done: Callable[[], bool], seconds: float, step: float = 0.1) -> bool:
-        """Let virtual time pass until `done`, checked each `step`; False after `seconds`."""
+        """Advance time until `done()`, checked every `step` seconds; False after `seconds`."""
         end = self.now + seconds
         while self.now < end:
             if done():
@@ -150,13 +150,13 @@
 
     def _handle(self, node: VirtualNode, event: Any) -> None:
         for effect in node.machine.handle(event, self.now):
-            self._carry_out(node, effect)
+            self._execute(node, effect)
         due = node.machine.next_wakeup()
         if due is not None and due < node.wakeup:
             node.wakeup = due
             self._push(max(due, self.now), node.spec.node, Wakeup())
 
-    def _carry_out(self, node: VirtualNode, effect: Any) -> None:
+    def _execute(self, node: VirtualNode, effect: Any) -> None:
         if isinstance(effect, Publish):
             node.view = effect.view
         elif isinstance(effect, SendDatagram):
@@ -165,8 +165,8 @@
             datagram = DatagramReceived(node.spec.node, source, effect.message)
             self._deliver(node, to, datagram, may_be_lost=True)
         elif isinstance(effect, Send):
-            posted = Received(node.spec.node, effect.message)
-            self._deliver(node, effect.to, posted, may_be_lost=False)
+            received = Received(node.spec.node, effect.message)
+            self._deliver(node, effect.to, received, may_be_lost=False)
 
     def _deliver(
         self, sender: VirtualNode, to: NodeId | None, event: Any, may_be_lost: bool
@@ -197,18 +197,18 @@
 
 
 def make_spec(name: str, zone: str, region: str, number: int) -> NodeSpec:
-    """Return the record of node `number` with an address of its own."""
+    """Return the spec of node `number`, with an address derived from the number."""
     host = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}"
     peer, client, admin = (Address(host, port) for port in (7000, 3306, 7080))
     return NodeSpec(NodeId(name), ZoneId(zone), region, peer, client, admin)
 
 
 def alive_record(spec: NodeSpec, incarnation: int = 1) -> MemberUpdate:
-    """Return the record of a living member."""
+    """Return the membership update of a member that is alive."""
     return MemberUpdate(spec.node, incarnation, MemberState.ALIVE, spec)
 
 
 def _latency(first: NodeSpec, second: NodeSpec) -> float:
     if first.zone == second.zone:
         return ZONE_LATENCY
-    return REGION_LATENCY if first.region == second.region else FAR_LATENCY
+    return REGION_LATENCY if first.region == second.region else CROSS_REGION_LATENCY
--- a/tests/test_group_schedules.py
+++ b/tests/test_group_schedules.py
@@ -1,4 +1,4 @@
-"""The group machine under random fault schedules, checked by its acknowledged writes."""
+"""The group state machine under random fault schedules, checked by its acknowledged writes."""
 
 from typing import Any
 
--- a/tests/test_lab_processes.py
+++ b/tests/test_lab_processes.py
@@ -1,4 +1,4 @@
-"""The starter of processes: ready lines, signals, cleaning up."""
+"""Process groups of the lab: ready lines, signals, cleanup and free ports."""
 
 import os
 import signal
@@ -14,20 +14,20 @@
 SLEEPER = "import time; print('127.0.0.1:7', flush=True); time.sleep(60)"
 
 
-def test_ready_lines() -> None:
+def test_ready_lines_are_parsed() -> None:
     assert parse_ready_line('{"client": ["127.0.0.1", 3]}\n') == {"client": ["127.0.0.1", 3]}
     assert parse_ready_line("127.0.0.1:4\n") == {"listen": ["127.0.0.1", 4]}
 
 
-async def test_processes_are_faulted_and_always_ended(tmp_path: Path) -> None:
+async def test_processes_can_be_killed_and_paused_and_are_always_ended(tmp_path: Path) -> None:
     async with process_group(tmp_path) as group:
         first = await group.start("first", ["-c", SLEEPER])
         second = await group.start("second", ["-c", SLEEPER])
         assert first.address("listen") == ("127.0.0.1", 7)
         first.kill()
         assert await first.wait() == -signal.SIGKILL
-        again = await group.restart(first)
-        assert again.pid != first.pid
+        restarted = await group.restart(first)
+        assert restarted.pid != first.pid
         second.pause()
     assert not any(process.running for process in group.processes)
 
@@ -41,13 +41,13 @@
         os.kill(started.pid, 0)
 
 
-async def test_a_process_that_cannot_start_is_told_with_its_log(tmp_path: Path) -> None:
+async def test_failed_start_is_reported_with_the_log(tmp_path: Path) -> None:
     with pytest.raises(ProcessStartError, match="no such thing"):
         async with process_group(tmp_path) as group:
             await group.start("broken", ["-c", "raise SystemExit('no such thing')"])
 
 
-def test_ports_of_two_runs_are_never_the_same() -> None:
+def test_concurrent_runs_get_distinct_ports() -> None:
     code = "from bramblebeam.lab.ports import free_port; import time; "
     code += "print(*[free_port() for _ in range(60)], flush=True); time.sleep(60)"
     own = {free_port() for _ in range(60)}
--- a/tests/test_lab_report.py
+++ b/tests/test_lab_report.py
@@ -1,4 +1,4 @@
-"""Figures worked out from histories, the report page and the comparison."""
+"""Figures computed from histories, the report page and the comparison."""
 
 from pathlib import Path
 
@@ -27,7 +27,7 @@
     ]
 
 
-def test_gap_is_the_longest_time_without_an_acknowledged_write() -> None:
+def test_failover_gap_is_longest_time_without_acknowledged_write() -> None:
     history = History([FaultInjected(10.0, "primary_kill", "g", True)])
     for number, (sent, answered) in enumerate([(9.9, 9.95), (10.1, 11.2), (11.3, 11.31)]):
         history.extend(write(number, sent, answered))
@@ -35,12 +35,12 @@
     assert failover_gaps(history) == [1250.0]
 
 
-def test_gap_without_any_later_write_is_the_whole_window() -> None:
+def test_failover_gap_without_later_write_is_whole_window() -> None:
     history = History([FaultInjected(10.0, "primary_cut", "g", True)])
     assert failover_gaps(history) == [10_000.0]
 
 
-def test_edit_is_in_force_with_its_version_or_a_later_one() -> None:
+def test_edit_is_in_force_with_its_own_or_a_later_version() -> None:
     history = History(
         [
             EditAccepted(5.0, "weight/a", 7),
@@ -54,7 +54,7 @@
     assert (spread.at, spread.delays_ms) == (3.9, {"n1": 300.0, "n2": 600.0})
 
 
-def test_edit_at_a_node_that_was_down_counts_from_its_start() -> None:
+def test_edit_delay_at_stopped_node_counts_from_its_start() -> None:
     history = History(
         [
             EditAccepted(5.0, "weight/a", 7),
@@ -67,7 +67,7 @@
     assert spread.delays_ms == {"n1": 300.0}
 
 
-def test_spans_and_bins() -> None:
+def test_fault_spans_and_time_bins() -> None:
     history = History(
         [
             FaultInjected(2.0, "store_down", "", True),
@@ -111,7 +111,7 @@
     )
 
 
-def test_report_page_holds_every_plot(tmp_path: Path) -> None:
+def test_report_page_contains_every_plot(tmp_path: Path) -> None:
     file = tmp_path / "run.json"
     file.write_text("a line before\n" + sample_result(0.97).model_dump_json() + "\n")
     run = CliRunner().invoke(application, ["report", str(file)])
@@ -133,7 +133,7 @@
     assert "98.00%" in run.output
 
 
-def test_a_file_that_is_no_result_is_told(tmp_path: Path) -> None:
+def test_invalid_result_file_is_rejected(tmp_path: Path) -> None:
     file = tmp_path / "run.json"
     file.write_text("{}")
     assert CliRunner().invoke(application, ["report", str(file)]).exit_code == 2
--- a/tests/test_lab_simulator.py
+++ b/tests/test_lab_simulator.py
@@ -1,4 +1,4 @@
-"""The simulator: runs repeat exactly, a short sweep finds nothing, and faults in the code show."""
+"""The simulator: runs are deterministic, a short sweep passes, and mutations are reported."""
 
 import pytest
 
@@ -10,10 +10,10 @@
 SECONDS = 4.0
 
 
-def test_a_seed_gives_the_same_run_again_and_nothing_is_violated() -> None:
+def test_run_is_deterministic_and_has_no_violations() -> None:
     case = Case(load_scenario("small"), 18, seconds=SECONDS, kinds=("primary_kill", "replica_lag"))
-    first, again = run_cases([case, case], processes=2)
-    assert first == again
+    first, repeated = run_cases([case, case], processes=2)
+    assert first == repeated
     assert first.good, first
     assert first.result is not None
     assert first.result.examined["read_your_writes"] > 0
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("step", [0.001, 0.01, 0.1])
-def test_nothing_is_violated_by_coarse_clocks(step: float) -> None:
+def test_no_violations_with_coarse_clocks(step: float) -> None:
     kinds = ("primary_kill", "replica_lag")
     case = Case(load_scenario("small"), 18, seconds=SECONDS, kinds=kinds, clock_step=step)
     outcome = next(run_cases([case]))
@@ -31,14 +31,14 @@
 
 
 @pytest.mark.parametrize("name", ["drop_last_row", "share_transactions"])
-def test_a_fault_in_the_code_is_reported(name: str) -> None:
+def test_mutation_is_reported(name: str) -> None:
     outcome = next(run_cases([mutation_case(name, 1)]))
     assert outcome.result is not None, outcome
     assert outcome.result.invariant_violations[MUTATIONS[name].invariant] > 0
     assert any(line.startswith("VIOLATION") for line in outcome.trace)
 
 
-def test_a_sweep_of_enough_seeds_has_every_kind_and_every_pair_of_faults() -> None:
+def test_sweep_covers_every_fault_kind_and_every_pair() -> None:
     scenario = load_scenario("small")
     drawn = {
         tuple(fault.kind for fault in sweep_scenario(scenario, seed, 12.0, 60.0).faults)
