--- a/src/bramblebeam/lab/simulator/loop.py
+++ b/src/bramblebeam/lab/simulator/loop.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from bramblebeam.lab.simulator.network import Network
 
-FIRST_TIME = 1_000.0
+START_TIME = 1_000.0
 """Value of the loop's clock at the start of a simulation (seconds)."""
 CLOCK_RESOLUTION = 1e-9
 STALL_SAMPLE_ITERATIONS = 500
@@ -114,7 +114,7 @@
         selector.advance = self._advance
         selector.ready = lambda: self._ready  # type: ignore[attr-defined]
         self.network: Network | None = None
-        self.now = FIRST_TIME
+        self.now = START_TIME
         self._clock_resolution = CLOCK_RESOLUTION
         self.set_task_factory(_make_task)  # type: ignore[arg-type]
         self.set_exception_handler(lambda loop, context: None)
--- a/src/bramblebeam/lab/simulator/sweep.py
+++ b/src/bramblebeam/lab/simulator/sweep.py
@@ -84,7 +84,7 @@
 
 def run_case(case: Case) -> CaseOutcome:
     """Run one case in this process, which can't run another one afterwards."""
-    from bramblebeam.lab.simulator.loop import FIRST_TIME
+    from bramblebeam.lab.simulator.loop import START_TIME
     from bramblebeam.lab.simulator.run import SimulationError, simulate
     from bramblebeam.lab.simulator.trace import readable_trace, service_failures
 
@@ -96,7 +96,7 @@
     try:
         simulation = simulate(scenario, case.seed, case.mutation, case.clock_step)
     except SimulationError as error:
-        events = [f"{at - FIRST_TIME:9.4f} {host}: {text}" for at, host, text in error.events]
+        events = [f"{at - START_TIME:9.4f} {host}: {text}" for at, host, text in error.events]
         return CaseOutcome(case.seed, faults, None, str(error), tuple(events[-MAX_TRACE_LINES:]))
     except Exception as error:
         lines = tuple(traceback.format_exc().splitlines())
--- a/src/bramblebeam/lab/simulator/trace.py
+++ b/src/bramblebeam/lab/simulator/trace.py
@@ -6,7 +6,7 @@
 
 from bramblebeam.events.catalogue import SERVICE_FAILED, SERVICE_GAVE_UP
 from bramblebeam.lab.history.records import FaultInjected, RequestAnswered, RequestSent
-from bramblebeam.lab.simulator.loop import FIRST_TIME
+from bramblebeam.lab.simulator.loop import START_TIME
 from bramblebeam.lab.simulator.run import Simulation
 
 _FAILURES = tuple(f"[{event.number}]" for event in (SERVICE_FAILED, SERVICE_GAVE_UP))
@@ -16,7 +16,7 @@
     """Return the first event that reports a failed service, or an empty string."""
     for time, host, text in simulation.events:
         if text.startswith(_FAILURES):
-            return f"{time - FIRST_TIME:.3f} {host} {text}"
+            return f"{time - START_TIME:.3f} {host} {text}"
     return ""
 
 
@@ -36,7 +36,7 @@
         elif isinstance(record, RequestSent | RequestAnswered) and record.request in involved:
             lines.append((record.time, _request_line(record)))
     lines.sort(key=lambda line: line[0])
-    trace = [f"{time - FIRST_TIME:9.4f} {text}" for time, text in lines]
+    trace = [f"{time - START_TIME:9.4f} {text}" for time, text in lines]
     for violation in simulation.violations:
         trace.append(f"VIOLATION {violation.invariant}: {violation.detail}")
         trace += [f"    {record}" for record in violation.records]
