--- a/src/bramblebeam/lab/simulator/network.py
+++ b/src/bramblebeam/lab/simulator/network.py
@@ -235,7 +235,7 @@
         if self._datagrams.get(socket.address) is socket:
             del self._datagrams[socket.address]
 
-    def forget(self, endpoint: Endpoint) -> None:
+    def unregister_endpoint(self, endpoint: Endpoint) -> None:
         """Unregister a closed endpoint."""
         endpoints = self._endpoints.get(endpoint.host)
         if endpoints is not None and endpoint in endpoints:
