--- a/src/bramblebeam/lab/simulator/network.py
+++ b/src/bramblebeam/lab/simulator/network.py
@@ -124,7 +124,7 @@
         """Draw whether one message is lost."""
         return self.loss > 0 and self.random.random() < self.loss
 
-    def stall(self, pipe: Pipe) -> None:
+    def register_stalled(self, pipe: Pipe) -> None:
         """Register a stream that is blocked by a cut; it is retried when a cut heals."""
         self._stalled[pipe] = None
 
