--- a/src/bramblebeam/lab/simulator/network.py
+++ b/src/bramblebeam/lab/simulator/network.py
@@ -168,7 +168,7 @@
         near.join(accepted)
         for endpoint in (near, accepted):
             self._endpoints.setdefault(endpoint.host, []).append(endpoint)
-        accepted.open(listener[1])
+        accepted.accept(listener[1])
         near.start(protocol)
         return near, protocol
 
--- a/src/bramblebeam/lab/simulator/transports.py
+++ b/src/bramblebeam/lab/simulator/transports.py
@@ -154,7 +154,7 @@
         self._protocol = protocol
         protocol.connection_made(self)
 
-    def open(self, factory: Callable[[], Any]) -> None:
+    def accept(self, factory: Callable[[], Any]) -> None:
         """Accept the stream at the listening endpoint, as soon as its process runs."""
         context = self.host.context.copy()
         self._network.loop.call_soon(lambda: self.start(factory()), context=context)
