--- a/src/bramblebeam/lab/simulator/transports.py
+++ b/src/bramblebeam/lab/simulator/transports.py
@@ -191,7 +191,7 @@
         if self._out is not None:
             self._out.send(Signal.RESET)
 
-    def die(self) -> None:
+    def host_killed(self) -> None:
         """Close because the host was killed; its operating system resets the stream."""
         if not self._closed:
             self._closed = True
