--- a/src/bramblebeam/lab/simulator/transports.py
+++ b/src/bramblebeam/lab/simulator/transports.py
@@ -98,7 +98,7 @@
         else:
             self._deliver(item)
 
-    def retry(self) -> None:
+    def resume(self) -> None:
         """Deliver stalled items after a cut has healed, at the sender's next retransmission."""
         delay = self._network.delay(self._source.host, self._target.host)
         self._network.at(RETRANSMISSION_SECONDS + delay, self._flush)
