--- a/src/bramblebeam/lab/simulator/determinism.py
+++ b/src/bramblebeam/lab/simulator/determinism.py
@@ -19,7 +19,7 @@
 NANOSECONDS = 1_000_000_000
 
 
-def take_over(loop: VirtualLoop, seed: int) -> None:
+def make_deterministic(loop: VirtualLoop, seed: int) -> None:
     """Replace the clocks, the random sources and aiohttp's creation of sockets."""
     _replace_clocks(loop)
     _replace_random(seed)
--- a/src/bramblebeam/lab/simulator/run.py
+++ b/src/bramblebeam/lab/simulator/run.py
@@ -30,7 +30,7 @@
 from bramblebeam.lab.setup import SetupError, prepare
 from bramblebeam.lab.simulator.cluster import SimulatedCluster
 from bramblebeam.lab.simulator.collect import EventCollector, SimulatedRecorder
-from bramblebeam.lab.simulator.determinism import take_over
+from bramblebeam.lab.simulator.determinism import make_deterministic
 from bramblebeam.lab.simulator.faults import SimulatedFaults
 from bramblebeam.lab.simulator.loop import SimulationStalledError, VirtualLoop
 from bramblebeam.lab.simulator.mutations import apply_mutation
@@ -80,7 +80,7 @@
     `clock_step`: resolution of the nodes' clocks (seconds), 0 for exact clocks.
     """
     loop = VirtualLoop()
-    take_over(loop, seed)
+    make_deterministic(loop, seed)
     apply_mutation(mutation)
     with tempfile.TemporaryDirectory() as directory:
         run = _Run(scenario, seed, loop, Path(directory), clock_step)
