--- a/src/bramblebeam/lab/simulator/sweep.py
+++ b/src/bramblebeam/lab/simulator/sweep.py
@@ -30,7 +30,7 @@
     scenario: Scenario
     seed: int
     mutation: str = ""
-    drawn: bool = True
+    draw_faults: bool = True
     seconds: float = 12.0
     rate: float = 60.0
     kinds: tuple[FaultKind, ...] = ()
@@ -38,7 +38,7 @@
 
     def prepared(self) -> Scenario:
         """Return the scenario to run."""
-        if not self.drawn:
+        if not self.draw_faults:
             return self.scenario
         return sweep_scenario(self.scenario, self.seed, self.seconds, self.rate, self.kinds)
 
