--- a/src/bramblebeam/lab/simulator/sweep.py
+++ b/src/bramblebeam/lab/simulator/sweep.py
@@ -86,7 +86,7 @@
     """Run one case in this process, which can't run another one afterwards."""
     from bramblebeam.lab.simulator.loop import START_TIME
     from bramblebeam.lab.simulator.run import SimulationError, simulate
-    from bramblebeam.lab.simulator.trace import readable_trace, service_failures
+    from bramblebeam.lab.simulator.trace import format_trace, service_failures
 
     scenario = case.prepared()
     faults = tuple(
@@ -104,7 +104,7 @@
     broken = simulation.stalled or service_failures(simulation)
     result = simulation.result
     failed = bool(broken or result.violated)
-    trace = tuple(readable_trace(simulation)[-MAX_TRACE_LINES:]) if failed else ()
+    trace = tuple(format_trace(simulation)[-MAX_TRACE_LINES:]) if failed else ()
     return CaseOutcome(case.seed, faults, result, broken, trace)
 
 
--- a/src/bramblebeam/lab/simulator/trace.py
+++ b/src/bramblebeam/lab/simulator/trace.py
@@ -20,7 +20,7 @@
     return ""
 
 
-def readable_trace(simulation: Simulation) -> list[str]:
+def format_trace(simulation: Simulation) -> list[str]:
     """Return faults, events and requests involved in violations by time, then the violations."""
     involved = {
         record.request
