--- a/src/bramblebeam/lab/simulator/sweep.py
+++ b/src/bramblebeam/lab/simulator/sweep.py
@@ -86,7 +86,7 @@
     """Run one case in this process, which can't run another one afterwards."""
     from bramblebeam.lab.simulator.loop import START_TIME
     from bramblebeam.lab.simulator.run import SimulationError, simulate
-    from bramblebeam.lab.simulator.trace import format_trace, service_failures
+    from bramblebeam.lab.simulator.trace import first_service_failure, format_trace
 
     scenario = case.prepared()
     faults = tuple(
@@ -101,7 +101,7 @@
     except Exception as error:
         lines = tuple(traceback.format_exc().splitlines())
         return CaseOutcome(case.seed, faults, None, f"{type(error).__name__}: {error}", lines)
-    broken = simulation.stalled or service_failures(simulation)
+    broken = simulation.stalled or first_service_failure(simulation)
     result = simulation.result
     failed = bool(broken or result.violated)
     trace = tuple(format_trace(simulation)[-MAX_TRACE_LINES:]) if failed else ()
--- a/src/bramblebeam/lab/simulator/trace.py
+++ b/src/bramblebeam/lab/simulator/trace.py
@@ -12,7 +12,7 @@
 _FAILURES = tuple(f"[{event.number}]" for event in (SERVICE_FAILED, SERVICE_GAVE_UP))
 
 
-def service_failures(simulation: Simulation) -> str:
+def first_service_failure(simulation: Simulation) -> str:
     """Return the first event that reports a failed service, or an empty string."""
     for time, host, text in simulation.events:
         if text.startswith(_FAILURES):
