--- a/src/bramblebeam/lab/simulator/collect.py
+++ b/src/bramblebeam/lab/simulator/collect.py
@@ -25,7 +25,7 @@
         """Collect a member's records of its current incarnation; return whether it is running."""
         if not self._simulated.databases[instance].host.alive:
             return False
-        self.take(instance)
+        self.collect_member(instance)
         return True
 
     def collect_now(self, history: History) -> None:
@@ -34,10 +34,10 @@
             names = [member.instance for member in group.members]
             for name in names:
                 if self._simulated.databases[name].host.alive:
-                    self.take(name)
+                    self.collect_member(name)
             self._add_group(history, group.name, names)
 
-    def take(self, instance: str) -> None:
+    def collect_member(self, instance: str) -> None:
         """Collect a member's records of its current incarnation."""
         journal = self._simulated.databases[instance].member.journal
         records = {kind: list(_records(journal, kind)) for kind in RECORD_KINDS}
