--- a/src/bramblebeam/lab/simulator/processes.py
+++ b/src/bramblebeam/lab/simulator/processes.py
@@ -66,7 +66,7 @@
         if task.done():
             task.result()
 
-    def soon(self, call: Callable[..., Any], *arguments: Any) -> None:
+    def call_soon(self, call: Callable[..., Any], *arguments: Any) -> None:
         """Schedule a call in the host's context."""
         self._loop.call_soon(call, *arguments, context=self.host.context.copy())
 
@@ -108,7 +108,7 @@
 
     def set_faults(self, **faults: Any) -> None:
         """Set the member's own faults, such as lag."""
-        self.soon(self._control.apply, Faults(**faults))
+        self.call_soon(self._control.apply, Faults(**faults))
 
 
 class SimulatedNode(SimulatedProcess):
