--- a/src/bramblebeam/lab/simulator/virtual_members.py
+++ b/src/bramblebeam/lab/simulator/virtual_members.py
@@ -110,7 +110,7 @@
         """Pass an event to a node's machine."""
         self._handle(self.nodes[node], event)
 
-    def living(self) -> list[VirtualNode]:
+    def alive_nodes(self) -> list[VirtualNode]:
         """Return the nodes that were not killed."""
         return [node for node in self.nodes.values() if node.alive]
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -42,7 +42,7 @@
         network.run(1)
         deaths += sum(
             member.state is MemberState.DEAD
-            for node in network.living()
+            for node in network.alive_nodes()
             for member in node.view.members.values()
         )
     assert deaths == 0
@@ -56,7 +56,7 @@
         network.run(0.1)
         assert not any(
             member.state is MemberState.DEAD
-            for node in network.living()
+            for node in network.alive_nodes()
             for member in node.view.members.values()
         )
     assert has_converged(network)
@@ -66,7 +66,7 @@
     network = build(2, {"a": 10, "b": 3})
     network.run(3)
     network.pause(NodeId("a3"), 30)
-    others = [node for node in network.living() if node.spec.node != "a3"]
+    others = [node for node in network.alive_nodes() if node.spec.node != "a3"]
     absent = [NodeId("a3")]
     assert network.run_until(lambda: all(g not in states(o) for o in others for g in absent), 15)
     network.run(20)
@@ -92,7 +92,7 @@
     assert network.run_until(
         lambda: (
             has_converged(network)
-            and all(node.view.members[spec.node].spec == spec for node in network.living())
+            and all(node.view.members[spec.node].spec == spec for node in network.alive_nodes())
         ),
         20,
     )
@@ -104,9 +104,9 @@
     leaving = NodeId("a4")
     network.tell(leaving, LeaveStarted())
     assert network.run_until(
-        lambda: all(leaving not in n.view.owners[ZoneId("a")] for n in network.living()), 3
+        lambda: all(leaving not in n.view.owners[ZoneId("a")] for n in network.alive_nodes()), 3
     )
-    assert all(n.view.members[leaving].state is MemberState.LEAVING for n in network.living())
+    assert all(n.view.members[leaving].state is MemberState.LEAVING for n in network.alive_nodes())
     network.tell(leaving, LeaveFinished())
     network.kill(leaving)
     assert network.run_until(lambda: dead_everywhere(network, "a4"), 3)
@@ -145,7 +145,7 @@
     assert all(NodeId("a5") in states(n) for n in in_zone(network, "b"))
     network.heal()
     assert network.run_until(lambda: has_converged(network), 40)
-    assert network.run_until(lambda: all(not n.view.unreachable for n in network.living()), 20)
+    assert network.run_until(lambda: all(not n.view.unreachable for n in network.alive_nodes()), 20)
 
 
 @pytest.mark.parametrize("seed", range(3))
