--- a/src/bramblebeam/lab/schedules/clock.py
+++ b/src/bramblebeam/lab/schedules/clock.py
@@ -49,7 +49,7 @@
         late = not self.healed and self._random.random() < 0.02
         return self._random.uniform(0.5, 4.0) if late else self.delay()
 
-    def loses(self, one: str, other: str) -> bool:
+    def draw_loss(self, one: str, other: str) -> bool:
         """Draw whether the next message between two participants is lost."""
         if frozenset((one, other)) in self.cut:
             return True
