--- a/src/bramblebeam/lab/schedules/clock.py
+++ b/src/bramblebeam/lab/schedules/clock.py
@@ -55,7 +55,7 @@
             return True
         return not self.healed and self._random.random() < self._loss_rate
 
-    def loses_answer(self) -> bool:
+    def draw_reply_loss(self) -> bool:
         """Draw whether the reply to an executed command is lost."""
         return not self.healed and self._random.random() < self._reply_loss_rate
 
