--- a/src/bramblebeam/lab/schedules/members.py
+++ b/src/bramblebeam/lab/schedules/members.py
@@ -47,7 +47,7 @@
         self._tokens = count(1)
         self._payloads = count(1)
 
-    def order(
+    def send_command(
         self, name: InstanceId, event: Callable[[int], Any], answered: Callable[[Any], None]
     ) -> None:
         """Pass an event with a new token to a live member; `answered` is called with the result."""
@@ -109,7 +109,7 @@
             if isinstance(answer, db.Acknowledged):
                 self.acknowledged[answer.position] = payload
 
-        self.order(name, lambda token: db.Propose(token, payload), answered)
+        self.send_command(name, lambda token: db.Propose(token, payload), answered)
 
     def _deliver_deferred(self, name: InstanceId, replica: Replica, event: Any) -> None:
         """Deliver a deferred event, unless the member's process was replaced in the meantime."""
