--- a/src/bramblebeam/lab/schedules/members.py
+++ b/src/bramblebeam/lab/schedules/members.py
@@ -59,9 +59,9 @@
         if isinstance(order, db.PauseWrites):
             waiting.pop(token)(db.TermAccepted(token))
 
-    def write_everywhere(self) -> None:
+    def write_periodically(self) -> None:
         """Write periodically to every member that considers itself the primary."""
-        self._clock.at(WRITE_INTERVAL, self.write_everywhere)
+        self._clock.at(WRITE_INTERVAL, self.write_periodically)
         for member in self.all.values():
             if member.replica.role is Role.PRIMARY and not member.dead:
                 self._write(member.name, next(self._payloads))
--- a/src/bramblebeam/lab/schedules/schedule.py
+++ b/src/bramblebeam/lab/schedules/schedule.py
@@ -55,7 +55,7 @@
         return self._judge()
 
     def _run(self) -> None:
-        self.members.write_everywhere()
+        self.members.write_periodically()
         while not self.members.acknowledged and self.clock.now < START_SECONDS:
             self.clock.run(START_POLL_SECONDS)
         self._inject_fault()
