--- a/src/bramblebeam/lab/schedules/translate.py
+++ b/src/bramblebeam/lab/schedules/translate.py
@@ -20,7 +20,7 @@
 )
 
 
-def order_of(token: int, command: Any) -> Any:
+def command_event(token: int, command: Any) -> Any:
     """Return the member's event for a command other than a status query."""
     match command:
         case events.Promise(term=term):
--- a/src/bramblebeam/lab/schedules/watchers.py
+++ b/src/bramblebeam/lab/schedules/watchers.py
@@ -13,8 +13,8 @@
 from bramblebeam.lab.schedules.translate import (
     COMMANDS,
     answer_of,
+    command_event,
     failure_of,
-    order_of,
     status_of,
 )
 
@@ -127,4 +127,4 @@
         if isinstance(command, events.QueryStatus):
             reply(None)
         else:
-            self._members.order(member.name, lambda token: order_of(token, command), reply)
+            self._members.order(member.name, lambda token: command_event(token, command), reply)
