--- a/src/bramblebeam/lab/schedules/translate.py
+++ b/src/bramblebeam/lab/schedules/translate.py
@@ -33,7 +33,7 @@
     return db.PauseWrites(command.milliseconds / MILLISECONDS)
 
 
-def answer_of(command: Any, accepted: bool, status: MemberStatus) -> Any:
+def result_event(command: Any, accepted: bool, status: MemberStatus) -> Any:
     """Return the watcher's event for the result of a command, or None if there is none."""
     if isinstance(command, events.QueryStatus):
         return events.StatusObserved(command.instance, status, command.queried_at)
--- a/src/bramblebeam/lab/schedules/watchers.py
+++ b/src/bramblebeam/lab/schedules/watchers.py
@@ -12,9 +12,9 @@
 from bramblebeam.lab.schedules.members import Members
 from bramblebeam.lab.schedules.translate import (
     COMMANDS,
-    answer_of,
     command_event,
     failure_of,
+    result_event,
     status_of,
 )
 
@@ -120,7 +120,7 @@
         def reply(result: Any) -> None:
             accepted = isinstance(result, db.TermAccepted)
             status = status_of(member.name, member.replica, self._clock.now)
-            event = answer_of(command, accepted, status)
+            event = result_event(command, accepted, status)
             if not (self._network.loses_answer() or self._network.loses(node, member.name)):
                 self._clock.at(self._network.delay(), lambda: answer(event))
 
