--- a/src/bramblebeam/lab/schedules/translate.py
+++ b/src/bramblebeam/lab/schedules/translate.py
@@ -41,7 +41,7 @@
     return _answered(command, outcome, status if accepted else None)
 
 
-def failure_of(command: Any, refused: bool) -> Any:
+def failure_event(command: Any, refused: bool) -> Any:
     """Return the watcher's event for a command without a reply.
 
     `refused`: the member refused the connection, so the command was not executed.
--- a/src/bramblebeam/lab/schedules/watchers.py
+++ b/src/bramblebeam/lab/schedules/watchers.py
@@ -13,7 +13,7 @@
 from bramblebeam.lab.schedules.translate import (
     COMMANDS,
     command_event,
-    failure_of,
+    failure_event,
     result_event,
     status_of,
 )
@@ -95,7 +95,7 @@
                 answered.append(True)
                 self._deliver_deferred(node, machine, event)
 
-        self._clock.at(command.timeout, lambda: answer(failure_of(command, refused=False)))
+        self._clock.at(command.timeout, lambda: answer(failure_event(command, refused=False)))
         if not self._network.loses(node, command.instance):
             delay = self._network.command_delay()
             self._clock.at(delay, lambda: self._arrive(node, command, answer))
@@ -103,7 +103,7 @@
     def _arrive(self, node: NodeId, command: Any, answer: Answer) -> None:
         member = self._members.all[command.instance]
         if member.dead:
-            refused = failure_of(command, refused=True)
+            refused = failure_event(command, refused=True)
             self._clock.at(self._network.delay(), lambda: answer(refused))
             return
         wait = member.paused_until - self._clock.now
