--- a/src/bramblebeam/lab/schedules/translate.py
+++ b/src/bramblebeam/lab/schedules/translate.py
@@ -63,7 +63,7 @@
     return None
 
 
-def status_of(name: InstanceId, replica: Replica, now: float) -> MemberStatus:
+def member_status(name: InstanceId, replica: Replica, now: float) -> MemberStatus:
     """Return a member's status as its MySQL endpoint would report it."""
     status = replica.status(now)
     return MemberStatus(
--- a/src/bramblebeam/lab/schedules/watchers.py
+++ b/src/bramblebeam/lab/schedules/watchers.py
@@ -14,8 +14,8 @@
     COMMANDS,
     command_event,
     failure_event,
+    member_status,
     result_event,
-    status_of,
 )
 
 Answer = Callable[[Any], None]
@@ -119,7 +119,7 @@
 
         def reply(result: Any) -> None:
             accepted = isinstance(result, db.TermAccepted)
-            status = status_of(member.name, member.replica, self._clock.now)
+            status = member_status(member.name, member.replica, self._clock.now)
             event = result_event(command, accepted, status)
             if not (self._network.loses_answer() or self._network.loses(node, member.name)):
                 self._clock.at(self._network.delay(), lambda: answer(event))
