--- a/src/bramblebeam/lab/load/client.py
+++ b/src/bramblebeam/lab/load/client.py
@@ -54,7 +54,7 @@
 
     async def connect(self, node: str, address: tuple[str, int]) -> CallerOutcome:
         """Connect to a node. No statement has been sent if this fails."""
-        self.abandon()
+        self.abort()
         connection: Any = Connection(  # type: ignore[no-untyped-call]
             host=address[0],
             port=address[1],
@@ -86,7 +86,7 @@
     async def execute(self, sql: str) -> Answer:
         """Run one statement. If the connection is lost, `connected` is False afterwards."""
         if not self.connected:
-            self.abandon()
+            self.abort()
             return Answer(CallerOutcome("lost", text="no connection"))
         try:
             async with asyncio.timeout(STATEMENT_TIMEOUT_SECONDS):
@@ -94,7 +94,7 @@
         except (MySQLError, OSError, TimeoutError, asyncio.IncompleteReadError) as error:
             outcome = _outcome_of_exception(error)
             if outcome.outcome == "lost":
-                self.abandon()
+                self.abort()
             return Answer(outcome)
         result = self._connection._result
         if result.description is None:
@@ -102,7 +102,7 @@
             return Answer(SUCCESS, affected_rows=affected, message=message)
         return Answer(SUCCESS, rows=result.rows)
 
-    def abandon(self) -> None:
+    def abort(self) -> None:
         """Abort the connection without COM_QUIT, like a client that crashes."""
         if self._connection is not None:
             transport = self._connection._transport
