--- a/src/bramblebeam/lab/load/session.py
+++ b/src/bramblebeam/lab/load/session.py
@@ -15,7 +15,7 @@
 RECONNECT_PAUSE_SECONDS = 0.05
 CONNECT_ATTEMPTS = 100
 
-Work = Literal["read", "scan", "write", "write_with_id", "transaction"]
+WorkKind = Literal["read", "scan", "write", "write_with_id", "transaction"]
 
 _numbers: Iterator[int] = itertools.count(1)
 
@@ -46,7 +46,7 @@
         self.random = random
         self.moves = 0
 
-    async def run(self, work: Work) -> list[tuple[str, Answer]]:
+    async def run(self, work: WorkKind) -> list[tuple[str, Answer]]:
         """Run one work item; return the operation and answer of each statement."""
         if not await self._ensure_connected():
             return []
