--- a/src/bramblebeam/lab/report/compare.py
+++ b/src/bramblebeam/lab/report/compare.py
@@ -3,7 +3,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from bramblebeam.lab.report.summary import figures_of
+from bramblebeam.lab.report.summary import formatted_figures
 from bramblebeam.lab.result import RunResult
 
 WIDTH = 110
@@ -15,7 +15,9 @@
     table.add_column("figure")
     table.add_column(f"{before.scenario}, seed {before.seed}", justify="right")
     table.add_column(f"{after.scenario}, seed {after.seed}", justify="right")
-    for (name, first), (_, second) in zip(figures_of(before), figures_of(after), strict=True):
+    for (name, first), (_, second) in zip(
+        formatted_figures(before), formatted_figures(after), strict=True
+    ):
         table.add_row(name, first, second)
     for name in sorted({*before.invariant_violations, *after.invariant_violations}):
         first = str(before.invariant_violations.get(name, 0))
--- a/src/bramblebeam/lab/report/page.py
+++ b/src/bramblebeam/lab/report/page.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from bramblebeam.lab.report.plots import draw_plots
-from bramblebeam.lab.report.summary import figures_of
+from bramblebeam.lab.report.summary import formatted_figures
 from bramblebeam.lab.result import RunResult
 from bramblebeam.pages.html import Cell, bullets, document, heading, image, table
 
@@ -16,7 +16,7 @@
         plots = draw_plots(result, Path(directory))
         images = [heading(title) + image(path.read_bytes()) for title, path in plots]
     parts = [
-        _two_column_table("Figure", "Value", figures_of(result)),
+        _two_column_table("Figure", "Value", formatted_figures(result)),
         heading("Invariants"),
         _invariants(result),
         *images,
--- a/src/bramblebeam/lab/report/summary.py
+++ b/src/bramblebeam/lab/report/summary.py
@@ -4,7 +4,7 @@
 from bramblebeam.pages.text import NOT_MEASURED, number, share
 
 
-def figures_of(result: RunResult) -> list[tuple[str, str]]:
+def formatted_figures(result: RunResult) -> list[tuple[str, str]]:
     """Return the label with unit and the formatted value of each figure of a run."""
     gaps = ", ".join(f"{gap:.0f}" for gap in result.failover_gap_ms) or NOT_MEASURED
     errors = result.errors
--- a/src/bramblebeam/lab/report/terminal.py
+++ b/src/bramblebeam/lab/report/terminal.py
@@ -3,7 +3,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from bramblebeam.lab.report.summary import figures_of
+from bramblebeam.lab.report.summary import formatted_figures
 from bramblebeam.lab.result import RunResult
 
 WIDTH = 100
@@ -24,7 +24,7 @@
     table = Table(title=f"{result.scenario}, seed {result.seed}, {result.mode}")
     table.add_column("figure")
     table.add_column("value", justify="right")
-    for name, value in figures_of(result):
+    for name, value in formatted_figures(result):
         table.add_row(name, value)
     return table
 
