--- a/src/bramblebeam/lab/bench/cli.py
+++ b/src/bramblebeam/lab/bench/cli.py
@@ -8,8 +8,18 @@
 import typer
 
 from bramblebeam.lab.bench.cluster import MEMBERS, bench_scenario, prepare
-from bramblebeam.lab.bench.idle import IdleCost, PlannedLoad, idle_cost, planned_load
-from bramblebeam.lab.bench.statements import Latency, Throughput, latency, throughput
+from bramblebeam.lab.bench.idle import (
+    IdleCost,
+    PlannedLoad,
+    measure_idle_cost,
+    measure_planned_load,
+)
+from bramblebeam.lab.bench.statements import (
+    Latency,
+    Throughput,
+    measure_latency,
+    measure_throughput,
+)
 from bramblebeam.lab.cluster import Cluster
 from bramblebeam.lab.processes import process_group
 from bramblebeam.lab.rows import Address
@@ -62,11 +72,11 @@
         for name, address, measured in targets:
             if writes and name == "direct":
                 continue
-            rate = await throughput(address, CONNECTIONS, seconds, writes, measured)
+            rate = await measure_throughput(address, CONNECTIONS, seconds, writes, measured)
             _print_throughput(name, mix, rate)
     for name, address, _ in targets:
-        times = await latency(address, LATENCY_RATE, LATENCY_CONNECTIONS, seconds, False)
-        _print_latency(name, times)
+        latency = await measure_latency(address, LATENCY_RATE, LATENCY_CONNECTIONS, seconds, False)
+        _print_latency(name, latency)
 
 
 def _print_throughput(name: str, mix: str, rate: Throughput) -> None:
@@ -76,17 +86,17 @@
     )
 
 
-def _print_latency(name: str, times: Latency) -> None:
+def _print_latency(name: str, latency: Latency) -> None:
     typer.echo(
-        f"{name:20} {times.rate:.0f} reads/s: p50 {times.p50:.2f} ms p99 {times.p99:.2f} ms "
-        f"({times.late} sent late)"
+        f"{name:20} {latency.rate:.0f} reads/s: p50 {latency.p50:.2f} ms p99 {latency.p99:.2f} ms "
+        f"({latency.late} sent late)"
     )
 
 
 async def _measure_idle(cluster: Cluster, counts: list[int]) -> None:
     node, process = next(iter(cluster.nodes.items()))
     for count in counts:
-        cost = await idle_cost(cluster.clients[node], process.pid, count)
+        cost = await measure_idle_cost(cluster.clients[node], process.pid, count)
         _print_idle(cost)
 
 
@@ -100,13 +110,15 @@
 async def _measure_planned(cluster: Cluster, seconds: float) -> None:
     node, process = next(iter(cluster.nodes.items()))
     address = cluster.clients[node]
-    load = await planned_load(address, process.pid, PLANNED_CONNECTIONS, PLANNED_RATE, seconds)
+    load = await measure_planned_load(
+        address, process.pid, PLANNED_CONNECTIONS, PLANNED_RATE, seconds
+    )
     _print_planned(load)
 
 
 def _print_planned(load: PlannedLoad) -> None:
     typer.echo(
-        f"{load.connections:6} connections and {load.times.rate:.0f} statements/s: "
+        f"{load.connections:6} connections and {load.latency.rate:.0f} statements/s: "
         f"{load.cpu_percent:.1f}% of a core, {load.resident_megabytes:.0f} MB resident, "
-        f"p50 {load.times.p50:.2f} ms p99 {load.times.p99:.2f} ms"
+        f"p50 {load.latency.p50:.2f} ms p99 {load.latency.p99:.2f} ms"
     )
--- a/src/bramblebeam/lab/bench/idle.py
+++ b/src/bramblebeam/lab/bench/idle.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from bramblebeam.lab.bench.statements import Latency, connect, latency
+from bramblebeam.lab.bench.statements import Latency, connect, measure_latency
 from bramblebeam.lab.bench.usage import cpu_seconds, resident_bytes
 from bramblebeam.lab.rows import Address
 
@@ -20,7 +20,7 @@
     """Cost of a node at its planned load. `cpu_percent`: of one core."""
 
     connections: int
-    times: Latency
+    latency: Latency
     cpu_percent: float
     resident_megabytes: float
 
@@ -47,7 +47,7 @@
     return opened
 
 
-async def idle_cost(address: Address, pid: int, connections: int) -> IdleCost:
+async def measure_idle_cost(address: Address, pid: int, connections: int) -> IdleCost:
     """Open connections, leave them idle, and measure the node."""
     before = resident_bytes(pid)
     opened = await open_many(address, connections)
@@ -67,16 +67,16 @@
     )
 
 
-async def planned_load(
+async def measure_planned_load(
     address: Address, pid: int, connections: int, rate: float, seconds: float
 ) -> PlannedLoad:
     """Measure a node with open connections and a constant rate of statements, 20% writes."""
     opened = await open_many(address, connections - ACTIVE_CONNECTIONS)
     used = cpu_seconds(pid)
     started = time.monotonic()
-    times = await latency(address, rate, ACTIVE_CONNECTIONS, seconds, True)
+    latency = await measure_latency(address, rate, ACTIVE_CONNECTIONS, seconds, True)
     share = (cpu_seconds(pid) - used) / (time.monotonic() - started)
     resident = resident_bytes(pid) / 1_048_576
     for connection in opened:
         connection.close()
-    return PlannedLoad(connections, times, share * 100, resident)
+    return PlannedLoad(connections, latency, share * 100, resident)
--- a/src/bramblebeam/lab/bench/statements.py
+++ b/src/bramblebeam/lab/bench/statements.py
@@ -66,7 +66,7 @@
     return READ.format(number=number % ROWS)
 
 
-async def throughput(
+async def measure_throughput(
     address: Address, connections: int, seconds: float, writes: bool, pids: Sequence[int]
 ) -> Throughput:
     """Measure closed-loop throughput: each connection sends as soon as it has its result."""
@@ -98,7 +98,7 @@
     return count
 
 
-async def latency(
+async def measure_latency(
     address: Address, rate: float, connections: int, seconds: float, writes: bool
 ) -> Latency:
     """Measure open-loop latency at a constant rate of statements."""
--- a/src/bramblebeam/lab/load/generator.py
+++ b/src/bramblebeam/lab/load/generator.py
@@ -14,7 +14,7 @@
 
 from bramblebeam.lab.history import History
 from bramblebeam.lab.load.client import Answer, CallerClient, NodeAddresses
-from bramblebeam.lab.load.session import LoadSession, SessionPlan, WorkKind
+from bramblebeam.lab.load.session import LoadOperation, LoadSession, SessionPlan
 from bramblebeam.lab.scenario import Load, Service
 
 MAX_LATENCY_US = 120_000_000
@@ -40,7 +40,7 @@
         self._history = history
         self._random = Random(seed)
         self._sessions: list[LoadSession] = []
-        self._queues: list[asyncio.Queue[tuple[float, WorkKind]]] = []
+        self._queues: list[asyncio.Queue[tuple[float, LoadOperation]]] = []
 
     @property
     def moves(self) -> int:
@@ -60,7 +60,7 @@
 
     def _open_sessions(
         self, service: Service, workers: list[asyncio.Task[None]]
-    ) -> list[asyncio.Queue[tuple[float, WorkKind]]]:
+    ) -> list[asyncio.Queue[tuple[float, LoadOperation]]]:
         queues = []
         for number in range(min(service.connections, MAX_SESSIONS_PER_SERVICE)):
             name = f"{service.name}-{number}"
@@ -68,7 +68,7 @@
             plan = SessionPlan(self.load.keys, self.load.roaming)
             random = Random(self._random.getrandbits(64))
             session = LoadSession(client, self._nodes, plan, self._history, random)
-            queue: asyncio.Queue[tuple[float, WorkKind]] = asyncio.Queue()
+            queue: asyncio.Queue[tuple[float, LoadOperation]] = asyncio.Queue()
             self._sessions.append(session)
             queues.append(queue)
             workers.append(asyncio.create_task(self._run_worker(session, queue)))
@@ -77,7 +77,7 @@
 
     async def _schedule_arrivals(
         self,
-        queues: list[asyncio.Queue[tuple[float, WorkKind]]],
+        queues: list[asyncio.Queue[tuple[float, LoadOperation]]],
         end: float,
         stop: Callable[[], bool] | None,
     ) -> None:
@@ -98,7 +98,7 @@
         rate = load.statements_per_second * self.rate_factor / len(load.services)
         return rate / statements_per_arrival
 
-    def _choose_work(self, random: Random) -> WorkKind:
+    def _choose_work(self, random: Random) -> LoadOperation:
         if random.random() < self.load.read_share:
             return "scan" if random.random() < SCAN_SHARE else "read"
         if random.random() < self.load.transaction_share:
@@ -106,7 +106,7 @@
         return "write_with_id" if random.random() < self.load.request_id_share else "write"
 
     async def _run_worker(
-        self, session: LoadSession, queue: asyncio.Queue[tuple[float, WorkKind]]
+        self, session: LoadSession, queue: asyncio.Queue[tuple[float, LoadOperation]]
     ) -> None:
         while True:
             scheduled, work = await queue.get()
--- a/src/bramblebeam/lab/load/session.py
+++ b/src/bramblebeam/lab/load/session.py
@@ -15,7 +15,7 @@
 RECONNECT_PAUSE_SECONDS = 0.05
 CONNECT_ATTEMPTS = 100
 
-WorkKind = Literal["read", "scan", "write", "write_with_id", "transaction"]
+LoadOperation = Literal["read", "scan", "write", "write_with_id", "transaction"]
 
 _numbers: Iterator[int] = itertools.count(1)
 
@@ -46,7 +46,7 @@
         self.random = random
         self.moves = 0
 
-    async def run(self, work: WorkKind) -> list[tuple[str, Answer]]:
+    async def run(self, work: LoadOperation) -> list[tuple[str, Answer]]:
         """Run one work item; return the operation and answer of each statement."""
         if not await self._ensure_connected():
             return []
@@ -65,7 +65,7 @@
     def _leave_stopping_node(self, answer: Answer) -> None:
         """Disconnect from a node that is stopping; the next work item connects to another one."""
         if answer.outcome.reason == "STOPPING":
-            self.client.abandon()
+            self.client.abort()
 
     def _key(self) -> str:
         return f"k{self.random.randrange(self.plan.keys)}"
--- a/src/bramblebeam/lab/schedules/clock.py
+++ b/src/bramblebeam/lab/schedules/clock.py
@@ -16,7 +16,7 @@
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._order = count()
 
-    def at(self, delay: float, call: Callable[[], None]) -> None:
+    def call_later(self, delay: float, call: Callable[[], None]) -> None:
         """Schedule `call` after `delay` seconds."""
         heapq.heappush(self._queue, (self.now + delay, next(self._order), call))
 
--- a/src/bramblebeam/lab/schedules/members.py
+++ b/src/bramblebeam/lab/schedules/members.py
@@ -55,18 +55,18 @@
         order = event(token)
         waiting = self.all[name].waiting
         waiting[token] = answered
-        self.feed(name, order)
+        self.deliver(name, order)
         if isinstance(order, db.PauseWrites):
             waiting.pop(token)(db.TermAccepted(token))
 
     def write_periodically(self) -> None:
         """Write periodically to every member that considers itself the primary."""
-        self._clock.at(WRITE_INTERVAL, self.write_periodically)
+        self._clock.call_later(WRITE_INTERVAL, self.write_periodically)
         for member in self.all.values():
             if member.replica.role is Role.PRIMARY and not member.dead:
                 self._write(member.name, next(self._payloads))
 
-    def feed(self, name: InstanceId, event: Any) -> None:
+    def deliver(self, name: InstanceId, event: Any) -> None:
         """Deliver an event to a member, after its pause if it is paused; drop it if it is dead."""
         member = self.all[name]
         if member.dead:
@@ -74,14 +74,14 @@
         replica = member.replica
         if member.paused_until > self._clock.now:
             delay = member.paused_until - self._clock.now
-            self._clock.at(delay, lambda: self._deliver_deferred(name, replica, event))
+            self._clock.call_later(delay, lambda: self._deliver_deferred(name, replica, event))
             return
         for effect in replica.handle(event, self._clock.now):
             self._execute(member, effect)
         due = replica.next_wakeup()
         if due is not None:
             delay = max(due - self._clock.now, 0.0)
-            self._clock.at(delay, lambda: self._wake(name, replica, due))
+            self._clock.call_later(delay, lambda: self._wake(name, replica, due))
 
     def pause(self, name: InstanceId, seconds: float) -> None:
         """Pause a live member's process."""
@@ -114,7 +114,7 @@
     def _deliver_deferred(self, name: InstanceId, replica: Replica, event: Any) -> None:
         """Deliver a deferred event, unless the member's process was replaced in the meantime."""
         if self.all[name].replica is replica:
-            self.feed(name, event)
+            self.deliver(name, event)
 
     def _wake(self, name: InstanceId, replica: Replica, due: float) -> None:
         if replica.next_wakeup() == due:
@@ -138,9 +138,9 @@
                 member.waiting.pop(token)(effect)
 
     def _send(self, sender: InstanceId, to: InstanceId, message: Any) -> None:
-        if not self._network.loses(sender, to):
+        if not self._network.draw_loss(sender, to):
             received = Received(NodeId(sender), message)
-            self._clock.at(self._network.delay(), lambda: self.feed(to, received))
+            self._clock.call_later(self._network.delay(), lambda: self.deliver(to, received))
 
     def _record_applied(self, position: Position, payload: Any) -> None:
         entry = (position.term, payload)
--- a/src/bramblebeam/lab/schedules/schedule.py
+++ b/src/bramblebeam/lab/schedules/schedule.py
@@ -69,14 +69,14 @@
         """Inject one fault and schedule the next."""
         if self._network.healed:
             return
-        self.clock.at(self._random.uniform(0.1, 0.8), self._inject_fault)
+        self.clock.call_later(self._random.uniform(0.1, 0.8), self._inject_fault)
         name = self._random.choice(list(self.members.all))
         node = self._random.choice(self.watchers.nodes)
         duration = self._random.uniform(0.1, MAX_FAULT_SECONDS)
         match self._random.randrange(FAULT_KINDS):
             case 0:
                 self.members.kill(name)
-                self.clock.at(duration, lambda: self.members.restart(name))
+                self.clock.call_later(duration, lambda: self.members.restart(name))
             case 1:
                 self.members.pause(name, duration)
             case 2:
@@ -84,7 +84,7 @@
             case 3:
                 self.watchers.replace(node)
             case 4:
-                self.watchers.tell(node, ChangeRequested(next(self._requests), name))
+                self.watchers.deliver(node, ChangeRequested(next(self._requests), name))
             case _:
                 self._cut(name, duration)
 
@@ -93,7 +93,7 @@
         pair = frozenset((str(name), str(other)))
         if len(pair) == 2:
             self._network.cut.add(pair)
-            self.clock.at(duration, lambda: self._network.cut.discard(pair))
+            self.clock.call_later(duration, lambda: self._network.cut.discard(pair))
 
     def _judge(self) -> str:
         acknowledged = self.members.acknowledged
--- a/src/bramblebeam/lab/schedules/watchers.py
+++ b/src/bramblebeam/lab/schedules/watchers.py
@@ -47,29 +47,29 @@
         """Start a watcher, or replace it by a new one without any state."""
         group: GroupId = self._specs[0].group
         self._machines[node] = GroupMachine(group, node)
-        self.tell(node, events.GroupReconfigured(self._specs, True, self.nodes))
+        self.deliver(node, events.GroupReconfigured(self._specs, True, self.nodes))
 
     def pause(self, node: NodeId, seconds: float) -> None:
         """Pause a watcher."""
         self._paused_until[node] = self._clock.now + seconds
 
-    def tell(self, node: NodeId, event: Any) -> None:
+    def deliver(self, node: NodeId, event: Any) -> None:
         """Deliver an event to a watcher, after its pause if it is paused."""
         machine = self._machines[node]
         wait = self._paused_until.get(node, 0.0) - self._clock.now
         if wait > 0:
-            self._clock.at(wait, lambda: self._deliver_deferred(node, machine, event))
+            self._clock.call_later(wait, lambda: self._deliver_deferred(node, machine, event))
             return
         for effect in machine.handle(event, self._clock.now):
             self._execute(node, machine, effect)
         due = machine.next_wakeup()
         if due is not None:
             delay = max(due - self._clock.now, 0.0)
-            self._clock.at(delay, lambda: self._wake(node, machine, due))
+            self._clock.call_later(delay, lambda: self._wake(node, machine, due))
 
     def _deliver_deferred(self, node: NodeId, machine: GroupMachine, event: Any) -> None:
         if self._machines[node] is machine:
-            self.tell(node, event)
+            self.deliver(node, event)
 
     def _wake(self, node: NodeId, machine: GroupMachine, due: float) -> None:
         if machine.next_wakeup() == due:
@@ -78,9 +78,11 @@
     def _execute(self, node: NodeId, machine: GroupMachine, effect: Any) -> None:
         match effect:
             case Send(to=to, message=message):
-                if not self._network.loses(node, to):
+                if not self._network.draw_loss(node, to):
                     received = Received(node, message)
-                    self._clock.at(self._network.delay(), lambda: self.tell(to, received))
+                    self._clock.call_later(
+                        self._network.delay(), lambda: self.deliver(to, received)
+                    )
             case events.ChangeCompleted():
                 self.promotions += 1
             case _ if isinstance(effect, COMMANDS):
@@ -95,16 +97,18 @@
                 answered.append(True)
                 self._deliver_deferred(node, machine, event)
 
-        self._clock.at(command.timeout, lambda: answer(failure_event(command, refused=False)))
-        if not self._network.loses(node, command.instance):
+        self._clock.call_later(
+            command.timeout, lambda: answer(failure_event(command, refused=False))
+        )
+        if not self._network.draw_loss(node, command.instance):
             delay = self._network.command_delay()
-            self._clock.at(delay, lambda: self._arrive(node, command, answer))
+            self._clock.call_later(delay, lambda: self._arrive(node, command, answer))
 
     def _arrive(self, node: NodeId, command: Any, answer: Answer) -> None:
         member = self._members.all[command.instance]
         if member.dead:
             refused = failure_event(command, refused=True)
-            self._clock.at(self._network.delay(), lambda: answer(refused))
+            self._clock.call_later(self._network.delay(), lambda: answer(refused))
             return
         wait = member.paused_until - self._clock.now
         if wait > 0:
@@ -114,17 +118,19 @@
                 if member.replica is replica:
                     self._arrive(node, command, answer)
 
-            self._clock.at(wait, arrive_deferred)
+            self._clock.call_later(wait, arrive_deferred)
             return
 
         def reply(result: Any) -> None:
             accepted = isinstance(result, db.TermAccepted)
             status = member_status(member.name, member.replica, self._clock.now)
             event = result_event(command, accepted, status)
-            if not (self._network.loses_answer() or self._network.loses(node, member.name)):
-                self._clock.at(self._network.delay(), lambda: answer(event))
+            if not (self._network.draw_reply_loss() or self._network.draw_loss(node, member.name)):
+                self._clock.call_later(self._network.delay(), lambda: answer(event))
 
         if isinstance(command, events.QueryStatus):
             reply(None)
         else:
-            self._members.order(member.name, lambda token: command_event(token, command), reply)
+            self._members.send_command(
+                member.name, lambda token: command_event(token, command), reply
+            )
--- a/src/bramblebeam/lab/simulator/cli.py
+++ b/src/bramblebeam/lab/simulator/cli.py
@@ -52,10 +52,10 @@
     totals = SweepTotals()
     for outcome in run_cases(cases, jobs):
         totals.add(outcome)
-        if not outcome.good:
+        if not outcome.passed:
             typer.echo(_failure_line(outcome), err=True)
     typer.echo(json.dumps(_totals_json(totals)) if as_json else _totals_text(totals, scenario))
-    sys.exit(VIOLATED if totals.bad else 0)
+    sys.exit(VIOLATED if totals.failed else 0)
 
 
 @application.command()
@@ -72,8 +72,8 @@
     case = _case(scenario, seed, mutate, seconds, rate, kinds, clock_step)
     outcome = next(run_cases([case]))
     typer.echo("\n".join(outcome.trace))
-    typer.echo(_failure_line(outcome) if not outcome.good else f"seed {seed}: no violations")
-    sys.exit(0 if outcome.good else VIOLATED)
+    typer.echo(_failure_line(outcome) if not outcome.passed else f"seed {seed}: no violations")
+    sys.exit(0 if outcome.passed else VIOLATED)
 
 
 @application.command()
@@ -130,7 +130,7 @@
 def _failure_line(outcome: CaseOutcome) -> str:
     found = outcome.result.invariant_violations if outcome.result else {}
     violated = ", ".join(f"{name} {count}" for name, count in found.items() if count)
-    return f"seed {outcome.seed} [{'; '.join(outcome.faults)}]: {violated} {outcome.broken}"
+    return f"seed {outcome.seed} [{'; '.join(outcome.faults)}]: {violated} {outcome.failure}"
 
 
 def _totals_json(totals: SweepTotals) -> dict[str, object]:
@@ -140,7 +140,7 @@
         "invariant_violations": dict(totals.violations),
         "examined": dict(totals.examined),
         "fault_kinds": dict(totals.fault_kinds),
-        "failing_seeds": [outcome.seed for outcome in totals.bad],
+        "failing_seeds": [outcome.seed for outcome in totals.failed],
     }
 
 
@@ -151,5 +151,5 @@
         for name, count in totals.violations.items()
     ]
     lines.append("  faults: " + ", ".join(f"{k} {n}" for k, n in totals.fault_kinds.items()))
-    lines.append(f"  failing seeds: {[outcome.seed for outcome in totals.bad] or 'none'}")
+    lines.append(f"  failing seeds: {[outcome.seed for outcome in totals.failed] or 'none'}")
     return "\n".join(lines)
--- a/src/bramblebeam/lab/simulator/faults.py
+++ b/src/bramblebeam/lab/simulator/faults.py
@@ -119,7 +119,7 @@
         database = self._cluster.databases[instance]
         if not database.host.alive:
             return _no_heal
-        self._recorder.take(instance)
+        self._recorder.collect_member(instance)
         database.kill()
         return lambda: self._start_task(self._restart_database(instance))
 
@@ -265,7 +265,9 @@
     def _set_store_faults(self, faults: dict[str, object]) -> None:
         self._store_faults.update(faults)
         platform = self._cluster.platform
-        platform.soon(platform.server.set_faults, PlatformFaults.model_validate(self._store_faults))
+        platform.call_soon(
+            platform.server.set_faults, PlatformFaults.model_validate(self._store_faults)
+        )
 
     def _operator_race(self, fault: Fault) -> Heal:
         callers = self._cluster.callers
--- a/src/bramblebeam/lab/simulator/mutations.py
+++ b/src/bramblebeam/lab/simulator/mutations.py
@@ -209,4 +209,4 @@
     scenario = load_scenario(SCENARIO)
     load = scenario.load.model_copy(update={"statements_per_second": RATE})
     faults = {"load": load, "faults": MUTATIONS[name].faults}
-    return Case(scenario.model_copy(update=faults), seed, name, drawn=False)
+    return Case(scenario.model_copy(update=faults), seed, name, draw_faults=False)
--- a/src/bramblebeam/lab/simulator/network.py
+++ b/src/bramblebeam/lab/simulator/network.py
@@ -91,12 +91,12 @@
             at: kept for at, kept in self._datagrams.items() if kept.host is not host
         }
         for endpoint in self._endpoints.pop(host, []):
-            endpoint.die()
+            endpoint.host_killed()
 
     def _flush_stalled(self) -> None:
         stalled, self._stalled = self._stalled, {}
         for pipe in stalled:
-            pipe.retry()
+            pipe.resume()
         self._cut_healed.set()
         self._cut_healed = asyncio.Event()
 
@@ -120,7 +120,7 @@
         near = region_of(source.zone) == region_of(target.zone)
         return (latency.zone_ms if near else latency.region_ms) / MILLISECONDS
 
-    def lost(self) -> bool:
+    def draw_loss(self) -> bool:
         """Draw whether one message is lost."""
         return self.loss > 0 and self.random.random() < self.loss
 
@@ -165,7 +165,7 @@
         here = (source.address, self._next_port())
         near = Endpoint(self, source, listener[2], here, target)
         accepted = Endpoint(self, listener[2], source, target, here)
-        near.join(accepted)
+        near.connect_to(accepted)
         for endpoint in (near, accepted):
             self._endpoints.setdefault(endpoint.host, []).append(endpoint)
         accepted.accept(listener[1])
@@ -213,14 +213,14 @@
     def send_datagram(self, source: DatagramSocket, data: bytes, target: SocketAddress) -> None:
         """Send a datagram, which may be delayed, duplicated, reordered or lost."""
         host = self.hosts.get(target[0])
-        if host is None or self.lost():
+        if host is None or self.draw_loss():
             return
         copies = 2 if self.loss and self.random.random() < self.loss else 1
         for _ in range(copies):
             delay = self.delay(source.host, host)
             if self.loss:
                 delay *= self.random.uniform(1.0, 4.0)
-            self.at(delay, self._deliver_datagram, source, data, target)
+            self.call_after(delay, self._deliver_datagram, source, data, target)
 
     def _deliver_datagram(self, source: DatagramSocket, data: bytes, target: SocketAddress) -> None:
         socket = self._datagrams.get(target)
@@ -241,7 +241,7 @@
         if endpoints is not None and endpoint in endpoints:
             endpoints.remove(endpoint)
 
-    def at(self, delay: float, call: Callable[..., Any], *arguments: Any) -> None:
+    def call_after(self, delay: float, call: Callable[..., Any], *arguments: Any) -> None:
         """Schedule a call after `delay` seconds, outside any host's context."""
         _NO_HOST_CONTEXT.run(self.loop.call_later, delay, call, *arguments)
 
--- a/src/bramblebeam/lab/simulator/processes.py
+++ b/src/bramblebeam/lab/simulator/processes.py
@@ -128,7 +128,7 @@
 
     async def _end_on_failure(self) -> None:
         await self._kernel.wait_failed()
-        self._network.at(0.0, self.kill)
+        self._network.call_after(0.0, self.kill)
 
     def terminate(self) -> None:
         """Start a planned stop: drain, then end the process."""
@@ -137,4 +137,4 @@
     async def _stop(self) -> None:
         await drain(self._kernel, self._settings)
         await self._kernel.stop()
-        self._network.at(0.0, self.kill)
+        self._network.call_after(0.0, self.kill)
--- a/src/bramblebeam/lab/simulator/run.py
+++ b/src/bramblebeam/lab/simulator/run.py
@@ -66,9 +66,9 @@
     """Run a scenario with its own faults in a new process. Raises SimulationError."""
     from bramblebeam.lab.simulator.sweep import Case, run_cases
 
-    outcome = next(run_cases([Case(scenario, seed, drawn=False)]))
+    outcome = next(run_cases([Case(scenario, seed, draw_faults=False)]))
     if outcome.result is None:
-        raise SimulationError(outcome.broken)
+        raise SimulationError(outcome.failure)
     return outcome.result
 
 
--- a/src/bramblebeam/lab/simulator/sweep.py
+++ b/src/bramblebeam/lab/simulator/sweep.py
@@ -23,7 +23,7 @@
 class Case:
     """One simulation to run.
 
-    `drawn`: replace the scenario's load and faults by ones drawn by the seed. `clock_step`:
+    `draw_faults`: replace the scenario's load and faults by ones drawn by the seed. `clock_step`:
     resolution of the nodes' clocks (seconds), 0 for exact clocks.
     """
 
@@ -36,7 +36,7 @@
     kinds: tuple[FaultKind, ...] = ()
     clock_step: float = 0.0
 
-    def prepared(self) -> Scenario:
+    def effective_scenario(self) -> Scenario:
         """Return the scenario to run."""
         if not self.draw_faults:
             return self.scenario
@@ -45,18 +45,18 @@
 
 @dataclass(frozen=True)
 class CaseOutcome:
-    """Outcome of a case. `broken`: why there is no result or a stall or failed service, if any."""
+    """Outcome of a case. `failure`: why there is no result or a stall or failed service, if any."""
 
     seed: int
     faults: tuple[str, ...]
     result: RunResult | None
-    broken: str = ""
+    failure: str = ""
     trace: tuple[str, ...] = ()
 
     @property
-    def good(self) -> bool:
+    def passed(self) -> bool:
         """Whether the run finished without violations and without a failed service."""
-        return self.result is not None and not self.result.violated and not self.broken
+        return self.result is not None and not self.result.violated and not self.failure
 
 
 @dataclass
@@ -68,14 +68,14 @@
     violations: Counter[str] = field(default_factory=Counter)
     examined: Counter[str] = field(default_factory=Counter)
     fault_kinds: Counter[str] = field(default_factory=Counter)
-    bad: list[CaseOutcome] = field(default_factory=list)
+    failed: list[CaseOutcome] = field(default_factory=list)
 
     def add(self, outcome: CaseOutcome) -> None:
         """Add the outcome of one case."""
         self.cases += 1
         self.fault_kinds.update(fault.split()[0] for fault in outcome.faults)
-        if not outcome.good:
-            self.bad.append(outcome)
+        if not outcome.passed:
+            self.failed.append(outcome)
         if outcome.result is not None:
             self.statements += outcome.result.statements
             self.violations.update(outcome.result.invariant_violations)
@@ -88,7 +88,7 @@
     from bramblebeam.lab.simulator.run import SimulationError, simulate
     from bramblebeam.lab.simulator.trace import first_service_failure, format_trace
 
-    scenario = case.prepared()
+    scenario = case.effective_scenario()
     faults = tuple(
         f"{fault.kind} {fault.target} at {fault.at:.2f} for {fault.duration:.2f}".replace("  ", " ")
         for fault in scenario.faults
@@ -101,11 +101,11 @@
     except Exception as error:
         lines = tuple(traceback.format_exc().splitlines())
         return CaseOutcome(case.seed, faults, None, f"{type(error).__name__}: {error}", lines)
-    broken = simulation.stalled or first_service_failure(simulation)
+    failure = simulation.stalled or first_service_failure(simulation)
     result = simulation.result
-    failed = bool(broken or result.violated)
+    failed = bool(failure or result.violated)
     trace = tuple(format_trace(simulation)[-MAX_TRACE_LINES:]) if failed else ()
-    return CaseOutcome(case.seed, faults, result, broken, trace)
+    return CaseOutcome(case.seed, faults, result, failure, trace)
 
 
 def run_cases(cases: Iterable[Case], processes: int = 1) -> Iterator[CaseOutcome]:
--- a/src/bramblebeam/lab/simulator/transports.py
+++ b/src/bramblebeam/lab/simulator/transports.py
@@ -84,29 +84,29 @@
         """Send bytes, the end of the stream or a reset; a lost message arrives late instead."""
         network = self._network
         arrival = network.loop.now + network.delay(self._source.host, self._target.host)
-        if network.lost():
+        if network.draw_loss():
             arrival += RETRANSMISSION_SECONDS
         self._last_arrival = max(arrival, self._last_arrival)
-        network.at(self._last_arrival - network.loop.now, self._arrive, item)
+        network.call_after(self._last_arrival - network.loop.now, self._arrive, item)
 
     def _arrive(self, item: Item) -> None:
         network = self._network
         cut = network.is_cut(self._source.host.address, self._target.host.address)
         if cut or self._stalled:
             self._stalled.append(item)
-            network.stall(self)
+            network.register_stalled(self)
         else:
             self._deliver(item)
 
     def resume(self) -> None:
         """Deliver stalled items after a cut has healed, at the sender's next retransmission."""
         delay = self._network.delay(self._source.host, self._target.host)
-        self._network.at(RETRANSMISSION_SECONDS + delay, self._flush)
+        self._network.call_after(RETRANSMISSION_SECONDS + delay, self._flush)
 
     def _flush(self) -> None:
         network = self._network
         if network.is_cut(self._source.host.address, self._target.host.address):
-            network.stall(self)
+            network.register_stalled(self)
             return
         stalled, self._stalled = self._stalled, []
         for item in stalled:
@@ -144,7 +144,7 @@
         self._paused = False
         self._buffered: list[Item] = []
 
-    def join(self, other: Endpoint) -> None:
+    def connect_to(self, other: Endpoint) -> None:
         """Connect two endpoints in both directions."""
         self._out = Pipe(self._network, self, other)
         other._out = Pipe(self._network, other, self)
@@ -201,7 +201,7 @@
         if self._closed:
             return
         self._closed = True
-        self._network.forget(self)
+        self._network.unregister_endpoint(self)
         context = self.host.context.copy()
         self._network.loop.call_soon(self._protocol.connection_lost, error, context=context)
 
--- a/src/bramblebeam/lab/simulator/virtual_members.py
+++ b/src/bramblebeam/lab/simulator/virtual_members.py
@@ -106,7 +106,7 @@
         """Remove all cuts."""
         self._cuts.clear()
 
-    def tell(self, node: NodeId, event: Any) -> None:
+    def handle_event(self, node: NodeId, event: Any) -> None:
         """Pass an event to a node's machine."""
         self._handle(self.nodes[node], event)
 
--- a/tests/membership_network.py
+++ b/tests/membership_network.py
@@ -41,13 +41,13 @@
 
 def has_converged(network: VirtualNetwork) -> bool:
     """Whether each running node sees exactly the running nodes, as alive."""
-    running = {node.spec.node: MemberState.ALIVE for node in network.living()}
-    return all(states(node) == running for node in network.living())
+    running = {node.spec.node: MemberState.ALIVE for node in network.alive_nodes()}
+    return all(states(node) == running for node in network.alive_nodes())
 
 
 def dead_everywhere(network: VirtualNetwork, name: str) -> bool:
     node = NodeId(name)
     return all(
         node not in other.view.members or other.view.members[node].state is MemberState.DEAD
-        for other in network.living()
+        for other in network.alive_nodes()
     )
--- a/tests/test_lab_simulator.py
+++ b/tests/test_lab_simulator.py
@@ -14,7 +14,7 @@
     case = Case(load_scenario("small"), 18, seconds=SECONDS, kinds=("primary_kill", "replica_lag"))
     first, repeated = run_cases([case, case], processes=2)
     assert first == repeated
-    assert first.good, first
+    assert first.passed, first
     assert first.result is not None
     assert first.result.examined["read_your_writes"] > 0
     assert first.result.examined["no_ack_by_replaced_primary"] > 0
@@ -25,7 +25,7 @@
     kinds = ("primary_kill", "replica_lag")
     case = Case(load_scenario("small"), 18, seconds=SECONDS, kinds=kinds, clock_step=step)
     outcome = next(run_cases([case]))
-    assert outcome.good, outcome
+    assert outcome.passed, outcome
     assert outcome.result is not None
     assert outcome.result.examined["read_your_writes"] > 0
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -12,7 +12,7 @@
 
 
 def in_zone(network: VirtualNetwork, zone: str) -> list[VirtualNode]:
-    return [node for node in network.living() if node.spec.zone == zone]
+    return [node for node in network.alive_nodes() if node.spec.zone == zone]
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -102,12 +102,12 @@
     network = build(5, {"a": 10, "b": 3})
     network.run(2)
     leaving = NodeId("a4")
-    network.tell(leaving, LeaveStarted())
+    network.handle_event(leaving, LeaveStarted())
     assert network.run_until(
         lambda: all(leaving not in n.view.owners[ZoneId("a")] for n in network.alive_nodes()), 3
     )
     assert all(n.view.members[leaving].state is MemberState.LEAVING for n in network.alive_nodes())
-    network.tell(leaving, LeaveFinished())
+    network.handle_event(leaving, LeaveFinished())
     network.kill(leaving)
     assert network.run_until(lambda: dead_everywhere(network, "a4"), 3)
 
@@ -115,7 +115,7 @@
 def test_failure_of_leaving_node_is_detected() -> None:
     network = build(6, {"a": 10})
     network.run(2)
-    network.tell(NodeId("a4"), LeaveStarted())
+    network.handle_event(NodeId("a4"), LeaveStarted())
     network.run(1)
     network.kill(NodeId("a4"))
     assert network.run_until(lambda: dead_everywhere(network, "a4"), 10)
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -58,7 +58,7 @@
         await until_ok(writer, sql)
     for sql in ("BEGIN", "UPDATE entries SET v = 'lost' WHERE k = 'k'"):
         await until_ok(writer, sql)
-    writer.abandon()
+    writer.abort()
     for number in range(12):
         await until_ok(reader, f"INSERT INTO entries (k, v) VALUES ('n{number}', 'x')")
     read = await until_ok(reader, "SELECT v FROM entries WHERE k = 'k'")
@@ -128,7 +128,7 @@
     read = await until_ok(other, f"SELECT v FROM {GROUP}.entries WHERE k = 'k'")
     assert list(read.rows) == [("in flight",)]
     await other.close()
-    client.abandon()
+    client.abort()
 
 
 async def test_a_leaving_primary_hands_its_writes_over(system: System) -> None:
