--- a/src/bramblebeam/lab/schedules/watchers.py
+++ b/src/bramblebeam/lab/schedules/watchers.py
@@ -1,4 +1,4 @@
-"""The watchers of one group in virtual time."""
+"""The watchers of one group in virtual time: their state machines, pauses and commands."""
 
 from collections.abc import Callable
 from typing import Any
@@ -18,7 +18,7 @@
     result_event,
 )
 
-Answer = Callable[[Any], None]
+ResultCallback = Callable[[Any], None]
 
 
 class Watchers:
@@ -89,7 +89,7 @@
                 self._send_command(node, machine, effect)
 
     def _send_command(self, node: NodeId, machine: GroupMachine, command: Any) -> None:
-        """Send a command; its watcher gets exactly one result, a failure after the timeout."""
+        """Send a command; its watcher gets at most one result, a failure after the timeout."""
         answered: list[bool] = []
 
         def answer(event: Any) -> None:
@@ -104,7 +104,7 @@
             delay = self._network.command_delay()
             self._clock.call_later(delay, lambda: self._arrive(node, command, answer))
 
-    def _arrive(self, node: NodeId, command: Any, answer: Answer) -> None:
+    def _arrive(self, node: NodeId, command: Any, answer: ResultCallback) -> None:
         member = self._members.all[command.instance]
         if member.dead:
             refused = failure_event(command, refused=True)
--- a/src/bramblebeam/lab/simulator/faults.py
+++ b/src/bramblebeam/lab/simulator/faults.py
@@ -135,7 +135,7 @@
             database.set_faults(**known)
 
     def _primary_cut(self, fault: Fault) -> Heal:
-        """Partition the primary from all other hosts or, if the fault has a value, members only."""
+        """Partition the primary from all hosts or, if the fault has a value, from members only."""
         instance = self._primary(fault.target)
         address = self._cluster.instance_addresses[instance]
         if not fault.value:
--- a/src/bramblebeam/lab/simulator/hosts.py
+++ b/src/bramblebeam/lab/simulator/hosts.py
@@ -14,7 +14,7 @@
 
 
 MIN_TIMER_DELAY = 1e-4
-"""Shortest delay of a timer of a stepped clock (seconds): the time one iteration takes."""
+"""Shortest delay of a timer on a stepped clock (seconds), about one loop iteration."""
 
 
 class Host:
