--- a/src/bramblebeam/lab/report/terminal.py
+++ b/src/bramblebeam/lab/report/terminal.py
@@ -1,16 +1,16 @@
-"""A run's result for people at a terminal."""
+"""Result of a run as text for a terminal."""
 
 from rich.console import Console
 from rich.table import Table
 
-from bramblebeam.lab.report.summary import figures_of
+from bramblebeam.lab.report.summary import formatted_figures
 from bramblebeam.lab.result import RunResult
 
 WIDTH = 100
 
 
 def result_text(result: RunResult) -> str:
-    """Return the figures and the invariants of a run as tables."""
+    """Return tables of a run's figures and invariants, followed by its violations."""
     console = Console(width=WIDTH, no_color=True, highlight=False)
     with console.capture() as captured:
         console.print(_figures(result))
@@ -24,7 +24,7 @@
     table = Table(title=f"{result.scenario}, seed {result.seed}, {result.mode}")
     table.add_column("figure")
     table.add_column("value", justify="right")
-    for name, value in figures_of(result):
+    for name, value in formatted_figures(result):
         table.add_row(name, value)
     return table
 
--- a/src/bramblebeam/lab/simulator/sweep.py
+++ b/src/bramblebeam/lab/simulator/sweep.py
@@ -1,4 +1,4 @@
-"""Runs many seeds, each in a process of its own that starts from the same state."""
+"""Runs simulations for many seeds, each in a fresh process with the same initial state."""
 
 from __future__ import annotations
 
@@ -14,67 +14,68 @@
 from bramblebeam.lab.simulator.plan import sweep_scenario
 
 HASH_SEED = "0"
-"""Python's hashes decide the order of sets, so they too must be the same in each process."""
+"""PYTHONHASHSEED of every process: string hashes determine the iteration order of sets."""
 CASE_TIMEOUT_SECONDS = 300.0
-TRACE_LINES = 400
+MAX_TRACE_LINES = 400
 
 
 @dataclass(frozen=True)
 class Case:
-    """One simulation to run. `drawn`: its faults are drawn by the seed.
+    """One simulation to run.
 
-    `clock_step`: of the nodes' clocks (seconds), 0: they are exact.
+    `draw_faults`: replace the scenario's load and faults by ones drawn by the seed. `clock_step`:
+    resolution of the nodes' clocks (seconds), 0 for exact clocks.
     """
 
     scenario: Scenario
     seed: int
     mutation: str = ""
-    drawn: bool = True
+    draw_faults: bool = True
     seconds: float = 12.0
     rate: float = 60.0
     kinds: tuple[FaultKind, ...] = ()
     clock_step: float = 0.0
 
-    def prepared(self) -> Scenario:
-        """Return the scenario that runs."""
-        if not self.drawn:
+    def effective_scenario(self) -> Scenario:
+        """Return the scenario to run."""
+        if not self.draw_faults:
             return self.scenario
         return sweep_scenario(self.scenario, self.seed, self.seconds, self.rate, self.kinds)
 
 
 @dataclass(frozen=True)
 class CaseOutcome:
-    """What a case gave. `broken`: why there is no result, or a service that failed."""
+    """Outcome of a case. `failure`: why there is no result or a stall or failed service, if any."""
 
     seed: int
     faults: tuple[str, ...]
     result: RunResult | None
-    broken: str = ""
+    failure: str = ""
     trace: tuple[str, ...] = ()
 
     @property
-    def good(self) -> bool:
-        """Whether the run ended, nothing was violated and no service failed."""
-        return self.result is not None and not self.result.violated and not self.broken
+    def passed(self) -> bool:
+        """Whether the run finished without violations and without a failed service."""
+        return self.result is not None and not self.result.violated and not self.failure
 
 
 @dataclass
 class SweepTotals:
-    """Sums over the cases of a sweep."""
+    """Totals over the cases of a sweep."""
 
     cases: int = 0
     statements: int = 0
     violations: Counter[str] = field(default_factory=Counter)
     examined: Counter[str] = field(default_factory=Counter)
     fault_kinds: Counter[str] = field(default_factory=Counter)
-    bad: list[CaseOutcome] = field(default_factory=list)
+    failed: list[CaseOutcome] = field(default_factory=list)
 
     def add(self, outcome: CaseOutcome) -> None:
-        """Take one case."""
+        """Add the outcome of one case."""
         self.cases += 1
         self.fault_kinds.update(fault.split()[0] for fault in outcome.faults)
-        if not outcome.good:
-            self.bad.append(outcome)
+        if not outcome.passed:
+            self.failed.append(outcome)
         if outcome.result is not None:
             self.statements += outcome.result.statements
             self.violations.update(outcome.result.invariant_violations)
@@ -82,12 +83,12 @@
 
 
 def run_case(case: Case) -> CaseOutcome:
-    """Run one case in this process, which is of no use afterwards."""
-    from bramblebeam.lab.simulator.loop import FIRST_TIME
+    """Run one case in this process, which can't run another one afterwards."""
+    from bramblebeam.lab.simulator.loop import START_TIME
     from bramblebeam.lab.simulator.run import SimulationError, simulate
-    from bramblebeam.lab.simulator.trace import readable_trace, service_failures
+    from bramblebeam.lab.simulator.trace import first_service_failure, format_trace
 
-    scenario = case.prepared()
+    scenario = case.effective_scenario()
     faults = tuple(
         f"{fault.kind} {fault.target} at {fault.at:.2f} for {fault.duration:.2f}".replace("  ", " ")
         for fault in scenario.faults
@@ -95,20 +96,20 @@
     try:
         simulation = simulate(scenario, case.seed, case.mutation, case.clock_step)
     except SimulationError as error:
-        events = [f"{at - FIRST_TIME:9.4f} {host}: {text}" for at, host, text in error.events]
-        return CaseOutcome(case.seed, faults, None, str(error), tuple(events[-TRACE_LINES:]))
+        events = [f"{at - START_TIME:9.4f} {host}: {text}" for at, host, text in error.events]
+        return CaseOutcome(case.seed, faults, None, str(error), tuple(events[-MAX_TRACE_LINES:]))
     except Exception as error:
         lines = tuple(traceback.format_exc().splitlines())
         return CaseOutcome(case.seed, faults, None, f"{type(error).__name__}: {error}", lines)
-    broken = simulation.stalled or service_failures(simulation)
+    failure = simulation.stalled or first_service_failure(simulation)
     result = simulation.result
-    failed = bool(broken or result.violated)
-    trace = tuple(readable_trace(simulation)[-TRACE_LINES:]) if failed else ()
-    return CaseOutcome(case.seed, faults, result, broken, trace)
+    failed = bool(failure or result.violated)
+    trace = tuple(format_trace(simulation)[-MAX_TRACE_LINES:]) if failed else ()
+    return CaseOutcome(case.seed, faults, result, failure, trace)
 
 
 def run_cases(cases: Iterable[Case], processes: int = 1) -> Iterator[CaseOutcome]:
-    """Run each case in a fresh process; yield the outcomes in order."""
+    """Run each case in a fresh process; yield the outcomes in the order of the cases."""
     before = os.environ.get("PYTHONHASHSEED")
     os.environ["PYTHONHASHSEED"] = HASH_SEED
     try:
@@ -120,7 +121,7 @@
                 try:
                     yield outcome.get(timeout=CASE_TIMEOUT_SECONDS * (len(pending) + 1))
                 except multiprocessing.TimeoutError:
-                    yield CaseOutcome(case.seed, (), None, "no end in time")
+                    yield CaseOutcome(case.seed, (), None, "the case timed out")
     finally:
         if before is None:
             del os.environ["PYTHONHASHSEED"]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,18 +1,17 @@
 """The membership machine in virtual time: joins, failures, pauses, partitions and convergence."""
 
 import pytest
-
-from bramblebeam.core.identity import NodeId, ZoneId
-from bramblebeam.core.membership.events import LeaveFinished, LeaveStarted
-from bramblebeam.core.membership.messages import Seed
-from bramblebeam.core.membership.view import MemberState
-from bramblebeam.lab.simulator.virtual_members import VirtualNetwork, VirtualNode, make_spec
-from bramblebeam.platform.node import FAST_JOIN_TIMING
-from membership_network import REGION_OF, build, dead_everywhere, has_converged, states
+from bramblebeam.core.identity import (NodeId, ZoneId)
+from bramblebeam.core.membership.events import (LeaveFinished, LeaveStarted)
+from bramblebeam.core.membership.messages import (Seed)
+from bramblebeam.core.membership.view import (MemberState)
+from bramblebeam.lab.simulator.virtual_members import (VirtualNetwork, VirtualNode, make_spec)
+from bramblebeam.platform.node import (FAST_JOIN_TIMING)
+from membership_network import (REGION_OF, build, dead_everywhere, has_converged, states)
 
 
 def in_zone(network: VirtualNetwork, zone: str) -> list[VirtualNode]:
-    return [node for node in network.living() if node.spec.zone == zone]
+    return [node for node in network.alive_nodes() if node.spec.zone == zone]
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -42,7 +41,7 @@
         network.run(1)
         deaths += sum(
             member.state is MemberState.DEAD
-            for node in network.living()
+            for node in network.alive_nodes()
             for member in node.view.members.values()
         )
     assert deaths == 0
@@ -56,7 +55,7 @@
         network.run(0.1)
         assert not any(
             member.state is MemberState.DEAD
-            for node in network.living()
+            for node in network.alive_nodes()
             for member in node.view.members.values()
         )
     assert has_converged(network)
@@ -66,7 +65,7 @@
     network = build(2, {"a": 10, "b": 3})
     network.run(3)
     network.pause(NodeId("a3"), 30)
-    others = [node for node in network.living() if node.spec.node != "a3"]
+    others = [node for node in network.alive_nodes() if node.spec.node != "a3"]
     absent = [NodeId("a3")]
     assert network.run_until(lambda: all(g not in states(o) for o in others for g in absent), 15)
     network.run(20)
@@ -92,7 +91,7 @@
     assert network.run_until(
         lambda: (
             has_converged(network)
-            and all(node.view.members[spec.node].spec == spec for node in network.living())
+            and all(node.view.members[spec.node].spec == spec for node in network.alive_nodes())
         ),
         20,
     )
@@ -102,12 +101,12 @@
     network = build(5, {"a": 10, "b": 3})
     network.run(2)
     leaving = NodeId("a4")
-    network.tell(leaving, LeaveStarted())
+    network.handle_event(leaving, LeaveStarted())
     assert network.run_until(
-        lambda: all(leaving not in n.view.owners[ZoneId("a")] for n in network.living()), 3
+        lambda: all(leaving not in n.view.owners[ZoneId("a")] for n in network.alive_nodes()), 3
     )
-    assert all(n.view.members[leaving].state is MemberState.LEAVING for n in network.living())
-    network.tell(leaving, LeaveFinished())
+    assert all(n.view.members[leaving].state is MemberState.LEAVING for n in network.alive_nodes())
+    network.handle_event(leaving, LeaveFinished())
     network.kill(leaving)
     assert network.run_until(lambda: dead_everywhere(network, "a4"), 3)
 
@@ -115,7 +114,7 @@
 def test_failure_of_leaving_node_is_detected() -> None:
     network = build(6, {"a": 10})
     network.run(2)
-    network.tell(NodeId("a4"), LeaveStarted())
+    network.handle_event(NodeId("a4"), LeaveStarted())
     network.run(1)
     network.kill(NodeId("a4"))
     assert network.run_until(lambda: dead_everywhere(network, "a4"), 10)
@@ -145,7 +144,7 @@
     assert all(NodeId("a5") in states(n) for n in in_zone(network, "b"))
     network.heal()
     assert network.run_until(lambda: has_converged(network), 40)
-    assert network.run_until(lambda: all(not n.view.unreachable for n in network.living()), 20)
+    assert network.run_until(lambda: all(not n.view.unreachable for n in network.alive_nodes()), 20)
 
 
 @pytest.mark.parametrize("seed", range(3))
