--- a/src/bramblebeam/lab/report/page.py
+++ b/src/bramblebeam/lab/report/page.py
@@ -1,12 +1,13 @@
 """HTML report of one run: figures, faults, violations and plots in a single file."""
 
 import tempfile
-from bramblebeam.lab.report.plots import (draw_plots)
-from bramblebeam.lab.report.summary import (formatted_figures)
-from bramblebeam.lab.result import (RunResult)
-from bramblebeam.pages.html import (Cell, bullets, document, heading, image, table)
-from collections.abc import (Sequence)
-from pathlib import (Path)
+from collections.abc import Sequence
+from pathlib import Path
+
+from bramblebeam.lab.report.plots import draw_plots
+from bramblebeam.lab.report.summary import formatted_figures
+from bramblebeam.lab.result import RunResult
+from bramblebeam.pages.html import Cell, bullets, document, heading, image, table
 
 
 def write_report(result: RunResult, page: Path) -> None:
--- a/src/bramblebeam/lab/report/summary.py
+++ b/src/bramblebeam/lab/report/summary.py
@@ -1,7 +1,7 @@
 """Figures of a run as text, shared by the HTML report, the comparison and the terminal."""
 
-from bramblebeam.lab.result import (RunResult)
-from bramblebeam.pages.text import (NOT_MEASURED, format_number, format_percentage)
+from bramblebeam.lab.result import RunResult
+from bramblebeam.pages.text import NOT_MEASURED, format_number, format_percentage
 
 
 def formatted_figures(result: RunResult) -> list[tuple[str, str]]:
--- a/src/bramblebeam/lab/simulator/run.py
+++ b/src/bramblebeam/lab/simulator/run.py
@@ -1,29 +1,39 @@
 """Runs one scenario in the simulator, then judges and measures the run."""
 
 from __future__ import annotations
-import aiohttp
+
 import asyncio
 import logging
 import tempfile
 import time
-from bramblebeam.lab.history import (History)
-from bramblebeam.lab.history.records import (NodeStarted, RunEnded)
-from bramblebeam.lab.judge import (Violation, count_observations, count_violations, judge)
-from bramblebeam.lab.load import (LoadGenerator)
-from bramblebeam.lab.measures import (delays, edit_spreads, failover_gaps, fault_spans, replica_read_share, time_bins)
-from bramblebeam.lab.operators import (Operators)
-from bramblebeam.lab.result import (Errors, RunResult)
-from bramblebeam.lab.scenario import (Scenario)
-from bramblebeam.lab.setup import (SetupError, prepare)
-from bramblebeam.lab.simulator.cluster import (SimulatedCluster)
-from bramblebeam.lab.simulator.collect import (EventCollector, SimulatedRecorder)
-from bramblebeam.lab.simulator.determinism import (make_deterministic)
-from bramblebeam.lab.simulator.faults import (SimulatedFaults)
-from bramblebeam.lab.simulator.loop import (SimulationStalledError, VirtualLoop)
-from bramblebeam.lab.simulator.mutations import (apply_mutation)
-from dataclasses import (dataclass)
-from pathlib import (Path)
-from random import (Random)
+from dataclasses import dataclass
+from pathlib import Path
+from random import Random
+
+import aiohttp
+
+from bramblebeam.lab.history import History
+from bramblebeam.lab.history.records import NodeStarted, RunEnded
+from bramblebeam.lab.judge import Violation, count_observations, count_violations, judge
+from bramblebeam.lab.load import LoadGenerator
+from bramblebeam.lab.measures import (
+    delays,
+    edit_spreads,
+    failover_gaps,
+    fault_spans,
+    replica_read_share,
+    time_bins,
+)
+from bramblebeam.lab.operators import Operators
+from bramblebeam.lab.result import Errors, RunResult
+from bramblebeam.lab.scenario import Scenario
+from bramblebeam.lab.setup import SetupError, prepare
+from bramblebeam.lab.simulator.cluster import SimulatedCluster
+from bramblebeam.lab.simulator.collect import EventCollector, SimulatedRecorder
+from bramblebeam.lab.simulator.determinism import make_deterministic
+from bramblebeam.lab.simulator.faults import SimulatedFaults
+from bramblebeam.lab.simulator.loop import SimulationStalledError, VirtualLoop
+from bramblebeam.lab.simulator.mutations import apply_mutation
 
 SETTLE_SECONDS = 10.0
 MAX_VIOLATIONS_SHOWN = 20
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,13 +1,14 @@
 """The membership machine in virtual time: joins, failures, pauses, partitions and convergence."""
 
 import pytest
-from bramblebeam.core.identity import (NodeId, ZoneId)
-from bramblebeam.core.membership.events import (LeaveFinished, LeaveStarted)
-from bramblebeam.core.membership.messages import (Seed)
-from bramblebeam.core.membership.view import (MemberState)
-from bramblebeam.lab.simulator.virtual_members import (VirtualNetwork, VirtualNode, make_spec)
-from bramblebeam.platform.node import (FAST_JOIN_TIMING)
-from membership_network import (REGION_OF, build, dead_everywhere, has_converged, states)
+
+from bramblebeam.core.identity import NodeId, ZoneId
+from bramblebeam.core.membership.events import LeaveFinished, LeaveStarted
+from bramblebeam.core.membership.messages import Seed
+from bramblebeam.core.membership.view import MemberState
+from bramblebeam.lab.simulator.virtual_members import VirtualNetwork, VirtualNode, make_spec
+from bramblebeam.platform.node import FAST_JOIN_TIMING
+from membership_network import REGION_OF, build, dead_everywhere, has_converged, states
 
 
 def in_zone(network: VirtualNetwork, zone: str) -> list[VirtualNode]:
