--- a/conftest.py
+++ b/conftest.py
@@ -1,19 +1,19 @@
-"""Tests that are known to fail for a real fault: listed in KNOWN-RED.txt, printed, passed over.
+"""Marks the tests listed in KNOWN-RED.txt as expected failures and prints them.
 
-One of them that passes fails the run: its line has to go. A test whose cause begins with "at times"
-was seen to fail in some runs only, by the timing of real processes: it may pass as well.
+A listed test that passes fails the run: its line must be removed. A test whose cause begins with
+"at times" fails only in some runs, depending on the timing of real processes, and may pass.
 """
 
 from pathlib import Path
 
 import pytest
 
-AT_TIMES = "at times"
+INTERMITTENT = "at times"
 KNOWN_RED = Path(__file__).parent / "KNOWN-RED.txt"
 
 
 def known_red() -> dict[str, str]:
-    """Return the cause by the test's id."""
+    """Return the cause of each listed failure by test id."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line.split("|", 1) for line in KNOWN_RED.read_text().splitlines() if line.strip()]
@@ -21,16 +21,16 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect the listed tests to fail, strictly but for those that fail at times."""
+    """Mark the listed tests as xfail, strictly except for those that fail at times."""
     causes = known_red()
     for item in items:
         if item.nodeid in causes:
             cause = causes[item.nodeid]
-            is_strict = not cause.startswith(AT_TIMES)
+            is_strict = not cause.startswith(INTERMITTENT)
             item.add_marker(pytest.mark.xfail(reason=cause, strict=is_strict))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print what is listed."""
+    """Print the listed tests and their causes."""
     for name, cause in known_red().items():
         terminalreporter.write_line(f"KNOWN RED {name}: {cause}")
--- a/tests/platform_standins/__init__.py
+++ b/tests/platform_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the users' platform: databases with asynchronous logs, store, promotions."""
+"""Stand-ins for outside systems: databases with asynchronous replication, store, promotions."""
--- a/tests/platform_standins/clock.py
+++ b/tests/platform_standins/clock.py
@@ -1,4 +1,4 @@
-"""A clock of the event loop that stands still, as a coarse one does between two steps."""
+"""A frozen event loop clock, as a coarse clock appears between two ticks."""
 
 import asyncio
 from collections.abc import Iterator
@@ -7,7 +7,7 @@
 
 @contextmanager
 def standing_clock() -> Iterator[None]:
-    """Let every reading of the running loop's clock be the same. No timer fires meanwhile."""
+    """Freeze the running loop's clock; no timer may fire meanwhile."""
     loop = asyncio.get_running_loop()
     reading = loop.time()
     loop.time = lambda: reading  # type: ignore[method-assign]
--- a/tests/platform_standins/coarse_clock.py
+++ b/tests/platform_standins/coarse_clock.py
@@ -1,8 +1,8 @@
-"""An event loop whose clock moves in steps.
+"""An event loop with a coarse clock.
 
-uvloop reads its clock anew each time and cuts the reading to milliseconds, so that two events may
-have the same one. With larger steps that happens often. Timers keep to the exact clock, so that
-nobody waits busily for the next step.
+uvloop reads its clock on every call and truncates it to milliseconds, so that two events may have
+the same time. With a coarser resolution this happens often. Timers use the exact clock, so that no
+caller busy-waits for the next tick.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 T = TypeVar("T")
 
 STEPS = (0.0, 0.001, 0.01, 0.1)
-"""Steps of the clock that are worth a run (seconds); 0: uvloop's own."""
+"""Clock resolutions to test with (seconds); 0 is uvloop's own."""
 
 
-def cut(time: float, step: float) -> float:
-    """Return the last step of a clock that is not after `time`; without steps, `time`."""
+def round_down(time: float, step: float) -> float:
+    """Round `time` down to a multiple of `step`; return it unchanged if `step` is 0."""
     return time if not step else math.floor(time / step) * step
 
 
 class CoarseLoop(uvloop.Loop):  # type: ignore[misc]
-    """uvloop with a coarser clock. `step`: seconds."""
+    """uvloop with a coarse clock. `step`: resolution in seconds."""
 
     step = 0.0
 
     def time(self) -> float:
-        """Return the clock as callbacks see it (seconds)."""
-        return cut(super().time(), self.step)
+        """Return the coarse time (seconds)."""
+        return round_down(super().time(), self.step)
 
 
 def coarse_loop(step: float) -> Callable[[], CoarseLoop]:
-    """Return a factory of loops whose clock moves in steps of so many seconds."""
+    """Return a factory of event loops with a clock resolution of `step` seconds."""
 
     def make() -> CoarseLoop:
         loop = CoarseLoop()
@@ -47,6 +47,6 @@
 
 
 def run_coarsely(work: Coroutine[Any, Any, T], step: float = 0.0) -> T:
-    """Run on a loop of its own whose clock moves in steps."""
+    """Run `work` on a new event loop with a clock resolution of `step` seconds."""
     with asyncio.Runner(loop_factory=coarse_loop(step)) as runner:
         return runner.run(work)
--- a/tests/platform_standins/cuts.py
+++ b/tests/platform_standins/cuts.py
@@ -1,4 +1,4 @@
-"""Cuts between a node and databases, and between a node and others that change a primary."""
+"""Network cuts between an in-process node and databases, or nodes that change a primary."""
 
 from bramblebeam.core.failover.messages import NO_ANSWER, StepDownReply, StepDownRequest
 from bramblebeam.core.gateway.directory import DatabaseEntry
@@ -12,7 +12,7 @@
 
 
 class CutConnector(LineDatabaseConnector):
-    """Reaches no database of `cut`."""
+    """Connector that fails for the databases in `cut`."""
 
     def __init__(self) -> None:
         self.cut: set[str] = set()
@@ -26,10 +26,10 @@
 
 
 def cut(node: PlatformNode, *names: str) -> None:
-    """Cut a node off from databases, also on the connections that it has."""
+    """Cut a node off from databases and close its connections to them."""
     connector = CutConnector()
     connector.cut.update(names)
-    _use(node, connector)
+    _set_connector(node, connector)
     for pool in node.gateway.context.placement.pools.values():
         if pool.entry.instance in connector.cut:
             for connection in [*pool._resting, *pool._lent]:
@@ -37,30 +37,30 @@
 
 
 def heal(node: PlatformNode) -> None:
-    """End the cut."""
-    _use(node, LineDatabaseConnector())
+    """Remove the cut of `cut()`."""
+    _set_connector(node, LineDatabaseConnector())
 
 
-def _use(node: PlatformNode, connector: DatabaseConnector) -> None:
+def _set_connector(node: PlatformNode, connector: DatabaseConnector) -> None:
     placement = node.gateway.context.placement
     placement.connector = connector
     for pool in placement.pools.values():
         pool._connector = connector
 
 
-def keep_from(node: PlatformNode, unheard: NodeId) -> None:
-    """Let a node get no answer of another one that it asks to give a leader up."""
+def keep_from(node: PlatformNode, peer: NodeId) -> None:
+    """Drop the node's step-down requests to another node: they get no answer."""
     peers = _failover(node).peers
-    ask = type(peers).step_down
+    step_down_of_peer = type(peers).step_down
 
     async def step_down(to: NodeId, request: StepDownRequest) -> StepDownReply:
-        return NO_ANSWER if to == unheard else await ask(peers, to, request)
+        return NO_ANSWER if to == peer else await step_down_of_peer(peers, to, request)
 
     peers.step_down = step_down  # type: ignore[method-assign]
 
 
 def let_hear(node: PlatformNode) -> None:
-    """End that."""
+    """Undo `keep_from()`."""
     vars(_failover(node).peers).pop("step_down", None)
 
 
--- a/tests/platform_standins/group.py
+++ b/tests/platform_standins/group.py
@@ -1,4 +1,4 @@
-"""A group of databases with logs that replicas receive asynchronously, on the line wire."""
+"""Stand-in for a group of databases with asynchronous replication, on the line protocol."""
 
 from __future__ import annotations
 
@@ -16,9 +16,11 @@
 
 @dataclass
 class Fault:
-    """What a database does wrong. Each is off by default.
+    """Faults to inject into a database, all off by default.
 
-    `mute_reads`: so many reads run and get no answer, on connections that stay open.
+    `busy`: number of statements to refuse as overloaded. `lose_answers`, `lose_commits`: number of
+    writes or commits to execute and then reset the connection. `mute_reads`: number of reads to
+    execute and not answer, on connections that stay open. `silent`: ignore all input.
     """
 
     busy: int = 0
@@ -29,11 +31,11 @@
 
 
 class LineDatabase:
-    """One member: listens on a port of its own.
+    """One member, which listens on its own port.
 
-    `deaf`: it receives nothing. `island`: members on different ones do not reach each other.
-    `lag`: the most seconds by which it receives late. `born`: when it started (milliseconds of the
-    epoch), 0: it does not tell.
+    `deaf`: receives no log entries. `island`: partition number; members of different partitions do
+    not reach each other. `lag`: maximum replication lag in seconds. `born`: start time in
+    milliseconds of the epoch, 0 if the member does not report one.
     """
 
     def __init__(self, group: LineGroup, name: str) -> None:
@@ -71,7 +73,7 @@
             connection.abort()
 
     async def restart(self) -> None:
-        """Come back with the log, without what was in memory, and as replica of a newer leader."""
+        """Restart with the log but without memory state; a replica if there is a newer term."""
         self.paused = False
         self.held_term = 0
         if self.group.newest_term > self.term:
@@ -80,7 +82,7 @@
         self.group.replicate()
 
     async def restart_empty(self, as_primary: bool = False) -> None:
-        """Start again under the same name, with nothing of before."""
+        """Restart under the same name with empty storage, as a new incarnation."""
         if self.serving:
             await self.crash()
         self.born += 1
@@ -96,16 +98,16 @@
 
     @property
     def serving(self) -> bool:
-        """Whether it takes connections."""
+        """Whether the member accepts connections."""
         return self._server is not None and self._server.is_serving()
 
     def receive(self, leader: LineDatabase) -> None:
-        """Take the leader's log."""
+        """Copy the leader's log and term."""
         self.log = list(leader.log)
         self.term = leader.term
 
     def hears(self, leader: LineDatabase) -> bool:
-        """Whether what a leader sends arrives here."""
+        """Whether the member can receive log entries from `leader`."""
         return self.serving and not self.deaf and self.island == leader.island
 
     @property
@@ -136,7 +138,7 @@
 
 
 class DatabaseSession(asyncio.Protocol):
-    """One connection to a member."""
+    """Server side of one connection to a member."""
 
     def __init__(self, database: LineDatabase) -> None:
         self.database = database
@@ -294,7 +296,7 @@
         self.prepared.clear()
         self._done("-")
 
-    # Orders.
+    # Administrative commands.
 
     def _do_status(self, identifier: str, rest: str) -> None:
         database = self.database
@@ -340,7 +342,7 @@
         database.group.runs.append(run)
 
     def _committed(self, identifier: str, has_written: bool) -> None:
-        """Answer once as many replicas have received the commit as the group asks for."""
+        """Answer a commit once `sync_replicas` of the group have received it."""
         answer = HeldAnswer(self, identifier, len(self.database.log))
         if has_written:
             self.database.group.answer_when_received(answer)
@@ -348,7 +350,7 @@
             answer.give()
 
     def done(self, identifier: str) -> None:
-        """Answer a commit."""
+        """Send the answer to a commit."""
         self._done(f"signed-{identifier}")
 
     def _fail(self, code: str, text: str) -> None:
@@ -375,25 +377,25 @@
 
 @dataclass(frozen=True)
 class HeldAnswer:
-    """The answer to a commit that replicas are still to receive. `number`: its place in the log."""
+    """A commit's answer that waits for replication. `number`: number of the log entry."""
 
     session: DatabaseSession
     identifier: str
     number: int
 
     def give(self) -> None:
-        """Answer."""
+        """Send the answer."""
         self.session.done(self.identifier)
 
 
 @dataclass
 class LineGroup:
-    """A primary with its replicas; the first member leads at the start.
+    """A primary and its replicas; the first member is the initial primary.
 
-    `deposes`: a promotion takes the lead from the former primary. Else that one goes on until it is
-    demoted, and keeps its log until then. `sync_replicas`: a commit is answered once as many
-    replicas have received it. `tenants`: those for whom connections are taken beside the gateway's
-    own, None: anybody. `host`: where members listen.
+    `deposes`: a promotion demotes the former primary. Otherwise that one keeps leading, with its
+    own log, until it is demoted explicitly. `sync_replicas`: number of replicas that must receive a
+    commit before it is answered. `tenants`: tenants whose connections are accepted in addition to
+    the gateway's own, None for all. `host`: address that members listen on.
     """
 
     name: str
@@ -422,11 +424,11 @@
 
     @property
     def newest_term(self) -> int:
-        """The newest term that any member knows."""
+        """Return the newest term of all members."""
         return max(member.term for member in self.members.values())
 
     def replicate(self) -> None:
-        """Send the primary's log to every replica that receives."""
+        """Send the primary's log to every replica that can receive it."""
         if not any(member.is_primary for member in self.members.values()):
             return
         primary = self.primary
@@ -445,10 +447,10 @@
         self._answer_received()
 
     def _receive_later(self, member: LineDatabase) -> None:
-        """Let a member receive, after its lag, what the primary has by then."""
+        """Let a member receive, after its lag, the log that the primary has by then."""
         if member.receiving:
             return
-        # It knows of a new leader at once.
+        # The new term is known at once, without lag.
         member.term = max(member.term, self.primary.term)
         member.receiving = True
         asyncio.get_running_loop().call_later(member.lag, self._receive, member)
@@ -462,7 +464,7 @@
         self._answer_received()
 
     def answer_when_received(self, answer: HeldAnswer) -> None:
-        """Answer a commit once enough replicas have it."""
+        """Send a commit's answer once enough replicas have received the commit."""
         self.held.append(answer)
         self._answer_received()
 
@@ -471,7 +473,7 @@
         for answer in held:
             leader = answer.session.database
             if not leader.is_primary:
-                # What it had not answered by then stays without an answer.
+                # A demoted leader never answers its outstanding commits.
                 answer.session.abort()
             elif self._copies(leader, answer.number) >= self.sync_replicas:
                 answer.give()
@@ -484,7 +486,7 @@
         return sum(len(log) >= number and log[number - 1] is entry for log in others)
 
     def promote(self, name: str) -> None:
-        """Let a member lead the next term with what it has received."""
+        """Promote a member in the next term, with the log that it has received."""
         target = self.members[name]
         if target.is_primary and target is self.primary:
             return
--- a/tests/platform_standins/order.py
+++ b/tests/platform_standins/order.py
@@ -1,6 +1,6 @@
-"""The order of what happens in the tests' own process: a number for each moment, no two alike.
+"""Sequence numbers that order the events in the test process.
 
-Clocks may tie or jump. What has the lower number came first.
+A clock may give equal times or jump; of two events, the one with the lower number came first.
 """
 
 import itertools
@@ -9,5 +9,5 @@
 
 
 def next_moment() -> int:
-    """Return the number of this moment."""
+    """Return the next sequence number."""
     return next(_moments)
--- a/tests/platform_standins/proxy.py
+++ b/tests/platform_standins/proxy.py
@@ -1,7 +1,7 @@
-"""A TCP proxy on loopback: connections can go silent, be reset, be late, or pass one way only.
+"""A TCP proxy on loopback that can discard, delay or reset the traffic of its connections.
 
-Faults strike the connections that are open; `delay` holds for all. A swallowed byte is read, so
-that the sender's system sees it acknowledged: only a time-out of the sender's own notices that.
+Faults apply to the open connections, `delay` to all. Discarded bytes are read from the socket, so
+that the sender's system sees them acknowledged: only a timeout of the sender itself detects this.
 """
 
 from __future__ import annotations
@@ -14,76 +14,76 @@
 
 
 class Direction(Enum):
-    """Where bytes go."""
+    """Direction of traffic."""
 
     TO_TARGET = "to target"
     TO_CALLER = "to caller"
 
 
 class ProxiedConnection:
-    """One caller's connection and the one to the target that it is joined to.
+    """A client connection and the connection to the target that it is relayed to.
 
-    `cut`: the directions that swallow everything, also the end of the stream.
+    `cut`: directions in which everything is discarded, including the end of the stream.
     """
 
     def __init__(self, proxy: TcpProxy, caller: asyncio.Transport) -> None:
         self.cut: set[Direction] = set()
         self.proxy = proxy
         self._ends: dict[Direction, asyncio.Transport] = {Direction.TO_CALLER: caller}
-        self._early: list[bytes] = []
-        self._late: dict[Direction, deque[tuple[float, bytes | None]]] = {
+        self._unsent: list[bytes] = []
+        self._delayed: dict[Direction, deque[tuple[float, bytes | None]]] = {
             direction: deque() for direction in Direction
         }
 
     @property
     def open(self) -> bool:
-        """Whether no end of it has been closed."""
+        """Whether neither side has been closed."""
         return not any(end.is_closing() for end in self._ends.values())
 
     @property
     def caller_open(self) -> bool:
-        """Whether the caller still keeps its end."""
+        """Whether the client's side is open."""
         return not self._ends[Direction.TO_CALLER].is_closing()
 
     @property
     def silent(self) -> bool:
-        """Whether it swallows everything in both directions."""
+        """Whether the traffic of both directions is discarded."""
         return self.cut == set(Direction)
 
     def joined(self, target: asyncio.Transport) -> None:
-        """Pass on to the target what the caller sent meanwhile."""
+        """Attach the target's side and forward to it what the client has sent so far."""
         self._ends[Direction.TO_TARGET] = target
-        early, self._early = self._early, []
-        for data in early:
+        unsent, self._unsent = self._unsent, []
+        for data in unsent:
             self._write(Direction.TO_TARGET, data)
 
     def passed(self, direction: Direction, data: bytes | None) -> None:
-        """Pass bytes on, or the end of the stream (None), late where the proxy is.
+        """Forward bytes, or the end of the stream (None), after the proxy's delay.
 
-        What comes behind late bytes stays behind them, also where the delay has ended meanwhile.
+        The order is kept: data behind delayed bytes waits for them even after the delay has ended.
         """
-        late = self._late[direction]
-        if not self.proxy.delay and not late:
+        delayed = self._delayed[direction]
+        if not self.proxy.delay and not delayed:
             self._deliver(direction, data)
             return
         loop = asyncio.get_running_loop()
-        late.append((loop.time() + self.proxy.delay, data))
-        if len(late) == 1:
-            loop.call_at(late[0][0], self._deliver_late, direction)
+        delayed.append((loop.time() + self.proxy.delay, data))
+        if len(delayed) == 1:
+            loop.call_at(delayed[0][0], self._deliver_delayed, direction)
 
     def ended(self, direction: Direction) -> None:
-        """Tell the far end that the near one has closed, unless it is to hear nothing."""
+        """Forward the end of the stream from one side, unless its direction is cut."""
         self.passed(direction, None)
         if not any(not end.is_closing() for end in self._ends.values()):
             self.proxy.connections.discard(self)
 
-    def _deliver_late(self, direction: Direction) -> None:
-        late = self._late[direction]
-        _, data = late.popleft()
+    def _deliver_delayed(self, direction: Direction) -> None:
+        delayed = self._delayed[direction]
+        _, data = delayed.popleft()
         self._deliver(direction, data)
-        if late:
+        if delayed:
             loop = asyncio.get_running_loop()
-            loop.call_at(max(late[0][0], loop.time()), self._deliver_late, direction)
+            loop.call_at(max(delayed[0][0], loop.time()), self._deliver_delayed, direction)
 
     def _deliver(self, direction: Direction, data: bytes | None) -> None:
         if data is not None:
@@ -94,12 +94,12 @@
             end.close()
 
     def reset(self) -> None:
-        """End both sides at once."""
+        """Reset both sides."""
         for end in self._ends.values():
             end.abort()
 
     def drop_target(self) -> None:
-        """End the target's side alone, as a target does that misses its caller."""
+        """Reset only the target's side, as a target does whose client is unresponsive."""
         end = self._ends.get(Direction.TO_TARGET)
         if end is not None:
             end.abort()
@@ -109,13 +109,13 @@
             return
         end = self._ends.get(direction)
         if end is None:
-            self._early.append(data)
+            self._unsent.append(data)
         elif not end.is_closing():
             end.write(data)
 
 
 class _End(asyncio.Protocol):
-    """One side: what it reads goes in `direction`."""
+    """One side of a connection; forwards received data in `direction`."""
 
     def __init__(self, connection: ProxiedConnection, direction: Direction) -> None:
         self._connection = connection
@@ -129,7 +129,7 @@
 
 
 class _CallerEnd(asyncio.Protocol):
-    """The caller's side, from which the connection to the target is made."""
+    """The client's side, which opens the connection to the target."""
 
     def __init__(self, proxy: TcpProxy) -> None:
         self._proxy = proxy
@@ -140,7 +140,7 @@
         self._connection = ProxiedConnection(self._proxy, transport)  # type: ignore[arg-type]
         self._proxy.connections.add(self._connection)
         self._proxy.accepted += 1
-        self._task = asyncio.get_running_loop().create_task(self._join(self._connection))
+        self._task = asyncio.get_running_loop().create_task(self._connect_target(self._connection))
 
     def data_received(self, data: bytes) -> None:
         assert self._connection is not None
@@ -150,14 +150,14 @@
         assert self._connection is not None
         self._connection.ended(Direction.TO_TARGET)
 
-    async def _join(self, connection: ProxiedConnection) -> None:
+    async def _connect_target(self, connection: ProxiedConnection) -> None:
         loop = asyncio.get_running_loop()
         try:
             target, _ = await loop.create_connection(
                 lambda: _End(connection, Direction.TO_CALLER), *self._proxy.target
             )
         except OSError:
-            # As a target that refuses: the caller's connection ends without a word.
+            # The target refused: reset the client's connection, without an error message.
             connection.reset()
             return
         connection.joined(target)
@@ -166,9 +166,9 @@
 
 
 class TcpProxy:
-    """Listens on a port of loopback that the system chooses, and joins callers to `target`.
+    """Listens on an ephemeral loopback port and relays connections to `target`.
 
-    `delay`: seconds by which bytes are late in each direction. `accepted`: callers so far.
+    `delay`: delay in each direction (seconds). `accepted`: number of connections accepted so far.
     """
 
     def __init__(self, port: int, host: str = "127.0.0.1") -> None:
@@ -180,38 +180,38 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _CallerEnd(self), "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Listen no more, and end every connection."""
+        """Stop listening and reset every connection."""
         assert self._server is not None
         self._server.close()
         self.reset()
 
     def silence(self) -> set[ProxiedConnection]:
-        """Let all open connections swallow everything for good; return them. New ones work."""
-        struck = set(self.connections)
-        for connection in struck:
+        """Discard all traffic of the open connections for good, and return them. New ones work."""
+        affected = set(self.connections)
+        for connection in affected:
             connection.cut.update(Direction)
-        return struck
+        return affected
 
     def cut(self, direction: Direction) -> None:
-        """Let all open connections swallow everything that goes in one direction."""
+        """Discard the traffic of the open connections in one direction, for good."""
         for connection in self.connections:
             connection.cut.add(direction)
 
     def reset(self) -> None:
-        """End all open connections at once."""
+        """Reset all open connections."""
         for connection in list(self.connections):
             connection.reset()
 
 
 @asynccontextmanager
 async def proxied(port: int) -> AsyncIterator[TcpProxy]:
-    """A running proxy before a port of loopback."""
+    """Run a proxy in front of a loopback port."""
     proxy = TcpProxy(port)
     await proxy.start()
     try:
--- a/tests/platform_standins/records.py
+++ b/tests/platform_standins/records.py
@@ -1,4 +1,4 @@
-"""What databases did, as a judge reads it."""
+"""Records of what databases did, the input of the soak's judge."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 @dataclass(frozen=True)
 class Entry:
-    """One commit: its term and the values it wrote."""
+    """One log entry: the term of a commit and the (key, value) pairs that it wrote."""
 
     term: int
     values: tuple[tuple[str, str], ...]
 
 
 Spans = tuple[tuple[int, int], ...]
-"""A log in short: for each term in it, the term and the number of its last entry.
+"""Summary of a log: for each term in it, the term and the number of its last entry.
 
-One leader a term writes the entries of that term, so that a term and a number name one commit.
+Each term has one leader that writes its entries, so that a term and a number identify a commit.
 """
 
 
 def spans_of(log: Sequence[Entry]) -> Spans:
-    """Return what a log holds."""
+    """Return the summary of a log."""
     spans: list[tuple[int, int]] = []
     end = 0
     while end < len(log):
@@ -35,12 +35,12 @@
 
 
 def holds(spans: Spans, term: int, number: int) -> bool:
-    """Whether a log holds a commit."""
-    begin = 0
+    """Whether the log with these spans holds a commit."""
+    previous_end = 0
     for found, end in spans:
         if found == term:
-            return begin < number <= end
-        begin = end
+            return previous_end < number <= end
+        previous_end = end
     return False
 
 
@@ -49,9 +49,9 @@
 
 
 class CommitRecord(NamedTuple):
-    """A value as a member committed it. `by_newest_leader`: no newer one had been promoted.
+    """A value that a member committed.
 
-    `term` and `number`: its position in the log.
+    `by_newest_leader`: no newer leader had been promoted. `term`, `number`: position in the log.
     """
 
     member: str
@@ -63,11 +63,11 @@
 
 
 class RunRecord(NamedTuple):
-    """A read, write or commit as a member ran it.
+    """A read, write or commit that a member executed.
 
-    `key` and `value`: what it read or wrote, empty for a commit. `session_values`: those that its
-    connection had. `spans`: the log on which it ran. `tenant`: whom its connection named. `time`:
-    steady clock, seconds.
+    `key`, `value`: what was read or written, empty for a commit. `session_values`: session values
+    of the connection. `spans`: log that it ran on. `tenant`: tenant of the connection. `time`:
+    monotonic clock, seconds.
     """
 
     identifier: str
@@ -82,7 +82,7 @@
 
 
 class PromotionRecord(NamedTuple):
-    """A member that was promoted, with what it had received. `moment`: its place in the order."""
+    """A promotion. `spans`: log of the promoted member; `moment`: event sequence number."""
 
     member: str
     term: int
--- a/tests/platform_standins/store.py
+++ b/tests/platform_standins/store.py
@@ -1,4 +1,4 @@
-"""The platform's store and promotion service over HTTP."""
+"""Stand-in for the platform's object store and promotion service over HTTP."""
 
 from __future__ import annotations
 
@@ -14,15 +14,16 @@
 
 Content = dict[str, Any]
 WRITTEN_AGAIN = ("config", "servers")
-"""The kinds that others than the nodes write."""
+"""Kinds of objects that are not written by nodes; their owners rewrite them after a restore."""
 
 
 @dataclass
 class StoreFault:
-    """`status`: the store answers everything with it; `lose`: so many writes go unanswered.
+    """Faults to inject into the store.
 
-    `lose_orders`: so many promotions get no answer and are carried out when the next one comes.
-    `delay`: seconds by which calls are late; what a write asks for is done then, whoever waits.
+    `status`: status code of every answer, 0 for no fault. `lose`: number of writes to execute and not
+    answer. `lose_orders`: number of promotions to leave unanswered and execute with the next one.
+    `delay`: delay of requests (seconds); a write is executed after it even if its client is gone.
     """
 
     status: int = 0
@@ -33,7 +34,7 @@
 
 @dataclass
 class Promotion:
-    """One order as it arrived."""
+    """A promotion request as received."""
 
     group: str
     target: str
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True)
 class StoreCopy:
-    """The store's content at one revision."""
+    """Snapshot of the store at one revision."""
 
     objects: dict[tuple[str, str], Content]
     revision: int
@@ -52,12 +53,11 @@
 
 @dataclass
 class PlatformStandIn:
-    """Objects with revisions and watches, and the promotions of some groups.
+    """Objects with revisions and watches, and promotions of the groups.
 
-    `era`: how often the store came back from a copy. `told_era`: what the header says in its place.
-
-    `checks_fences`: orders with a token lower than one seen are refused. `promotion_seconds`: how
-    long an order takes to come into effect after its answer.
+    `checks_fences`: refuse promotions with a fencing token lower than an earlier one.
+    `promotion_seconds`: time until a promotion takes effect after its answer. `era`: number of
+    restores from a snapshot. `told_era`: overrides the era in the response header.
     """
 
     groups: dict[str, LineGroup] = field(default_factory=dict)
@@ -79,7 +79,7 @@
         self._oldest = 0
         self._changed = asyncio.Event()
         self._fences: dict[str, int] = {}
-        self._late: list[Promotion] = []
+        self._unanswered: list[Promotion] = []
         self._runner: web.AppRunner | None = None
         self.port = 0
 
@@ -102,7 +102,7 @@
         assert self._runner is not None
         await self._runner.cleanup()
 
-    # What the operator and the databases write.
+    # Writes by the operator and the databases.
 
     def put(self, kind: str, name: str, spec: Any) -> None:
         self._revision += 1
@@ -123,13 +123,13 @@
     def forget_history(self) -> None:
         self._oldest = self._revision
 
-    # Copies, and what becomes of the store that returns from one.
+    # Snapshots and restores.
 
     def copy(self) -> StoreCopy:
         return StoreCopy(dict(self._objects), self._revision, self.era)
 
     def go_back(self, copy: StoreCopy) -> None:
-        """Lose what was written since the copy; its revisions will be given out again."""
+        """Restore a snapshot: later writes are lost and their revisions are assigned again."""
         self._objects = dict(copy.objects)
         self._revision = self._copied = copy.revision
         self._events = [event for event in self._events if event[0] <= copy.revision]
@@ -138,7 +138,7 @@
         self._changed = asyncio.Event()
 
     def write_again(self, lost: StoreCopy) -> None:
-        """Let the operator and the databases write what they had, unless they wrote since."""
+        """Rewrite the lost objects of operator and databases, unless they wrote them since."""
         for (kind, name), content in lost.objects.items():
             if kind in WRITTEN_AGAIN and self._is_older((kind, name), content):
                 self.put(kind, name, content["spec"])
@@ -162,7 +162,7 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    # The calls.
+    # Request handlers.
 
     async def _refuse(self) -> web.Response | None:
         self.calls += 1
@@ -257,13 +257,13 @@
         self.promotions.append(order)
         if self.fault.lose_orders > 0:
             self.fault.lose_orders -= 1
-            self._late.append(order)
+            self._unanswered.append(order)
             assert request.transport is not None
             request.transport.abort()
             return web.Response(status=200)
         status = self._carry_out(order)
-        while self._late:
-            self._carry_out(self._late.pop())
+        while self._unanswered:
+            self._carry_out(self._unanswered.pop())
         return web.Response(status=status)
 
     def _carry_out(self, order: Promotion) -> int:
--- a/tests/platform_standins/world.py
+++ b/tests/platform_standins/world.py
@@ -1,4 +1,4 @@
-"""One group, the platform and nodes on loopback, with a client of the line wire."""
+"""A group, the platform and in-process nodes on loopback, and a client of the line protocol."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 from platform_standins.store import PlatformStandIn
 
 FAR_TOO_LONG = 60.0
-"""Seconds after which a wait was in vain; nothing is measured by it."""
+"""Timeout after which a wait has failed (seconds); nothing is measured by it."""
 GROUP = "deliveries"
 PLATFORM = "platform"
-"""The proxy before the store and the promotions; the others are named as their databases."""
+"""Name of the proxy of the store and promotions; the others have their databases' names."""
 MEMBERS = ["db-a", "db-b", "db-c"]
 ROUTES = {
     "latest": {"route_type": "primary"},
@@ -33,7 +33,7 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition. Raises TimeoutError where it never comes true."""
+    """Wait until a condition is true. Raises TimeoutError after FAR_TOO_LONG."""
     async with asyncio.timeout(FAR_TOO_LONG):
         while not condition():  # noqa: ASYNC110
             await asyncio.sleep(0.01)
@@ -41,7 +41,7 @@
 
 @dataclass
 class Answer:
-    """What a caller got for one statement."""
+    """Answer to one statement. `state`: session state, or "closed" if the connection ended."""
 
     rows: list[str] = field(default_factory=list)
     signature: str = ""
@@ -51,7 +51,7 @@
 
 
 class LineClient:
-    """A caller."""
+    """A client of the line protocol."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -98,7 +98,7 @@
 
 @dataclass
 class World:
-    """Everything that runs."""
+    """A running platform, group and in-process nodes."""
 
     platform: PlatformStandIn
     group: LineGroup
@@ -117,12 +117,12 @@
         self.platform.put("servers", name, content)
 
     def silence(self) -> None:
-        """Let every connection through a proxy that is open now swallow everything for good."""
+        """Discard all traffic of the proxied connections that are open now, for good."""
         for proxy in self.proxies.values():
             proxy.silence()
 
     async def client(self, database: str = "session", node: int = 0) -> LineClient:
-        """Return a started session, waiting until the node takes callers. Raises TimeoutError."""
+        """Return a started session once the node accepts clients. Raises TimeoutError."""
         async with asyncio.timeout(FAR_TOO_LONG):
             while True:
                 client = await LineClient.connect(self.nodes[node].callers.port)
@@ -135,7 +135,7 @@
 
 @asynccontextmanager
 async def keep_writing(client: LineClient) -> AsyncIterator[None]:
-    """Let a caller write all the while, so that its node looks after the group."""
+    """Write continuously in the background, so that the node keeps monitoring the group."""
 
     async def write() -> None:
         while (await client.run("WRITE letter 1")).state != "closed":
@@ -199,7 +199,7 @@
 async def running_world(
     nodes: int = 1, configured: bool = True, born: int = 0
 ) -> AsyncIterator[World]:
-    """Nodes that do not know each other. `born`: when the databases started, 0: nobody tells."""
+    """Run nodes that do not know each other. `born`: databases' start time, 0 if not reported."""
     async with AsyncExitStack() as stack:
         world = await _start_platform(stack, born)
         if configured:
@@ -211,7 +211,7 @@
 
 @asynccontextmanager
 async def proxied_world() -> AsyncIterator[World]:
-    """One node that reaches the platform and each database through a proxy of its own."""
+    """Run one node that reaches the platform and each database through separate proxies."""
     async with AsyncExitStack() as stack:
         world = await _start_platform(stack)
         ports = {name: member.port for name, member in world.group.members.items()}
@@ -226,7 +226,7 @@
 
 @asynccontextmanager
 async def joined_world(nodes: int, connections: int) -> AsyncIterator[World]:
-    """Nodes that know each other, before databases that take few connections."""
+    """Run nodes that know each other. `connections`: connection limit of each database."""
     async with AsyncExitStack() as stack:
         world = await _start_platform(stack)
         world.group.maximum_connections = world.connections = connections
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized fault soak: the deployed role's nodes between callers and stand-ins, judged."""
+"""Randomized fault-injection soak of the deployed role, judged by what callers observed."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m soak --minutes 5 --seed 1`: seed after seed; the exit code is 1 if a rule broke."""
+"""Command line of the in-process soak: `python -m soak --minutes 5 --seed 1`.
+
+Plays one seed after the other. The exit code is 1 if a run violated a rule.
+"""
 
 import time
 
@@ -6,21 +9,21 @@
 
 from soak.run import Report, clock_step, run_by_coarse_clock
 
-SECONDS_A_SEED = 10.0
+SECONDS_PER_SEED = 10.0
 
 
-def main(minutes: float = 1.0, seed: int = 1, seconds: float = SECONDS_A_SEED) -> None:
-    """Play seeds from `seed` on, each for some seconds, until the time is over."""
+def main(minutes: float = 1.0, seed: int = 1, seconds: float = SECONDS_PER_SEED) -> None:
+    """Play consecutive seeds from `seed` on, each for `seconds`, until `minutes` have passed."""
     deadline = time.monotonic() + minutes * 60
-    broken = 0
+    failed_seeds = 0
     while True:
         report = run_by_coarse_clock(seed, seconds)
         _print(report, seconds)
-        broken += bool(report.violations)
+        failed_seeds += bool(report.violations)
         seed += 1
         if time.monotonic() >= deadline:
             break
-    raise typer.Exit(code=1 if broken else 0)
+    raise typer.Exit(code=1 if failed_seeds else 0)
 
 
 def _print(report: Report, seconds: float) -> None:
@@ -33,7 +36,9 @@
     for violation in report.violations[:10]:
         typer.echo(f"  {violation.rule}: {violation.detail}: {violation.attempt}")
     if report.violations:
-        typer.echo(f"  again: python -m soak --minutes 0 --seed {report.seed} --seconds {seconds}")
+        typer.echo(
+            f"  reproduce: python -m soak --minutes 0 --seed {report.seed} --seconds {seconds}"
+        )
 
 
 if __name__ == "__main__":
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers: sessions that write numbers under keys of their own, and readers of others' keys."""
+"""Soak clients: writers of increasing numbers under their own keys, and readers of these keys."""
 
 from __future__ import annotations
 
@@ -14,57 +14,63 @@
 from soak.history import NO_ANSWER, Attempt, History, Kind
 
 ANSWER_SECONDS = 10.0
-"""A caller gives up after so long; routes time out well before."""
+"""Client-side timeout of a statement (seconds); the routes' timeouts are well below it."""
 START_SECONDS = 2.0
+"""Client-side timeout for opening a session (seconds)."""
 PAUSES = (0.002, 0.02)
-"""The least and the most that a caller rests between two attempts (seconds)."""
-LEAVE_SHARE = 0.05
-"""The part of attempts after which a caller ends its session and begins another one, elsewhere."""
+"""Minimum and maximum delay between two attempts of a caller (seconds)."""
+RECONNECT_SHARE = 0.05
+"""Probability that a caller ends its session after an attempt and opens one on another node."""
 TRANSACTION_SHARE, WRITE_SHARE, SET_SHARE = 0.15, 0.3, 0.03
+"""Probabilities of a writer's operations; the rest are reads."""
 PREPARED_SHARE = 0.3
-"""The part of single reads and writes that are run by a prepared name."""
+"""Probability that a single read or write uses a prepared statement."""
 PREPARED_READ, PREPARED_WRITE = "get", "put"
-"""All sessions prepare the same names, each with a shape of its own."""
+"""Names of the prepared statements.
+
+All sessions use the same names, each for a different statement: a connection with the prepared
+statements of another session shows up by the key that it reads or writes.
+"""
 PREPARED_ARGUMENT = "x"
 CLOSED = Answer(code=NO_ANSWER, state="closed")
 
 
 class CallersAddress(Protocol):
-    """Where callers reach a node on loopback."""
+    """The client address of a node on loopback."""
 
     @property
     def port(self) -> int:
-        """Return the port."""
+        """Return the TCP port."""
 
 
 class CalledNode(Protocol):
-    """A node, as callers know it."""
+    """The part of a node that callers use."""
 
     @property
     def callers(self) -> CallersAddress:
-        """Return where it takes callers."""
+        """Return the address that accepts client connections."""
 
 
 class CalledNodes(Protocol):
-    """What callers know of a world."""
+    """The part of a deployment that callers use."""
 
     nodes: list[CalledNode]
 
 
-class Sending(NamedTuple):
-    """When an attempt began. `time`: steady clock, seconds; `moment`: its place in the order."""
+class AttemptStart(NamedTuple):
+    """Start of an attempt. `time`: monotonic clock, seconds; `moment`: event sequence number."""
 
     time: float
     moment: int
 
 
 def prepared_key(shape: str) -> str:
-    """Return the key that is read and written by prepared names of a shape."""
+    """Return the key that prepared statements with the key prefix `shape` read and write."""
     return f"{shape}/{PREPARED_ARGUMENT}"
 
 
 class Caller:
-    """One caller, which keeps to a route and finds another node when its session ends."""
+    """A client of one route that reconnects to a random node when its session ends."""
 
     def __init__(self, world: CalledNodes, name: str, route: str, rng: random.Random) -> None:
         self.name = name
@@ -80,33 +86,33 @@
 
     @property
     def keys(self) -> list[str]:
-        """Return the keys that it writes."""
+        """Return the keys that this caller writes."""
         return [self.name, prepared_key(self.name)]
 
     async def write_and_read(self, until: Callable[[], bool]) -> None:
-        """Write and read the own keys."""
+        """Write and read the caller's own keys until `until` returns true."""
         while not until():
-            chance = self._rng.random()
-            if chance < TRANSACTION_SHARE:
+            draw = self._rng.random()
+            if draw < TRANSACTION_SHARE:
                 await self.transact()
-            elif chance < TRANSACTION_SHARE + WRITE_SHARE:
+            elif draw < TRANSACTION_SHARE + WRITE_SHARE:
                 await self.write()
-            elif chance < TRANSACTION_SHARE + WRITE_SHARE + SET_SHARE:
+            elif draw < TRANSACTION_SHARE + WRITE_SHARE + SET_SHARE:
                 await self.set_value()
             else:
                 await self.read(self._rng.choice(self.keys))
-            await self._rest()
+            await self._pause()
 
     async def read_others(self, keys: list[str], until: Callable[[], bool]) -> None:
-        """Read keys of others."""
+        """Read keys of other callers until `until` returns true."""
         while not until():
             await self.read(self._rng.choice(keys))
-            await self._rest()
+            await self._pause()
 
     async def write(self) -> bool:
-        """Write the next number; return whether it was acknowledged."""
+        """Write the next number and return whether the write was acknowledged."""
         self._number += 1
-        sending = _begin()
+        start = _start_attempt()
         if self._rng.random() < PREPARED_SHARE:
             key = prepared_key(self.name)
             text = f"EXEC {PREPARED_WRITE} {PREPARED_ARGUMENT} {self._number}"
@@ -114,45 +120,47 @@
             key = self.name
             text = f"WRITE {key} {self._number}"
         answer = await self._run(text)
-        return self._note(Kind.WRITE, key, self._number, sending, answer)
+        return self._record(Kind.WRITE, key, self._number, start, answer)
 
     async def write_until_served(self) -> None:
-        """Write until a write is acknowledged."""
+        """Write until one write is acknowledged."""
         while not await self.write():
-            await self._rest()
+            await self._pause()
 
     async def transact(self) -> None:
-        """Write the next number in a transaction."""
+        """Write the next number in an explicit transaction."""
         self._number += 1
-        sending = _begin()
+        start = _start_attempt()
         for text in ("BEGIN", f"WRITE {self.name} {self._number}", "COMMIT"):
             answer = await self._run(text)
             if answer.code:
                 break
-        self._note(Kind.TRANSACTION, self.name, self._number, sending, answer)
+        self._record(Kind.TRANSACTION, self.name, self._number, start, answer)
         if answer.state not in ("I", "closed"):
             await self._run("ROLLBACK")
 
     async def read(self, key: str) -> None:
-        """Read a key."""
-        sending = _begin()
+        """Read `key` and record the number that was returned."""
+        start = _start_attempt()
         if key == prepared_key(self.name) and self._rng.random() < PREPARED_SHARE:
             answer = await self._run(f"EXEC {PREPARED_READ} {PREPARED_ARGUMENT}")
         else:
             answer = await self._run(f"READ {key}")
         number = int(answer.rows[0]) if answer.rows and answer.rows[0] else 0
-        self._note(Kind.READ, key, number, sending, answer)
+        self._record(Kind.READ, key, number, start, answer)
 
     async def set_value(self) -> None:
-        """Change a value of the session. Where that fails, the session is of no more use."""
+        """Change a session value, and end the session if that fails: its value is then unknown."""
         level = str(self._rng.randint(1, 3))
         answer = await self._run(f"SET level {level}")
         if answer.code:
-            self._leave()
+            self._end_session()
         else:
             self._values["level"] = level
 
-    def _note(self, kind: Kind, key: str, number: int, sending: Sending, answer: Answer) -> bool:
+    def _record(
+        self, kind: Kind, key: str, number: int, start: AttemptStart, answer: Answer
+    ) -> bool:
         identifier = "" if self._client is None else self._client.last_identifier
         attempt = Attempt(
             kind,
@@ -161,12 +169,12 @@
             key,
             number,
             identifier,
-            sending.time,
+            start.time,
             _now(),
             answer.code,
             answer.signature,
             self._session,
-            sending.moment,
+            start.moment,
             next_moment(),
             frozenset(self._values.items()),
             self._client is not None,
@@ -174,10 +182,10 @@
         )
         self.history.append(attempt)
         if answer.state == "closed":
-            self._leave()
+            self._end_session()
         return attempt.succeeded
 
-    def _leave(self) -> None:
+    def _end_session(self) -> None:
         if self._client is not None:
             self._client.close()
         self._client = None
@@ -186,7 +194,7 @@
         if self._client is None:
             self._client = await self._connect()
         if self._client is None:
-            # Nothing was sent.
+            # No connection: nothing was sent.
             return Answer(code=NO_ANSWER, state="closed")
         try:
             async with asyncio.timeout(ANSWER_SECONDS):
@@ -212,7 +220,7 @@
         return None
 
     async def _set_up(self, client: LineClient) -> bool:
-        """Begin a session that differs from all others'; return whether that worked."""
+        """Give the session unique values and prepared statements; return whether that succeeded."""
         self._session += 1
         session = f"{self.name}-{self._session}"
         for text in (
@@ -226,16 +234,16 @@
         self._values = {"owner": session}
         return True
 
-    async def _rest(self) -> None:
-        if self._rng.random() < LEAVE_SHARE:
-            self._leave()
+    async def _pause(self) -> None:
+        if self._rng.random() < RECONNECT_SHARE:
+            self._end_session()
         await asyncio.sleep(self._rng.uniform(*PAUSES))
 
 
-def _begin() -> Sending:
-    return Sending(_now(), next_moment())
+def _start_attempt() -> AttemptStart:
+    return AttemptStart(_now(), next_moment())
 
 
 def _now() -> float:
-    """Return the exact clock (seconds): the loop's own may move in steps."""
+    """Return the exact monotonic time (seconds): the event loop's clock may be coarse."""
     return time.monotonic()
--- a/tests/soak/config_probe.py
+++ b/tests/soak/config_probe.py
@@ -1,4 +1,8 @@
-"""Asks each node for routes that only one version of the configuration has, all the while."""
+"""Continuous probe of the configuration version that each node serves.
+
+Every marked version has a route that no other version has: a node that accepts a session for it
+serves that version.
+"""
 
 from __future__ import annotations
 
@@ -11,20 +15,22 @@
 from soak.deployment import DeployedNode, Deployment
 
 PROBE_SECONDS = 0.1
-"""Between two questions to a node."""
-PROBED = 8
-"""So many nodes are asked, however many there are."""
-ASKED = 2
-"""So many of the last versions are asked for."""
+"""Interval between two probes of a node (seconds)."""
+MAX_PROBED_NODES = 8
+"""Maximum number of nodes that are probed."""
+PROBED_VERSIONS = 2
+"""Number of newest marked versions that are probed."""
 REVERT_SLACK = 2.0
-"""A node that served a newer version may serve an older one for so long (seconds): the users' pages
-give 0.25 s, and eight times as much where a machine is slowed down."""
+"""How long a node may serve an older version after a newer one (seconds).
+
+The documented limit is 0.25 s; the factor of 8 allows for a slowed-down machine.
+"""
 
 
 class Served(NamedTuple):
-    """A node served the route of one version. Times: steady clock, seconds.
+    """Observation that a node served one version. Times: event loop's clock, seconds.
 
-    `life`: which of the node's processes that was.
+    `life`: start number of the node's process.
     """
 
     node: str
@@ -35,7 +41,7 @@
 
 
 async def started(node: DeployedNode, route: str) -> Answer | None:
-    """Return the answer to the start of a session, None where there is none."""
+    """Try to open a session on `route`; return the answer, or None without a definite one."""
     try:
         async with asyncio.timeout(START_SECONDS):
             client = await LineClient.connect(node.callers.port)
@@ -45,31 +51,31 @@
                 client.close()
     except (OSError, TimeoutError):
         return None
-    # An error is followed by a close; a close alone says nothing.
+    # A close without an error does not tell whether the route is served.
     return answer if answer.state == "I" or answer.code else None
 
 
 class ConfigurationProbe:
-    """Notes which versions nodes serve."""
+    """Records which configuration versions the nodes serve."""
 
     def __init__(self, world: Deployment) -> None:
         self._world = world
         self._served: list[Served] = []
 
     async def run(self) -> None:
-        """Ask until cancelled."""
-        await asyncio.gather(*(self._ask(node) for node in self._world.nodes[:PROBED]))
+        """Probe the nodes until cancelled."""
+        await asyncio.gather(*(self._probe(node) for node in self._world.nodes[:MAX_PROBED_NODES]))
 
     def regressions(self) -> Iterator[str]:
-        """Yield what nodes served although they had served something newer."""
+        """Yield a problem for each node and version served after a newer one."""
         for node in {found.node for found in self._served}:
             yield from regressions([found for found in self._served if found.node == node])
 
-    async def _ask(self, node: DeployedNode) -> None:
+    async def _probe(self, node: DeployedNode) -> None:
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(PROBE_SECONDS)
-            for version in self._world.marked_versions[-ASKED:]:
+            for version in self._world.marked_versions[-PROBED_VERSIONS:]:
                 life, sent_at = node.process.lives, loop.time()
                 answer = await started(node, marked_route(version))
                 is_served = answer is not None and answer.state == "I"
@@ -79,12 +85,12 @@
 
 
 def marked_route(version: int) -> str:
-    """Return the route that only one version has."""
+    """Return the name of the route that only this version has."""
     return f"extra{version}"
 
 
 def regressions(served: Sequence[Served]) -> Iterator[str]:
-    """Yield what one node served of an older version, in one life, after a newer one."""
+    """Yield the cases where one process of a node served an older version after a newer one."""
     for older in served:
         for newer in served:
             is_regression = newer.life == older.life and newer.version > older.version
--- a/tests/soak/deployment.py
+++ b/tests/soak/deployment.py
@@ -1,7 +1,7 @@
-"""Nodes as processes, each behind links: to callers, to databases, to the store, to other nodes.
+"""A deployment of node processes whose TCP connections all pass through proxies (links).
 
-Each node has a loopback address of its own, as the nodes' own ports are the same on all machines.
-Databases, store and promotions live in the soak's process.
+Each node has its own loopback address, since the nodes' ports are the same on all machines.
+Databases, store and promotion service run in the soak's process.
 """
 
 from __future__ import annotations
@@ -25,21 +25,22 @@
 from soak.tenants import tenants_of
 
 HEARTBEAT_SECONDS = 0.3
-"""How often databases renew their entries in the store."""
+"""Interval at which databases renew their entries in the store."""
 MISSED_HEARTBEATS = 3
-"""An entry goes after so many."""
+"""Number of missed heartbeats after which a database's entry is deleted."""
 FULLY_LINKED = 8
-"""Up to so many nodes have links between each other: their number grows with the square."""
+"""Maximum number of nodes that get links to each other: their number grows quadratically."""
 SEEDS = 3
+"""Number of seed nodes in the settings."""
 ZONES = {"zone-db-a": "home", "zone-db-b": "home", "zone-db-c": "abroad"}
 _DATABASES_HOST, _LINKS_HOST = 253, 254
-"""The last numbers of the addresses of databases and links; nodes have those from 1 on."""
+"""Last octets of the addresses of databases and links; nodes have those from 1 on."""
 FIRST_PORT, LAST_PORT = 20_000, 30_000
-"""Below those that the system hands out to callers."""
+"""Range of the nodes' ports, below the system's ephemeral ports."""
 
 
 class Size(NamedTuple):
-    """How much runs. `connections`: what each database takes."""
+    """Size of a deployment. `connections`: connection limit of each database."""
 
     nodes: int
     connections: int
@@ -48,7 +49,7 @@
 
 @dataclass
 class DeployedNode:
-    """A node's process and the links to and from it."""
+    """A node's process and its links: `callers` to it, the others from it."""
 
     process: NodeProcess
     callers: Link
@@ -58,17 +59,17 @@
 
     @property
     def links(self) -> list[Link]:
-        """Return all its links but those of callers."""
+        """Return all outgoing links."""
         return [self.to_store, *self.to_databases.values(), *self.to_nodes.values()]
 
 
 @dataclass
 class Deployment:
-    """Everything that runs. `network`: the first three numbers of the loopback addresses in use.
+    """A running deployment. `network`: the first three octets of its loopback addresses.
 
-    `routes`: those of the configuration in force. `states`: of databases that are not ready.
-    `has_registry`: whether databases can renew their entries. `limit`: of the tenant that meets it,
-    None: there are no tenants. `marked_versions`: those that have a
+    `routes`: routes of the latest configuration. `states`: registered state of the databases that
+    are not ready. `has_registry`: whether databases can renew their entries. `limit`: rate limit of
+    the hot tenant, None without tenants. `marked_versions`: configuration versions that have a
     route of their own.
     """
 
@@ -86,11 +87,11 @@
 
     @property
     def next_version(self) -> int:
-        """The version that the next configuration gets: they rise in uneven steps."""
+        """The version of the next configuration; versions increase in uneven steps."""
         return self.version + 1 + self.version % 3
 
     def configure(self, routes: dict[str, dict[str, Any]]) -> None:
-        """Put a new version of the configuration into the store."""
+        """Write a new version of the configuration to the store."""
         self.version = self.next_version
         self.routes = routes
         content = configuration(self.version, routes, self.size.connections)
@@ -104,15 +105,15 @@
         return [node.to_databases[member] for node in self.nodes]
 
     async def crash(self, member: str) -> None:
-        """End a database's process without a word."""
+        """Crash a database: its connections are reset and its links refuse new ones."""
         database = self.group.members[member]
         if database.serving:
             await database.crash()
             for link in self.links_to(member):
                 link.refuse()
 
-    async def revive(self, member: str) -> None:
-        """Start a database's process again."""
+    async def restart(self, member: str) -> None:
+        """Restart a crashed database and its links."""
         database = self.group.members[member]
         if not database.serving:
             await database.restart()
@@ -120,23 +121,23 @@
                 await link.start()
 
     async def keep_registered(self) -> None:
-        """Keep the databases' entries as the databases do."""
+        """Maintain the databases' entries in the store, until cancelled."""
         missed: dict[str, int] = {}
         while True:
             await asyncio.sleep(HEARTBEAT_SECONDS)
             for name, database in self.group.members.items():
-                is_heard = database.serving and self.has_registry
-                missed[name] = 0 if is_heard else missed.get(name, 0) + 1
+                is_renewed = database.serving and self.has_registry
+                missed[name] = 0 if is_renewed else missed.get(name, 0) + 1
                 self._renew(name, missed[name])
 
     def _renew(self, name: str, missed: int) -> None:
-        is_listed = self.platform.has("servers", name)
-        if missed >= MISSED_HEARTBEATS and is_listed:
+        is_registered = self.platform.has("servers", name)
+        if missed >= MISSED_HEARTBEATS and is_registered:
             self.platform.delete("servers", name)
         if missed or self.platform.fault.status:
             return
         entry = registration(self.group, name, self.states.get(name, "ready"))
-        if not is_listed or self.platform.found("servers", name)["spec"] != entry:
+        if not is_registered or self.platform.found("servers", name)["spec"] != entry:
             self.platform.put("servers", name, entry)
 
 
@@ -149,7 +150,7 @@
     routes: dict[str, dict[str, Any]],
     limit: RateLimit | None = None,
 ) -> AsyncIterator[Deployment]:
-    """Start everything; end every process and link in the end."""
+    """Run a deployment; on exit, kill every process and stop every link."""
     network = _free_network()
     group = LineGroup(
         GROUP, size.connections, deposes, sync_replicas, f"{network}.{_DATABASES_HOST}"
@@ -158,25 +159,25 @@
     platform = PlatformStandIn({GROUP: group}, checks_fences=deposes)
     await platform.start()
     deployed = Deployment(platform, group, size, network, limit=limit)
-    keeping = asyncio.ensure_future(deployed.keep_registered())
+    registration_task = asyncio.ensure_future(deployed.keep_registered())
     try:
         deployed.configure(routes)
         await _deploy(deployed, folder)
         yield deployed
     finally:
-        keeping.cancel()
+        registration_task.cancel()
         await asyncio.gather(*(node.process.kill() for node in deployed.nodes))
-        await _close(deployed)
+        await _stop(deployed)
 
 
 async def _deploy(deployed: Deployment, folder: Path) -> None:
-    hosts = [f"{deployed.network}.{place + 1}" for place in range(deployed.size.nodes)]
+    hosts = [f"{deployed.network}.{index + 1}" for index in range(deployed.size.nodes)]
     links = f"{deployed.network}.{_LINKS_HOST}"
     port = _free_port(hosts)
-    for place, host in enumerate(hosts):
-        zone = list(ZONES)[place % len(ZONES)]
-        settings = _settings(f"node-{place}", zone, host, port, hosts, deployed)
-        process = NodeProcess(folder, f"node-{place}", settings)
+    for index, host in enumerate(hosts):
+        zone = list(ZONES)[index % len(ZONES)]
+        settings = _settings(f"node-{index}", zone, host, port, hosts, deployed)
+        process = NodeProcess(folder, f"node-{index}", settings)
         callers = await open_link(host, port)
         to_store = await open_link("127.0.0.1", deployed.platform.port, links)
         settings["platform"]["address"] = f"{links}:{to_store.port}"
@@ -208,8 +209,9 @@
 
 
 _READINESS, _METRICS, _PEERS = 1, 2, 3
-"""What a node's ports are for, counted from the first one, at which it takes callers."""
+"""Offsets of a node's ports from the first one, which accepts clients."""
 _PORTS = 4
+"""Number of ports of a node."""
 
 
 def _settings(
@@ -236,30 +238,30 @@
 
 
 def _free_network() -> str:
-    """Return a loopback network; not of the seed's choice, as soaks may run side by side."""
+    """Return a random loopback network, independent of the seed: soaks may run in parallel."""
     chosen = random.SystemRandom()
     return f"127.{chosen.randint(1, 250)}.{chosen.randint(1, 250)}"
 
 
 def _free_port(hosts: list[str]) -> int:
-    """Return the first of some ports that are free at all hosts."""
+    """Return the first port of a range that is free on all hosts. Raises OSError if none is."""
     for port in range(FIRST_PORT, LAST_PORT, _PORTS):
-        if all(_is_free(host, port + place) for host in hosts for place in range(_PORTS)):
+        if all(_is_free(host, port + index) for host in hosts for index in range(_PORTS)):
             return port
-    raise OSError("no ports are free")
+    raise OSError(f"no {_PORTS} consecutive ports are free from {FIRST_PORT} to {LAST_PORT}")
 
 
 def _is_free(host: str, port: int) -> bool:
-    with socket.socket() as tried:
-        tried.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    with socket.socket() as probe:
+        probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
-            tried.bind((host, port))
+            probe.bind((host, port))
         except OSError:
             return False
     return True
 
 
-async def _close(deployed: Deployment) -> None:
+async def _stop(deployed: Deployment) -> None:
     for node in deployed.nodes:
         for link in (node.callers, *node.links):
             with contextlib.suppress(AssertionError):
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,7 @@
-"""Faults, each with its beginning and its end; which come when follows from the seed."""
+"""Faults of the in-process soak and the player that chooses them by seed.
+
+A fault is an async context manager: it injects the fault on entry and removes it on exit.
+"""
 
 from __future__ import annotations
 
@@ -13,25 +16,28 @@
 from platform_standins.world import World
 
 LASTS = (0.2, 2.5)
-"""The least and the most that a fault lasts (seconds)."""
+"""Minimum and maximum duration of a fault (seconds)."""
 GAPS = (0.0, 0.8)
+"""Minimum and maximum delay between two faults of a sequence (seconds)."""
 AT_ONCE = 2
+"""Number of sequences of faults that are played in parallel."""
 
 
 def leader_of(group: LineGroup) -> LineDatabase:
-    """The newest leader, or a member that leads no more where there is none now."""
+    """Return the leader with the newest term or, without any leader, the newest member."""
     members = group.members.values()
     return max(members, key=lambda member: (member.is_primary, member.term))
 
 
 def follower_of(world: World, rng: random.Random) -> LineDatabase:
+    """Return a random member that is not the leader."""
     leader = leader_of(world.group)
     return rng.choice([found for found in world.group.members.values() if found is not leader])
 
 
 @asynccontextmanager
 async def dark_leader(world: World, rng: random.Random) -> AsyncIterator[None]:
-    """The leader takes connections and says nothing."""
+    """The leader accepts connections and answers nothing."""
     leader = leader_of(world.group)
     leader.fault.silent = True
     yield
@@ -40,10 +46,10 @@
 
 @asynccontextmanager
 async def crashed_leader(world: World, rng: random.Random) -> AsyncIterator[None]:
-    """The leader's process ends, and starts again with its log."""
+    """The leader crashes and restarts with its log."""
     leader = leader_of(world.group)
     if not leader.serving:
-        # It has crashed already, and will be started by whoever ended it.
+        # Another fault has crashed it and will restart it.
         yield
         return
     await leader.crash()
@@ -53,7 +59,7 @@
 
 @asynccontextmanager
 async def dark_follower(world: World, rng: random.Random) -> AsyncIterator[None]:
-    """A replica says nothing."""
+    """A replica answers nothing."""
     follower = follower_of(world, rng)
     follower.fault.silent = True
     yield
@@ -62,7 +68,7 @@
 
 @asynccontextmanager
 async def lagging_follower(world: World, rng: random.Random) -> AsyncIterator[None]:
-    """A replica receives nothing for a while."""
+    """A replica receives no log entries for a while."""
     follower = follower_of(world, rng)
     follower.deaf = True
     yield
@@ -72,7 +78,7 @@
 
 @asynccontextmanager
 async def cut_node(world: World, rng: random.Random) -> AsyncIterator[None]:
-    """A node reaches only a part of the group."""
+    """A node loses its connections to some members of the group."""
     node = rng.choice(world.nodes)
     names = sorted(world.group.members)
     cut(node, *rng.sample(names, rng.randint(1, len(names) - 1)))
@@ -82,14 +88,14 @@
 
 @asynccontextmanager
 async def split_group(world: World, rng: random.Random) -> AsyncIterator[None]:
-    """The leader and one node are on one side, the replicas and the other nodes on the other."""
+    """A partition separates the leader and one node from the replicas and the other nodes."""
     leader = leader_of(world.group)
-    here, *others = rng.sample(world.nodes, len(world.nodes))
+    isolated, *others = rng.sample(world.nodes, len(world.nodes))
     leader.deaf = True
-    cut(here, *(name for name in world.group.members if name != leader.name))
+    cut(isolated, *(name for name in world.group.members if name != leader.name))
     for node in others:
         cut(node, leader.name)
-        keep_from(node, here.gateway.context.owners.location.node)
+        keep_from(node, isolated.gateway.context.owners.location.node)
     yield
     for node in world.nodes:
         heal(node)
@@ -99,7 +105,7 @@
 
 @asynccontextmanager
 async def lost_answers(world: World, rng: random.Random) -> AsyncIterator[None]:
-    """The leader runs writes and commits, and their answers are lost."""
+    """The leader executes writes and commits whose answers are lost."""
     leader_of(world.group).fault.lose_answers += rng.randint(1, 3)
     leader_of(world.group).fault.lose_commits += rng.randint(0, 2)
     yield
@@ -107,14 +113,14 @@
 
 @asynccontextmanager
 async def busy_database(world: World, rng: random.Random) -> AsyncIterator[None]:
-    """A database refuses some statements, as it is full."""
+    """A database refuses some statements as overloaded."""
     rng.choice(list(world.group.members.values())).fault.busy += rng.randint(1, 20)
     yield
 
 
 @asynccontextmanager
 async def store_down(world: World, rng: random.Random) -> AsyncIterator[None]:
-    """The store refuses every call."""
+    """The store refuses every request."""
     world.platform.fault.status = rng.choice((429, 503))
     yield
     world.platform.fault.status = 0
@@ -122,7 +128,10 @@
 
 @asynccontextmanager
 async def store_loses(world: World, rng: random.Random) -> AsyncIterator[None]:
-    """Writes to the store and promotions are done and not answered; history is forgotten."""
+    """Some writes and promotions get no answer, and the store forgets its event history.
+
+    The writes are done; the promotions take effect with the next one.
+    """
     world.platform.fault.lose += rng.randint(1, 3)
     world.platform.fault.lose_orders += rng.randint(0, 1)
     world.platform.forget_history()
@@ -130,7 +139,7 @@
 
 
 Fault = Callable[[Any, random.Random], AbstractAsyncContextManager[None]]
-"""Takes the world that it strikes: nodes in the tests' process, or processes of their own."""
+"""Takes the deployment to act on: a `World` in process or a `Deployment` of processes."""
 
 FAULTS: dict[str, Fault] = {
     found.__name__: found
@@ -157,19 +166,22 @@
     at_once: int = AT_ONCE,
     lasts: tuple[float, float] = LASTS,
 ) -> list[str]:
-    """Play faults for a while, `at_once` at a time, each ended in the end; return their names."""
+    """Play random faults for `seconds` in `at_once` parallel sequences; return their names.
+
+    Every fault has been removed when this returns.
+    """
     played: list[str] = []
     deadline = asyncio.get_running_loop().time() + seconds
     seeds = [rng.random() for _ in range(at_once)]
-    series = [
-        _play_one_by_one(world, random.Random(seed), deadline, faults, lasts, played)
+    sequences = [
+        _play_sequence(world, random.Random(seed), deadline, faults, lasts, played)
         for seed in seeds
     ]
-    await asyncio.gather(*series)
+    await asyncio.gather(*sequences)
     return played
 
 
-async def _play_one_by_one(
+async def _play_sequence(
     world: World,
     rng: random.Random,
     deadline: float,
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -1,30 +1,31 @@
-"""What callers saw, as the judge reads it."""
+"""Records of the attempts of callers, the input of the judge."""
 
 from enum import Enum
 from typing import NamedTuple
 
 PROMISES = frozenset({"BUSY", "ABORTED", "LAGGING", "READONLY", "MISROUTED", "TOOMANY"})
-"""Answers that promise that nothing of the attempt is kept."""
+"""Error codes that guarantee that the attempt had no effect."""
 NO_ANSWER = "no answer"
+"""Code of an attempt that got no answer."""
 
 
 class Kind(Enum):
-    """What a caller asked for."""
+    """Type of an attempt."""
 
     WRITE = "write"
     TRANSACTION = "transaction"
-    """A write between BEGIN and COMMIT; the answer is that of the last statement sent."""
+    """A write between BEGIN and COMMIT, recorded with the answer to the last statement sent."""
     READ = "read"
 
 
 class Attempt(NamedTuple):
-    """One attempt of a caller. Times: steady clock, seconds.
+    """One attempt of a caller. Times: monotonic clock, seconds.
 
-    `number`: what it wrote or read, 0 for nothing. `code`: empty for a success, NO_ANSWER where the
-    connection ended or nothing came. `session`: which of the caller's connections it was on.
-    `sent_moment`, `answered_moment`: its places in the order of all that happened, 0 where that
-    was not noted. `values`: those that the session had set. `was_sent`: whether a connection was
-    there to send it on.
+    `number`: number that was written or read, 0 for none. `code`: empty for a success, NO_ANSWER
+    if the connection ended or the answer timed out. `session`: sequence number of the caller's
+    session. `sent_moment`, `answered_moment`: event sequence numbers, 0 if not recorded. `values`:
+    values that the session had set. `was_sent`: whether there was a connection to send it on.
+    `node`: index of the node, -1 if not recorded.
     """
 
     kind: Kind
@@ -46,7 +47,7 @@
 
     @property
     def succeeded(self) -> bool:
-        """Whether the caller was told that it is done."""
+        """Whether the caller received a success."""
         return not self.code
 
 
--- a/tests/soak/links.py
+++ b/tests/soak/links.py
@@ -1,4 +1,4 @@
-"""The ways between two parties: each has a proxy that can go dark or refuse callers."""
+"""Links: TCP proxies that can also discard all traffic or refuse connections for a while."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class _LinkEnd(_CallerEnd):
-    """The caller's side of a connection that may be made while the link is dark."""
+    """The caller's side of a connection, which may be opened while the link is dark."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -19,11 +19,12 @@
 
 
 class Link(TcpProxy):
-    """A proxy that can be cut off for a while, also for new connections, or refuse them.
+    """A proxy that can discard the traffic of all connections, also new ones, or refuse them.
 
-    `dark`: whether it is cut off. What was open or opened meanwhile stays silent for good. Only the
-    port of a process that is gone refuses; `own_host` is to be an address from which nobody dials,
-    so that the port is not taken meanwhile.
+    `dark`: whether it discards traffic. Connections that were open at the time, or were opened
+    meanwhile, deliver nothing even afterwards. Connections are refused only while the target
+    process is down. No process should connect from `own_host`: an outgoing connection could
+    take the port while the link does not listen.
     """
 
     def __init__(self, port: int, host: str, own_host: str) -> None:
@@ -32,7 +33,7 @@
         self.own_host = own_host
 
     async def start(self) -> None:
-        """Listen, at the same port as before if there was one."""
+        """Listen, on the previous port if there was one."""
         if self.listening:
             return
         loop = asyncio.get_running_loop()
@@ -41,22 +42,22 @@
 
     @property
     def listening(self) -> bool:
-        """Whether it takes connections."""
+        """Whether the link accepts connections."""
         return self._server is not None and self._server.is_serving()
 
     def go_dark(self) -> None:
-        """Be cut off."""
+        """Discard the traffic of all connections until `dark` is reset."""
         self.dark = True
         self.silence()
 
     def refuse(self) -> None:
-        """Refuse new connections until the next start."""
+        """Refuse new connections until the next `start()`."""
         assert self._server is not None
         self._server.close()
 
 
 async def open_link(host: str, port: int, own_host: str = "127.0.0.1") -> Link:
-    """Return a link that passes everything on. `own_host`: where it listens."""
+    """Return a running link to `host`:`port`. `own_host`: address to listen on."""
     link = Link(port, host, own_host)
     await link.start()
     return link
--- a/tests/soak/node_process.py
+++ b/tests/soak/node_process.py
@@ -1,4 +1,4 @@
-"""A node as a process of its own: started, stopped, paused and killed by its id alone."""
+"""A node that runs as a process of its own, controlled by signals to its process id."""
 
 from __future__ import annotations
 
@@ -15,29 +15,30 @@
 from soak.detoured_node import DETOURS_VARIABLE
 
 LAUNCHER = Path(__file__).parent / "detoured_node.py"
+"""Script that runs the node program behind the soak's proxies."""
 RESTART_SECONDS = 0.1
-"""The platform starts a process again after a short delay."""
+"""Delay before a restart (seconds), as the platform has one."""
 GRACE_SECONDS = 3.0
-"""Between the signal to stop and the kill; the settings' grace_period_s."""
+"""Time between SIGTERM and SIGKILL (seconds); also the setting grace_period_s."""
 
 
 class Ending(NamedTuple):
-    """How a process ended. `asked`: the signal that it had been sent, 0 for none."""
+    """Exit of a process. `requested`: SIGTERM or SIGKILL if it was sent, else 0."""
 
     code: int
-    asked: int
+    requested: int
 
     @property
-    def as_asked(self) -> bool:
-        """Whether the process ended as it was told to."""
-        if self.asked == signal.SIGTERM:
-            # The signal may come before the program could say what it does about it.
+    def as_requested(self) -> bool:
+        """Whether the exit code fits the signal that was sent."""
+        if self.requested == signal.SIGTERM:
+            # The signal may arrive before the program has installed its handler.
             return self.code in (0, -signal.SIGTERM)
-        return self.asked == signal.SIGKILL
+        return self.requested == signal.SIGKILL
 
 
 class NodeProcess:
-    """One node. `folder`: where its settings and its log lie."""
+    """The process of one node, across restarts. `folder`: holds its settings and its log."""
 
     def __init__(self, folder: Path, name: str, settings: dict[str, Any]) -> None:
         self.name = name
@@ -47,60 +48,63 @@
         self.lives = 0
         self._folder = folder
         self._process: asyncio.subprocess.Process | None = None
-        self._asked = 0
-        self._watch: asyncio.Task[None] | None = None
-        self._changing = asyncio.Lock()
+        self._requested = 0
+        self._exit_task: asyncio.Task[None] | None = None
+        self._start_lock = asyncio.Lock()
 
     @property
     def log(self) -> Path:
-        """Return the file that holds what all lives of the node wrote."""
+        """Return the path of the log, which all processes of the node append to."""
         return self._folder / f"{self.name}.log"
 
     @property
     def running(self) -> bool:
-        """Whether a process is there, perhaps a paused one."""
+        """Whether the process exists; it may be paused."""
         return self._process is not None and self._process.returncode is None
 
     @property
     def ended_by_itself(self) -> bool:
-        """Whether the last life ended unasked."""
-        return bool(self.endings) and not self.endings[-1].asked
+        """Whether the last process exited without a request."""
+        return bool(self.endings) and not self.endings[-1].requested
 
     async def start(self) -> None:
-        """Start the process, unless it runs."""
-        async with self._changing:
+        """Start the process unless it is running."""
+        async with self._start_lock:
             if self.running:
                 return
             self.write_settings()
             detours = self._folder / f"{self.name}.detours.json"
             detours.write_text(json.dumps(self.detours))
-            self._asked = 0
+            self._requested = 0
             self.lives += 1
             self._process = await self._spawn(detours)
-            self._watch = asyncio.ensure_future(self._note_end(self._process))
+            self._exit_task = asyncio.ensure_future(self._record_exit(self._process))
 
     def write_settings(self) -> None:
-        """Write the settings file, whole at any moment."""
+        """Replace the settings file atomically."""
         path = self._folder / f"{self.name}.json"
         new = path.with_suffix(".new")
         new.write_text(json.dumps(self.settings))
         new.replace(path)
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal, if there is a process."""
+        """Send a signal if the process is running.
+
+        SIGHUP is dropped while the program has not installed a handler for it.
+        """
         if self._process is None or self._process.returncode is not None:
             return
-        if number is signal.SIGHUP and not self._minds(number):
-            # The interpreter itself starts, and no program can answer for that.
+        if number is signal.SIGHUP and not self._has_disposition(number):
+            # The interpreter is still starting: the default action of SIGHUP would end it.
             return
-        # One that was killed stays killed, whatever a fault beside that sends it later.
-        if number == signal.SIGKILL or (number == signal.SIGTERM and not self._asked):
-            self._asked = number
+        # After SIGKILL, a SIGTERM from a concurrent fault does not change the expected exit.
+        if number == signal.SIGKILL or (number == signal.SIGTERM and not self._requested):
+            self._requested = number
         with contextlib.suppress(ProcessLookupError):
             self._process.send_signal(number)
 
-    def _minds(self, number: signal.Signals) -> bool:
-        """Whether the process has said what it does about a signal."""
+    def _has_disposition(self, number: signal.Signals) -> bool:
+        """Whether the process ignores or handles a signal (SigIgn and SigCgt of /proc)."""
         assert self._process is not None
         try:
             lines = Path(f"/proc/{self._process.pid}/status").read_text().splitlines()
@@ -110,31 +114,31 @@
         return any(mask >> (number - 1) & 1 for mask in masks)
 
     async def kill(self) -> None:
-        """Kill the process and wait for its end."""
+        """Kill the process and wait for its exit."""
         self.send(signal.SIGKILL)
-        await self._ended()
+        await self._wait_for_exit()
 
     async def stop(self) -> None:
-        """Stop as planned; kill what is still there after the grace period."""
+        """Stop with SIGTERM, and with SIGKILL after the grace period."""
         self.send(signal.SIGTERM)
         try:
             async with asyncio.timeout(GRACE_SECONDS):
-                await self._ended()
+                await self._wait_for_exit()
         except TimeoutError:
             await self.kill()
 
     async def restart(self) -> None:
-        """Start again after a short delay."""
+        """Start the process after RESTART_SECONDS."""
         await asyncio.sleep(RESTART_SECONDS)
         await self.start()
 
-    async def _ended(self) -> None:
-        if self._watch is not None:
-            await asyncio.shield(self._watch)
+    async def _wait_for_exit(self) -> None:
+        if self._exit_task is not None:
+            await asyncio.shield(self._exit_task)
 
-    async def _note_end(self, process: asyncio.subprocess.Process) -> None:
+    async def _record_exit(self, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
-        self.endings.append(Ending(code, self._asked))
+        self.endings.append(Ending(code, self._requested))
 
     async def _spawn(self, detours: Path) -> asyncio.subprocess.Process:
         environment = {
--- a/tests/soak/owed.py
+++ b/tests/soak/owed.py
@@ -1,9 +1,9 @@
-"""Which commits a read must have seen, and whether the log that it ran on holds them.
+"""Checks that the log that a read ran on holds the commits that the read must reflect.
 
-Only commits that no promotion rolled back are owed. All that are left stand in one log, so that a
-log which holds the last one owed holds them all. No two clocks are compared: what was acknowledged
-before a read began is told by the order in the process of the callers, and the age of a commit by
-that process's steady clock alone.
+A read must reflect only commits that no promotion rolled back. These are all in one log, so that a
+log with the last required commit has all of them. No clocks of different processes are compared:
+the sequence numbers of the callers' process tell what was acknowledged before a read began, and
+the monotonic clock of the same process gives the age of a commit.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from soak.history import Attempt, Kind
 
 STALENESS = {"latest": 0.0, "bounded": 1.5, "session": 2.5}
-"""For how long a commit of another session may be missing in a read (seconds), by route."""
+"""By route: how long a read may miss a commit of another session (seconds)."""
 
 Write = tuple[str, int]
-"""Key and number: unique to one attempt."""
+"""Key and number, which identify one attempt."""
 
 
 class Logs(NamedTuple):
-    """What the members did. `last`: the log of the last leader."""
+    """Records of the members. `last`: the log of the last leader."""
 
     commits: Sequence[CommitRecord]
     runs: Sequence[RunRecord]
@@ -32,74 +32,78 @@
     last: Spans
 
 
-class Place(NamedTuple):
-    """Where a write stands in the log."""
+class LogPosition(NamedTuple):
+    """Position of a write in the log."""
 
     term: int
     number: int
 
 
-class _Newest:
-    """The write with the last place in the log of those acknowledged up to some point."""
+class _MaxPositions:
+    """Maximum log position of the writes acknowledged before a time or sequence number."""
 
-    def __init__(self, found: Iterable[tuple[float, Place]]) -> None:
+    def __init__(self, found: Iterable[tuple[float, LogPosition]]) -> None:
         self._points: list[float] = []
-        self._places: list[Place] = []
-        for point, place in sorted(found):
-            newest = max(place, self._places[-1]) if self._places else place
+        self._positions: list[LogPosition] = []
+        for point, position in sorted(found):
+            newest = max(position, self._positions[-1]) if self._positions else position
             self._points.append(point)
-            self._places.append(newest)
+            self._positions.append(newest)
 
-    def before(self, point: float) -> Place | None:
-        """Return the last place of what came before a point, None where nothing did."""
+    def before(self, point: float) -> LogPosition | None:
+        """Return the maximum position before `point`, None if there is no earlier write."""
         count = bisect_left(self._points, point)
-        return self._places[count - 1] if count else None
+        return self._positions[count - 1] if count else None
 
 
 class OwedCommits:
-    """Knows what each read must have seen."""
+    """Determines the commits that each read must reflect."""
 
     def __init__(self, logs: Logs, history: Iterable[Attempt]) -> None:
         kept = {
-            (commit.key, int(commit.value)): Place(commit.term, commit.number)
+            (commit.key, int(commit.value)): LogPosition(commit.term, commit.number)
             for commit in logs.commits
             if _is_kept(commit, logs)
         }
-        written = [
+        acknowledged = [
             (attempt, kept[attempt.key, attempt.number])
             for attempt in history
             if attempt.succeeded
             and attempt.kind is not Kind.READ
             and (attempt.key, attempt.number) in kept
         ]
-        by_session: dict[tuple[str, int], list[tuple[float, Place]]] = defaultdict(list)
-        for attempt, place in written:
-            by_session[attempt.caller, attempt.session].append((attempt.answered_moment, place))
-        self._own = {session: _Newest(found) for session, found in by_session.items()}
-        self._by_moment = _Newest((found.answered_moment, place) for found, place in written)
-        self._by_time = _Newest((found.answered_at, place) for found, place in written)
-
-    def missing(self, read: Attempt, spans: Spans) -> Place | None:
-        """Return a commit that the read must have seen and its log lacks, None where none is."""
-        for owed in (self._owed_own(read), self._owed_of_others(read)):
-            if owed is not None and not holds(spans, owed.term, owed.number):
-                return owed
+        by_session: dict[tuple[str, int], list[tuple[float, LogPosition]]] = defaultdict(list)
+        for attempt, position in acknowledged:
+            by_session[attempt.caller, attempt.session].append((attempt.answered_moment, position))
+        self._own = {session: _MaxPositions(found) for session, found in by_session.items()}
+        self._by_sequence = _MaxPositions(
+            (found.answered_moment, position) for found, position in acknowledged
+        )
+        self._by_time = _MaxPositions(
+            (found.answered_at, position) for found, position in acknowledged
+        )
+
+    def missing(self, read: Attempt, spans: Spans) -> LogPosition | None:
+        """Return a commit that the read must reflect and `spans` lacks, None if there is none."""
+        for required in (self._required_of_session(read), self._required_of_others(read)):
+            if required is not None and not holds(spans, required.term, required.number):
+                return required
         return None
 
-    def _owed_own(self, read: Attempt) -> Place | None:
+    def _required_of_session(self, read: Attempt) -> LogPosition | None:
         own = self._own.get((read.caller, read.session))
         return None if own is None else own.before(read.sent_moment)
 
-    def _owed_of_others(self, read: Attempt) -> Place | None:
+    def _required_of_others(self, read: Attempt) -> LogPosition | None:
         staleness = STALENESS.get(read.route)
         if staleness is None:
             return None
         if staleness == 0:
-            return self._by_moment.before(read.sent_moment)
+            return self._by_sequence.before(read.sent_moment)
         return self._by_time.before(read.sent_at - staleness)
 
 
 def _is_kept(commit: CommitRecord, logs: Logs) -> bool:
-    """Whether no promotion rolled a commit back, not even for a while."""
+    """Whether no promotion rolled a commit back, not even temporarily."""
     later = (found.spans for found in logs.promotions if found.term > commit.term)
     return all(holds(spans, commit.term, commit.number) for spans in (*later, logs.last))
--- a/tests/soak/process_faults.py
+++ b/tests/soak/process_faults.py
@@ -1,4 +1,4 @@
-"""Faults from outside the processes: signals, links, databases, store, configuration."""
+"""Faults of the process soak: signals, links, databases, store and configuration."""
 
 from __future__ import annotations
 
@@ -16,30 +16,34 @@
 from soak.faults import Fault, follower_of, leader_of
 from soak.links import Link
 
-SOME = 0.4
-"""The part of nodes or links that a fault of several strikes."""
-DARK_SECONDS = 3.0
-"""After so long a database ends a connection whose far end is dark (the users' pages)."""
+AFFECTED_SHARE = 0.4
+"""Share of the nodes that a fault of several nodes affects."""
+PEER_TIMEOUT_SECONDS = 3.0
+"""Time after which a database ends a connection to an unresponsive peer (documented value)."""
 DATABASE_DELAYS = (0.002, 0.04)
-"""Of bytes on the way to databases (seconds). More than the 0.1 s that the wait before a promotion
-is longer than a lease would let a statement run late at a former leader."""
+"""Range of delays on links to databases (seconds).
+
+They stay below 0.1 s, by which the wait before a promotion exceeds a lease: with a longer delay a
+statement could still run on a former leader.
+"""
 OTHER_DELAYS = (0.01, 0.4)
+"""Range of delays on other links (seconds)."""
 STORE_DELAYS = (0.2, 2.5)
-"""How late the store's answers are (seconds): its callers wait for 1 s."""
+"""Range of delays of the store's answers (seconds); clients time out after 1 s."""
 COPY_AGES = (0.2, 4.0)
-"""How old the copy is from which the store comes back (seconds)."""
+"""Age of the copy that the store is restored from (seconds)."""
 WRITES_SINCE_COPY = (0, 60)
-"""Writes by others since the copy: by so many at least the count of revisions falls."""
-AWAY_SECONDS = 0.5
-"""For how long it is away before, at most."""
-WRITTEN_AGAIN_AFTER = (0.0, 3.0)
-"""When the operator and the databases write again what they had (seconds)."""
+"""Number of unrelated writes after the copy: the restore lowers the revision by at least that."""
+MAX_STORE_DOWNTIME = 0.5
+"""Maximum unavailability of the store before a restore (seconds)."""
+REWRITE_DELAYS = (0.0, 3.0)
+"""Delay until the operator and the databases rewrite their lost objects (seconds)."""
 DRAIN_SECONDS = 2.0
-"""How long a database serves on after it said that it leaves; the settings' drain_ms."""
+"""How long a database keeps serving after it announced its drain; the setting drain_ms."""
 
 
-def _some(found: list[DeployedNode], rng: random.Random) -> list[DeployedNode]:
-    return rng.sample(found, max(1, round(len(found) * SOME)))
+def _choose_some(found: list[DeployedNode], rng: random.Random) -> list[DeployedNode]:
+    return rng.sample(found, max(1, round(len(found) * AFFECTED_SHARE)))
 
 
 # Processes.
@@ -47,29 +51,29 @@
 
 @asynccontextmanager
 async def paused_node(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """A process stands still for a while."""
+    """A process is paused for a while."""
     async with _paused([rng.choice(world.nodes)]):
         yield
 
 
 @asynccontextmanager
 async def paused_nodes(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """Several processes stand still, or all of them."""
-    async with _paused(rng.choice((_some(world.nodes, rng), world.nodes))):
+    """Several or all processes are paused."""
+    async with _paused(rng.choice((_choose_some(world.nodes, rng), world.nodes))):
         yield
 
 
 @asynccontextmanager
 async def stuttering_node(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """A process is paused again and again for a tenth of a second or less."""
+    """A process is paused repeatedly, for 0.1 s or less each time."""
     node = rng.choice(world.nodes)
-    stuttering = asyncio.ensure_future(_stutter(node, rng))
+    pausing = asyncio.ensure_future(_pause_repeatedly(node, rng))
     yield
-    stuttering.cancel()
+    pausing.cancel()
     node.process.send(signal.SIGCONT)
 
 
-async def _stutter(node: DeployedNode, rng: random.Random) -> None:
+async def _pause_repeatedly(node: DeployedNode, rng: random.Random) -> None:
     while True:
         node.process.send(signal.SIGSTOP)
         await asyncio.sleep(rng.uniform(0.005, 0.1))
@@ -88,7 +92,7 @@
 
 @asynccontextmanager
 async def killed_node(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """A process is killed, and started again."""
+    """A process is killed and restarted."""
     node = rng.choice(world.nodes)
     await node.process.kill()
     await node.process.restart()
@@ -97,8 +101,8 @@
 
 @asynccontextmanager
 async def killed_nodes(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """Several processes are killed at the same moment, or all of them."""
-    nodes = rng.choice((_some(world.nodes, rng), world.nodes))
+    """Several or all processes are killed at the same time and restarted."""
+    nodes = rng.choice((_choose_some(world.nodes, rng), world.nodes))
     await asyncio.gather(*(node.process.kill() for node in nodes))
     yield
     await asyncio.gather(*(node.process.restart() for node in nodes))
@@ -106,7 +110,7 @@
 
 @asynccontextmanager
 async def stopped_node(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """A process is stopped as planned, and started again."""
+    """A process is stopped gracefully and restarted."""
     node = rng.choice(world.nodes)
     await node.process.stop()
     await node.process.restart()
@@ -115,8 +119,8 @@
 
 @asynccontextmanager
 async def rolling_restart(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """One process after the other is stopped as planned and started again."""
-    for node in _some(world.nodes, rng):
+    """Several processes are stopped gracefully and restarted, one after the other."""
+    for node in _choose_some(world.nodes, rng):
         await node.process.stop()
         await node.process.restart()
     yield
@@ -124,8 +128,8 @@
 
 @asynccontextmanager
 async def stopped_nodes(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """Several processes are stopped as planned at the same moment."""
-    nodes = _some(world.nodes, rng)
+    """Several processes are stopped gracefully at the same time and restarted."""
+    nodes = _choose_some(world.nodes, rng)
     await asyncio.gather(*(node.process.stop() for node in nodes))
     await asyncio.gather(*(node.process.restart() for node in nodes))
     yield
@@ -133,7 +137,7 @@
 
 @asynccontextmanager
 async def changed_settings(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """The settings file changes, with or without a signal, and changes back."""
+    """The settings file changes and changes back, with or without a SIGHUP."""
     node = rng.choice(world.nodes)
     bounds = node.process.settings["bounds"]
     for drain in (bounds["drain_ms"] + 500, bounds["drain_ms"]):
@@ -148,8 +152,8 @@
 # Links.
 
 
-def _struck_links(world: Deployment, rng: random.Random) -> list[Link]:
-    """Return the links of one node or of all: to databases, to the store, to nodes, or any."""
+def _choose_links(world: Deployment, rng: random.Random) -> list[Link]:
+    """Return the links of one node or of all nodes: those to one kind of peer, or to all."""
     nodes = rng.choice(([rng.choice(world.nodes)], world.nodes))
     kind = rng.choice(("databases", "store", "nodes", "all"))
     links: list[Link] = []
@@ -165,50 +169,50 @@
     return links
 
 
-def _drop_later(connections: Iterable[ProxiedConnection], world: Deployment) -> None:
-    """Let databases end the connections whose far end they miss."""
+def _schedule_drops(connections: Iterable[ProxiedConnection], world: Deployment) -> None:
+    """Let databases drop, after PEER_TIMEOUT_SECONDS, their connections that are cut by then."""
     to_databases = {link for node in world.nodes for link in node.to_databases.values()}
     loop = asyncio.get_running_loop()
     for connection in connections:
         if connection.proxy in to_databases:
-            loop.call_later(DARK_SECONDS, _drop_cut, connection)
+            loop.call_later(PEER_TIMEOUT_SECONDS, _drop_if_cut, connection)
 
 
-def _drop_cut(connection: ProxiedConnection) -> None:
+def _drop_if_cut(connection: ProxiedConnection) -> None:
     if connection.cut:
         connection.drop_target()
 
 
 @asynccontextmanager
 async def silenced_links(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """Open connections swallow everything for good; new ones work."""
-    for link in _struck_links(world, rng):
-        _drop_later(link.silence(), world)
+    """Open connections discard all traffic for good; new ones work."""
+    for link in _choose_links(world, rng):
+        _schedule_drops(link.silence(), world)
     yield
 
 
 @asynccontextmanager
 async def links_cut_one_way(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """Open connections swallow everything that goes one way, for good."""
+    """Open connections discard all traffic in one direction for good."""
     direction = rng.choice(list(Direction))
-    for link in _struck_links(world, rng):
+    for link in _choose_links(world, rng):
         link.cut(direction)
-        _drop_later(list(link.connections), world)
+        _schedule_drops(list(link.connections), world)
     yield
 
 
 @asynccontextmanager
 async def reset_links(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """Open connections are reset, also those of callers."""
-    for link in [*_struck_links(world, rng), rng.choice(world.nodes).callers]:
+    """Open connections are reset, including client connections of one node."""
+    for link in [*_choose_links(world, rng), rng.choice(world.nodes).callers]:
         link.reset()
     yield
 
 
 @asynccontextmanager
 async def delayed_links(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """Bytes are late for a while."""
-    links = _struck_links(world, rng)
+    """Traffic is delayed for a while."""
+    links = _choose_links(world, rng)
     to_databases = {link for node in world.nodes for link in node.to_databases.values()}
     for link in links:
         link.delay = rng.uniform(*(DATABASE_DELAYS if link in to_databases else OTHER_DELAYS))
@@ -219,7 +223,7 @@
 
 @asynccontextmanager
 async def dark_links(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """A node is cut off from some of what it reaches."""
+    """A node is cut off on some of its outgoing links."""
     node = rng.choice(world.nodes)
     async with dark(world, rng.sample(node.links, rng.randint(1, len(node.links)))):
         yield
@@ -227,16 +231,16 @@
 
 @asynccontextmanager
 async def split_group(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """The leader and one node are on one side, the replicas and the other nodes on the other."""
+    """A partition separates the leader and one node from the replicas and the other nodes."""
     leader = leader_of(world.group)
-    here, *others = rng.sample(world.nodes, len(world.nodes))
-    host = here.process.settings["ip_address"]
-    links = [link for name, link in here.to_databases.items() if name != leader.name]
-    links += here.to_nodes.values()
+    isolated, *others = rng.sample(world.nodes, len(world.nodes))
+    host = isolated.process.settings["ip_address"]
+    links = [link for name, link in isolated.to_databases.items() if name != leader.name]
+    links += isolated.to_nodes.values()
     links += [node.to_databases[leader.name] for node in others]
     links += [node.to_nodes[host] for node in others if host in node.to_nodes]
     if rng.random() < 0.5:
-        links.append(here.to_store)
+        links.append(isolated.to_store)
     leader.island = 1
     async with dark(world, links):
         yield
@@ -246,14 +250,14 @@
 
 @asynccontextmanager
 async def dark(world: Deployment, links: list[Link]) -> AsyncIterator[None]:
-    """Links swallow everything for a while; databases end what they miss."""
+    """Links discard all traffic for a while; databases end the affected connections."""
     for link in links:
-        _drop_later(list(link.connections), world)
+        _schedule_drops(list(link.connections), world)
         link.go_dark()
     yield
     for link in links:
         link.dark = False
-        _drop_later(list(link.connections), world)
+        _schedule_drops(list(link.connections), world)
 
 
 # Databases.
@@ -261,14 +265,14 @@
 
 @asynccontextmanager
 async def crashed_leader(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """The leader's process ends, and starts again with its log."""
+    """The leader crashes and restarts with its log."""
     async with _crashed(world, leader_of(world.group).name):
         yield
 
 
 @asynccontextmanager
 async def crashed_follower(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """A replica's process ends, and starts again with its log."""
+    """A replica crashes and restarts with its log."""
     async with _crashed(world, follower_of(world, rng).name):
         yield
 
@@ -277,12 +281,12 @@
 async def _crashed(world: Deployment, member: str) -> AsyncIterator[None]:
     await world.crash(member)
     yield
-    await world.revive(member)
+    await world.restart(member)
 
 
 @asynccontextmanager
 async def dark_leader(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """The leader hears nothing and says nothing, to nodes and to other databases."""
+    """The leader is unresponsive to nodes and cut off from the other databases."""
     leader = leader_of(world.group)
     leader.fault.silent = True
     leader.island = 1
@@ -294,7 +298,7 @@
 
 @asynccontextmanager
 async def leaving_database(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """A database says that it leaves, serves on for a while, ends, and comes back."""
+    """A database announces its drain, serves for a while, ends and returns."""
     member = rng.choice(list(world.group.members))
     if member in world.states:
         yield
@@ -306,7 +310,7 @@
     await world.crash(member)
     yield
     del world.states[member]
-    await world.revive(member)
+    await world.restart(member)
 
 
 # Store and configuration.
@@ -314,7 +318,7 @@
 
 @asynccontextmanager
 async def slow_store(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """The store answers late."""
+    """The store's answers are delayed."""
     world.platform.fault.delay = rng.uniform(*STORE_DELAYS)
     yield
     world.platform.fault.delay = 0.0
@@ -322,7 +326,7 @@
 
 @asynccontextmanager
 async def store_down(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """The store refuses every call; at times all databases' entries go meanwhile."""
+    """The store refuses every request; sometimes the databases' entries expire meanwhile."""
     async with faults.store_down(world, rng):  # type: ignore[arg-type]
         world.has_registry = rng.random() < 0.7
         yield
@@ -331,29 +335,31 @@
 
 @asynccontextmanager
 async def store_restored(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """The store is away for a moment and comes back from a copy. What others wrote since is
-    written again a while later, what nodes wrote is gone."""
+    """The store is unavailable for a moment and is then restored from an earlier copy.
+
+    The operator and the databases rewrite their lost objects later; the nodes' objects are lost.
+    """
     copy = world.platform.copy()
     for _ in range(rng.randint(*WRITES_SINCE_COPY)):
         world.platform.put("other", "counter", {})
     await asyncio.sleep(rng.uniform(*COPY_AGES))
     if copy.era != world.platform.era:
-        # Another copy was taken meanwhile, and this one is of no use.
+        # The store was restored from another copy meanwhile.
         yield
         return
     world.platform.fault.status = 503
-    await asyncio.sleep(rng.uniform(0.0, AWAY_SECONDS))
+    await asyncio.sleep(rng.uniform(0.0, MAX_STORE_DOWNTIME))
     lost = world.platform.copy()
     world.platform.go_back(copy)
     world.platform.fault.status = 0
-    await asyncio.sleep(rng.uniform(*WRITTEN_AGAIN_AFTER))
+    await asyncio.sleep(rng.uniform(*REWRITE_DELAYS))
     world.platform.write_again(lost)
     yield
 
 
 @asynccontextmanager
 async def changed_routes(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """Routes come and go, and time-outs change."""
+    """Routes are added and removed, and timeouts change."""
     for _ in range(rng.randint(1, 4)):
         routes = {
             name: {**values, "timeout_ms": rng.choice((2_500, 4_000, 6_000))}
@@ -377,7 +383,7 @@
         changed_routes,
     )
 }
-"""What is no disruption: no request may be cut by it."""
+"""Planned work, which must not cut off any request."""
 
 FAULTS: dict[str, Fault] = PLANNED | {
     found.__name__: found
@@ -409,4 +415,4 @@
 }
 
 RESTORES: dict[str, Fault] = {store_restored.__name__: store_restored}
-"""Played only where it is asked for: what a seed chooses among the others stays as it is."""
+"""Played only on request, so that a seed's choice among the other faults does not change."""
--- a/tests/soak/process_run.py
+++ b/tests/soak/process_run.py
@@ -1,4 +1,4 @@
-"""One run of the soak on processes: a deployment by seed, callers, faults, and the judgement."""
+"""One run of the process soak: deployment by seed, callers, faults and checks."""
 
 from __future__ import annotations
 
@@ -39,29 +39,31 @@
 from soak.tenants import problems as limit_problems
 
 NODES = (3, 4, 5)
+"""Numbers of nodes that a seed chooses from."""
 AT_ONCE = (2, 3, 4)
+"""Numbers of parallel fault sequences that a seed chooses from."""
 LASTS = (0.1, 4.0)
-"""The least and the most that a fault lasts (seconds)."""
+"""Minimum and maximum duration of a fault (seconds)."""
 LAGS = (0.0, 0.005, 0.05)
-"""By how much replicas receive late (seconds); what they lack is lost with an unplanned change."""
+"""Replication lags (seconds); an unplanned change of primary loses what the new one lacks."""
 PLANNED_SHARE = 0.2
-"""The part of runs in which nothing but planned work is done."""
+"""Share of the seeds that play only planned work."""
 PROMOTION_SECONDS = (0.0, 0.3)
-"""How long after its order a promotion comes into effect (the users' pages: some hundred ms)."""
-LOOK_SECONDS = 0.1
-"""How often the soak looks for processes that ended by themselves."""
-BAD_EVENTS = {
+"""Delays until an ordered promotion takes effect (seconds; documented: some hundred ms)."""
+POLL_SECONDS = 0.1
+"""Polling interval for unexpected exits and for configuration changes (seconds)."""
+FORBIDDEN_EVENTS = {
     1004: "a service failed",
     1005: "a service failed too often",
     1006: "a service failed while it was being closed",
     1008: "a service failed to drain",
     1329: "two databases led one term",
 }
-"""Events that no fault excuses."""
+"""Events that must not be logged, whatever the faults."""
 
 
 class ProcessReport(NamedTuple):
-    """What a run came to. `problems`: what broke beside the rules of single attempts."""
+    """Result of a run. `problems`: failures other than violations by single attempts."""
 
     seed: int
     kind: str
@@ -75,12 +77,12 @@
 
     @property
     def broken(self) -> bool:
-        """Whether anything broke."""
+        """Whether the run failed."""
         return bool(self.violations or self.problems)
 
 
 class Plan(NamedTuple):
-    """What the seed chose."""
+    """Parameters of a run, chosen by its seed."""
 
     size: Size
     deposes: bool
@@ -92,7 +94,7 @@
 
     @property
     def kind(self) -> str:
-        """Return the plan in one line."""
+        """Return a one-line description of the plan."""
         return (
             f"{self.size.nodes} nodes, {self.size.connections} connections, "
             f"{'deposes' if self.deposes else 'does not depose'}, sync {self.sync_replicas}, "
@@ -101,7 +103,7 @@
 
 
 def plan_of(rng: random.Random, nodes: int = 0) -> Plan:
-    """Return the plan of a seed. `nodes`: how many, where the seed is not to say it."""
+    """Return the plan that `rng` yields. `nodes`: overrides the number of nodes unless 0."""
     chosen = rng.choice(NODES)
     size = Size(nodes or chosen, rng.choice((FEW_CONNECTIONS, MANY_CONNECTIONS)))
     return Plan(
@@ -125,11 +127,13 @@
     restores: bool = False,
     tenants: bool = False,
 ) -> ProcessReport:
-    """Play one seed. `keep`: where the logs go if something breaks. `only`: faults to choose from.
-    `restores`: the store comes back from copies, beside the other faults. `tenants`: callers have
-    keys, and those of one tenant ask for far more than its limit.
+    """Play one seed.
 
-    Raises KeyError where there is no such fault.
+    `keep`: folder for the logs of a failed run. `only`: names of the faults to choose from.
+    `restores`: also restore the store from copies. `tenants`: callers have API keys, and one
+    tenant sends far more than its limit.
+
+    Raises KeyError for an unknown fault name.
     """
     plan = plan_of(_choices(seed, "plan"), nodes)
     faults = PLANNED if plan.planned else FAULTS
@@ -148,54 +152,54 @@
             for member in world.group.members.values():
                 member.lag = plan.lag
             callers = make_callers(world, _choices(seed, "callers"), sessions)
-            series = play(world, _choices(seed, "faults"), seconds, faults, plan.at_once, LASTS)
+            sequence = play(world, _choices(seed, "faults"), seconds, faults, plan.at_once, LASTS)
             if restores:
-                series = _beside_restores(world, seed, seconds, series)
+                sequence = _play_with_restores(world, seed, seconds, sequence)
             hot = HotCallers(world, _choices(seed, "hot callers"))
             if tenants:
                 limits = play(world, _choices(seed, "limits"), seconds, TENANT_FAULTS, 1, LASTS)  # type: ignore[arg-type]
-                series = call_beside(hot, _both(series, limits))
-            report = await _play(world, plan, seed, series, callers)
+                sequence = call_beside(hot, _play_both(sequence, limits))
+            report = await _play(world, plan, seed, sequence, callers)
             if limit is not None:
                 found = limit_problems(hot.sent, world.group.runs, limit)
                 report = report._replace(
                     kind=f"{report.kind}, {told(hot.sent, world.group.runs, limit)}",
                     problems=[*report.problems, *found],
                 )
-        report = report._replace(problems=[*report.problems, *_logged(world)])
+        report = report._replace(problems=[*report.problems, *_log_problems(world)])
         if report.broken and keep is not None:
-            _keep(world, report, callers.history, folder, keep / str(seed))
+            _save_findings(world, report, callers.history, folder, keep / str(seed))
         return report
     finally:
         shutil.rmtree(folder, ignore_errors=True)
 
 
-async def _beside_restores(
-    world: Deployment, seed: int, seconds: float, series: Awaitable[list[str]]
+async def _play_with_restores(
+    world: Deployment, seed: int, seconds: float, sequence: Awaitable[list[str]]
 ) -> list[str]:
-    """Let the store come back from copies, one after the other, beside the other faults."""
+    """Play restores of the store, one after the other, in parallel with the other faults."""
     restores = play(world, _choices(seed, "restores"), seconds, RESTORES, 1, LASTS)  # type: ignore[arg-type]
-    return await _both(series, restores)
+    return await _play_both(sequence, restores)
 
 
-async def _both(series: Awaitable[list[str]], beside: Awaitable[list[str]]) -> list[str]:
-    """Play two series of faults side by side."""
-    played = await asyncio.gather(series, beside)
+async def _play_both(sequence: Awaitable[list[str]], other: Awaitable[list[str]]) -> list[str]:
+    """Play two sequences of faults in parallel; return the names of both."""
+    played = await asyncio.gather(sequence, other)
     return [*played[0], *played[1]]
 
 
 def _choices(seed: int, part: str) -> random.Random:
-    """Return the choices of one part of a run: a change of another part leaves them as they are."""
+    """Return the random generator of one part of a run, independent of the other parts."""
     return random.Random(f"{seed} {part}")
 
 
 async def _play(
-    world: Deployment, plan: Plan, seed: int, series: Awaitable[list[str]], callers: Callers
+    world: Deployment, plan: Plan, seed: int, sequence: Awaitable[list[str]], callers: Callers
 ) -> ProcessReport:
     probe = ConfigurationProbe(world)
-    async with _beside(_restart_ended(world)), _beside(probe.run()):
-        played = await call_during(callers, series)
-        await _bring_back(world)
+    async with _running(_restart_ended(world)), _running(probe.run()):
+        played = await call_during(callers, sequence)
+        await _resume_all(world)
         problems = await _settle(world, callers)
     history = callers.history
     violations = judge(world.group, history)
@@ -210,12 +214,15 @@
         len(world.group.promotions),
         sum(node.process.lives for node in world.nodes),
         violations,
-        [*problems, *probe.regressions(), *_ended(world), *_lower_tokens(world)],
+        [*problems, *probe.regressions(), *_unexpected_exits(world), *_token_regressions(world)],
     )
 
 
-def _lower_tokens(world: Deployment) -> Iterator[str]:
-    """Yield the orders with a token below one that was used, where nobody checks tokens."""
+def _token_regressions(world: Deployment) -> Iterator[str]:
+    """Yield the promotions ordered with a lower fencing token than an earlier one.
+
+    Only if the platform does not check tokens itself.
+    """
     if world.platform.checks_fences:
         return
     highest = 0
@@ -226,8 +233,8 @@
 
 
 @asynccontextmanager
-async def _beside(work: Coroutine[Any, Any, None]) -> AsyncIterator[None]:
-    """Let something run all the while. Raises what ended it."""
+async def _running(work: Coroutine[Any, Any, None]) -> AsyncIterator[None]:
+    """Run `work` during the body and cancel it afterwards. Raises the error of `work`, if any."""
     task = asyncio.ensure_future(work)
     try:
         yield
@@ -238,22 +245,22 @@
 
 
 async def _restart_ended(world: Deployment) -> None:
-    """Start again what ends by itself, as the platform does."""
+    """Restart processes that exit unrequested, as the platform does."""
     while True:
-        await asyncio.sleep(LOOK_SECONDS)
+        await asyncio.sleep(POLL_SECONDS)
         for node in world.nodes:
             if not node.process.running and node.process.ended_by_itself:
                 await node.process.restart()
 
 
-async def _bring_back(world: Deployment) -> None:
+async def _resume_all(world: Deployment) -> None:
     for node in world.nodes:
         node.process.send(signal.SIGCONT)
     await asyncio.gather(*(node.process.start() for node in world.nodes))
 
 
 async def _settle(world: Deployment, callers: Callers) -> list[str]:
-    """After the faults every caller is served, and every node follows the configuration."""
+    """Return problems after the faults: callers not served, or nodes with an old configuration."""
     problems: list[str] = []
     try:
         await served_again(callers)
@@ -261,40 +268,40 @@
         problems.append(f"RECOVER: a caller was not served within {FAR_TOO_LONG} s")
     dropped, added = "extra-dropped", "extra-added"
     world.configure({**world.routes, dropped: {"route_type": "primary"}})
-    await _until_all(world, dropped, "I", problems)
+    await _wait_for_all(world, dropped, "I", problems)
     kept = {name: values for name, values in world.routes.items() if name != dropped}
     world.configure({**kept, added: {"route_type": "primary"}})
-    await _until_all(world, added, "I", problems)
-    await _until_all(world, dropped, "closed", problems)
+    await _wait_for_all(world, added, "I", problems)
+    await _wait_for_all(world, dropped, "closed", problems)
     return problems
 
 
-async def _until_all(world: Deployment, route: str, state: str, problems: list[str]) -> None:
-    """Wait until each node answers for a route as it should."""
-    outcomes = await asyncio.gather(*(_until_one(node, route, state) for node in world.nodes))
-    for node, is_well in zip(world.nodes, outcomes, strict=True):
-        if not is_well:
+async def _wait_for_all(world: Deployment, route: str, state: str, problems: list[str]) -> None:
+    """Wait until each node answers a session start on `route` with `state`."""
+    outcomes = await asyncio.gather(*(_wait_for_one(node, route, state) for node in world.nodes))
+    for node, is_expected in zip(world.nodes, outcomes, strict=True):
+        if not is_expected:
             wanted = "is not served" if state == "I" else "is still served"
             problems.append(f"CONFIG: {route} {wanted} by {node.process.name}")
 
 
-async def _until_one(node: DeployedNode, route: str, state: str) -> bool:
+async def _wait_for_one(node: DeployedNode, route: str, state: str) -> bool:
     try:
         async with asyncio.timeout(FAR_TOO_LONG):
             while True:
                 answer = await started(node, route)
                 if answer is not None and answer.state == state:
                     return True
-                await asyncio.sleep(LOOK_SECONDS)
+                await asyncio.sleep(POLL_SECONDS)
     except TimeoutError:
         return False
 
 
-# What broke.
+# Checks.
 
 
 def cut_by_planned_work(history: History, runs: list[RunRecord]) -> Iterator[Violation]:
-    """Yield the attempts that planned work ended without an answer although they had been run."""
+    """Yield the attempts that a database ran but that planned work left without an answer."""
     ran = Counter(run.identifier for run in runs)
     for attempt in history:
         if _is_cut(attempt) and ran[attempt.identifier]:
@@ -305,39 +312,42 @@
     return attempt.was_sent and attempt.code == NO_ANSWER
 
 
-def _ended(world: Deployment) -> Iterator[str]:
+def _unexpected_exits(world: Deployment) -> Iterator[str]:
     for node in world.nodes:
         for ending in node.process.endings:
-            if not ending.as_asked:
-                yield f"ENDED: {node.process.name} with {ending.code}, asked {ending.asked}"
+            if not ending.as_requested:
+                yield (
+                    f"ENDED: {node.process.name} with code {ending.code}, "
+                    f"requested signal {ending.requested}"
+                )
 
 
-def _logged(world: Deployment) -> list[str]:
+def _log_problems(world: Deployment) -> list[str]:
     found: Counter[str] = Counter()
     for node in world.nodes:
         for line in node.process.log.read_text(errors="replace").splitlines():
-            text = _bad_line(line)
+            text = _log_line_problem(line)
             if text:
                 found[f"LOGGED: {node.process.name}: {text}"] += 1
     return [f"{text} ({count} times)" for text, count in found.items()]
 
 
-def _bad_line(line: str) -> str:
-    """Return what is wrong with a line of a node's log, empty for nothing."""
+def _log_line_problem(line: str) -> str:
+    """Return the problem with a line of a node's log, empty for none."""
     try:
         event = json.loads(line)
     except ValueError:
-        return f"no event: {line[:200]}"
+        return f"not a JSON event: {line[:200]}"
     number = event.get("event")
-    if number in BAD_EVENTS:
-        return f"{BAD_EVENTS[number]}: {event.get('fields')}"
+    if number in FORBIDDEN_EVENTS:
+        return f"{FORBIDDEN_EVENTS[number]}: {event.get('fields')}"
     return ""
 
 
-def _keep(
+def _save_findings(
     world: Deployment, report: ProcessReport, history: History, folder: Path, kept: Path
 ) -> None:
-    """Keep the nodes' logs, what broke, and all that callers and databases saw, in order."""
+    """Store the nodes' logs, the failures and the records of callers and databases."""
     shutil.rmtree(kept, ignore_errors=True)
     shutil.copytree(folder, kept)
     lines = [report.kind, "faults: " + " ".join(report.faults), *report.problems]
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -1,6 +1,6 @@
-"""`python -m soak.processes --minutes 5 --seed 1`: the soak on processes, seed after seed.
+"""Command line of the process soak: `python -m soak.processes --minutes 5 --seed 1`.
 
-The exit code is 1 if a rule broke.
+Plays one seed after the other. The exit code is 1 if a run violated a rule or had a problem.
 """
 
 import time
@@ -12,14 +12,14 @@
 from soak.process_run import ProcessReport, run
 from soak.run import SESSIONS
 
-SECONDS_A_SEED = 12.0
+SECONDS_PER_SEED = 12.0
 FINDINGS = Path("/tmp/bramblebeam-soak")
 
 
 def main(
     minutes: float = 1.0,
     seed: int = 1,
-    seconds: float = SECONDS_A_SEED,
+    seconds: float = SECONDS_PER_SEED,
     nodes: int = 0,
     sessions: int = SESSIONS,
     findings: Path = FINDINGS,
@@ -27,38 +27,38 @@
     restores: bool = False,
     tenants: bool = False,
 ) -> None:
-    """Play seeds from SEED on, each for some SECONDS of faults, until the MINUTES are over.
+    """Play consecutive seeds from SEED on, each for SECONDS of faults, until MINUTES have passed.
 
-    NODES: processes a run, 0 for the seed's own choice. SESSIONS: writing callers. FINDINGS: where
-    the logs of broken runs are kept. FAULTS: names of the only ones to play, with commas between.
-    RESTORES: the store comes back from copies of itself, too. TENANTS: callers have keys, and one
-    tenant asks for far more than its limit.
+    NODES: processes per run, 0 to let the seed choose. SESSIONS: number of writers. FINDINGS:
+    folder for the logs of failed runs. FAULTS: comma-separated names, to play only these.
+    RESTORES: also restore the store from earlier copies. TENANTS: callers have API keys, and one
+    tenant sends far more than its limit.
     """
     deadline = time.monotonic() + minutes * 60
-    broken = 0
+    failed_seeds = 0
     only = tuple(name for name in faults.split(",") if name)
     while True:
         report = uvloop.run(run(seed, seconds, findings, nodes, sessions, only, restores, tenants))
         _print(report)
         if report.broken:
-            broken += 1
+            failed_seeds += 1
             typer.echo(f"  logs: {findings / str(seed)}")
-            again = f"python -m soak.processes --minutes 0 --seed {seed} --seconds {seconds}"
-            again += " --restores" if restores else ""
-            again += " --tenants" if tenants else ""
+            command = f"python -m soak.processes --minutes 0 --seed {seed} --seconds {seconds}"
+            command += " --restores" if restores else ""
+            command += " --tenants" if tenants else ""
             typer.echo(
-                f"  again: {again} --nodes {nodes} --sessions {sessions} --faults '{faults}'"
+                f"  reproduce: {command} --nodes {nodes} --sessions {sessions} --faults '{faults}'"
             )
         seed += 1
         if time.monotonic() >= deadline:
             break
-    raise typer.Exit(code=1 if broken else 0)
+    raise typer.Exit(code=1 if failed_seeds else 0)
 
 
 def _print(report: ProcessReport) -> None:
     typer.echo(
         f"seed {report.seed} ({report.kind}): {report.succeeded} of {report.attempts} attempts "
-        f"succeeded, {report.lives} lives, {report.promotions} promotions, "
+        f"succeeded, {report.lives} process starts, {report.promotions} promotions, "
         f"{len(report.violations)} violations, {len(report.problems)} problems; "
         f"faults: {' '.join(report.faults)}"
     )
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: nodes, callers, faults by seed, and the judgement."""
+"""One run of the in-process soak: nodes, callers, faults by seed and checks."""
 
 from __future__ import annotations
 
@@ -19,10 +19,11 @@
 
 NODES = 3
 FEW_CONNECTIONS, MANY_CONNECTIONS = 10, 36
-"""With few of them two nodes serve the group, and the third one forwards."""
+"""Connection limits of a database. With few, two nodes serve the group and the third forwards."""
 SESSIONS = 6
+"""Number of writers."""
 READERS = 2
-"""On each route."""
+"""Number of readers per route."""
 ROUTES = {
     "session": {"route_type": "self_managed", "max_staleness_ms": 2_500},
     "latest": {"route_type": "primary"},
@@ -32,7 +33,7 @@
 
 
 class Report(NamedTuple):
-    """What a run came to."""
+    """Result of a run."""
 
     seed: int
     faults: list[str]
@@ -43,34 +44,34 @@
 
 
 def clock_step(seed: int) -> float:
-    """Return the step of the loop's clock in a seed's play (seconds), 0: exact."""
+    """Return the event loop's clock resolution that a seed chooses (seconds), 0 for exact."""
     return random.Random(f"clock {seed}").choice(STEPS)
 
 
 def run_by_coarse_clock(seed: int, seconds: float) -> Report:
-    """Play one seed as `run`, by a clock that moves in steps of the seed's choice."""
+    """Play one seed like `run`, on a clock with the resolution that the seed chooses."""
     return run_coarsely(run(seed, seconds), clock_step(seed))
 
 
 class Callers(NamedTuple):
-    """Those that write, and those that read what the former wrote."""
+    """Writers, and readers of the writers' keys."""
 
     writers: list[Caller]
     readers: list[Caller]
 
     @property
     def history(self) -> History:
-        """Return all that they saw."""
+        """Return the attempts of all callers."""
         return [attempt for caller in (*self.writers, *self.readers) for attempt in caller.history]
 
 
 async def run(seed: int, seconds: float) -> Report:
-    """Play one seed. Raises TimeoutError where a caller is not served again after the faults."""
+    """Play one seed. Raises TimeoutError if a writer is not served again after the faults."""
     rng = random.Random(seed)
     connections = rng.choice((FEW_CONNECTIONS, MANY_CONNECTIONS))
     async with joined_world(NODES, connections) as world:
         world.configure(2, **ROUTES)
-        # Where it does not depose, a former primary leads on until it is told to step down.
+        # Without it, a former primary keeps leading until it receives a step-down request.
         world.group.deposes = rng.random() < 0.5
         callers = make_callers(world, rng, SESSIONS)
         faults = await call_during(callers, play(world, rng, seconds))
@@ -87,26 +88,26 @@
 
 
 def make_callers(world: CalledNodes, rng: random.Random, sessions: int) -> Callers:
-    """Return callers on all routes, with choices of their own."""
+    """Return callers on all routes, each with its own random generator."""
     writers = [
         Caller(
             world,
-            f"w{place}",
-            WRITERS_ROUTES[place % len(WRITERS_ROUTES)],
+            f"w{index}",
+            WRITERS_ROUTES[index % len(WRITERS_ROUTES)],
             random.Random(rng.random()),
         )
-        for place in range(sessions)
+        for index in range(sessions)
     ]
     readers = [
-        Caller(world, f"r{place}-{name}", name, random.Random(rng.random()))
-        for place in range(READERS)
+        Caller(world, f"r{index}-{name}", name, random.Random(rng.random()))
+        for index in range(READERS)
         for name in ROUTES
     ]
     return Callers(writers, readers)
 
 
 async def call_during(callers: Callers, faults: Awaitable[list[str]]) -> list[str]:
-    """Let callers call until the faults are over; return what was played."""
+    """Run the callers until the faults are over; return the names of the faults."""
     is_over = False
     keys = [key for writer in callers.writers for key in writer.keys]
     calling = [writer.write_and_read(lambda: is_over) for writer in callers.writers]
@@ -119,7 +120,7 @@
 
 
 async def served_again(callers: Callers) -> None:
-    """Wait until each writer is served. Raises TimeoutError."""
+    """Wait until a write of each writer is acknowledged. Raises TimeoutError."""
     await asyncio.gather(*(_served_again(writer) for writer in callers.writers))
 
 
@@ -129,7 +130,7 @@
 
 
 def judge(group: LineGroup, history: History) -> list[Violation]:
-    """Return the broken rules."""
+    """Return the violations in a history."""
     last = leader_of(group).log
     surviving = [(key, int(value)) for entry in last for key, value in entry.values]
     logs = Logs(group.commits, group.runs, group.promotions, spans_of(last))
--- a/tests/soak/tenants.py
+++ b/tests/soak/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants in the soak: one that asks for far more than its limit, and what databases ran of it."""
+"""Tenants in the soak: the load of a tenant far above its rate limit, and checks of the limit."""
 
 from __future__ import annotations
 
@@ -20,19 +20,21 @@
     from soak.deployment import Deployment
 
 USUAL_KEY = "tester"
-"""That of all other callers, whose tenant has a limit that it never meets."""
+"""Name and API key of the tenant of all other callers; its limit is never reached."""
 HOT, HOT_KEY = "hot", "f3k9q2"
+"""Name and API key of the tenant that exceeds its limit."""
 LIMITS = (RateLimit(30.0, 30.0), RateLimit(60.0, 15.0), RateLimit(12.0, 12.0))
-CALLERS_A_NODE = 3
+CALLERS_PER_NODE = 3
 PAUSE = 0.02
+"""Delay between two operations of a caller (seconds)."""
 ANSWER_SECONDS = 10.0
 WRITE_SHARE = 0.3
 ROUTES = ("session", "latest", "bounded")
-NOT_ITS_OWN = "TENANT"
+TENANT_RULE = "TENANT"
 
 
 def listed(name: str, key: str, limit: RateLimit) -> dict[str, Any]:
-    """Return a tenant as the configuration holds it."""
+    """Return a tenant's entry of the configuration."""
     return {
         "name": name,
         "api_keys": [key],
@@ -42,14 +44,14 @@
 
 
 def tenants_of(limit: RateLimit) -> list[dict[str, Any]]:
-    """Return the tenants of a configuration."""
+    """Return the tenants section of the configuration; `limit`: that of the hot tenant."""
     return [listed(USUAL_KEY, USUAL_KEY, RateLimit(1e6, 1e6)), listed(HOT, HOT_KEY, limit)]
 
 
 class HotCallers:
-    """Callers of one tenant that come back at once, whatever they were told.
+    """Callers of the hot tenant, which retry immediately after any refusal.
 
-    `sent`: when each operation was sent (steady clock, seconds).
+    `sent`: when each operation was sent (monotonic clock, seconds), by its identifier.
     """
 
     def __init__(self, world: Deployment, rng: random.Random) -> None:
@@ -59,13 +61,15 @@
         self._number = 0
 
     async def call(self, until: Callable[[], bool]) -> None:
-        """Call from all nodes until something is over."""
-        places = [place for place in range(len(self._world.nodes)) for _ in range(CALLERS_A_NODE)]
-        await asyncio.gather(*(self._call(place, until) for place in places))
+        """Send operations to all nodes until `until` returns true."""
+        node_indexes = [
+            index for index in range(len(self._world.nodes)) for _ in range(CALLERS_PER_NODE)
+        ]
+        await asyncio.gather(*(self._call(index, until) for index in node_indexes))
 
-    async def _call(self, place: int, until: Callable[[], bool]) -> None:
+    async def _call(self, index: int, until: Callable[[], bool]) -> None:
         while not until():
-            client = await self._started(place)
+            client = await self._started(index)
             if client is not None:
                 await self._use(client, until)
                 client.close()
@@ -77,11 +81,11 @@
                 return
             await asyncio.sleep(PAUSE)
 
-    async def _started(self, place: int) -> LineClient | None:
+    async def _started(self, index: int) -> LineClient | None:
         client: LineClient | None = None
         with contextlib.suppress(OSError, TimeoutError):
             async with asyncio.timeout(ANSWER_SECONDS):
-                client = await LineClient.connect(self._world.nodes[place].callers.port)
+                client = await LineClient.connect(self._world.nodes[index].callers.port)
                 if (await client.start(self._rng.choice(ROUTES), HOT_KEY)).state == "I":
                     return client
         if client is not None:
@@ -89,7 +93,7 @@
         return None
 
     async def _run(self, client: LineClient) -> bool:
-        """Send one operation; return whether the session is of further use."""
+        """Send one operation; return whether the session is still usable."""
         self._number += 1
         writes = self._rng.random() < WRITE_SHARE
         text = f"WRITE {HOT} {self._number}" if writes else f"READ {HOT}"
@@ -104,46 +108,46 @@
 
 
 class Span(NamedTuple):
-    """The worst span of a tenant. `begin`: steady clock, seconds."""
+    """Operations of a tenant in an interval of SPAN seconds. `begin`: monotonic clock, seconds."""
 
     begin: float
     operations: int
 
 
 def worst_span(sent: dict[str, float], runs: Iterable[RunRecord]) -> Span:
-    """Return the span in which most operations were both sent and run, further runs included."""
+    """Return the interval with the most operations sent and run in it, counting repeated runs."""
     found = sorted((sent[run.identifier], run.time) for run in runs if run.identifier in sent)
     worst = Span(0.0, 0)
-    for place, (begin, _) in enumerate(found):
+    for index, (begin, _) in enumerate(found):
         end = bisect_right(found, begin + SPAN, key=lambda pair: pair[0])
-        ran = sum(time <= begin + SPAN for _, time in found[place:end])
+        ran = sum(time <= begin + SPAN for _, time in found[index:end])
         worst = max(worst, Span(begin, ran), key=lambda span: span.operations)
     return worst
 
 
 def told(sent: dict[str, float], runs: list[RunRecord], limit: RateLimit) -> str:
-    """Return in a line what the tenant got at most, for the reader of a run."""
+    """Return a one-line summary of the maximum that the tenant got in an interval."""
     worst = worst_span(sent, runs).operations
     return f"limit {limit.rate:.0f}/{limit.burst:.0f}: {worst} of {allowed(limit):.0f} in {SPAN} s"
 
 
 def problems(sent: dict[str, float], runs: list[RunRecord], limit: RateLimit) -> Iterator[str]:
-    """Yield what broke: more than the limit, or a connection of another tenant's."""
+    """Yield the problems: a limit exceeded, or an operation on another tenant's connection."""
     worst = worst_span(sent, runs)
     if worst.operations > allowed(limit):
         yield f"QUOTA: {worst.operations} in {SPAN} s where {allowed(limit):.0f} are allowed"
     for run in runs:
         tenant = HOT if run.identifier in sent else USUAL_KEY
         if run.tenant != tenant and run.identifier != "-":
-            yield f"{NOT_ITS_OWN}: {run.identifier} of {tenant} ran for {run.tenant}"
+            yield f"{TENANT_RULE}: {run.identifier} of {tenant} ran for {run.tenant}"
 
 
-async def call_beside(callers: HotCallers, series: Awaitable[list[str]]) -> list[str]:
-    """Let the hot tenant's callers call until the faults are over; return what was played."""
+async def call_beside(callers: HotCallers, sequence: Awaitable[list[str]]) -> list[str]:
+    """Run the hot tenant's callers until the faults are over; return the names of the faults."""
     is_over = False
     calling = asyncio.ensure_future(callers.call(lambda: is_over))
     try:
-        return await series
+        return await sequence
     finally:
         is_over = True
         await calling
@@ -151,7 +155,7 @@
 
 @asynccontextmanager
 async def changed_limit(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
-    """The hot tenant's limit falls, and rises again."""
+    """The hot tenant's limit is lowered and raised again."""
     usual = world.limit
     assert usual is not None
     lower = RateLimit(usual.rate * rng.choice((0.0, 0.3, 0.7)), usual.burst)
@@ -163,4 +167,4 @@
 
 
 TENANT_FAULTS: dict[str, Any] = {changed_limit.__name__: changed_limit}
-"""Played only where there are tenants: what a seed chooses else stays as it is."""
+"""Played only with tenants, so that a seed's choice among the other faults does not change."""
--- a/tests/test_coarse_clock.py
+++ b/tests/test_coarse_clock.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from platform_standins.coarse_clock import STEPS, cut, run_coarsely
+from platform_standins.coarse_clock import STEPS, round_down, run_coarsely
 
 
 @pytest.mark.parametrize(
@@ -13,7 +13,7 @@
     ids=["exact", "at a step", "before the next one", "a whole second"],
 )
 def test_a_reading_is_that_of_the_last_step(exact: float, step: float, shown: float) -> None:
-    assert cut(exact, step) == shown
+    assert round_down(exact, step) == shown
 
 
 @pytest.mark.parametrize("step", STEPS)
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -496,7 +496,7 @@
         await world.group.members[target].restart_empty()
         world.register(target)
         await until(lambda: world.platform.promotions[-1].target == other)
-        world.platform._late.clear()
+        world.platform._unanswered.clear()
         world.platform.fault.lose_orders = 0
         await writing
         assert (await client.run("READ parcel")).rows == ["1"]
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The judge of the soak on made-up histories, and a short soak of each listed seed."""
+"""The judge on constructed histories, and a short in-process soak of each listed seed."""
 
 import tomllib
 from pathlib import Path
@@ -39,23 +39,25 @@
     ("history", "commits", "rules"),
     [
         pytest.param([attempt()], [commit()], [], id="a write"),
-        pytest.param([attempt()], [commit(), commit()], ["TWICE"], id="ran twice"),
-        pytest.param([attempt(code="BUSY")], [commit()], ["REFUSED"], id="refused and ran"),
+        pytest.param([attempt()], [commit(), commit()], ["TWICE"], id="executed twice"),
+        pytest.param([attempt(code="BUSY")], [commit()], ["REFUSED"], id="refused but executed"),
         pytest.param([attempt(code="BUSY")], [], [], id="refused"),
         pytest.param([attempt(code="INDOUBT")], [commit()], [], id="in doubt"),
         pytest.param([attempt(code=NO_ANSWER)], [commit()], [], id="no answer"),
-        pytest.param([attempt()], [], ["LOST"], id="acknowledged and not run"),
+        pytest.param([attempt()], [], ["LOST"], id="acknowledged but not executed"),
         pytest.param([attempt()], [commit(1, False)], ["ONE"], id="by a former leader"),
         pytest.param(
             [attempt(code="INDOUBT")], [commit(1, False)], [], id="by a former leader, in doubt"
         ),
-        pytest.param([attempt(signature="signed-x")], [commit()], ["MIXED"], id="other's answer"),
+        pytest.param(
+            [attempt(signature="signed-x")], [commit()], ["MIXED"], id="answer of another request"
+        ),
         pytest.param(
             [WRITTEN, attempt(Kind.READ, 0)], [commit()], ["STALE"], id="own write not read"
         ),
         pytest.param([WRITTEN, attempt(Kind.READ, 1)], [commit()], [], id="own write read"),
         pytest.param(
-            [WRITTEN, attempt(Kind.READ, 0, caller="r")], [commit()], [], id="other's session"
+            [WRITTEN, attempt(Kind.READ, 0, caller="r")], [commit()], [], id="other session"
         ),
         pytest.param(
             [WRITTEN, attempt(Kind.READ, 0, caller="r", route="latest")],
@@ -77,14 +79,14 @@
         ),
     ],
 )
-def test_the_judge_reports_what_broke(
+def test_judge_reports_violated_rules(
     history: list[Attempt], commits: list[CommitRecord], rules: list[str]
 ) -> None:
     judge = Judge(commits, surviving=[("w", 1)])
     assert [found.rule for found in judge.violations(history)] == rules
 
 
-def test_a_write_that_was_rolled_back_is_owed_to_no_read() -> None:
+def test_no_read_must_reflect_a_rolled_back_write() -> None:
     judge = Judge([commit()], surviving=[])
     assert not list(judge.violations([WRITTEN, attempt(Kind.READ, 0)]))
 
@@ -92,19 +94,22 @@
 @pytest.mark.parametrize(
     ("in_log", "read", "rules"),
     [
-        pytest.param([2, 1], 1, [], id="the write in doubt came last"),
-        pytest.param([1, 2], 1, ["STALE"], id="it came first"),
+        pytest.param([2, 1], 1, [], id="write in doubt committed last"),
+        pytest.param([1, 2], 1, ["STALE"], id="write in doubt committed first"),
         pytest.param([2, 1], 2, [], id="read between the two"),
-        pytest.param([2], 1, ["STALE"], id="it was rolled back"),
+        pytest.param([2], 1, ["STALE"], id="write in doubt rolled back"),
         pytest.param([2, 1], 0, ["STALE"], id="neither was read"),
     ],
 )
-def test_a_read_is_judged_by_the_order_of_the_log(
+def test_read_is_judged_by_the_order_of_the_log(
     in_log: list[int], read: int, rules: list[str]
 ) -> None:
-    """Found with seed 3, in 11 of 36 plays beside load: a write whose node had been silent was in
-    doubt after 0.4 s and committed 1.5 s later, after four more of its caller, and a read of it
-    counted as stale."""
+    """Guards against false STALE reports for a write in doubt that is committed late.
+
+    Found with seed 3, in 11 of 36 runs under load: a write through an unresponsive node was in
+    doubt after 0.4 s and committed 1.5 s later, after four further writes of its caller. A read
+    of it counted as stale.
+    """
     history = [
         attempt(number=1, sent_at=8.0, code="INDOUBT"),
         attempt(number=2, sent_at=9.0),
@@ -115,14 +120,14 @@
 
 
 @pytest.mark.parametrize("seed", [row["seed"] for row in SEEDS])
-async def test_no_rule_breaks_under_faults(seed: int) -> None:
+async def test_no_violation_under_faults(seed: int) -> None:
     report = await run(seed, SECONDS)
     assert report.violations == []
     assert report.succeeded > 0
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_no_rule_breaks_by_a_coarse_clock(step: float) -> None:
+def test_no_violation_with_a_coarse_clock(step: float) -> None:
     report = run_coarsely(run(SEEDS[0]["seed"], SECONDS), step)
     assert report.violations == []
     assert report.succeeded > 0
--- a/tests/test_soak_processes.py
+++ b/tests/test_soak_processes.py
@@ -1,4 +1,4 @@
-"""The soak on processes: a short one of each listed seed, its judge and its parts."""
+"""The process soak: its judge and parts, and a short run of each listed seed."""
 
 import asyncio
 import tomllib
@@ -39,7 +39,7 @@
     return [Entry(term, (("w", str(number)),)) for number, term in enumerate(terms)]
 
 
-def test_a_log_in_short() -> None:
+def test_spans_of_a_log() -> None:
     assert spans_of([]) == ()
     assert spans_of(logged(1, 1, 3)) == ((1, 2), (3, 3))
 
@@ -48,7 +48,7 @@
     ("term", "number", "expected"),
     [(1, 1, True), (1, 2, True), (1, 3, False), (3, 3, True), (3, 2, False), (2, 3, False)],
 )
-def test_what_a_log_holds(term: int, number: int, expected: bool) -> None:
+def test_spans_hold_a_commit(term: int, number: int, expected: bool) -> None:
     assert holds(((1, 2), (3, 3)), term, number) is expected
 
 
@@ -116,7 +116,7 @@
 @pytest.mark.parametrize(
     ("reading", "spans", "expected"),
     [
-        pytest.param(read(), BOTH, [], id="own commit there"),
+        pytest.param(read(), BOTH, [], id="own commit present"),
         pytest.param(read(), FIRST, ["STALE"], id="own commit missing"),
         pytest.param(read(sent=12), FIRST, [], id="read sent before the acknowledgement"),
         pytest.param(read(session=2), FIRST, [], id="another session's commit"),
@@ -125,24 +125,24 @@
         pytest.param(read("latest", 12, 2), FIRST, [], id="latest, sent before"),
         pytest.param(read("bounded", session=2), FIRST, [], id="within the bound"),
         pytest.param(read("bounded", session=2, at=10.6), FIRST, ["STALE"], id="beyond the bound"),
-        pytest.param(read("bounded", session=2, at=10.6), BOTH, [], id="beyond it, and there"),
+        pytest.param(read("bounded", session=2, at=10.6), BOTH, [], id="beyond the bound, present"),
     ],
 )
-def test_a_read_is_judged_by_the_log_that_it_ran_on(
+def test_read_is_judged_by_the_log_that_it_ran_on(
     reading: Attempt, spans: Spans, expected: list[str]
 ) -> None:
-    """The times of both are the same: what came first is told by the order alone."""
+    """Reads and writes have equal times: only sequence numbers tell what came first."""
     history = [write(1, 10), write(2, 13), reading]
     assert rules(history, [ran(spans)]) == expected
 
 
-def test_each_run_of_a_read_is_judged_also_one_whose_answer_was_not_used() -> None:
+def test_every_run_of_a_read_is_judged_even_if_its_answer_was_not_used() -> None:
     history = [write(1, 10), write(2, 13), read()]
     assert rules(history, [ran(BOTH), ran(FIRST)]) == ["STALE"]
 
 
-def test_what_a_promotion_rolled_back_is_owed_to_no_read() -> None:
-    """Also where a later promotion brought it back."""
+def test_no_read_must_reflect_a_commit_that_a_promotion_rolled_back() -> None:
+    """Not even if a later promotion restored it."""
     history = [write(1, 10), write(2, 13), read()]
     promotions = [PromotionRecord("db-b", 2, FIRST, 20), PromotionRecord("db-a", 3, BOTH, 60)]
     assert rules(history, [ran(FIRST)], promotions) == []
@@ -151,12 +151,12 @@
 @pytest.mark.parametrize(
     ("moment", "keeps_all", "expected"),
     [
-        pytest.param(20, True, ["LOST"], id="acknowledged before"),
-        pytest.param(14, True, [], id="acknowledged afterwards"),
+        pytest.param(20, True, ["LOST"], id="acknowledged before the promotion"),
+        pytest.param(14, True, [], id="acknowledged after the promotion"),
         pytest.param(20, False, [], id="replicas do not confirm"),
     ],
 )
-def test_a_promoted_log_has_what_replicas_confirmed(
+def test_promoted_log_holds_commits_that_replicas_confirmed(
     moment: int, keeps_all: bool, expected: list[str]
 ) -> None:
     promotions = [PromotionRecord("db-b", 2, FIRST, moment)]
@@ -170,23 +170,25 @@
         pytest.param(ran(BOTH, key="other/x"), ["PINNED"], id="shape"),
     ],
 )
-def test_a_connection_that_is_not_the_sessions(run_record: RunRecord, expected: list[str]) -> None:
+def test_run_with_another_sessions_state_is_a_violation(
+    run_record: RunRecord, expected: list[str]
+) -> None:
     assert rules([read()], [run_record]) == expected
 
 
-def test_rows_that_no_database_returned() -> None:
+def test_row_that_no_database_returned_is_a_violation() -> None:
     assert rules([read()], [ran(BOTH)._replace(value="7")]) == ["MIXED"]
 
 
 @pytest.mark.parametrize(
     ("code", "runs", "expected"),
     [
-        pytest.param(NO_ANSWER, [ran(BOTH, "id1")], 1, id="it had been passed on"),
-        pytest.param(NO_ANSWER, [], 0, id="it had not"),
+        pytest.param(NO_ANSWER, [ran(BOTH, "id1")], 1, id="executed"),
+        pytest.param(NO_ANSWER, [], 0, id="not executed"),
         pytest.param("INDOUBT", [ran(BOTH, "id1")], 0, id="answered"),
     ],
 )
-def test_an_answer_that_planned_work_cut(code: str, runs: list[RunRecord], expected: int) -> None:
+def test_answer_cut_off_by_planned_work(code: str, runs: list[RunRecord], expected: int) -> None:
     assert len(list(cut_by_planned_work([write(1, 10, code=code)], runs))) == expected
 
 
@@ -198,15 +200,13 @@
         pytest.param(2, 14.0, 0, id="by the next process"),
     ],
 )
-def test_a_node_that_goes_back_to_an_older_version(
-    life: int, sent_at: float, expected: int
-) -> None:
+def test_node_that_reverts_to_an_older_version(life: int, sent_at: float, expected: int) -> None:
     newer = Served("node-0", 1, 7, 10.0, 10.0)
     older = Served("node-0", life, 5, sent_at, sent_at)
     assert len(list(regressions([newer, older]))) == expected
 
 
-async def test_a_dark_link_stays_silent_for_what_was_opened_meanwhile() -> None:
+async def test_dark_link_never_delivers_for_connections_opened_meanwhile() -> None:
     async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(10):
             writer.write(data)
@@ -215,8 +215,8 @@
     server = await asyncio.start_server(echo, "127.0.0.1", 0)
     link = await open_link("127.0.0.1", server.sockets[0].getsockname()[1])
     link.go_dark()
-    _, unheard = await asyncio.open_connection("127.0.0.1", link.port)
-    unheard.write(b"a")
+    _, dark_writer = await asyncio.open_connection("127.0.0.1", link.port)
+    dark_writer.write(b"a")
     while not link.connections:  # noqa: ASYNC110
         await asyncio.sleep(0.01)
     link.dark = False
@@ -224,14 +224,14 @@
     writer.write(b"b")
     assert await reader.read(10) == b"b"
     assert sorted(len(found.cut) for found in link.connections) == [0, len(Direction)]
-    unheard.close()
+    dark_writer.close()
     writer.close()
     await link.stop()
     server.close()
 
 
 @pytest.mark.parametrize("row", ROWS, ids=[str(row["seed"]) for row in ROWS])
-async def test_no_rule_breaks_under_faults_from_outside(row: dict[str, Any]) -> None:
+async def test_no_violation_under_process_faults(row: dict[str, Any]) -> None:
     report = await run(row["seed"], SECONDS)
     assert report.violations == []
     assert report.problems == []
@@ -239,7 +239,7 @@
 
 
 @pytest.mark.parametrize("seed", [row["seed"] for row in RESTORE_ROWS])
-async def test_no_rule_breaks_where_the_store_comes_back_from_copies(seed: int) -> None:
+async def test_no_violation_when_the_store_is_restored_from_copies(seed: int) -> None:
     report = await run(seed, SECONDS, restores=True)
     assert report.violations == []
     assert report.problems == []
@@ -248,7 +248,7 @@
 
 
 @pytest.mark.parametrize("seed", [row["seed"] for row in CHANGE_ROWS])
-async def test_no_rule_breaks_where_replicas_start_again_during_changes(seed: int) -> None:
+async def test_no_violation_when_replicas_restart_during_changes_of_primary(seed: int) -> None:
     report = await run(seed, SECONDS, only=tuple(CHANGE_FAULTS))
     assert report.violations == []
     assert report.problems == []
@@ -256,7 +256,7 @@
 
 
 @pytest.mark.parametrize("seed", [row["seed"] for row in TENANT_ROWS])
-async def test_no_tenant_gets_past_its_limit_or_on_anothers_connection(seed: int) -> None:
+async def test_no_tenant_exceeds_its_limit_or_uses_another_tenants_connection(seed: int) -> None:
     report = await run(seed, SECONDS, tenants=True)
     assert report.violations == []
     assert report.problems == []
@@ -264,7 +264,7 @@
     assert report.succeeded > 0
 
 
-BRIEF = RateLimit(1.0, 1.0)
+LOW_LIMIT = RateLimit(1.0, 1.0)
 
 
 @pytest.mark.parametrize(
@@ -276,16 +276,16 @@
         pytest.param([(0.0, 0.1)] * 20 + [(5.1, 5.2)] * 20, [], id="two spans"),
     ],
 )
-def test_a_limit_is_judged_by_what_was_sent_and_run_in_one_span(
+def test_limit_counts_operations_sent_and_run_in_one_interval(
     runs: list[tuple[float, float]], problems: list[str]
 ) -> None:
     sent = {f"id{place}": sent_at for place, (sent_at, _) in enumerate(runs)}
     found = [run_of_hot(f"id{place}", time) for place, (_, time) in enumerate(runs)]
-    assert list(limit_problems(sent, found, BRIEF)) == problems
+    assert list(limit_problems(sent, found, LOW_LIMIT)) == problems
 
 
-def test_a_run_on_another_tenants_connection_is_a_problem() -> None:
-    problems = list(limit_problems({"id1": 0.0}, [run_of_hot("id1", 0.1, USUAL_KEY)], BRIEF))
+def test_run_on_another_tenants_connection_is_a_problem() -> None:
+    problems = list(limit_problems({"id1": 0.0}, [run_of_hot("id1", 0.1, USUAL_KEY)], LOW_LIMIT))
     assert problems == [f"TENANT: id1 of {HOT} ran for {USUAL_KEY}"]
 
 
