--- a/spec/__init__.py
+++ b/spec/__init__.py
@@ -1,1 +1,1 @@
-"""The specification of the core protocol, in small models that a checker explores exhaustively."""
+"""Specification of the core protocols as small models, explored exhaustively by a model checker."""
--- a/spec/__main__.py
+++ b/spec/__main__.py
@@ -1,4 +1,4 @@
-"""Checks every model and every mutation, and prints a table: `python -m spec`."""
+"""Command line of the specification: `python -m spec` checks every model and mutation."""
 
 import sys
 
@@ -7,24 +7,24 @@
 
 
 def main() -> int:
-    """Print what the checker found; return 1 if a model or a mutation is not as it must be."""
+    """Print the results; return 1 if a model fails or a mutation is not refuted."""
     failures = 0
     for model in MODELS:
-        failures += _holds(model) + _mutations(model)
+        failures += _check_model(model) + _check_mutations(model)
     return 1 if failures else 0
 
 
-def _holds(model: Model) -> int:
+def _check_model(model: Model) -> int:
     result = check(model)
-    good = result.exhaustive and not result.counterexamples
-    verdict = "holds" if good else f"FAILS {result.counterexamples}"
+    is_ok = result.exhaustive and not result.counterexamples
+    verdict = "holds" if is_ok else f"FAILS {result.counterexamples}"
     print(f"{model.name}: {verdict}, {result.states} states, {result.seconds:.1f} s")
     print(f"  within: {model.bounds}")
     print(f"  invariants: {', '.join(model.invariants)}", flush=True)
-    return not good
+    return not is_ok
 
 
-def _mutations(model: Model) -> int:
+def _check_mutations(model: Model) -> int:
     failures = 0
     for mutation, invariant in model.mutations.items():
         result = check(model, mutation)
--- a/spec/caller_requests.py
+++ b/spec/caller_requests.py
@@ -1,4 +1,7 @@
-"""A caller's own request id, repeated over another node, kept in the write's own transaction."""
+"""Idempotent writes: a caller retries a request id over other nodes.
+
+The database stores the id in the transaction of the write.
+"""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -9,9 +12,11 @@
 
 
 class State(NamedTuple):
-    """`sendings`: by sending, where it is (unsent, sent, executing, kept, ran, duplicate, cut).
+    """The state of the caller's sendings, the database and the first owner.
 
-    `kept`: the id is in the database. `remembered`: the ids that the first owner remembers.
+    `sendings`: status of each sending (unsent, sent, executing, kept, ran, duplicate or cut).
+    `kept`: whether the database has the id. `remembered`: whether the first owner remembers the
+    id. `runs`: number of times that the write was committed.
     """
 
     sendings: tuple[str, ...]
@@ -24,42 +29,45 @@
 
 
 def steps(state: State, mutation: str) -> Iterator[Step]:
-    """Yield every step: the caller sends, owners execute, transactions commit or are cut."""
-    for index, where in enumerate(state.sendings):
-        if where == "unsent":
-            yield f"sending {index}", _at(state, index, "sent")
-        elif where == "sent":
+    """Yield every step of the caller, the owners and their transactions."""
+    for index, status in enumerate(state.sendings):
+        if status == "unsent":
+            yield f"sending {index}", _with_status(state, index, "sent")
+        elif status == "sent":
             known = state.remembered and mutation == "remember_at_owner"
-            yield f"{index} begins", _at(state, index, "duplicate" if known else "executing")
-        elif where in ("executing", "kept"):
-            yield from _end(state, index, where, mutation)
+            yield (
+                f"{index} begins",
+                _with_status(state, index, "duplicate" if known else "executing"),
+            )
+        elif status in ("executing", "kept"):
+            yield from _end(state, index, status, mutation)
     if state.remembered:
         yield "the owner restarts", state._replace(remembered=False)
 
 
-def _end(state: State, index: int, where: str, mutation: str) -> Iterator[Step]:
-    """The transaction commits the id and the write together, or nothing."""
-    yield f"{index} is rolled back", _at(state, index, "cut")
-    if state.kept and where != "kept" and mutation != "remember_at_owner":
-        yield f"{index} finds its id", _at(state, index, "duplicate")
-    elif mutation == "keep_id_before" and where != "kept":
-        yield f"{index} keeps its id first", _at(state, index, "kept")._replace(kept=True)
+def _end(state: State, index: int, status: str, mutation: str) -> Iterator[Step]:
+    """Yield the ends of a transaction, which commits the id and the write together or nothing."""
+    yield f"{index} is rolled back", _with_status(state, index, "cut")
+    if state.kept and status != "kept" and mutation != "remember_at_owner":
+        yield f"{index} finds its id", _with_status(state, index, "duplicate")
+    elif mutation == "keep_id_before" and status != "kept":
+        yield f"{index} keeps its id first", _with_status(state, index, "kept")._replace(kept=True)
     else:
-        ran = _at(state, index, "ran")
+        ran = _with_status(state, index, "ran")
         yield f"{index} commits", ran._replace(kept=True, remembered=True, runs=state.runs + 1)
 
 
-def _at(state: State, index: int, where: str) -> State:
-    return state._replace(sendings=(*state.sendings[:index], where, *state.sendings[index + 1 :]))
+def _with_status(state: State, index: int, status: str) -> State:
+    return state._replace(sendings=(*state.sendings[:index], status, *state.sendings[index + 1 :]))
 
 
 def at_most_once(state: State) -> bool:
-    """The write is committed once at most."""
+    """The write is committed at most once."""
     return state.runs <= 1
 
 
 def duplicate_is_true(state: State) -> bool:
-    """A caller that is told of a duplicate may rely on the write."""
+    """If a duplicate is reported to the caller, the write is committed."""
     return "duplicate" not in state.sendings or state.runs == 1
 
 
--- a/spec/checking.py
+++ b/spec/checking.py
@@ -1,8 +1,8 @@
-"""Hands a model to the checker and reads its verdict.
+"""Models of the specification and their check by minicheck.
 
-A model is a state (a named tuple), its steps and its invariants. A step that a model allows need
-never be taken: so a crash, a pause, a cut and a lost message are all covered by its not being
-taken, or being taken late. A mutation is a named fault in the protocol, and must be refuted.
+A model consists of a state (a named tuple), steps and invariants. A possible step may be taken late
+or never, which covers crashes, pauses, network cuts and lost messages. A mutation is a named fault
+in the protocol that must violate an invariant.
 """
 
 import time
@@ -18,24 +18,26 @@
 Item = TypeVar("Item")
 
 MAXIMUM_STATES = 2_000_000
+"""Number of states after which the checker gives up."""
 
 
 def replace_at(values: tuple[Item, ...], index: int, value: Item) -> tuple[Item, ...]:
-    """Return the values with another one at a place."""
+    """Return a copy of `values` with `value` at `index`."""
     return (*values[:index], value, *values[index + 1 :])
 
 
 def is_kept(name: str) -> Callable[[Any], bool]:
-    """Return the invariant that no step has put `name` into the state's `broken`."""
+    """Return the invariant that no step has added `name` to the state's `broken`."""
     return lambda state: name not in state.broken
 
 
 @dataclass(frozen=True)
 class Model:
-    """One small specification.
+    """A model of one protocol.
 
-    `steps(state, mutation)` yields the steps possible in a state; `mutation` is empty for the
-    protocol as it is meant. `mutations` names the invariant that each mutation must break.
+    `bounds`: description of the limits of the exploration. `steps(state, mutation)` yields the
+    steps possible in a state; `mutation` is empty for the correct protocol. `mutations`: the
+    invariant that each mutation must violate.
     """
 
     name: str
@@ -47,7 +49,7 @@
 
 
 class Result(NamedTuple):
-    """The checker's verdict. `counterexamples`: by invariant, the labels of a shortest trace."""
+    """Result of a check. `counterexamples`: labels of a shortest trace, by violated invariant."""
 
     states: int
     exhaustive: bool
@@ -56,7 +58,7 @@
 
 
 def check(model: Model, mutation: str = "", maximum_states: int = MAXIMUM_STATES) -> Result:
-    """Explore every reachable state of the model, or of its mutation."""
+    """Explore every reachable state of a model, or of one of its mutations."""
     state_type = type(model.initial)
     invariants = model.invariants
     if mutation:
@@ -67,11 +69,11 @@
         fields=state_type._fields,
         initial=model.initial,
         transitions=_stop_at_violation(model, mutation),
-        invariants={name: _over_fields(state_type, test) for name, test in invariants.items()},
+        invariants={name: _from_fields(state_type, test) for name, test in invariants.items()},
     )
-    began = time.process_time()
+    start = time.process_time()
     report = minicheck.check_safety(protocol, max_states=maximum_states)
-    seconds = time.process_time() - began
+    seconds = time.process_time() - start
     counterexamples = {
         name: [step["label"] for step in verdict["counterexample"][1:]]
         for name, verdict in report["properties"].items()
@@ -80,12 +82,12 @@
     return Result(report["reachable_states"], report["exhaustive"], seconds, counterexamples)
 
 
-def _over_fields(state_type: Any, test: Callable[[Any], bool]) -> Callable[[dict[str, Any]], bool]:
+def _from_fields(state_type: Any, test: Callable[[Any], bool]) -> Callable[[dict[str, Any]], bool]:
     return lambda fields: test(state_type(**fields))
 
 
 def _stop_at_violation(model: Model, mutation: str) -> Callable[[Any], list[Step]]:
-    """Return the steps; a mutated model is not explored beyond its first violation."""
+    """Return the step function; exploration of a mutation stops at the first violation."""
     if not mutation:
         return lambda state: list(model.steps(state, ""))
     broken = model.invariants[model.mutations[mutation]]
--- a/spec/configuration.py
+++ b/spec/configuration.py
@@ -1,6 +1,6 @@
-"""One row of the table: two operators, lost answers, and nodes that learn it in any order.
+"""Edits of one configuration row by two operators, with lost answers and out-of-order updates.
 
-A version of the row is its place in the store's history.
+The version of a row is its position in the store's history.
 """
 
 from collections.abc import Iterator
@@ -16,25 +16,26 @@
 class Editor(NamedTuple):
     """One operator's edit.
 
-    `phase`: idle, waiting, checking, accepted or conflict. `base`: the version that the operator
-    saw. `on_way`: writes that the store may yet take. `sendings_left`: how often it may send.
+    `phase`: idle, waiting, checking, accepted or conflict. `base`: version that the edit is based
+    on. `in_flight`: bases of the writes in flight to the store. `sendings_left`: number of sendings
+    that remain.
     """
 
     phase: str = "idle"
     base: int = 0
-    on_way: frozenset[int] = frozenset()
+    in_flight: frozenset[int] = frozenset()
     sendings_left: int = SENDINGS
 
 
 class Version(NamedTuple):
-    """One version in the store's history: who made it, and the version that its maker saw."""
+    """One version in the store's history: its editor and the version that the edit is based on."""
 
     editor: int
     base: int
 
 
 class State(NamedTuple):
-    """The store's history of the row, the editors, and by node (in force, highest ever)."""
+    """The store's history of the row, the editors, and each node's version in force and maximum."""
 
     history: tuple[Version, ...]
     editors: tuple[Editor, ...]
@@ -56,15 +57,15 @@
     return state._replace(editors=(*state.editors[:index], editor, *state.editors[index + 1 :]))
 
 
-def _sent(editor: Editor, base: int) -> Editor:
+def _send(editor: Editor, base: int) -> Editor:
     left = editor.sendings_left - 1
-    return Editor("waiting", base, editor.on_way | {base}, left)
+    return Editor("waiting", base, editor.in_flight | {base}, left)
 
 
 def _edit(state: State, index: int, editor: Editor, mutation: str) -> Iterator[Step]:
     version = len(state.history)
     if editor.phase == "idle":
-        yield f"editor {index} writes on {version}", _with(state, index, _sent(editor, version))
+        yield f"editor {index} writes on {version}", _with(state, index, _send(editor, version))
     elif editor.phase == "waiting":
         lost = editor._replace(phase="checking")
         yield f"editor {index} loses its answer", _with(state, index, lost)
@@ -73,41 +74,41 @@
 
 
 def _check(state: State, index: int, editor: Editor, mutation: str) -> Iterator[Step]:
-    """Read the row back: its change ids tell whether this edit made a version."""
+    """Read the row back: the change ids in its history tell whether this edit was written."""
     version = len(state.history)
     done = any(made.editor == index for made in state.history)
     if mutation == "repeat_on_new_version" and editor.sendings_left:
-        yield f"editor {index} repeats on {version}", _with(state, index, _sent(editor, version))
+        yield f"editor {index} repeats on {version}", _with(state, index, _send(editor, version))
     elif done and mutation != "ignore_change_id":
         yield (
             f"editor {index} finds its edit",
             _with(state, index, editor._replace(phase="accepted")),
         )
     elif version == editor.base and editor.sendings_left:
-        yield f"editor {index} repeats", _with(state, index, _sent(editor, editor.base))
+        yield f"editor {index} repeats", _with(state, index, _send(editor, editor.base))
     elif version != editor.base:
         conflict = editor._replace(phase="conflict")
         yield f"editor {index} is shown a conflict", _with(state, index, conflict)
 
 
 def _store(state: State, index: int, editor: Editor, mutation: str) -> Iterator[Step]:
-    """The store takes a write only on the version that it was made for."""
-    for base in editor.on_way:
-        taken = editor._replace(on_way=editor.on_way - {base})
+    """Yield the store's decisions: it accepts a write only on the version it is based on."""
+    for base in editor.in_flight:
+        taken = editor._replace(in_flight=editor.in_flight - {base})
         if base != len(state.history) and mutation != "unconditional_write":
             checking = "checking" if editor.phase == "waiting" else editor.phase
             refused = _with(state, index, taken._replace(phase=checking))
             yield f"the store refuses editor {index}", refused
             continue
         written = state._replace(history=(*state.history, Version(index, base)))
-        yield f"the store writes editor {index}, unheard", _with(written, index, taken)
+        yield f"the store writes editor {index}; the answer is lost", _with(written, index, taken)
         if editor.phase == "waiting":
             accepted = taken._replace(phase="accepted")
             yield f"the store accepts editor {index}", _with(written, index, accepted)
 
 
 def _nodes(state: State, mutation: str) -> Iterator[Step]:
-    """A node hears of any version, from the store's past too; it takes only a higher one."""
+    """Yield updates of nodes: any version may arrive, also an old one; only a higher is applied."""
     for index, (in_force, highest) in enumerate(state.nodes):
         for version in range(1, len(state.history) + 1):
             if version <= in_force and mutation != "apply_any_version":
@@ -118,23 +119,23 @@
 
 
 def versions_never_fall(state: State) -> bool:
-    """No node goes back to an older version."""
+    """No node reverts to an older version."""
     return all(in_force == highest for in_force, highest in state.nodes)
 
 
 def no_edit_is_overwritten_unseen(state: State) -> bool:
-    """Each version was made by an operator who saw the one before it."""
+    """Each version is based on the previous one."""
     return all(made.base == index for index, made in enumerate(state.history))
 
 
 def written_once(state: State) -> bool:
-    """No edit makes two versions."""
+    """No edit creates two versions."""
     editors = [made.editor for made in state.history]
     return len(set(editors)) == len(editors)
 
 
 def told_the_truth(state: State) -> bool:
-    """An accepted edit is in the history; one that conflicted is not and never comes."""
+    """An accepted edit is in the history; one with a reported conflict never gets there."""
     made = {version.editor for version in state.history}
     return all(
         (editor.phase != "accepted" or index in made)
--- a/spec/connections.py
+++ b/spec/connections.py
@@ -1,34 +1,39 @@
-"""One back-end connection that serves two sessions in turn: transactions, late answers, cuts."""
+"""A database connection that is used by two sessions in turn.
+
+Covers open transactions, late answers and abandoned sessions.
+"""
 
 from collections.abc import Iterator
 from typing import NamedTuple
 
 from spec.checking import Model, Step
 
-NOBODY = 0
+NO_SESSION = 0
 SESSIONS = (1, 2)
 
 
 class State(NamedTuple):
-    """`holder`: the session that has the connection. `pinned`: it is in a transaction, as it knows.
+    """The connection and the sessions that use it.
 
-    At the back end: `transaction`: whose transaction is open. `answers`: whose answers are under
-    way, oldest first. What went wrong: `ran_in`: (session, whose transaction), `got`: (session,
-    whose answer).
+    `holder`: session that holds the connection. `pinned`: whether the holder is in a transaction,
+    as seen by the node. `waiting`: whether the holder waits for an answer. `transaction`: session
+    whose transaction is open at the database. `answers`: sessions whose answers are in flight,
+    oldest first. `ran_in`: last statement's session and the session of the transaction that it ran
+    in. `got`: last answer's receiver and the session that it was for.
     """
 
-    holder: int = NOBODY
+    holder: int = NO_SESSION
     pinned: bool = False
     waiting: bool = False
-    transaction: int = NOBODY
+    transaction: int = NO_SESSION
     answers: tuple[int, ...] = ()
-    ran_in: tuple[int, int] = (NOBODY, NOBODY)
-    got: tuple[int, int] = (NOBODY, NOBODY)
+    ran_in: tuple[int, int] = (NO_SESSION, NO_SESSION)
+    got: tuple[int, int] = (NO_SESSION, NO_SESSION)
 
 
 def steps(state: State, mutation: str) -> Iterator[Step]:
-    """Yield every step of the sessions, the pool and the back end."""
-    if state.holder == NOBODY:
+    """Yield every step of the sessions, the pool and the database."""
+    if state.holder == NO_SESSION:
         for session in SESSIONS:
             yield f"session {session} gets the connection", state._replace(holder=session)
         return
@@ -45,27 +50,27 @@
     sent = state._replace(waiting=True, answers=(*state.answers, session), ran_in=ran_in)
     yield f"session {session} sends a statement", sent
     if not state.pinned:
-        begun = sent._replace(pinned=True, transaction=state.transaction or session)
-        yield f"session {session} begins a transaction", begun
+        started = sent._replace(pinned=True, transaction=state.transaction or session)
+        yield f"session {session} begins a transaction", started
     else:
-        yield f"session {session} ends it", sent._replace(pinned=False, transaction=NOBODY)
+        yield f"session {session} ends it", sent._replace(pinned=False, transaction=NO_SESSION)
 
 
 def _answer(state: State, mutation: str) -> Iterator[Step]:
-    """The oldest answer arrives and goes to whoever holds the connection."""
+    """Deliver the oldest answer to the session that holds the connection."""
     got = (state.holder, state.answers[0])
     answered = state._replace(answers=state.answers[1:], got=got, waiting=False)
     unpinned = mutation == "share_in_transaction" or not state.pinned
     if unpinned and (not answered.answers or mutation):
-        answered = answered._replace(holder=NOBODY, pinned=False)
+        answered = answered._replace(holder=NO_SESSION, pinned=False)
     yield f"an answer goes to session {state.holder}", answered
 
 
 def _abandon(state: State, mutation: str) -> Iterator[Step]:
-    """The session is gone or its deadline has passed.
+    """End the session, or its statement at the deadline.
 
-    With an answer under way the connection is dropped: the next one is new. Otherwise it is reset,
-    which rolls an open transaction back.
+    With an answer in flight the connection is closed and replaced by a new one. Otherwise it is
+    reset, which rolls back an open transaction.
     """
     if state.answers and mutation != "hand_on_with_answer":
         yield f"session {state.holder} is cut: the connection is dropped", State()
@@ -76,12 +81,12 @@
 
 
 def transactions_do_not_mix(state: State) -> bool:
-    """A statement runs in its own session's transaction or in none."""
+    """A statement runs in a transaction of its own session or in none."""
     return state.ran_in[0] == state.ran_in[1]
 
 
 def whole_own_answer(state: State) -> bool:
-    """A session gets answers to its own statements only."""
+    """A session receives only answers to its own statements."""
     return state.got[0] == state.got[1]
 
 
--- a/spec/edits_in_code.py
+++ b/spec/edits_in_code.py
@@ -1,8 +1,8 @@
-"""The product's own edit machines under the checker: two operators, lost answers, late writes.
+"""Model check of the product's `EditMachine`: two operators, lost answers and late writes.
 
-The state holds the machines themselves, pickled, so that the checker explores what the code does.
-The store is the one of the model `configuration`: it takes a write only on the version that the
-write was made for, at any time after it was sent.
+The state contains the pickled machines, so that the checker explores the code itself. The store
+behaves as in the model `configuration`: it accepts a write only on the version that the write is
+based on, at any time after the write was sent.
 """
 
 import pickle
@@ -19,28 +19,28 @@
 EDITORS = 2
 LOST_ANSWERS = 2
 FIRST = edits.StoreRow(Row(KEY, 1, "first", "c-first"))
-WHILE_EARLY = 0.0
-WHEN_DUE = 10.0
+BEFORE_WAKEUP = 0.0
+AT_WAKEUP = 10.0
 DEADLINE = 100.0
 
 
 class Editor(NamedTuple):
     """One edit.
 
-    `machine`: pickled. `asks`: what the machine waits for: a read, or a write (pickled), or
-    nothing. `on_way`: writes that the store may yet take. `lost`: answers lost so far. `told`:
-    the end, as its operator was told.
+    `machine`: pickled machine. `request`: pickled read or write that the machine waits for, or
+    empty. `in_flight`: pickled writes in flight. `lost`: number of lost answers. `reported`: final
+    status that was reported to the operator, 0 before.
     """
 
     machine: bytes
-    asks: bytes
-    on_way: tuple[bytes, ...]
+    request: bytes
+    in_flight: tuple[bytes, ...]
     lost: int
-    told: int
+    reported: int
 
 
 class State(NamedTuple):
-    """The store's versions of the row (pickled, first one left out) and the editors."""
+    """The pickled versions of the row in the store, without the first one, and the editors."""
 
     history: tuple[bytes, ...]
     editors: tuple[Editor, ...]
@@ -51,28 +51,28 @@
     for number in range(EDITORS):
         edit = EditRow(KEY, 1, f"spec-{number}", f"c-{number}")
         machine = edits.EditMachine(edit, in_force=1, deadline=DEADLINE)
-        editors.append(_after(Editor(b"", b"", (), 0, 0), machine, machine.begin()))
+        editors.append(_apply_effects(Editor(b"", b"", (), 0, 0), machine, machine.begin()))
     return State((), tuple(editors))
 
 
-def _after(editor: Editor, machine: edits.EditMachine, effects: list[Any]) -> Editor:
-    """Return the editor once its machine has asked for these effects."""
-    asks, on_way, told = b"", editor.on_way, editor.told
+def _apply_effects(editor: Editor, machine: edits.EditMachine, effects: list[Any]) -> Editor:
+    """Return the editor after its machine has returned `effects`."""
+    request, in_flight, reported = b"", editor.in_flight, editor.reported
     for effect in effects:
         match effect:
             case edits.ReadRow():
-                asks = pickle.dumps(effect)
+                request = pickle.dumps(effect)
             case edits.WriteRow():
-                asks = pickle.dumps(effect)
-                on_way = tuple(sorted({*on_way, asks}))
+                request = pickle.dumps(effect)
+                in_flight = tuple(sorted({*in_flight, request}))
             case edits.EditFinished(reply):
-                told = int(reply.status)
-    return Editor(pickle.dumps(machine), asks, on_way, editor.lost, told)
+                reported = int(reply.status)
+    return Editor(pickle.dumps(machine), request, in_flight, editor.lost, reported)
 
 
-def _feed(editor: Editor, event: Any, now: float = WHILE_EARLY) -> Editor:
+def _feed(editor: Editor, event: Any, now: float = BEFORE_WAKEUP) -> Editor:
     machine: edits.EditMachine = pickle.loads(editor.machine)
-    return _after(editor, machine, machine.handle(event, now))
+    return _apply_effects(editor, machine, machine.handle(event, now))
 
 
 def _row_now(state: State) -> edits.StoreRow:
@@ -82,12 +82,12 @@
 def steps(state: State, mutation: str) -> Iterator[Step]:
     """Yield every step of the store, the network and the machines' timers."""
     for index, editor in enumerate(state.editors):
-        yield from _store_takes(state, index, editor)
-        if editor.told:
+        yield from _late_writes(state, index, editor)
+        if editor.reported:
             continue
         yield from _answers(state, index, editor, mutation)
-        if not editor.asks:
-            woken = _feed(editor, Wakeup(), WHEN_DUE)
+        if not editor.request:
+            woken = _feed(editor, Wakeup(), AT_WAKEUP)
             yield f"editor {index} wakes", _with(state, index, woken)
 
 
@@ -95,15 +95,15 @@
     return state._replace(editors=(*state.editors[:index], editor, *state.editors[index + 1 :]))
 
 
-def _store_takes(state: State, index: int, editor: Editor) -> Iterator[Step]:
-    """A write on its way takes effect, or is refused, without anybody hearing of it."""
-    for write in editor.on_way:
-        arrived = editor._replace(on_way=tuple(w for w in editor.on_way if w != write))
+def _late_writes(state: State, index: int, editor: Editor) -> Iterator[Step]:
+    """Yield writes in flight that take effect or are refused without a delivered answer."""
+    for write in editor.in_flight:
+        arrived = editor._replace(in_flight=tuple(w for w in editor.in_flight if w != write))
         yield f"a write of editor {index} takes effect", _written(state, index, arrived, write)
 
 
 def _written(state: State, index: int, editor: Editor, write: bytes) -> State:
-    """Return the state after the store has decided on a write."""
+    """Return the state after the store has accepted or refused a write."""
     changed = _with(state, index, editor)
     wanted: edits.StoreRow = pickle.loads(write).written
     now = _row_now(state).row
@@ -116,21 +116,21 @@
 
 
 def _answers(state: State, index: int, editor: Editor, mutation: str) -> Iterator[Step]:
-    if not editor.asks:
+    if not editor.request:
         return
-    asked = pickle.loads(editor.asks)
-    waiting = editor._replace(asks=b"")
-    if isinstance(asked, edits.ReadRow):
-        read = _feed(waiting, edits.RowRead(_shown(state, mutation)))
+    request = pickle.loads(editor.request)
+    waiting = editor._replace(request=b"")
+    if isinstance(request, edits.ReadRow):
+        read = _feed(waiting, edits.RowRead(_row_read(state, mutation)))
         yield f"editor {index} reads the row", _with(state, index, read)
-    elif editor.asks in editor.on_way:
-        yield from _write_answered(state, index, waiting, editor.asks)
+    elif editor.request in editor.in_flight:
+        yield from _write_answered(state, index, waiting, editor.request)
     if editor.lost < LOST_ANSWERS:
         lost = _feed(waiting._replace(lost=editor.lost + 1), edits.StoreUnanswered(True, "lost"))
         yield f"editor {index} loses its answer", _with(state, index, lost)
 
 
-def _shown(state: State, mutation: str) -> edits.StoreRow:
+def _row_read(state: State, mutation: str) -> edits.StoreRow:
     row = _row_now(state)
     if mutation != "show_another_change" or not state.history:
         return row
@@ -138,34 +138,34 @@
 
 
 def _write_answered(state: State, index: int, waiting: Editor, write: bytes) -> Iterator[Step]:
-    """The store decides on the write, and the editor hears of it."""
-    arrived = waiting._replace(on_way=tuple(w for w in waiting.on_way if w != write))
+    """Yield the store's decision on a write together with its answer to the editor."""
+    arrived = waiting._replace(in_flight=tuple(w for w in waiting.in_flight if w != write))
     after = _written(state, index, arrived, write)
     accepted = len(after.history) > len(state.history)
     event = edits.RowAccepted(_row_now(after).row) if accepted else edits.RowConflicted()
-    told = _feed(arrived, event)
+    reported = _feed(arrived, event)
     verdict = "accepted" if accepted else "refused"
-    yield f"editor {index} hears that it is {verdict}", _with(after, index, told)
+    yield f"editor {index} receives that it is {verdict}", _with(after, index, reported)
 
 
-def _makers(state: State) -> list[str]:
+def _change_ids(state: State) -> list[str]:
     return [pickle.loads(version).row.change_id for version in state.history]
 
 
 def written_once(state: State) -> bool:
-    """No edit makes two versions, and no two edits build on the same one."""
-    makers = _makers(state)
-    return len(set(makers)) == len(makers) and len(makers) <= 1
+    """No edit creates two versions, and no two edits are based on the same version."""
+    change_ids = _change_ids(state)
+    return len(set(change_ids)) == len(change_ids) and len(change_ids) <= 1
 
 
 def told_the_truth(state: State) -> bool:
-    """An edit that was told written is there; one told conflict or not done never comes."""
-    makers = _makers(state)
+    """An edit reported as written is stored; one reported as conflict or not done never is."""
+    change_ids = _change_ids(state)
     done = (EditStatus.WRITTEN,)
     not_done = (EditStatus.CONFLICT, EditStatus.UNAVAILABLE, EditStatus.INVALID)
     return all(
-        (editor.told not in done or f"c-{index}" in makers)
-        and (editor.told not in not_done or f"c-{index}" not in makers)
+        (editor.reported not in done or f"c-{index}" in change_ids)
+        and (editor.reported not in not_done or f"c-{index}" not in change_ids)
         for index, editor in enumerate(state.editors)
     )
 
--- a/spec/group_terms.py
+++ b/spec/group_terms.py
@@ -1,9 +1,9 @@
-"""Terms of a database group: promise, promote, majority append, acknowledgement.
+"""Terms of a database group: promises, promotion, majority append and acknowledgement.
 
-An entry is known by its (term, offset), so a log is the tuple of its entries' terms. What a primary
-sent in its term, and what members answered, stays readable by term: that stands for messages that
-arrive late, repeated or crossed. A replica applies what its primary says is committed, so the
-committed histories of all terms must agree.
+A (term, offset) pair identifies a log entry, so a log is the tuple of its entries' terms. The state
+keeps what each term's primary sent and what members answered to it: this covers messages that
+arrive late, repeatedly or out of order. A replica applies what its primary reports as committed, so
+the committed histories of all terms must agree.
 """
 
 from collections.abc import Iterator
@@ -17,11 +17,11 @@
 MEMBERS = 3
 MAJORITY = 2
 LONGEST_LOG = 2
-"""A primary writes while its log is shorter."""
+"""Length of the log up to which a primary writes."""
 
 
 class Member(NamedTuple):
-    """One database server. It refuses every term below `promised`; `term`: of its last append."""
+    """A database server. It refuses terms below `promised`. `term`: term of its last append."""
 
     promised: int
     term: int
@@ -29,7 +29,10 @@
 
 
 class Promise(NamedTuple):
-    """A member's answer to a promise: the end of its log then. A controller may read it late."""
+    """A member's promise with its last log position, which may reach a controller late.
+
+    `end`: term of the last entry and length of the log.
+    """
 
     term: int
     controller: int
@@ -38,12 +41,12 @@
 
 
 class State(NamedTuple):
-    """The whole group.
+    """The state of the group.
 
-    `primaries`: (term, controller, member) of the promote commands carried out. `sent`: by term,
-    the log that its primary has sent. `held`: by term and member, the length that the member
-    answered for.
-    `committed`: by term, the length that its primary found on a majority and acknowledged.
+    `primaries`: (term, controller, member) of the executed promotions. `sent`: by term, the log
+    that its primary has sent. `held`: by term and member, the log length that the member has
+    confirmed. `committed`: by term, the length that a majority confirmed and the primary
+    acknowledged.
     """
 
     members: tuple[Member, ...]
@@ -68,7 +71,7 @@
 
 
 def steps(state: State, mutation: str) -> Iterator[Step]:
-    """Yield every step that some party may take."""
+    """Yield every step of members and controllers."""
     for step in (
         *_promises(state, mutation),
         *_promotions(state, mutation),
@@ -76,15 +79,14 @@
         *_appends(state, mutation),
         *_acknowledgements(state, mutation),
     ):
-        yield step[0], _reduced(step[1], mutation)
+        yield step[0], _canonical(step[1], mutation)
 
 
-def _reduced(state: State, mutation: str) -> State:
-    """Leave out what no later step can tell apart; of two mirrored states keep one
-    (of a mutation both, so that its trace names the members as they were).
+def _canonical(state: State, mutation: str) -> State:
+    """Reduce a state to a representative of its equivalent states.
 
-    Left out: answers that a commit has used, or that can never make a majority, and which of the
-    two members is which that began as replicas.
+    Drops confirmations that a commit has used or that can never form a majority. Swaps the two
+    initial replicas into a canonical order, except in a mutation, whose trace names the members.
     """
     lowest = min(member.promised for member in state.members)
     held = list(state.held)
@@ -121,7 +123,7 @@
 
 
 def _promises(state: State, mutation: str) -> Iterator[Step]:
-    """A member promises a term once, to the one controller that asked first."""
+    """Yield promises: a member promises a term once, to the first controller that requests it."""
     for index, member in enumerate(state.members):
         for term in range(max(2, member.promised), len(state.sent)):
             again = term == member.promised
@@ -131,11 +133,11 @@
             promise = Promise(term, int(again), index, end)
             promised = _with_member(state, index, member._replace(promised=term))
             label = f"member {index} promises term {term} to controller {promise.controller}"
-            yield label, promised._replace(promises=_still_of_use(promised, promise))
+            yield label, promised._replace(promises=_useful_promises(promised, promise))
 
 
-def _still_of_use(state: State, promise: Promise) -> frozenset[Promise]:
-    """Leave out the promises of terms that are won, or that every member has moved beyond."""
+def _useful_promises(state: State, promise: Promise) -> frozenset[Promise]:
+    """Return the promises without those of won terms and of terms below every member's promise."""
     lowest = min(member.promised for member in state.members)
     won = {term for term, controller, _ in state.primaries if controller == promise.controller}
     return frozenset(
@@ -146,9 +148,10 @@
 
 
 def _promotions(state: State, mutation: str) -> Iterator[Step]:
-    """A controller with a majority's promises promotes, once a term, a member with the latest log.
+    """Yield promotions: a controller with a majority's promises promotes the most recent log.
 
-    The member refuses if it promised a higher term since; else it adds an entry of its own term.
+    It does so once per term. The member refuses if it has promised a higher term since; otherwise
+    it appends an entry of the new term.
     """
     needed = 1 if mutation == "promote_by_minority" else MAJORITY
     for promise in state.promises:
@@ -175,7 +178,7 @@
 
 
 def _writes(state: State) -> Iterator[Step]:
-    """A primary that has promised no higher term adds a write to its own log."""
+    """Yield writes by primaries that have promised no higher term."""
     for term, _, index in state.primaries:
         member = state.members[index]
         if member.promised != term or len(member.log) >= LONGEST_LOG:
@@ -188,23 +191,23 @@
 
 
 def _appends(state: State, mutation: str) -> Iterator[Step]:
-    """A member takes a part of a primary's log, unless it promised a higher term.
+    """Yield appends: a member accepts a prefix of a primary's log unless it promised a higher term.
 
-    What follows the common beginning in its own log is dropped.
+    Its own entries after the common prefix are dropped.
     """
     for term, _, primary in state.primaries:
         for index, member in enumerate(state.members):
             refused = member.promised > term and mutation != "append_below_promise"
             if index == primary or refused:
                 continue
-            for log in _longer_parts(member, term, state.sent[term]):
+            for log in _appendable_prefixes(member, term, state.sent[term]):
                 taken = Member(max(member.promised, term), term, log)
                 appended = _with_member(state, index, taken)
                 label = f"member {index} appends {log} of term {term}"
                 yield label, _with_answer(appended, term, index, len(log))
 
 
-def _longer_parts(member: Member, term: int, sent: Log) -> Iterator[Log]:
+def _appendable_prefixes(member: Member, term: int, sent: Log) -> Iterator[Log]:
     common = 0
     for own, other in zip(member.log, sent, strict=False):
         if own != other:
@@ -215,7 +218,7 @@
 
 
 def _acknowledgements(state: State, mutation: str) -> Iterator[Step]:
-    """A primary acknowledges what a majority holds, once an entry of its own term is among it."""
+    """Yield commits: a primary acknowledges what a majority holds, up to an entry of its term."""
     needed = 1 if mutation == "acknowledge_alone" else MAJORITY
     for term, *_ in state.primaries:
         log = state.sent[term]
@@ -228,12 +231,12 @@
 
 
 def one_primary_a_term(state: State) -> bool:
-    """No two members become primary of one term."""
+    """No two members become primary of the same term."""
     return len({term for term, *_ in state.primaries}) == len(state.primaries)
 
 
 def acknowledged_writes_survive(state: State) -> bool:
-    """Every primary of a later term holds all that earlier terms acknowledged."""
+    """The primary of a later term holds everything that earlier terms acknowledged."""
     return all(
         state.sent[later][: state.committed[term]] == state.sent[term][: state.committed[term]]
         for term, *_ in state.primaries
@@ -243,7 +246,7 @@
 
 
 def committed_histories_agree(state: State) -> bool:
-    """What one term committed is a beginning of what another did, or the other way round."""
+    """Of the committed histories of two terms, one is a prefix of the other."""
     histories = [state.sent[term][: state.committed[term]] for term, *_ in state.primaries]
     return all(
         first[: len(second)] == second[: len(first)] for first in histories for second in histories
@@ -267,7 +270,7 @@
 
 
 def _after(state: State, *labels: str) -> State:
-    """Return the state that these steps lead to."""
+    """Return the state after the steps with these labels."""
     for label in labels:
         state = next(after for name, after in steps(state, "named") if name == label)
     return state
@@ -301,4 +304,4 @@
     ),
     {"acknowledge_older_entries": "committed_histories_agree"},
 )
-"""That an older entry must not be counted alone shows only in a third change."""
+"""Needs a third change: only there may counting an older entry alone violate an invariant."""
--- a/spec/leader_lease.py
+++ b/spec/leader_lease.py
@@ -1,20 +1,20 @@
-"""Who may use a leader where a promotion takes nothing from the former one.
+"""Node leases on a leader, for promotions that do not depose the former leader.
 
-Three members, two nodes, one that orders changes. A node uses a leader under a lease of its own:
-it is renewed by a member other than the leader that has not been told of a change. Whoever orders
-a change either takes the lead from the old leader first, or pauses every other member and waits
-until each lease has run out. Any message may be lost or late, so that any part of the nodes may
-reach only the old leader: such a step is just not taken.
+Three members, two nodes and one orderer of changes. A node uses a leader under its own lease. A
+member other than the leader renews the lease as long as no change was reported to that member. The
+orderer of a change either demotes the old leader first, or pauses every other member and waits
+until each lease has expired. Any message may be lost or late, so that any of the nodes may reach
+only the old leader: the step is then not taken.
 
-A member may start again and know nothing of before: neither of its pause nor of any term. Its word
-counts for leaders of newer terms only than there were then.
+A restarted member has forgotten its pause and all terms. Its confirmation is valid only for leaders
+of terms newer than the newest term at its restart.
 
-A member whose registration lapsed is not paused, and may be back before the order is carried out.
-Nodes have promised by then to use no leader of a former term.
+A member whose registration lapsed is not paused, and may return before the promotion is executed.
+By then, the nodes have promised to use no leader of a former term.
 
-Taken for granted: a promise counts until its node meets the new term, or the order can't come any
-more; a pause lasts until its member follows a leader of that term, or starts again;
-and a node that sees a start knows the newest term that there was before it.
+Assumptions: a promise is valid until its node learns of the new term, or the promotion can no
+longer happen; a pause lasts until the member follows a leader of that term, or restarts; a node
+that observes a restart knows the newest term that existed before it.
 """
 
 from collections.abc import Iterator
@@ -26,31 +26,32 @@
 NODES = (0, 1)
 LEASE_TICKS = 2
 MAXIMUM_TERM = 3
-NOBODY = -1
+NO_MEMBER = -1
 FIRST_LEADER = 0
-"""Which an orderer that was cut off since may take for the one to replace."""
+"""The leader that an orderer may believe to be current if it was cut off since."""
 
 
 class NodeLease(NamedTuple):
-    """A node's lease on a leader of one term. `ticks`: for how much longer it holds."""
+    """A node's lease on the leader of one term. `ticks`: remaining validity."""
 
-    leader: int = NOBODY
+    leader: int = NO_MEMBER
     term: int = 0
     ticks: int = 0
 
 
 class State(NamedTuple):
-    """What the members, the nodes and the one that orders changes know.
-
-    `leads`: the term that each member leads, 0 where it leads none. `follows`: the newest term that
-    each has heard of. `held`: the term above which it was told to receive, 0: none. `leases`: of
-    the nodes. `sending`: writes that were checked but not sent yet, as node and leader.
-    `wait`: ticks that the orderer still waits, None: it does not. `ordered`: targets of orders that
-    are not carried out yet. `acknowledged`: the newest term with an acknowledged write. `starts`:
-    so often may members yet start again. `forgot`: the newest term that there was when each did.
-    `lapses`: so many registrations may yet lapse. `lapsed`: of which members they have; such a one
-    confirms nothing and is not paused. `promises`: the term below which each node has promised
-    to use no leader, 0: none.
+    """The state of the members, the nodes and the orderer of changes.
+
+    `leads`: term that each member leads, 0 for none. `follows`: newest term that each member knows.
+    `held`: term of the pause of each member, 0 for none; it receives only from leaders of that term
+    or above. `leases`: lease of each node. `sending`: writes that were checked but not sent, as
+    (node, lease). `wait`: remaining ticks of the orderer's wait, None if it does not wait.
+    `ordered`: targets of pending promotions. `newest`: newest term. `acknowledged`: newest term
+    with an acknowledged write. `starts`: number of restarts that remain. `forgot`: newest term at
+    each member's last restart. `lapses`: number of registrations that may still lapse. `lapsed`:
+    whether each member's registration has lapsed, so that it confirms nothing and is not paused.
+    `promises`: term below which each node has promised to use no leader, 0 for none. `broken`:
+    names of the violated invariants.
     """
 
     leads: tuple[int, ...] = (1, 0, 0)
@@ -71,23 +72,23 @@
 
 
 def make_steps(deposes: bool, maximum_term: int = MAXIMUM_TERM):  # type: ignore[no-untyped-def]
-    """Return the steps where a promotion deposes the former leader, or does not."""
+    """Return the step function. `deposes`: whether a promotion demotes the former leader."""
 
     def steps(state: State, mutation: str) -> Iterator[Step]:
         yield from _time(state)
         yield from _renewals(state, mutation)
-        yield from _uses(state, mutation)
+        yield from _operations(state, mutation)
         if state.newest < maximum_term:
             yield from _changes(state, mutation)
         yield from _platform(state, deposes)
-        yield from _starts(state)
+        yield from _restarts(state)
         yield from _registrations(state)
 
     return steps
 
 
 def _registrations(state: State) -> Iterator[Step]:
-    """A member's registration lapses, or is back."""
+    """Yield lapses and returns of a member's registration."""
     for member in MEMBERS:
         if state.lapsed[member]:
             lapsed = replace_at(state.lapsed, member, False)
@@ -95,21 +96,21 @@
         elif state.lapses:
             lapsed = replace_at(state.lapsed, member, True)
             left = state.lapses - 1
-            yield f"{member} is registered no more", state._replace(lapsed=lapsed, lapses=left)
+            yield f"{member} is no longer registered", state._replace(lapsed=lapsed, lapses=left)
 
 
-def _starts(state: State) -> Iterator[Step]:
-    """A member starts again; then it hears of whichever leader it reaches."""
+def _restarts(state: State) -> Iterator[Step]:
+    """Yield restarts, after which a member learns of any leader that it reaches."""
     for member in MEMBERS:
         if state.starts:
-            yield f"{member} starts again", _started(state, member)
+            yield f"{member} restarts", _restart(state, member)
         for term in state.leads:
             if state.forgot[member] and state.leads[member] == 0 and term > state.follows[member]:
                 follows = replace_at(state.follows, member, term)
-                yield f"{member} hears of a leader of {term}", state._replace(follows=follows)
+                yield f"{member} learns of a leader of term {term}", state._replace(follows=follows)
 
 
-def _started(state: State, member: int) -> State:
+def _restart(state: State, member: int) -> State:
     return state._replace(
         leads=replace_at(state.leads, member, 0),
         follows=replace_at(state.follows, member, 0),
@@ -149,7 +150,7 @@
     )
 
 
-def _uses(state: State, mutation: str) -> Iterator[Step]:
+def _operations(state: State, mutation: str) -> Iterator[Step]:
     for node, lease in enumerate(state.leases):
         if lease.ticks == 0:
             continue
@@ -196,8 +197,8 @@
         follows = replace_at(state.follows, leader, term)
         yield f"{leader} is demoted", state._replace(leads=leads, follows=follows)
     paused = [member for member in others if state.held[member] >= term]
-    enough = 1 if mutation == "pause_one" else len(others)
-    if len(paused) >= enough and state.wait is None:
+    needed = 1 if mutation == "pause_one" else len(others)
+    if len(paused) >= needed and state.wait is None:
         ticks = LEASE_TICKS - 1 if mutation == "wait_too_short" else LEASE_TICKS
         promises = (term, term) if any(state.lapsed) else state.promises
         yield (
--- a/spec/models.py
+++ b/spec/models.py
@@ -1,4 +1,4 @@
-"""All models of the specification."""
+"""List of all models of the specification."""
 
 from spec import (
     caller_requests,
--- a/spec/ordered_change.py
+++ b/spec/ordered_change.py
@@ -1,14 +1,17 @@
-"""The ordered change of primary: fenced orders that may be late, with and without synchronous logs.
+"""Ordered change of primary with fenced, possibly late orders.
 
-Three members, two nodes. An entry of a log is known by its place and its term. A node that holds
-the lease looks at some members, writes the lease with the target, its term and the end of its log,
-and orders. The outside service carries orders out at any time, in any order, and refuses old
-tokens. Members receive at any time or never: so cuts, crashes and lags are all covered.
+Covers groups with and without a synchronous replica.
 
-A replica may start again under its name, without its log, its terms and its pause. It stands for no
-acknowledged entry until it has what it had lost, and is promoted over no member that has a log. Not
-covered: a start between the pause and the end of an order, which the order does not hear of; and
-that of the primary, which is the loss of it.
+Three members and two nodes. Index and term identify a log entry. The node that holds the lease
+reads the status of some members, writes the lease with the target, its term and the end of its log,
+and orders the promotion. The promotion service executes orders at any time, in any order, and
+refuses old fencing tokens. Members receive entries at any time or never, which covers network cuts,
+crashes and lag.
+
+A replica may restart under its name without its log, its terms and its pause. It confirms no
+acknowledged entry until it has received again what it had lost, and is not promoted if any member
+has a log. Not covered: a restart between the pause and the end of an order, which the orderer does
+not notice, and a restart of the primary, which equals its loss.
 """
 
 from collections.abc import Iterator
@@ -26,20 +29,21 @@
 
 Log = tuple[int, ...]
 Change = tuple[int, int, int, int]
-"""Target, lowest term that it leads, length and last term of its log when it was chosen."""
+"""Target, lowest term that it leads, and length and last term of its log when it was chosen."""
 Entry = tuple[int, int]
-"""Place and term."""
+"""Index and term."""
 
 
 class State(NamedTuple):
-    """What the members, the store, the nodes and the outside service know.
-
-    `acknowledged`, `dropped`: entries that callers were answered, and those of them that a
-    promotion rolled back. `change`: the last change that is known to be carried out. `unsettled`:
-    the one that was ordered and not answered; both stand in the lease. `known`: the token that each
-    node believes to be its own (0: none). `starts`: so often may replicas yet start again.
-    `may_start`: whether any may, or might have. `owed`: what had been acknowledged when each did.
-    `broken`: names of promises that a step broke.
+    """The state of the members, the store, the nodes and the promotion service.
+
+    `acknowledged`, `dropped`: entries acknowledged to callers, and those of them that a promotion
+    rolled back. `token`: token of the lease. `change`: last change known to be executed.
+    `unsettled`: change that was ordered and not answered; the lease holds both. `known`: token that
+    each node believes to be its own (0 for none). `pending`: orders not executed yet, as (token,
+    target). `fence`: highest token used. `starts`: number of restarts that remain. `may_start`:
+    whether the model has restarts. `lost_entries`: entries acknowledged before each member's
+    restart. `broken`: names of the violated invariants.
     """
 
     logs: tuple[Log, ...] = ((), (), ())
@@ -56,7 +60,7 @@
     fence: int = 0
     starts: int = 0
     may_start: bool = False
-    owed: tuple[frozenset[Entry], ...] = (frozenset(), frozenset(), frozenset())
+    lost_entries: tuple[frozenset[Entry], ...] = (frozenset(), frozenset(), frozenset())
     broken: frozenset[str] = frozenset()
 
 
@@ -66,19 +70,19 @@
 
 
 def make_steps(synchronous: bool):  # type: ignore[no-untyped-def]
-    """Return the steps for groups with one synchronous replica or with none."""
+    """Return the step function. `synchronous`: whether the group has a synchronous replica."""
 
     def steps(state: State, mutation: str) -> Iterator[Step]:
         yield from _database(state, synchronous)
         yield from _nodes(state, synchronous, mutation)
         yield from _orders(state, mutation)
         yield from _reads(state, mutation)
-        yield from _starts(state)
+        yield from _restarts(state)
 
     return steps
 
 
-def _starts(state: State) -> Iterator[Step]:
+def _restarts(state: State) -> Iterator[Step]:
     for member in MEMBERS:
         if state.starts == 0 or state.pending or member == state.leader:
             continue
@@ -86,10 +90,10 @@
             logs=replace_at(state.logs, member, ()),
             terms=replace_at(state.terms, member, 1),
             paused=state.paused - {member},
-            owed=replace_at(state.owed, member, state.acknowledged),
+            lost_entries=replace_at(state.lost_entries, member, state.acknowledged),
             starts=state.starts - 1,
         )
-        yield f"{member} starts again", started
+        yield f"{member} restarts", started
 
 
 def _database(state: State, synchronous: bool) -> Iterator[Step]:
@@ -136,7 +140,7 @@
         for reached in combinations([m for m in MEMBERS if m != state.leader], count):
             if synchronous and count < 2 and mutation != "pause_some":
                 continue
-            if synchronous and _lack_what_they_lost(state, reached, mutation):
+            if synchronous and _lacks_lost_entries(state, reached, mutation):
                 continue
             target = _target(state, reached, synchronous, mutation)
             if target is None or not _may_lead(state, target, mutation):
@@ -150,15 +154,15 @@
             yield f"node {node} orders {target}", _order(state, node, change, paused)
 
 
-def _lack_what_they_lost(state: State, reached: tuple[int, ...], mutation: str) -> bool:
-    """Whether a member stands for entries that it has lost by a start."""
+def _lacks_lost_entries(state: State, reached: tuple[int, ...], mutation: str) -> bool:
+    """Whether a member lacks entries that it lost in a restart."""
     if mutation == "count_a_restarted_member":
         return False
-    return any(state.owed[member] - entries(state.logs[member]) for member in reached)
+    return any(state.lost_entries[member] - entries(state.logs[member]) for member in reached)
 
 
 def _may_lead(state: State, target: int, mutation: str) -> bool:
-    """Whether the target has a log, or no member has one."""
+    """Whether the target has a log or no member has one."""
     if not state.may_start or mutation == "promote_a_restarted_member":
         return True
     return bool(state.logs[target]) or not any(state.logs)
@@ -241,7 +245,7 @@
 
 
 def _reads(state: State, mutation: str) -> Iterator[Step]:
-    """A latest read is answered by a member that took a BEGIN: by the leader only."""
+    """Yield latest reads, which only a member that accepts BEGIN answers: the leader."""
     for member in MEMBERS:
         if member != state.leader and mutation != "trust_former_leader":
             continue
--- a/spec/ownership.py
+++ b/spec/ownership.py
@@ -1,7 +1,7 @@
-"""Who may open connections to a back end: a named lock there, epochs, and a paused holder.
+"""Ownership of a database's connection slots by a named lock, with epochs and paused holders.
 
 The epoch is the id of the control connection that holds the lock. Everything that a node sends may
-arrive late, also after the node was evicted without noticing it.
+arrive late, even after the node was evicted without noticing it.
 """
 
 from collections.abc import Iterator
@@ -14,11 +14,11 @@
 HIGHEST_EPOCH = 3
 
 UNBOUNDED = ("no_connection_bound", "ignore_retained")
-"""Mutations in which the back end does not bound the account's connections."""
+"""Mutations in which the database does not limit the account's connections."""
 
 
 class Connection(NamedTuple):
-    """A slot connection at the back end. `usable`: its node saw its epoch holding the lock."""
+    """A slot connection at the database. `usable`: its node has seen its epoch hold the lock."""
 
     epoch: int
     serial: int
@@ -26,18 +26,18 @@
 
 
 class Node(NamedTuple):
-    """What a node believes. `phase`: idle, locked or owning."""
+    """A node's view of its ownership. `phase`: idle, locked or owning."""
 
     phase: str
     epoch: int
 
 
 class State(NamedTuple):
-    """The back end and the nodes.
+    """The database and the nodes.
 
-    `lock`: the epoch that holds it (0: none). `retained`: connections that the last owner left in
-    use when it handed over; the next one leaves them alone and counts them. `on_way`: the epochs
-    of connects on their way.
+    `lock`: epoch that holds the lock (0 for none). `retained`: connections that the last owner left
+    in use at its handover; the next owner keeps and counts them. `in_flight`: epochs of the
+    connects in flight.
     """
 
     lock: int
@@ -45,14 +45,14 @@
     connections: frozenset[Connection]
     nodes: tuple[Node, ...]
     retained: frozenset[Connection]
-    on_way: tuple[int, ...]
+    in_flight: tuple[int, ...]
 
 
 INITIAL = State(0, 0, frozenset(), (Node("idle", 0),) * NODES, frozenset(), ())
 
 
 def steps(state: State, mutation: str) -> Iterator[Step]:
-    """Yield every step that some party may take."""
+    """Yield every step of the nodes and the database."""
     for index, node in enumerate(state.nodes):
         if node.phase == "idle":
             yield from _claim(state, index)
@@ -69,7 +69,10 @@
 
 
 def _claim(state: State, index: int) -> Iterator[Step]:
-    """Take the free lock; or have the back end end a silent holder's control connection."""
+    """Yield claims: a node takes the free lock or has an unresponsive holder evicted.
+
+    For an eviction, the database ends the holder's control connection.
+    """
     if not state.lock and state.last_epoch < HIGHEST_EPOCH:
         epoch = state.last_epoch + 1
         taken = _with_node(state, index, state.nodes[index]._replace(phase="locked", epoch=epoch))
@@ -80,7 +83,7 @@
 
 
 def _sweep(state: State, index: int, node: Node, mutation: str) -> Iterator[Step]:
-    """Have the back end end the connections of older epochs; give up if the lock is gone."""
+    """Have the database end the connections of older epochs; give up if the lock is lost."""
     if state.lock != node.epoch:
         yield (
             f"node {index} notices its loss",
@@ -99,31 +102,31 @@
 
 
 def _own(state: State, index: int, node: Node, mutation: str) -> Iterator[Step]:
-    """Open connections within the slots; hand over; or notice, late, that the lock is lost."""
-    mine = {connection for connection in state.connections if connection.epoch == node.epoch}
-    opening = state.on_way.count(node.epoch)
-    counted = len(mine) + opening
+    """Open connections within the slots, hand over, or notice late that the lock is lost."""
+    own = {connection for connection in state.connections if connection.epoch == node.epoch}
+    opening = state.in_flight.count(node.epoch)
+    counted = len(own) + opening
     if mutation != "ignore_retained":
         counted += len(state.retained & state.connections)
     if counted < SLOTS:
-        on_way = tuple(sorted((*state.on_way, node.epoch)))
-        yield f"node {index} asks for a connection", state._replace(on_way=on_way)
+        in_flight = tuple(sorted((*state.in_flight, node.epoch)))
+        yield f"node {index} requests a connection", state._replace(in_flight=in_flight)
     idle = _with_node(state, index, node._replace(phase="idle"))
     if state.lock == node.epoch and not opening:
-        in_use = frozenset(c for c in mine if c.usable) | (state.retained & state.connections)
-        left = (state.connections - mine) | in_use
+        in_use = frozenset(c for c in own if c.usable) | (state.retained & state.connections)
+        left = (state.connections - own) | in_use
         handed = idle._replace(lock=0, connections=left, retained=in_use)
         yield f"node {index} hands over", handed
     if state.lock != node.epoch:
-        cut = state.connections - mine
+        cut = state.connections - own
         yield f"node {index} notices its loss", idle._replace(connections=cut)
 
 
 def _arrive(state: State, mutation: str) -> Iterator[Step]:
-    """A connect arrives. The back end counts the account's connections and refuses too many."""
-    for epoch in set(state.on_way):
-        index = state.on_way.index(epoch)
-        sent = state._replace(on_way=state.on_way[:index] + state.on_way[index + 1 :])
+    """Yield arrivals of connects; the database limits the account's connections."""
+    for epoch in set(state.in_flight):
+        index = state.in_flight.index(epoch)
+        sent = state._replace(in_flight=state.in_flight[:index] + state.in_flight[index + 1 :])
         yield f"a connect of epoch {epoch} is lost", sent
         if len(state.connections) >= SLOTS and mutation not in UNBOUNDED:
             continue
@@ -135,7 +138,7 @@
 
 
 def _check(state: State) -> Iterator[Step]:
-    """A new connection asks who holds the lock before it is used."""
+    """Yield checks of new connections: each queries the lock holder before it is used."""
     retained = state.retained & state.connections
     for connection in retained:
         ended = state.connections - {connection}
@@ -161,12 +164,12 @@
 
 
 def connections_within_slots(state: State) -> bool:
-    """The back end never has more connections than slots."""
+    """The database never has more connections than slots."""
     return len(state.connections) <= SLOTS
 
 
 def one_epoch_works(state: State) -> bool:
-    """Once a new owner has swept, only its connections and retained ones are usable."""
+    """After a new owner's sweep, only its own and retained connections are usable."""
     owners = [node.epoch for node in state.nodes if node.phase == "owning"]
     current = state.lock if state.lock in owners else 0
     usable = {c.epoch for c in state.connections - state.retained if c.usable}
@@ -174,7 +177,7 @@
 
 
 def usable_within_slots(state: State) -> bool:
-    """Never more connections than slots do work, also where the back end bounds nothing."""
+    """No more connections than slots are usable, even if the database limits nothing."""
     return sum(1 for connection in state.connections if connection.usable) <= SLOTS
 
 
--- a/spec/quota.py
+++ b/spec/quota.py
@@ -1,9 +1,10 @@
-"""The parts of one tenant's limit, lent by a grantor to three nodes that may count it.
+"""Grants of one tenant's rate limit by a grantor to three nodes that may enforce it.
 
-One tick is 0.75 s; a grant lasts for two of them. All parts of a limit are lent alike, so that one
-grantor that lends all of it stands for them. Answers may be lost or late, holders are lost, pause
-and give back, the grantor starts anew and forgets what it promised. Callers ask each holder for
-nothing or for all they can get. Amounts are fifths of what the limit lets a tenant begin in a tick.
+One tick is 0.75 s; a grant lasts for two ticks. All parts of a limit are granted in the same way,
+so that the model has one grantor that grants the whole limit. Answers may be lost or late, holders
+may be lost, pause or release their grant, and the grantor may restart and forget its grants. In a
+tick, callers request from each holder nothing or as much as possible. Amounts are fifths of what
+the limit admits in a tick.
 """
 
 from collections.abc import Iterator
@@ -13,23 +14,25 @@
 
 HOLDERS = 3
 GRANT = 2
-"""Ticks for which a part is lent."""
-LIMIT, SAVED_UP = 5, 5
-"""What the limit lets a tenant begin in a tick, and what may be saved up."""
-RATE, MOST_SAVED = 4, 4
-"""Four fifths of them, which all holders together admit."""
+"""Validity of a grant in ticks."""
+LIMIT, BURST = 5, 5
+"""Operations that the limit admits in a tick, and its burst size."""
+RATE, MAX_SAVED = 4, 4
+"""Four fifths of LIMIT and BURST: what all holders together admit."""
 FRESH_RATE = 2
-"""What is lent by a grantor that has just started, when former promises may still be in use."""
-FIRST = 1
+"""Rate granted by a restarted grantor while earlier grants may still be in use."""
+INITIAL_SAVED = 1
+"""Saved-up operations of a new grant."""
 SPAN = 3
-ALLOWED = (LIMIT * SPAN + SAVED_UP) * 11 // 10 + 3
+"""Ticks in which admitted operations are summed up."""
+ALLOWED = (LIMIT * SPAN + BURST) * 11 // 10 + 3
 
 
 class Holder(NamedTuple):
-    """One node that may count. Times in ticks.
+    """A node that may hold a grant. Times in ticks.
 
-    `promised`: for how long the grantor takes it to count. `held`: for how long it does count, by
-    `rate`. `saved`: what may begin at once.
+    `promised`: remaining time of the grant as the grantor sees it. `held`: remaining time as the
+    node sees it, with `rate`. `saved`: operations that are admitted immediately.
     """
 
     promised: int = 0
@@ -39,7 +42,11 @@
 
 
 class State(NamedTuple):
-    """`admitted`: in each of the last ticks. `fresh`: until former promises are surely over."""
+    """The holders and the grantor.
+
+    `admitted`: operations admitted in each of the last ticks. `fresh`: ticks after a restart of the
+    grantor until all earlier grants have expired.
+    """
 
     admitted: tuple[int, ...] = (0,) * SPAN
     holders: tuple[Holder, ...] = (Holder(),) * HOLDERS
@@ -47,55 +54,57 @@
 
 
 def steps(state: State, mutation: str) -> Iterator[Step]:
-    """Yield every step of messages, losses, and time."""
-    for place, holder in enumerate(state.holders):
-        yield from _grants(state, place, mutation)
+    """Yield every step of messages, losses and time."""
+    for index, holder in enumerate(state.holders):
+        yield from _grants(state, index, mutation)
         if holder.held:
             kept = holder.saved if mutation == "keep_what_was_saved_up" else 0
-            gone = holder._replace(held=0, saved=kept)
-            yield f"{place} is lost, or pauses", _with(state, place, gone._replace(saved=0))
-            yield f"{place} gives back", _with(state, place, gone._replace(promised=0))
+            ended = holder._replace(held=0, saved=kept)
+            yield f"{index} is lost, or pauses", _with(state, index, ended._replace(saved=0))
+            yield f"{index} releases its grant", _with(state, index, ended._replace(promised=0))
     if not state.fresh:
         forgotten = tuple(holder._replace(promised=0) for holder in state.holders)
-        yield "the grantor starts anew", state._replace(holders=forgotten, fresh=GRANT)
-    for asked in range(1 << HOLDERS):
-        yield f"a tick, asked {asked:03b}", _tick(state, asked, mutation)
+        yield "the grantor restarts", state._replace(holders=forgotten, fresh=GRANT)
+    for requested in range(1 << HOLDERS):
+        yield f"a tick, requested {requested:03b}", _tick(state, requested, mutation)
 
 
-def _grants(state: State, place: int, mutation: str) -> Iterator[Step]:
-    """Yield the ways in which a question of one node and its answer may go."""
-    others = (other for number, other in enumerate(state.holders) if number != place)
-    is_barred = any(other.promised for other in others)
-    if is_barred and mutation != "lend_again_at_once":
+def _grants(state: State, index: int, mutation: str) -> Iterator[Step]:
+    """Yield the possible outcomes of a node's request for a grant."""
+    others = (other for number, other in enumerate(state.holders) if number != index)
+    is_blocked = any(other.promised for other in others)
+    if is_blocked and mutation != "lend_again_at_once":
         return
-    holder = state.holders[place]
+    holder = state.holders[index]
     rate = FRESH_RATE if state.fresh and mutation != "lend_all_when_fresh" else RATE
     promised = holder._replace(promised=GRANT)
-    yield f"the answer to {place} is lost", _with(state, place, promised)
+    yield f"the answer to {index} is lost", _with(state, index, promised)
     for late in range(GRANT):
         held = GRANT if mutation == "count_from_the_answer" else GRANT - late
-        saved = holder.saved if holder.held or mutation == "keep_what_was_saved_up" else FIRST
-        lent = Holder(GRANT - late, held, rate, min(saved, _most_saved(rate)))
-        yield f"{place} has an answer, {late} late", _with(state, place, lent)
+        saved = (
+            holder.saved if holder.held or mutation == "keep_what_was_saved_up" else INITIAL_SAVED
+        )
+        granted = Holder(GRANT - late, held, rate, min(saved, _max_saved(rate)))
+        yield f"{index} has an answer, {late} late", _with(state, index, granted)
 
 
-def _with(state: State, place: int, holder: Holder) -> State:
-    holders = (*state.holders[:place], holder, *state.holders[place + 1 :])
+def _with(state: State, index: int, holder: Holder) -> State:
+    holders = (*state.holders[:index], holder, *state.holders[index + 1 :])
     return state._replace(holders=holders)
 
 
-def _most_saved(rate: int) -> int:
-    return MOST_SAVED * rate // RATE
+def _max_saved(rate: int) -> int:
+    return MAX_SAVED * rate // RATE
 
 
-def _tick(state: State, asked: int, mutation: str) -> State:
+def _tick(state: State, requested: int, mutation: str) -> State:
     admitted = 0
     holders = []
-    for place, holder in enumerate(state.holders):
+    for index, holder in enumerate(state.holders):
         saved = holder.saved
         if holder.held:
-            saved = min(_most_saved(holder.rate), saved + holder.rate)
-            if asked >> place & 1:
+            saved = min(_max_saved(holder.rate), saved + holder.rate)
+            if requested >> index & 1:
                 admitted += saved
                 saved = 0
         held = max(0, holder.held - 1)
@@ -106,18 +115,18 @@
 
 
 def no_more_than_allowed(state: State) -> bool:
-    """No span has more operations than the users' rule allows."""
+    """No interval of SPAN ticks admits more operations than documented."""
     return sum(state.admitted) <= ALLOWED
 
 
 def a_part_is_lent_once(state: State) -> bool:
-    """Nobody counts by what another one counts by, but for the little that a new grantor lends."""
+    """No part of the limit is held twice, except for what a restarted grantor grants."""
     rates = sum(holder.rate for holder in state.holders if holder.held)
     return rates <= RATE + (FRESH_RATE if state.fresh else 0)
 
 
 def what_is_saved_goes_with_the_part(state: State) -> bool:
-    """Who counts by nothing has nothing saved up for when it counts again."""
+    """A node without a grant has nothing saved up for its next grant."""
     return not any(holder.saved for holder in state.holders if not holder.held)
 
 
--- a/spec/requests.py
+++ b/spec/requests.py
@@ -1,7 +1,7 @@
-"""A write that may run at most once: lost answers, repeats, an owner that restarts.
+"""At-most-once execution of a write with lost answers, repeats and restarts of the owner.
 
-The edge sends the request to the back end's owner; each message arrives at most once, late or
-never. After a refusal as not run the edge sends a second request with a new id.
+The edge sends the request to the owner of the database; each message arrives at most once, late or
+never. After a refusal with `not_run` the edge sends a second request with a new id.
 """
 
 from collections.abc import Iterator
@@ -15,14 +15,15 @@
 
 
 class Attempt(NamedTuple):
-    """One request id.
+    """The state of one request id.
 
-    `asked`, `repeated`: copies on their way to the owner. `memory`: what the owner remembers
-    (none, running, ran, refused). `executing`: the back end works on it. `runs`: how often it was
-    committed. `replies`: answers on their way back.
+    `requested`, `repeated`: requests and repeats in flight to the owner. `repeats_left`: number of
+    repeats that remain. `memory`: what the owner remembers (none, running, ran or refused).
+    `executing`: number of executions at the database. `runs`: number of commits. `replies`:
+    answers in flight to the edge.
     """
 
-    asked: int = 0
+    requested: int = 0
     repeated: int = 0
     repeats_left: int = REPEATS
     memory: str = "none"
@@ -32,7 +33,7 @@
 
 
 class State(NamedTuple):
-    """`current`: the attempt that the edge waits for. `verdict`: what the caller is told."""
+    """`current`: attempt that the edge waits for. `verdict`: answer to the caller, empty before."""
 
     attempts: tuple[Attempt, ...]
     current: int
@@ -40,15 +41,15 @@
     verdict: str
 
 
-INITIAL = State((Attempt(asked=1), *(Attempt(),) * (ATTEMPTS - 1)), 0, RESTARTS, "")
+INITIAL = State((Attempt(requested=1), *(Attempt(),) * (ATTEMPTS - 1)), 0, RESTARTS, "")
 
 
 def steps(state: State, mutation: str) -> Iterator[Step]:
-    """Yield every step that some party may take."""
+    """Yield every step of the edge, the owner, the database and the network."""
     for index, attempt in enumerate(state.attempts):
         for label, changed in (
             *_owner(attempt, mutation),
-            *_back_end(attempt, mutation),
+            *_database(attempt, mutation),
             *_network(attempt),
         ):
             attempts = (*state.attempts[:index], changed, *state.attempts[index + 1 :])
@@ -61,10 +62,10 @@
 
 
 def _owner(attempt: Attempt, mutation: str) -> Iterator[tuple[str, Attempt]]:
-    if attempt.asked:
-        taken = attempt._replace(asked=attempt.asked - 1)
-        early = mutation == "acknowledge_before_commit"
-        yield "the owner runs it", _reply(_run(taken), "ok") if early else _run(taken)
+    if attempt.requested:
+        taken = attempt._replace(requested=attempt.requested - 1)
+        is_early = mutation == "acknowledge_before_commit"
+        yield "the owner runs it", _reply(_run(taken), "ok") if is_early else _run(taken)
         yield "the owner refuses it", _refuse(taken)
     if attempt.repeated:
         taken = attempt._replace(repeated=attempt.repeated - 1)
@@ -92,52 +93,52 @@
     return attempt._replace(replies=attempt.replies | {answer})
 
 
-def _back_end(attempt: Attempt, mutation: str) -> Iterator[tuple[str, Attempt]]:
+def _database(attempt: Attempt, mutation: str) -> Iterator[tuple[str, Attempt]]:
     if not attempt.executing:
         return
     ended = attempt._replace(executing=attempt.executing - 1)
     committed = ended._replace(runs=attempt.runs + 1)
     if attempt.memory == "running":
-        yield "the back end commits", _reply(committed._replace(memory="ran"), "ok")
-        yield "the back end refuses it by its term", _refuse(ended)
-        doubt = "not_run" if mutation == "cut_is_not_run" else "unknown"
+        yield "the database commits", _reply(committed._replace(memory="ran"), "ok")
+        yield "the database refuses it by its term", _refuse(ended)
+        outcome = "not_run" if mutation == "cut_is_not_run" else "unknown"
         cut = attempt._replace(memory="none")
-        yield "the owner cuts it at its deadline", _reply(cut, doubt)
+        yield "the owner cuts it at its deadline", _reply(cut, outcome)
     else:
-        yield "the back end commits, unheard", committed
-        yield "the back end rolls back, unheard", ended
+        yield "the database commits, without an answer", committed
+        yield "the database rolls back, without an answer", ended
 
 
 def _network(attempt: Attempt) -> Iterator[tuple[str, Attempt]]:
     for reply in attempt.replies:
         yield f"the answer {reply} is lost", attempt._replace(replies=attempt.replies - {reply})
-    if attempt.asked:
-        yield "the request is lost", attempt._replace(asked=attempt.asked - 1)
+    if attempt.requested:
+        yield "the request is lost", attempt._replace(requested=attempt.requested - 1)
 
 
 def _edge(state: State, mutation: str) -> Iterator[Step]:
     attempt = state.attempts[state.current]
     for reply in attempt.replies:
-        got = _with(state, state.current, attempt._replace(replies=attempt.replies - {reply}))
+        received = _with(state, state.current, attempt._replace(replies=attempt.replies - {reply}))
         if reply == "not_run" and state.current + 1 < ATTEMPTS:
             following = state.current + 1
-            fresh = state.attempts[following]._replace(asked=1)
+            fresh = state.attempts[following]._replace(requested=1)
             yield (
-                "the edge tries a new id",
-                _with(got, following, fresh)._replace(current=following),
+                "the edge sends a new id",
+                _with(received, following, fresh)._replace(current=following),
             )
-        yield f"the caller is told {reply}", got._replace(verdict=reply)
+        yield f"the caller receives {reply}", received._replace(verdict=reply)
     if attempt.repeats_left:
-        again = attempt._replace(
+        repeat = attempt._replace(
             repeats_left=attempt.repeats_left - 1, repeated=attempt.repeated + 1
         )
-        yield "the edge asks again", _with(state, state.current, again)
-    given_up = "not_run" if mutation == "timeout_is_not_run" else "unknown"
-    yield "the edge gives up", state._replace(verdict=given_up)
+        yield "the edge repeats the request", _with(state, state.current, repeat)
+    timeout_verdict = "not_run" if mutation == "timeout_is_not_run" else "unknown"
+    yield "the edge gives up", state._replace(verdict=timeout_verdict)
     if mutation == "timeout_tries_a_new_id" and state.current + 1 < ATTEMPTS:
         following = state.current + 1
-        fresh = state.attempts[following]._replace(asked=1)
-        yield "the edge tries a new id", _with(state, following, fresh)._replace(current=following)
+        fresh = state.attempts[following]._replace(requested=1)
+        yield "the edge sends a new id", _with(state, following, fresh)._replace(current=following)
 
 
 def _with(state: State, index: int, attempt: Attempt) -> State:
@@ -150,17 +151,17 @@
 
 
 def at_most_once(state: State) -> bool:
-    """The write is committed once at most, over all its attempts."""
+    """The write is committed at most once over all attempts."""
     return _runs(state) <= 1
 
 
 def not_run_is_true(state: State) -> bool:
-    """What was refused as not run is not committed, now or later."""
+    """A write that was reported as not run is never committed."""
     return state.verdict != "not_run" or _runs(state) == 0
 
 
 def ok_is_true(state: State) -> bool:
-    """What was acknowledged is committed."""
+    """An acknowledged write is committed."""
     return state.verdict != "ok" or _runs(state) == 1
 
 
--- a/spec/sessions.py
+++ b/spec/sessions.py
@@ -1,7 +1,7 @@
-"""What a session reads: tokens, roaming with and without one, confirmed positions, replicas.
+"""Session consistency: causal tokens, roaming sessions, confirmed positions and replicas.
 
-The group's committed history is a row of offsets (the model of terms proves that it is one). A
-position is an offset. The session's connection at a node knows a floor, or does not know it.
+The group's committed history is one sequence of offsets, as the model `group_terms` shows; a
+position is an offset. The floor of a session is known or unknown to its node.
 """
 
 from collections.abc import Iterator
@@ -15,7 +15,11 @@
 
 
 class Read(NamedTuple):
-    """A read under way: what it must see, the floor that its node uses, what it saw (-1: none)."""
+    """A read in progress.
+
+    `must_see`: offset that the read must reflect. `floor`: minimum offset that its node requires.
+    `seen`: offset that was read (-1: none yet).
+    """
 
     must_see: int
     floor: int
@@ -25,12 +29,13 @@
 class State(NamedTuple):
     """One session, its group and its two nodes.
 
-    `committed`: the last offset. `applied`: by replica. `replaced`: where the former primary stood
-    when it was replaced (-1: there is none). `wrote`: the session's last acknowledged write.
-    `saw`: the highest offset read over this connection. `floor`: what the session's node knows.
+    `committed`: last committed offset. `applied`: last offset that each replica applied.
+    `replaced`: offset of the former primary at its replacement (-1: none). `wrote`: the session's
+    last acknowledged write. `saw`: highest offset read over this connection. `floor`: floor that
+    the session's node knows (-1: unknown). `read`: read in progress.
 
-    Only mutations use the rest. `remembered`: what the other node knew when the session left it.
-    `round`: a position that was confirmed before the read under way was sent.
+    Used only by mutations: `remembered`, the floor that the other node knew when the session left,
+    and `round`, a position that was confirmed before the read in progress was sent.
     """
 
     committed: int
@@ -48,7 +53,7 @@
 
 
 def steps(state: State, mutation: str) -> Iterator[Step]:
-    """Yield every step that some party may take."""
+    """Yield every step of the session, its group and its nodes."""
     yield from _history(state, mutation)
     if state.read is None:
         yield from _session(state, mutation)
@@ -62,7 +67,7 @@
 
 
 def _history(state: State, mutation: str) -> Iterator[Step]:
-    """Other sessions write, replicas apply, the primary is replaced, confirmations are made."""
+    """Yield steps of other sessions, replicas, the primary and confirmations."""
     if state.committed < LAST_OFFSET:
         yield "another session writes", state._replace(committed=state.committed + 1)
     for index, offset in enumerate(state.applied):
@@ -87,8 +92,8 @@
     left = state._replace(remembered=state.floor if trusts else UNKNOWN, saw=0)
     if state.floor != UNKNOWN:
         yield "it roams with its token", left
-    here = state.remembered if trusts else UNKNOWN
-    yield "it roams without a token", left._replace(floor=here)
+    floor = state.remembered if trusts else UNKNOWN
+    yield "it roams without a token", left._replace(floor=floor)
     read = Read(state.wrote, state.floor, UNKNOWN)
     yield "it sends a read", state._replace(read=read)
 
@@ -114,12 +119,12 @@
 
 
 def read_your_writes(state: State) -> bool:
-    """A read sees each of the session's writes that were acknowledged before it was sent."""
+    """A read reflects the session's writes that were acknowledged before it was sent."""
     return state.read is None or state.read.seen in (UNKNOWN, *range(state.read.must_see, 99))
 
 
 def reads_are_monotonic(state: State) -> bool:
-    """Over one connection no read sees less than an earlier one."""
+    """On one connection no read reflects less than an earlier one."""
     return state.read is None or state.read.seen in (UNKNOWN, *range(state.saw, 99))
 
 
--- a/spec/untold_change.py
+++ b/spec/untold_change.py
@@ -1,12 +1,12 @@
-"""A change of primary that the lease does not tell, and the next one by another node.
+"""A change of primary that is not recorded in the lease, and the next change by another node.
 
-Three members with asynchronous logs. The holder of the lease changes the primary while the store
-gives no answer; it may write that down later, or be lost. Another node takes the lease over at any
-moment, reaches some of the members, and changes the primary with what the lease and they tell. The
-outside service carries the holder's order out at any time, and refuses it once it has taken a newer
-token. Members receive at any time or never.
+Three members with asynchronous replication. The lease holder changes the primary while the store
+does not answer; it may record the change later, or fail. Another node takes over the lease at any
+time, reaches some of the members, and changes the primary based on the lease and their reports. The
+promotion service executes the holder's order at any time, and refuses it after an order with a
+newer token. Members receive entries at any time or never.
 
-Taken for granted: the holder reached every member but the leader, and paused them.
+Assumption: the holder reached every member except the leader, and paused them.
 """
 
 from collections.abc import Iterator
@@ -22,7 +22,7 @@
 
 
 class Change(NamedTuple):
-    """Target, lowest term that it leads, length and last term of its log when it was chosen."""
+    """Target, lowest term that it leads, and length and last term of its log when it was chosen."""
 
     target: int
     term: int
@@ -31,13 +31,14 @@
 
 
 class State(NamedTuple):
-    """What the members, the store, both nodes and the outside service know.
-
-    `secret`: the change that the holder has made without the store. `told`: the last change that
-    stands in the lease. `late`: whether the holder's order may still be carried out. `taken`:
-    whether the other node has the lease. `found`, `found_term`: the last leader that it found, and
-    its term. `denied`: that one told it that it leads no more. `heard`: the newest term that any
-    member told it.
+    """The state of the members, the store, both nodes and the promotion service.
+
+    `unrecorded`: change that the holder made without the store. `recorded`: last change recorded in
+    the lease. `is_order_pending`: whether the holder's order may still be executed.
+    `is_taken_over`: whether the other node has the lease. `has_ordered`: whether the other node has
+    ordered a change. `found`, `found_term`: last leader that the other node found, and its term.
+    `denied`: whether that leader reported that it no longer leads. `reported_term`: newest term
+    that any member reported to the other node. `broken`: names of the violated invariants.
     """
 
     logs: tuple[Log, ...] = ((), (), ())
@@ -46,27 +47,27 @@
     paused: frozenset[int] = frozenset()
     acknowledged: frozenset[Entry] = frozenset()
     dropped: frozenset[Entry] = frozenset()
-    secret: Change | None = None
-    told: Change | None = None
-    late: bool = False
-    taken: bool = False
+    unrecorded: Change | None = None
+    recorded: Change | None = None
+    is_order_pending: bool = False
+    is_taken_over: bool = False
     has_ordered: bool = False
     found: int = 0
     found_term: int = 1
     denied: bool = False
-    heard: int = 1
+    reported_term: int = 1
     broken: frozenset[str] = frozenset()
 
 
 def steps(state: State, mutation: str) -> Iterator[Step]:
-    """Return the steps that are possible in a state."""
+    """Yield the steps that are possible in a state."""
     yield from _database(state)
     yield from _holder(state)
     yield from _learns(state)
-    if state.taken:
+    if state.is_taken_over:
         yield from _changes(state, mutation)
     else:
-        yield "the other node takes the lease over", state._replace(taken=True)
+        yield "the other node takes the lease over", state._replace(is_taken_over=True)
 
 
 def _database(state: State) -> Iterator[Step]:
@@ -86,24 +87,27 @@
 
 
 def _holder(state: State) -> Iterator[Step]:
-    if state.secret is None and not state.taken:
+    if state.unrecorded is None and not state.is_taken_over:
         replicas = [member for member in MEMBERS if member != state.leader]
         target = max(replicas, key=lambda member: _length(state, member))
         log = state.logs[target]
         change = Change(target, max(state.terms) + 1, len(log), log[-1] if log else 1)
         paused = state.paused | frozenset(replicas)
-        ordered = state._replace(secret=change, late=True, paused=paused)
+        ordered = state._replace(unrecorded=change, is_order_pending=True, paused=paused)
         yield f"the holder orders {target} without the store", ordered
-    if state.secret is None:
+    if state.unrecorded is None:
         return
-    if not state.taken and state.told != state.secret:
-        yield "the holder writes its change", state._replace(told=state.secret)
-    if state.late and state.has_ordered:
-        yield "the late order is refused", state._replace(late=False)
-    elif state.late:
+    if not state.is_taken_over and state.recorded != state.unrecorded:
+        yield (
+            "the holder records its change in the lease",
+            state._replace(recorded=state.unrecorded),
+        )
+    if state.is_order_pending and state.has_ordered:
+        yield "the late order is refused", state._replace(is_order_pending=False)
+    elif state.is_order_pending:
         yield (
-            "the holder's order is carried out",
-            _promote(state, state.secret)._replace(late=False),
+            "the holder's order is executed",
+            _promote(state, state.unrecorded)._replace(is_order_pending=False),
         )
 
 
@@ -113,19 +117,22 @@
 
 
 def _learns(state: State) -> Iterator[Step]:
-    """Yield what the other node learns of members without changing anything."""
+    """Yield reports of members that the other node receives."""
     leader, term = state.leader, state.terms[state.leader]
     if (state.found, state.found_term) != (leader, term):
         found = state._replace(
-            found=leader, found_term=term, denied=False, heard=max(state.heard, term)
+            found=leader,
+            found_term=term,
+            denied=False,
+            reported_term=max(state.reported_term, term),
         )
         yield "the other node finds the leader", found
         if not state.denied and state.found != leader:
             yield "the former leader denies", state._replace(denied=True)
     for member in MEMBERS:
-        if state.terms[member] > state.heard:
-            heard = state._replace(heard=state.terms[member])
-            yield f"the other node hears the term of {member}", heard
+        if state.terms[member] > state.reported_term:
+            learned = state._replace(reported_term=state.terms[member])
+            yield f"the other node receives the term of {member}", learned
 
 
 def _changes(state: State, mutation: str) -> Iterator[Step]:
@@ -134,42 +141,42 @@
     others = [member for member in MEMBERS if member != state.leader]
     for reached in [(others[0],), (others[1],), tuple(others)]:
         followed = _followed(state, reached, mutation)
-        fit = [member for member in reached if _follows(state, member, followed)]
-        if not fit:
+        candidates = [member for member in reached if _follows(state, member, followed)]
+        if not candidates:
             continue
-        target = max(fit, key=lambda member: _length(state, member))
+        target = max(candidates, key=lambda member: _length(state, member))
         log = state.logs[target]
         known = [state.terms[member] for member in reached]
-        term = max(*known, followed.term if followed else 0, state.heard) + 1
+        term = max(*known, followed.term if followed else 0, state.reported_term) + 1
         change = Change(target, term, len(log), log[-1] if log else 1)
         changed = _promote(state, change)
         yield (
             f"the other node reaches {reached} and promotes {target}",
             changed._replace(
-                told=change,
+                recorded=change,
                 has_ordered=True,
                 found=target,
                 found_term=changed.terms[target],
                 denied=False,
-                heard=changed.terms[target],
+                reported_term=changed.terms[target],
             ),
         )
 
 
 def _followed(state: State, reached: tuple[int, ...], mutation: str) -> Change | None:
-    """Return the change that a target must follow: the one told, or a later one."""
+    """Return the change that a target must follow: the recorded one or a later one."""
     if mutation == "trust_the_lease":
-        return state.told
-    newest = max(state.heard, *(state.terms[member] for member in reached))
+        return state.recorded
+    newest = max(state.reported_term, *(state.terms[member] for member in reached))
     if mutation == "ignore_newer_terms":
         newest = 0
     is_replica = state.found in reached and state.terms[state.found] <= state.found_term
-    says_so = is_replica or state.denied
+    is_denied = is_replica or state.denied
     all_answer = {*reached, state.found} >= set(MEMBERS) or mutation == "count_silent_members"
-    if says_so and not all_answer and mutation != "ignore_denial":
+    if is_denied and not all_answer and mutation != "ignore_denial":
         newest = max(newest, state.found_term + 1)
-    if state.told is not None and state.told.term >= newest:
-        return state.told
+    if state.recorded is not None and state.recorded.term >= newest:
+        return state.recorded
     return Change(state.found if newest == state.found_term else UNKNOWN, newest)
 
 
--- a/tests/platform_standins/store.py
+++ b/tests/platform_standins/store.py
@@ -21,9 +21,10 @@
 class StoreFault:
     """Faults to inject into the store.
 
-    `status`: status code of every answer, 0 for no fault. `lose`: number of writes to execute and not
-    answer. `lose_orders`: number of promotions to leave unanswered and execute with the next one.
-    `delay`: delay of requests (seconds); a write is executed after it even if its client is gone.
+    `status`: status code of every answer, 0 for no fault. `lose`: number of writes to execute and
+    not answer. `lose_orders`: number of promotions to leave unanswered and execute with the next
+    one. `delay`: delay of requests (seconds); a write is executed after it even if its client is
+    gone.
     """
 
     status: int = 0
