--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -6,7 +6,7 @@
 
 from platform_standins.records import CommitRecord, RunRecord, holds
 from soak.history import PROMISES, Attempt, History, Kind
-from soak.owed import STALENESS, Logs, OwedCommits, Write
+from soak.owed import STALENESS, Logs, RequiredCommits, Write
 
 
 class Violation(NamedTuple):
@@ -71,7 +71,7 @@
     # Checks by the logs that statements ran on.
 
     def _check_runs(self, history: History, logs: Logs) -> Iterator[Violation]:
-        required = OwedCommits(logs, history)
+        required = RequiredCommits(logs, history)
         runs_by_identifier: dict[str, list[RunRecord]] = defaultdict(list)
         for run in logs.runs:
             runs_by_identifier[run.identifier].append(run)
@@ -125,7 +125,7 @@
 
 
 def _check_read_runs(
-    attempt: Attempt, runs_of_attempt: Sequence[RunRecord], required: OwedCommits
+    attempt: Attempt, runs_of_attempt: Sequence[RunRecord], required: RequiredCommits
 ) -> Iterator[Violation]:
     for run in runs_of_attempt:
         missing = required.missing(attempt, run.spans)
--- a/tests/soak/owed.py
+++ b/tests/soak/owed.py
@@ -56,7 +56,7 @@
         return self._positions[count - 1] if count else None
 
 
-class OwedCommits:
+class RequiredCommits:
     """Determines the commits that each read must reflect."""
 
     def __init__(self, logs: Logs, history: Iterable[Attempt]) -> None:
