--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -3,7 +3,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-PROMISES = frozenset({"BUSY", "ABORTED", "LAGGING", "READONLY", "MISROUTED", "TOOMANY"})
+NO_EFFECT_CODES = frozenset({"BUSY", "ABORTED", "LAGGING", "READONLY", "MISROUTED", "TOOMANY"})
 """Error codes that guarantee that the attempt had no effect."""
 NO_ANSWER = "no answer"
 """Code of an attempt that got no answer."""
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from platform_standins.records import CommitRecord, RunRecord, holds
-from soak.history import PROMISES, Attempt, History, Kind
+from soak.history import NO_EFFECT_CODES, Attempt, History, Kind
 from soak.owed import STALENESS, Logs, RequiredCommits, Write
 
 
@@ -61,7 +61,7 @@
         write = (attempt.key, attempt.number)
         if self._commit_counts[write] > 1:
             yield Violation("TWICE", attempt, f"committed {self._commit_counts[write]} times")
-        if attempt.code in PROMISES and self._commit_counts[write]:
+        if attempt.code in NO_EFFECT_CODES and self._commit_counts[write]:
             yield Violation("REFUSED", attempt, "it was committed")
         if attempt.succeeded and not self._commit_counts[write]:
             yield Violation("LOST", attempt, "it was committed nowhere")
