--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -39,7 +39,7 @@
     code: str
     signature: str
     session: int = 0
-    sent_moment: int = 0
+    sent_sequence: int = 0
     answered_moment: int = 0
     values: frozenset[tuple[str, str]] = frozenset()
     was_sent: bool = True
