--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -40,7 +40,7 @@
     signature: str
     session: int = 0
     sent_sequence: int = 0
-    answered_moment: int = 0
+    answered_sequence: int = 0
     values: frozenset[tuple[str, str]] = frozenset()
     was_sent: bool = True
     node: int = -1
