--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -61,7 +61,7 @@
     """Start of an attempt. `time`: monotonic clock, seconds; `moment`: event sequence number."""
 
     time: float
-    moment: int
+    sequence: int
 
 
 def prepared_key(shape: str) -> str:
