--- a/tests/platform_standins/records.py
+++ b/tests/platform_standins/records.py
@@ -87,4 +87,4 @@
     member: str
     term: int
     spans: Spans
-    moment: int
+    sequence: int
