--- a/tests/platform_standins/group.py
+++ b/tests/platform_standins/group.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from platform_standins.order import next_moment
+from platform_standins.order import next_sequence
 from platform_standins.records import CommitRecord, Entry, PromotionRecord, RunRecord, spans_of
 
 State = dict[str, str]
@@ -501,5 +501,5 @@
         target.paused = False
         target.held_term = 0
         target.term = term
-        self.promotions.append(PromotionRecord(name, term, spans_of(target.log), next_moment()))
+        self.promotions.append(PromotionRecord(name, term, spans_of(target.log), next_sequence()))
         self.replicate()
--- a/tests/platform_standins/order.py
+++ b/tests/platform_standins/order.py
@@ -8,6 +8,6 @@
 _moments = itertools.count(1)
 
 
-def next_moment() -> int:
+def next_sequence() -> int:
     """Return the next sequence number."""
     return next(_moments)
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
-from platform_standins.order import next_moment
+from platform_standins.order import next_sequence
 from platform_standins.world import Answer, LineClient
 from soak.history import NO_ANSWER, Attempt, History, Kind
 
@@ -175,7 +175,7 @@
             answer.signature,
             self._session,
             start.moment,
-            next_moment(),
+            next_sequence(),
             frozenset(self._values.items()),
             self._client is not None,
             self._node,
@@ -241,7 +241,7 @@
 
 
 def _start_attempt() -> AttemptStart:
-    return AttemptStart(_now(), next_moment())
+    return AttemptStart(_now(), next_sequence())
 
 
 def _now() -> float:
