--- a/tests/soak/node_process.py
+++ b/tests/soak/node_process.py
@@ -45,7 +45,7 @@
         self.settings = settings
         self.detours: dict[str, str] = {}
         self.endings: list[Ending] = []
-        self.lives = 0
+        self.start_count = 0
         self._folder = folder
         self._process: asyncio.subprocess.Process | None = None
         self._requested = 0
@@ -76,7 +76,7 @@
             detours = self._folder / f"{self.name}.detours.json"
             detours.write_text(json.dumps(self.detours))
             self._requested = 0
-            self.lives += 1
+            self.start_count += 1
             self._process = await self._spawn(detours)
             self._exit_task = asyncio.ensure_future(self._record_exit(self._process))
 
