--- a/tests/soak/process_run.py
+++ b/tests/soak/process_run.py
@@ -71,7 +71,7 @@
     attempts: int
     succeeded: int
     promotions: int
-    lives: int
+    process_starts: int
     violations: list[Violation]
     problems: list[str]
 
