--- a/tests/soak/config_probe.py
+++ b/tests/soak/config_probe.py
@@ -34,7 +34,7 @@
     """
 
     node: str
-    life: int
+    start_number: int
     version: int
     sent_at: float
     answered_at: float
