--- a/tests/soak/node_process.py
+++ b/tests/soak/node_process.py
@@ -22,7 +22,7 @@
 """Time between SIGTERM and SIGKILL (seconds); also the setting grace_period_s."""
 
 
-class Ending(NamedTuple):
+class ProcessExit(NamedTuple):
     """Exit of a process. `requested`: SIGTERM or SIGKILL if it was sent, else 0."""
 
     code: int
@@ -44,7 +44,7 @@
         self.name = name
         self.settings = settings
         self.detours: dict[str, str] = {}
-        self.endings: list[Ending] = []
+        self.endings: list[ProcessExit] = []
         self.start_count = 0
         self._folder = folder
         self._process: asyncio.subprocess.Process | None = None
@@ -138,7 +138,7 @@
 
     async def _record_exit(self, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
-        self.endings.append(Ending(code, self._requested))
+        self.endings.append(ProcessExit(code, self._requested))
 
     async def _spawn(self, detours: Path) -> asyncio.subprocess.Process:
         environment = {
