--- a/tests/soak/node_process.py
+++ b/tests/soak/node_process.py
@@ -44,7 +44,7 @@
         self.name = name
         self.settings = settings
         self.detours: dict[str, str] = {}
-        self.endings: list[ProcessExit] = []
+        self.exits: list[ProcessExit] = []
         self.start_count = 0
         self._folder = folder
         self._process: asyncio.subprocess.Process | None = None
@@ -65,7 +65,7 @@
     @property
     def ended_by_itself(self) -> bool:
         """Whether the last process exited without a request."""
-        return bool(self.endings) and not self.endings[-1].requested
+        return bool(self.exits) and not self.exits[-1].requested
 
     async def start(self) -> None:
         """Start the process unless it is running."""
@@ -138,7 +138,7 @@
 
     async def _record_exit(self, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
-        self.endings.append(ProcessExit(code, self._requested))
+        self.exits.append(ProcessExit(code, self._requested))
 
     async def _spawn(self, detours: Path) -> asyncio.subprocess.Process:
         environment = {
