--- a/tests/soak/node_process.py
+++ b/tests/soak/node_process.py
@@ -63,7 +63,7 @@
         return self._process is not None and self._process.returncode is None
 
     @property
-    def ended_by_itself(self) -> bool:
+    def exited_unrequested(self) -> bool:
         """Whether the last process exited without a request."""
         return bool(self.exits) and not self.exits[-1].requested
 
