--- a/tests/soak/process_run.py
+++ b/tests/soak/process_run.py
@@ -35,7 +35,7 @@
     make_callers,
     served_again,
 )
-from soak.tenants import LIMITS, TENANT_FAULTS, HotCallers, call_beside, told
+from soak.tenants import LIMITS, TENANT_FAULTS, HotCallers, call_beside, limit_summary
 from soak.tenants import problems as limit_problems
 
 NODES = (3, 4, 5)
@@ -163,7 +163,7 @@
             if limit is not None:
                 found = limit_problems(hot.sent, world.group.runs, limit)
                 report = report._replace(
-                    kind=f"{report.kind}, {told(hot.sent, world.group.runs, limit)}",
+                    kind=f"{report.kind}, {limit_summary(hot.sent, world.group.runs, limit)}",
                     problems=[*report.problems, *found],
                 )
         report = report._replace(problems=[*report.problems, *_log_problems(world)])
--- a/tests/soak/tenants.py
+++ b/tests/soak/tenants.py
@@ -125,7 +125,7 @@
     return worst
 
 
-def told(sent: dict[str, float], runs: list[RunRecord], limit: RateLimit) -> str:
+def limit_summary(sent: dict[str, float], runs: list[RunRecord], limit: RateLimit) -> str:
     """Return a one-line summary of the maximum that the tenant got in an interval."""
     worst = worst_span(sent, runs).operations
     return f"limit {limit.rate:.0f}/{limit.burst:.0f}: {worst} of {allowed(limit):.0f} in {SPAN} s"
