--- a/tests/soak/process_run.py
+++ b/tests/soak/process_run.py
@@ -35,7 +35,7 @@
     make_callers,
     served_again,
 )
-from soak.tenants import LIMITS, TENANT_FAULTS, HotCallers, call_beside, limit_summary
+from soak.tenants import LIMITS, TENANT_FAULTS, HotCallers, limit_summary, run_hot_callers_during
 from soak.tenants import problems as limit_problems
 
 NODES = (3, 4, 5)
@@ -158,7 +158,7 @@
             hot = HotCallers(world, _choices(seed, "hot callers"))
             if tenants:
                 limits = play(world, _choices(seed, "limits"), seconds, TENANT_FAULTS, 1, LASTS)  # type: ignore[arg-type]
-                sequence = call_beside(hot, _play_both(sequence, limits))
+                sequence = run_hot_callers_during(hot, _play_both(sequence, limits))
             report = await _play(world, plan, seed, sequence, callers)
             if limit is not None:
                 found = limit_problems(hot.sent, world.group.runs, limit)
--- a/tests/soak/tenants.py
+++ b/tests/soak/tenants.py
@@ -142,7 +142,7 @@
             yield f"{TENANT_RULE}: {run.identifier} of {tenant} ran for {run.tenant}"
 
 
-async def call_beside(callers: HotCallers, sequence: Awaitable[list[str]]) -> list[str]:
+async def run_hot_callers_during(callers: HotCallers, sequence: Awaitable[list[str]]) -> list[str]:
     """Run the hot tenant's callers until the faults are over; return the names of the faults."""
     is_over = False
     calling = asyncio.ensure_future(callers.call(lambda: is_over))
