--- a/tests/soak/change_faults.py
+++ b/tests/soak/change_faults.py
@@ -16,7 +16,7 @@
 from soak.deployment import Deployment
 from soak.faults import Fault, leader_of
 from soak.links import Link
-from soak.process_faults import dark
+from soak.process_faults import darkened
 
 PAUSE_SECONDS = 4.0
 """Timeout of the wait for a paused member (seconds): another fault may prevent the change."""
@@ -56,7 +56,7 @@
     """A paused replica crashes and restarts before the change is complete."""
     leader = leader_of(world.group)
     replica = _choose_replica(world, leader, rng)
-    async with dark(world, _links_of_one_node(world, leader, rng)):
+    async with darkened(world, _links_of_one_node(world, leader, rng)):
         await _until_paused(world)
         await asyncio.sleep(rng.uniform(*AFTER_PAUSE))
         await world.crash(replica.name)
@@ -73,7 +73,7 @@
     await world.crash(replica.name)
     if world.platform.has("servers", replica.name):
         world.platform.delete("servers", replica.name)
-    async with dark(world, _links_of_one_node(world, leader, rng)):
+    async with darkened(world, _links_of_one_node(world, leader, rng)):
         await _until_paused(world)
         await asyncio.sleep(rng.uniform(*AFTER_PAUSE))
         await world.restart(replica.name)
--- a/tests/soak/process_faults.py
+++ b/tests/soak/process_faults.py
@@ -225,7 +225,7 @@
 async def dark_links(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
     """A node is cut off on some of its outgoing links."""
     node = rng.choice(world.nodes)
-    async with dark(world, rng.sample(node.links, rng.randint(1, len(node.links)))):
+    async with darkened(world, rng.sample(node.links, rng.randint(1, len(node.links)))):
         yield
 
 
@@ -242,14 +242,14 @@
     if rng.random() < 0.5:
         links.append(isolated.to_store)
     leader.island = 1
-    async with dark(world, links):
+    async with darkened(world, links):
         yield
     leader.island = 0
     world.group.replicate()
 
 
 @asynccontextmanager
-async def dark(world: Deployment, links: list[Link]) -> AsyncIterator[None]:
+async def darkened(world: Deployment, links: list[Link]) -> AsyncIterator[None]:
     """Links discard all traffic for a while; databases end the affected connections."""
     for link in links:
         _schedule_drops(list(link.connections), world)
