--- a/tests/platform_standins/cuts.py
+++ b/tests/platform_standins/cuts.py
@@ -48,7 +48,7 @@
         pool._connector = connector
 
 
-def keep_from(node: PlatformNode, peer: NodeId) -> None:
+def drop_step_downs(node: PlatformNode, peer: NodeId) -> None:
     """Drop the node's step-down requests to another node: they get no answer."""
     peers = _failover(node).peers
     step_down_of_peer = type(peers).step_down
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -11,7 +11,7 @@
 from contextlib import AbstractAsyncContextManager, asynccontextmanager
 from typing import Any
 
-from platform_standins.cuts import cut, heal, keep_from, let_hear
+from platform_standins.cuts import cut, drop_step_downs, heal, let_hear
 from platform_standins.group import LineDatabase, LineGroup
 from platform_standins.world import World
 
@@ -95,7 +95,7 @@
     cut(isolated, *(name for name in world.group.members if name != leader.name))
     for node in others:
         cut(node, leader.name)
-        keep_from(node, isolated.gateway.context.owners.location.node)
+        drop_step_downs(node, isolated.gateway.context.owners.location.node)
     yield
     for node in world.nodes:
         heal(node)
--- a/tests/test_failover_unwritten_change.py
+++ b/tests/test_failover_unwritten_change.py
@@ -14,7 +14,7 @@
 from bramblebeam.platform.node import PlatformNode
 from bramblebeam.services.failover.ports import LeaseStoreUnavailableError
 from bramblebeam.services.failover.watch import FailoverWatch
-from platform_standins.cuts import cut, keep_from
+from platform_standins.cuts import cut, drop_step_downs
 from platform_standins.group import LineDatabase
 from platform_standins.world import GROUP, LineClient, World, joined_world, keep_writing, until
 
@@ -93,8 +93,8 @@
             world.group.members[name].deaf = False
         world.platform.fault.status = 503
         cut(beside, "db-b", "db-c")
-        keep_from(lost, node_id(beside))
-        keep_from(beside, node_id(lost))
+        drop_step_downs(lost, node_id(beside))
+        drop_step_downs(beside, node_id(lost))
         cut(lost, "db-a")
         watch_of(lost).lease._store = UnavailableStore()
         while (await client.run("WRITE parcel 2")).code:
