--- a/tests/platform_standins/cuts.py
+++ b/tests/platform_standins/cuts.py
@@ -59,7 +59,7 @@
     peers.step_down = step_down  # type: ignore[method-assign]
 
 
-def let_hear(node: PlatformNode) -> None:
+def restore_step_downs(node: PlatformNode) -> None:
     """Undo `keep_from()`."""
     vars(_failover(node).peers).pop("step_down", None)
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -11,7 +11,7 @@
 from contextlib import AbstractAsyncContextManager, asynccontextmanager
 from typing import Any
 
-from platform_standins.cuts import cut, drop_step_downs, heal, let_hear
+from platform_standins.cuts import cut, drop_step_downs, heal, restore_step_downs
 from platform_standins.group import LineDatabase, LineGroup
 from platform_standins.world import World
 
@@ -99,7 +99,7 @@
     yield
     for node in world.nodes:
         heal(node)
-        let_hear(node)
+        restore_step_downs(node)
     leader.deaf = False
 
 
