--- a/tests/platform_standins/group.py
+++ b/tests/platform_standins/group.py
@@ -106,7 +106,7 @@
         self.log = list(leader.log)
         self.term = leader.term
 
-    def hears(self, leader: LineDatabase) -> bool:
+    def can_receive_from(self, leader: LineDatabase) -> bool:
         """Whether the member can receive log entries from `leader`."""
         return self.serving and not self.deaf and self.island == leader.island
 
