--- a/tests/platform_standins/group.py
+++ b/tests/platform_standins/group.py
@@ -48,7 +48,7 @@
         self.paused = False
         self.fault = Fault()
         self.status_row = ""
-        self.deaf = False
+        self.replication_cut = False
         self.island = 0
         self.lag = 0.0
         self.born = 0
@@ -108,7 +108,7 @@
 
     def can_receive_from(self, leader: LineDatabase) -> bool:
         """Whether the member can receive log entries from `leader`."""
-        return self.serving and not self.deaf and self.island == leader.island
+        return self.serving and not self.replication_cut and self.island == leader.island
 
     @property
     def position(self) -> str:
