--- a/tests/platform_standins/group.py
+++ b/tests/platform_standins/group.py
@@ -49,7 +49,7 @@
         self.fault = Fault()
         self.status_row = ""
         self.replication_cut = False
-        self.island = 0
+        self.partition = 0
         self.lag = 0.0
         self.born = 0
         self.receiving = False
@@ -108,7 +108,7 @@
 
     def can_receive_from(self, leader: LineDatabase) -> bool:
         """Whether the member can receive log entries from `leader`."""
-        return self.serving and not self.replication_cut and self.island == leader.island
+        return self.serving and not self.replication_cut and self.partition == leader.island
 
     @property
     def position(self) -> str:
