--- a/tests/platform_standins/group.py
+++ b/tests/platform_standins/group.py
@@ -343,7 +343,7 @@
 
     def _committed(self, identifier: str, has_written: bool) -> None:
         """Answer a commit once `sync_replicas` of the group have received it."""
-        answer = HeldAnswer(self, identifier, len(self.database.log))
+        answer = PendingAnswer(self, identifier, len(self.database.log))
         if has_written:
             self.database.group.answer_when_received(answer)
         else:
@@ -376,7 +376,7 @@
 
 
 @dataclass(frozen=True)
-class HeldAnswer:
+class PendingAnswer:
     """A commit's answer that waits for replication. `number`: number of the log entry."""
 
     session: DatabaseSession
@@ -408,7 +408,7 @@
     commits: list[CommitRecord] = field(default_factory=list)
     runs: list[RunRecord] = field(default_factory=list)
     promotions: list[PromotionRecord] = field(default_factory=list)
-    held: list[HeldAnswer] = field(default_factory=list)
+    held: list[PendingAnswer] = field(default_factory=list)
     tenants: set[str] | None = None
 
     async def start(self, names: list[str]) -> None:
@@ -463,7 +463,7 @@
         member.receive(self.primary)
         self._answer_received()
 
-    def answer_when_received(self, answer: HeldAnswer) -> None:
+    def answer_when_received(self, answer: PendingAnswer) -> None:
         """Send a commit's answer once enough replicas have received the commit."""
         self.held.append(answer)
         self._answer_received()
