--- a/tests/platform_standins/group.py
+++ b/tests/platform_standins/group.py
@@ -54,7 +54,7 @@
         self.born = 0
         self.receiving = False
         self.runs: Counter[str] = Counter()
-        self.ran_with: dict[str, State] = {}
+        self.session_values_of_run: dict[str, State] = {}
         self.connections: set[DatabaseSession] = set()
         self.most_connections = 0
         self.port = 0
