--- a/tests/platform_standins/group.py
+++ b/tests/platform_standins/group.py
@@ -27,7 +27,7 @@
     lose_answers: int = 0
     lose_commits: int = 0
     mute_reads: int = 0
-    silent: bool = False
+    unresponsive: bool = False
 
 
 class LineDatabase:
