--- a/tests/platform_standins/group.py
+++ b/tests/platform_standins/group.py
@@ -26,7 +26,7 @@
     busy: int = 0
     lose_answers: int = 0
     lose_commits: int = 0
-    mute_reads: int = 0
+    unanswered_reads: int = 0
     unresponsive: bool = False
 
 
