--- a/tests/platform_standins/store.py
+++ b/tests/platform_standins/store.py
@@ -28,7 +28,7 @@
     """
 
     status: int = 0
-    lose: int = 0
+    unanswered_writes: int = 0
     lose_orders: int = 0
     delay: float = 0.0
 
@@ -241,8 +241,8 @@
         return self._written(kind, name, request)
 
     def _written(self, kind: str, name: str, request: web.Request) -> web.Response:
-        if self.fault.lose > 0:
-            self.fault.lose -= 1
+        if self.fault.unanswered_writes > 0:
+            self.fault.unanswered_writes -= 1
             assert request.transport is not None
             request.transport.abort()
         return _json(self._objects[kind, name])
