--- a/tests/platform_standins/store.py
+++ b/tests/platform_standins/store.py
@@ -29,7 +29,7 @@
 
     status: int = 0
     unanswered_writes: int = 0
-    lose_orders: int = 0
+    unanswered_promotions: int = 0
     delay: float = 0.0
 
 
@@ -256,8 +256,8 @@
             int(request.headers["X-Bramblebeam-Fence-Token"]),
         )
         self.promotions.append(order)
-        if self.fault.lose_orders > 0:
-            self.fault.lose_orders -= 1
+        if self.fault.unanswered_promotions > 0:
+            self.fault.unanswered_promotions -= 1
             self._unanswered.append(order)
             assert request.transport is not None
             request.transport.abort()
