--- a/tests/platform_standins/store.py
+++ b/tests/platform_standins/store.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True)
-class StoreCopy:
+class StoreSnapshot:
     """Snapshot of the store at one revision."""
 
     objects: dict[tuple[str, str], Content]
@@ -126,10 +126,10 @@
 
     # Snapshots and restores.
 
-    def copy(self) -> StoreCopy:
-        return StoreCopy(dict(self._objects), self._revision, self.era)
+    def copy(self) -> StoreSnapshot:
+        return StoreSnapshot(dict(self._objects), self._revision, self.era)
 
-    def go_back(self, copy: StoreCopy) -> None:
+    def go_back(self, copy: StoreSnapshot) -> None:
         """Restore a snapshot: later writes are lost and their revisions are assigned again."""
         self._objects = dict(copy.objects)
         self._revision = self._copied = copy.revision
@@ -138,7 +138,7 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def write_again(self, lost: StoreCopy) -> None:
+    def write_again(self, lost: StoreSnapshot) -> None:
         """Rewrite the lost objects of operator and databases, unless they wrote them since."""
         for (kind, name), content in lost.objects.items():
             if kind in WRITTEN_AGAIN and self._is_older((kind, name), content):
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -21,7 +21,7 @@
 from bramblebeam.platform.node import PlatformNode
 from bramblebeam.services.feed.ports import Batch, SourceUnavailableError
 from bramblebeam.services.feed.service import FeedService
-from platform_standins.store import StoreCopy
+from platform_standins.store import StoreSnapshot
 from platform_standins.world import GROUP, World, joined_world, running_world, until
 from revisions import at
 
@@ -38,7 +38,7 @@
     await until(lambda: all(node.gateway.context.table.version == version for node in world.nodes))
 
 
-async def backup_before_23(world: World) -> StoreCopy:
+async def backup_before_23(world: World) -> StoreSnapshot:
     """Return a backup of the store at version 20, after many writes and with 23 in force."""
     world.configure(20)
     await until_in_force(world, 20)
