--- a/tests/platform_standins/store.py
+++ b/tests/platform_standins/store.py
@@ -68,7 +68,7 @@
     checks_fences: bool = True
     promotion_seconds: float = 0.0
     era: int = 0
-    told_era: str | None = None
+    reported_era: str | None = None
 
     def __post_init__(self) -> None:
         self.page_size = 1_000
@@ -156,7 +156,9 @@
         return bool(found["meta"]["revision"] <= self._copied and found["spec"] != lost["spec"])
 
     async def _tell_era(self, request: web.Request, response: web.StreamResponse) -> None:
-        response.headers["Store-Era"] = str(self.era) if self.told_era is None else self.told_era
+        response.headers["Store-Era"] = (
+            str(self.era) if self.reported_era is None else self.reported_era
+        )
 
     def _tell(self, kind: str, content: Content, deleted: bool) -> None:
         self._events.append((self._revision, kind, content, deleted))
