--- a/tests/platform_standins/store.py
+++ b/tests/platform_standins/store.py
@@ -129,7 +129,7 @@
     def copy(self) -> StoreSnapshot:
         return StoreSnapshot(dict(self._objects), self._revision, self.era)
 
-    def go_back(self, copy: StoreSnapshot) -> None:
+    def restore(self, copy: StoreSnapshot) -> None:
         """Restore a snapshot: later writes are lost and their revisions are assigned again."""
         self._objects = dict(copy.objects)
         self._revision = self._copied = copy.revision
