--- a/tests/platform_standins/store.py
+++ b/tests/platform_standins/store.py
@@ -138,7 +138,7 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def write_again(self, lost: StoreSnapshot) -> None:
+    def rewrite_lost(self, lost: StoreSnapshot) -> None:
         """Rewrite the lost objects of operator and databases, unless they wrote them since."""
         for (kind, name), content in lost.objects.items():
             if kind in WRITTEN_AGAIN and self._is_older((kind, name), content):
