--- a/tests/platform_standins/store.py
+++ b/tests/platform_standins/store.py
@@ -13,7 +13,7 @@
 from platform_standins.group import LineGroup
 
 Content = dict[str, Any]
-WRITTEN_AGAIN = ("config", "servers")
+REWRITTEN_KINDS = ("config", "servers")
 """Kinds of objects that are not written by nodes; their owners rewrite them after a restore."""
 
 
@@ -141,7 +141,7 @@
     def rewrite_lost(self, lost: StoreSnapshot) -> None:
         """Rewrite the lost objects of operator and databases, unless they wrote them since."""
         for (kind, name), content in lost.objects.items():
-            if kind in WRITTEN_AGAIN and self._is_older((kind, name), content):
+            if kind in REWRITTEN_KINDS and self._is_older((kind, name), content):
                 self.put(kind, name, content["spec"])
         for kind, name in [*self._objects]:
             if kind == "servers" and (kind, name) not in lost.objects:
