--- a/tests/platform_standins/clock.py
+++ b/tests/platform_standins/clock.py
@@ -6,7 +6,7 @@
 
 
 @contextmanager
-def standing_clock() -> Iterator[None]:
+def frozen_clock() -> Iterator[None]:
     """Freeze the running loop's clock; no timer may fire meanwhile."""
     loop = asyncio.get_running_loop()
     reading = loop.time()
--- a/tests/test_session_order.py
+++ b/tests/test_session_order.py
@@ -30,7 +30,7 @@
 from bramblebeam.services.gateway.metrics import GatewayMetrics
 from bramblebeam.services.gateway.request import Request
 from bramblebeam.services.gateway.session_order import check_answer, check_commit, check_floor
-from platform_standins.clock import standing_clock
+from platform_standins.clock import frozen_clock
 from platform_standins.group import LineGroup
 from platform_standins.world import (
     GROUP,
@@ -133,7 +133,7 @@
         session, other = await callers_whose_replicas_stop(world, index)
         now = world.nodes[index].gateway.context.now
         await until(lambda: all(it.lease.may_send(now() + LEASE_LEFT) for it in trackers(world)))
-        with standing_clock():
+        with frozen_clock():
             assert await run_all(other, ["READ parcel"]) == ["old"]
             await run_all(session, write)
             assert await run_all(session, read) == ["new"]
