--- a/tests/platform_standins/coarse_clock.py
+++ b/tests/platform_standins/coarse_clock.py
@@ -46,7 +46,7 @@
     return make
 
 
-def run_coarsely(work: Coroutine[Any, Any, T], step: float = 0.0) -> T:
+def run_with_coarse_clock(work: Coroutine[Any, Any, T], step: float = 0.0) -> T:
     """Run `work` on a new event loop with a clock resolution of `step` seconds."""
     with asyncio.Runner(loop_factory=coarse_loop(step)) as runner:
         return runner.run(work)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable
 from typing import NamedTuple
 
-from platform_standins.coarse_clock import STEPS, run_coarsely
+from platform_standins.coarse_clock import STEPS, run_with_coarse_clock
 from platform_standins.group import LineGroup
 from platform_standins.records import spans_of
 from platform_standins.world import FAR_TOO_LONG, joined_world
@@ -50,7 +50,7 @@
 
 def run_by_coarse_clock(seed: int, seconds: float) -> Report:
     """Play one seed like `run`, on a clock with the resolution that the seed chooses."""
-    return run_coarsely(run(seed, seconds), clock_step(seed))
+    return run_with_coarse_clock(run(seed, seconds), clock_step(seed))
 
 
 class Callers(NamedTuple):
--- a/tests/test_coarse_clock.py
+++ b/tests/test_coarse_clock.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from platform_standins.coarse_clock import STEPS, round_down, run_coarsely
+from platform_standins.coarse_clock import STEPS, round_down, run_with_coarse_clock
 
 
 @pytest.mark.parametrize(
@@ -25,5 +25,5 @@
                 await asyncio.sleep(0.005)
         return due, asyncio.get_running_loop().time()
 
-    due, reached = run_coarsely(wait(), step)
+    due, reached = run_with_coarse_clock(wait(), step)
     assert reached >= due
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from platform_standins.coarse_clock import STEPS, run_coarsely
+from platform_standins.coarse_clock import STEPS, run_with_coarse_clock
 from platform_standins.records import CommitRecord
 from soak.history import NO_ANSWER, Attempt, Kind
 from soak.judge import Judge
@@ -128,6 +128,6 @@
 
 @pytest.mark.parametrize("step", STEPS)
 def test_no_violation_with_a_coarse_clock(step: float) -> None:
-    report = run_coarsely(run(SEEDS[0]["seed"], SECONDS), step)
+    report = run_with_coarse_clock(run(SEEDS[0]["seed"], SECONDS), step)
     assert report.violations == []
     assert report.succeeded > 0
