--- a/tests/platform_standins/world.py
+++ b/tests/platform_standins/world.py
@@ -18,7 +18,7 @@
 from platform_standins.proxy import TcpProxy, proxied
 from platform_standins.store import PlatformStandIn
 
-FAR_TOO_LONG = 60.0
+WAIT_TIMEOUT = 60.0
 """Timeout after which a wait has failed (seconds); nothing is measured by it."""
 GROUP = "deliveries"
 PLATFORM = "platform"
@@ -34,7 +34,7 @@
 
 async def until(condition: Callable[[], bool]) -> None:
     """Wait until a condition is true. Raises TimeoutError after FAR_TOO_LONG."""
-    async with asyncio.timeout(FAR_TOO_LONG):
+    async with asyncio.timeout(WAIT_TIMEOUT):
         while not condition():  # noqa: ASYNC110
             await asyncio.sleep(0.01)
 
@@ -123,7 +123,7 @@
 
     async def client(self, database: str = "session", node: int = 0) -> LineClient:
         """Return a started session once the node accepts clients. Raises TimeoutError."""
-        async with asyncio.timeout(FAR_TOO_LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT):
             while True:
                 client = await LineClient.connect(self.nodes[node].callers.port)
                 answer = await client.start(database)
--- a/tests/soak/process_run.py
+++ b/tests/soak/process_run.py
@@ -16,7 +16,7 @@
 from typing import Any, NamedTuple
 
 from platform_standins.records import RunRecord
-from platform_standins.world import FAR_TOO_LONG
+from platform_standins.world import WAIT_TIMEOUT
 from soak.change_faults import CHANGE_FAULTS
 from soak.config_probe import ConfigurationProbe, started
 from soak.deployment import DeployedNode, Deployment, Size, deployment
@@ -265,7 +265,7 @@
     try:
         await served_again(callers)
     except TimeoutError:
-        problems.append(f"RECOVER: a caller was not served within {FAR_TOO_LONG} s")
+        problems.append(f"RECOVER: a caller was not served within {WAIT_TIMEOUT} s")
     dropped, added = "extra-dropped", "extra-added"
     world.configure({**world.routes, dropped: {"route_type": "primary"}})
     await _wait_for_all(world, dropped, "I", problems)
@@ -287,7 +287,7 @@
 
 async def _wait_for_one(node: DeployedNode, route: str, state: str) -> bool:
     try:
-        async with asyncio.timeout(FAR_TOO_LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT):
             while True:
                 answer = await started(node, route)
                 if answer is not None and answer.state == state:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -10,7 +10,7 @@
 from platform_standins.coarse_clock import STEPS, run_with_coarse_clock
 from platform_standins.group import LineGroup
 from platform_standins.records import spans_of
-from platform_standins.world import FAR_TOO_LONG, joined_world
+from platform_standins.world import WAIT_TIMEOUT, joined_world
 from soak.callers import CalledNodes, Caller
 from soak.faults import leader_of, play
 from soak.history import History
@@ -125,7 +125,7 @@
 
 
 async def _served_again(writer: Caller) -> None:
-    async with asyncio.timeout(FAR_TOO_LONG):
+    async with asyncio.timeout(WAIT_TIMEOUT):
         await writer.write_until_served()
 
 
--- a/tests/test_feed_sources.py
+++ b/tests/test_feed_sources.py
@@ -25,7 +25,7 @@
     Versioned,
 )
 from bramblebeam.services.feed.sources import ListSources
-from platform_standins.world import FAR_TOO_LONG, World, running_world, until
+from platform_standins.world import WAIT_TIMEOUT, World, running_world, until
 from revisions import at
 
 PEER = NodeId("reader")
@@ -49,7 +49,7 @@
 
     async def changes(self, revision: Revision, wait: float) -> Batch[str]:
         found = self._answer("changes")
-        await asyncio.sleep(FAR_TOO_LONG)
+        await asyncio.sleep(WAIT_TIMEOUT)
         return found
 
     def _answer(self, call: str) -> Batch[str]:
--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -15,7 +15,7 @@
 from bramblebeam.services.gateway import forwarding
 from bramblebeam.services.gateway.context import MEMBERS_QUIET_PERIOD
 from bramblebeam.services.gateway.leader_news import LeaderSuspected
-from platform_standins.world import FAR_TOO_LONG, GROUP, World, joined_world, until
+from platform_standins.world import GROUP, WAIT_TIMEOUT, World, joined_world, until
 
 NODES = 4
 CONNECTIONS = 10
@@ -25,7 +25,7 @@
 @pytest.fixture(autouse=True)
 def patient(monkeypatch: pytest.MonkeyPatch) -> None:
     """On a busy machine a node may not respond for long; only a closed stream is a loss here."""
-    monkeypatch.setattr(forwarding, "PEER_SILENCE_TIMEOUT", FAR_TOO_LONG)
+    monkeypatch.setattr(forwarding, "PEER_SILENCE_TIMEOUT", WAIT_TIMEOUT)
 
 
 def serves(node: PlatformNode) -> bool:
--- a/tests/test_lent_connections.py
+++ b/tests/test_lent_connections.py
@@ -26,7 +26,7 @@
 )
 from bramblebeam.services.gateway.slot_queue import Permit, unlimited_permit
 from platform_standins import world as worlds
-from platform_standins.world import FAR_TOO_LONG, GROUP, World, running_world, until
+from platform_standins.world import GROUP, WAIT_TIMEOUT, World, running_world, until
 from test_gateway_pool import OpenConnection, make_pool
 from test_silent_connections import MEMBER, long_world, pools, served, tracker, warm
 
@@ -100,7 +100,7 @@
         await served(client, "BEGIN")
         assert (await served(client, "WRITE x 1")).code == ""
         pool = pools(world)[MEMBER]
-        lent = await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG)
+        lent = await pool.acquire(NO_TENANT, NO_STATE, WAIT_TIMEOUT)
         await asyncio.sleep(FAR)
         world.proxies[MEMBER].delay = FAR
         with pytest.raises(ConnectionLostError):
@@ -157,7 +157,7 @@
         return opened
 
     pool._connector = SimpleNamespace(connect=connect)  # type: ignore[assignment]
-    asked = asyncio.ensure_future(pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG))
+    asked = asyncio.ensure_future(pool.acquire(NO_TENANT, NO_STATE, WAIT_TIMEOUT))
     await until(lambda: bool(pool._opening))
     pool.close()
     may_open.set()
@@ -171,14 +171,14 @@
         assert (await served(client, "WRITE x 1")).code == ""
         tracker(world)._used_at = NEVER_USED
         pool = pools(world)[MEMBER]
-        lent = await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG)
+        lent = await pool.acquire(NO_TENANT, NO_STATE, WAIT_TIMEOUT)
         for idle in pool._resting:
             idle.connection.close()
         now = asyncio.get_running_loop().time()
-        pool._silent_before = now + FAR_TOO_LONG
+        pool._silent_before = now + WAIT_TIMEOUT
         pool._refused_until = now + 0.1
-        async with asyncio.timeout(FAR_TOO_LONG):
-            other = await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG)
+        async with asyncio.timeout(WAIT_TIMEOUT):
+            other = await pool.acquire(NO_TENANT, NO_STATE, WAIT_TIMEOUT)
         other.give_back()
         lent.give_back()
 
@@ -215,7 +215,7 @@
     request: Any = SimpleNamespace(
         route=route, tenant=NO_TENANT, work=lambda: None, withdrawn=False
     )
-    async with asyncio.timeout(FAR_TOO_LONG):
+    async with asyncio.timeout(WAIT_TIMEOUT):
         answer: Any = await reads._read_with_retries(context, request, a_pool("a"), set())
     assert answer == "answer"
     assert tried == ["a", "b", "a"]
--- a/tests/test_limits_over_nodes.py
+++ b/tests/test_limits_over_nodes.py
@@ -18,7 +18,7 @@
 from bramblebeam.services.gateway.limits import TOLD_SECONDS
 from bramblebeam.services.gateway.tenant_records import Part
 from counting_fleet import Fleet, table
-from platform_standins.world import FAR_TOO_LONG, World, running_world, until
+from platform_standins.world import WAIT_TIMEOUT, World, running_world, until
 from quota_search import SPAN, allowed, most_in_any_span
 from test_quota import LIMIT
 from test_tenant_serving import NODES
@@ -205,7 +205,7 @@
         put_configuration(world, 2, [tenant_entry(ACME, SECRET)], brief=brief)
         client = await open_session(world, SECRET, "brief")
         records = world.nodes[0].gateway.context.metrics.tenants
-        async with asyncio.timeout(FAR_TOO_LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT):
             answer, _ = await asyncio.gather(client.run("READ k"), replicas_are_busy(world))
         assert answer.code
         assert sum(run.action == "READ" for run in world.group.runs) == 1
@@ -223,7 +223,7 @@
         records = world.nodes[0].gateway.context.metrics.tenants
         for member in world.group.members.values():
             member.fault.mute_reads = 1
-        async with asyncio.timeout(FAR_TOO_LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT):
             answer = await client.run("READ k")
         assert not answer.code
         runs = sum(run.action == "READ" for run in world.group.runs)
--- a/tests/test_overload_gateway.py
+++ b/tests/test_overload_gateway.py
@@ -32,7 +32,7 @@
 from bramblebeam.services.transport.messages import PeerFailure
 from overload_callers import record_retries
 from platform_standins import world as worlds
-from platform_standins.world import FAR_TOO_LONG, GROUP, World, configuration, proxied_world, until
+from platform_standins.world import GROUP, WAIT_TIMEOUT, World, configuration, proxied_world, until
 from test_gateway_pool import make_pool
 
 MEMBER = "db-a"
@@ -71,7 +71,7 @@
     """Acquire all connections to the leader."""
     pool = next(found for found in context_of(world).placement.pools.values() if is_leader(found))
     free = pool.budget.limit(context_of(world).now()) - pool.load
-    return [await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG) for _ in range(free)]
+    return [await pool.acquire(NO_TENANT, NO_STATE, WAIT_TIMEOUT) for _ in range(free)]
 
 
 def is_leader(pool: Any) -> bool:
@@ -330,7 +330,7 @@
     return DatabaseGate(context, make_pool(MAX_CONNECTIONS), OpenTransactions())
 
 
-def begins(tenant: TenantId = ACME, hold_until: float = FAR_TOO_LONG) -> Any:
+def begins(tenant: TenantId = ACME, hold_until: float = WAIT_TIMEOUT) -> Any:
     return SimpleNamespace(tenant=tenant, hold_until=hold_until, identifier="id")
 
 
@@ -340,7 +340,7 @@
     for _ in range(MAX_CONNECTIONS):
         admission = await found.enter(begins())
         assert isinstance(admission, GateAdmission)
-        opened.append((admission, await found.pool.acquire(ACME, NO_STATE, FAR_TOO_LONG)))
+        opened.append((admission, await found.pool.acquire(ACME, NO_STATE, WAIT_TIMEOUT)))
     return opened
 
 
@@ -364,7 +364,7 @@
     found = gate()
     for _ in range(MAX_CONNECTIONS - 1):
         assert isinstance(await found.enter(begins()), GateAdmission)
-    held = [await found.pool.acquire(BOLT, NO_STATE, FAR_TOO_LONG) for _ in range(MAX_CONNECTIONS)]
+    held = [await found.pool.acquire(BOLT, NO_STATE, WAIT_TIMEOUT) for _ in range(MAX_CONNECTIONS)]
     waiting = asyncio.ensure_future(found.enter(begins()))
     await asyncio.sleep(0)
     assert not waiting.done()
--- a/tests/test_overload_read_path.py
+++ b/tests/test_overload_read_path.py
@@ -20,9 +20,9 @@
 from bramblebeam.services.gateway.read_targets import ReadTargets
 from platform_standins import world as world_module
 from platform_standins.world import (
-    FAR_TOO_LONG,
     GROUP,
     MEMBERS,
+    WAIT_TIMEOUT,
     World,
     joined_world,
     node_settings,
@@ -38,7 +38,7 @@
 @pytest.fixture(autouse=True)
 def patient(monkeypatch: pytest.MonkeyPatch) -> None:
     """On a busy machine a node may not respond for long; only a closed stream is a loss here."""
-    monkeypatch.setattr(forwarding, "PEER_SILENCE_TIMEOUT", FAR_TOO_LONG)
+    monkeypatch.setattr(forwarding, "PEER_SILENCE_TIMEOUT", WAIT_TIMEOUT)
 
 
 def settings_near(name: str, platform_port: int) -> dict[str, Any]:
@@ -122,7 +122,7 @@
         assert world.nodes[NODE].gateway.context.metrics._ejections["silent"] >= 1
         member.fault.silent = False
 
-        async with asyncio.timeout(FAR_TOO_LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT):
             while ejection_state(world, NEAR) is not EjectionState.IN_SERVICE:
                 assert await read(world) == [""]
 
--- a/tests/test_platform_leaders.py
+++ b/tests/test_platform_leaders.py
@@ -23,8 +23,8 @@
 from platform_standins.cuts import cut
 from platform_standins.group import LineDatabase
 from platform_standins.world import (
-    FAR_TOO_LONG,
     GROUP,
+    WAIT_TIMEOUT,
     LineClient,
     World,
     joined_world,
@@ -157,7 +157,7 @@
 async def test_a_planned_change_waits_for_replicas_to_catch_up(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(change, "CATCH_UP_SECONDS", FAR_TOO_LONG)
+    monkeypatch.setattr(change, "CATCH_UP_SECONDS", WAIT_TIMEOUT)
     async with world_without_demotion(nodes=1) as world:
         former = world.group.members["db-a"]
         others = [world.group.members[name] for name in ("db-b", "db-c")]
@@ -194,7 +194,7 @@
         await write(client, "parcel 2")
         world.register("db-a", state="draining")
         await until(lambda: context.placement.pools[InstanceId("db-a")].entry.leaving)
-        async with asyncio.timeout(FAR_TOO_LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT):
             for number in range(20):
                 await write(client, f"parcel {number}")
         assert world.group.members["db-a"].is_primary
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -20,8 +20,8 @@
 from bramblebeam.services.gateway import reads, transaction
 from bramblebeam.services.gateway import service as gateway_service
 from platform_standins.world import (
-    FAR_TOO_LONG,
     GROUP,
+    WAIT_TIMEOUT,
     LineClient,
     World,
     node_settings,
@@ -119,7 +119,7 @@
         context.placement.pools.clear()
         context.placement.reopen()
         running = asyncio.ensure_future(client.run("READ parcel"))
-        await asyncio.wait_for(asked.wait(), FAR_TOO_LONG)
+        await asyncio.wait_for(asked.wait(), WAIT_TIMEOUT)
         held = sum(pool.load for pool in context.placement.pools.values())
         client.close()
         await until(lambda: sum(pool.load for pool in context.placement.pools.values()) < held)
@@ -500,13 +500,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Such a caller's first request was in flight when the node ended."""
-    monkeypatch.setattr(caller_listener, "_FIRST_QUESTION_SECONDS", FAR_TOO_LONG)
+    monkeypatch.setattr(caller_listener, "_FIRST_QUESTION_SECONDS", WAIT_TIMEOUT)
     # The node accepts callers long enough for this process to be suspended before it connects.
-    monkeypatch.setattr(gateway_service, "LAST_ARRIVALS_SHARE", 3.0 / FAR_TOO_LONG)
+    monkeypatch.setattr(gateway_service, "LAST_ARRIVALS_SHARE", 3.0 / WAIT_TIMEOUT)
     async with running_world() as world:
         await own_write(world, "parcel", "1")
         node = world.nodes[0]
-        node.gateway._grace = FAR_TOO_LONG
+        node.gateway._grace = WAIT_TIMEOUT
         draining = asyncio.ensure_future(node.kernel.drain())
         await until(lambda: node.gateway.stopping)
         client = await LineClient.connect(node.callers.port)
--- a/tests/test_platform_proxy.py
+++ b/tests/test_platform_proxy.py
@@ -7,7 +7,7 @@
 import pytest
 
 from platform_standins.proxy import Direction, TcpProxy, proxied
-from platform_standins.world import FAR_TOO_LONG, until
+from platform_standins.world import WAIT_TIMEOUT, until
 
 Stream = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
@@ -35,7 +35,7 @@
 
 async def ask(stream: Stream, data: bytes) -> bytes:
     stream[1].write(data)
-    async with asyncio.timeout(FAR_TOO_LONG):
+    async with asyncio.timeout(WAIT_TIMEOUT):
         return await stream[0].readexactly(len(data))
 
 
@@ -76,7 +76,7 @@
         old = await dial(proxy)
         assert await ask(old, b"one") == b"one"
         proxy.reset()
-        async with asyncio.timeout(FAR_TOO_LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT):
             assert await old[0].read() == b""
         assert await ask(await dial(proxy), b"two") == b"two"
 
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -40,9 +40,9 @@
 from platform_standins.group import LineGroup
 from platform_standins.proxy import TcpProxy, proxied
 from platform_standins.world import (
-    FAR_TOO_LONG,
     GROUP,
     PLATFORM,
+    WAIT_TIMEOUT,
     Answer,
     LineClient,
     World,
@@ -82,22 +82,22 @@
     """The silence costs one request, not each following one."""
     async with peers_through_proxy() as (a, _b, proxy):
         (struck,) = proxy.silence()
-        lost = await a.ask("b", timeout=FAR_TOO_LONG, silence=0.2)
+        lost = await a.ask("b", timeout=WAIT_TIMEOUT, silence=0.2)
         assert lost == PeerFailure(sent=True, detail="the peer is silent")
-        assert isinstance(await a.ask("b", timeout=FAR_TOO_LONG, silence=0.2), PositionReply)
+        assert isinstance(await a.ask("b", timeout=WAIT_TIMEOUT, silence=0.2), PositionReply)
         assert proxy.accepted == 2
         await until(lambda: not struck.caller_open)
 
 
 async def test_a_new_stream_that_is_silent_from_the_start_is_replaced() -> None:
     async with started("a", "b") as (a, b), proxied(b.address.port) as proxy:
-        proxy.delay = FAR_TOO_LONG
+        proxy.delay = WAIT_TIMEOUT
         b.address = Address("127.0.0.1", proxy.port)
         introduce(a, b)
-        lost = await a.ask("b", timeout=FAR_TOO_LONG, silence=0.2)
+        lost = await a.ask("b", timeout=WAIT_TIMEOUT, silence=0.2)
         assert lost == PeerFailure(sent=False, detail="the peer is silent")
         proxy.delay = 0.0
-        assert isinstance(await a.ask("b", timeout=FAR_TOO_LONG, silence=0.2), PositionReply)
+        assert isinstance(await a.ask("b", timeout=WAIT_TIMEOUT, silence=0.2), PositionReply)
 
 
 async def test_the_other_node_answers_on_the_new_stream() -> None:
@@ -105,9 +105,9 @@
     async with peers_through_proxy() as (a, b, proxy):
         assert isinstance(await b.ask("a"), PositionReply)
         proxy.silence()
-        await a.ask("b", timeout=FAR_TOO_LONG, silence=0.2)
-        assert isinstance(await a.ask("b", timeout=FAR_TOO_LONG, silence=0.2), PositionReply)
-        assert isinstance(await b.ask("a", timeout=FAR_TOO_LONG, silence=0.2), PositionReply)
+        await a.ask("b", timeout=WAIT_TIMEOUT, silence=0.2)
+        assert isinstance(await a.ask("b", timeout=WAIT_TIMEOUT, silence=0.2), PositionReply)
+        assert isinstance(await b.ask("a", timeout=WAIT_TIMEOUT, silence=0.2), PositionReply)
 
 
 async def test_streams_without_data_since_then_are_replaced_too() -> None:
@@ -124,7 +124,7 @@
             assert isinstance(await a.ask(peer), PositionReply)
         to_b.silence()
         to_c.silence()
-        lost = await a.ask("b", timeout=FAR_TOO_LONG, silence=0.2)
+        lost = await a.ask("b", timeout=WAIT_TIMEOUT, silence=0.2)
         assert lost == PeerFailure(sent=True, detail="the peer is silent")
         assert isinstance(await a.ask("c", timeout=MISSING_AFTER, silence=0.2), PositionReply)
 
@@ -134,8 +134,8 @@
     """A write gains nothing by being in doubt earlier; any other request is sent elsewhere."""
     async with peers_through_proxy() as (a, b, proxy):
         proxy.silence()
-        first = asyncio.ensure_future(a.ask("b", timeout=FAR_TOO_LONG, silence=0.2))
-        request = PeerRequest(b.node, ASK, FAR_TOO_LONG, FAR_TOO_LONG / 2, repeatable)
+        first = asyncio.ensure_future(a.ask("b", timeout=WAIT_TIMEOUT, silence=0.2))
+        request = PeerRequest(b.node, ASK, WAIT_TIMEOUT, WAIT_TIMEOUT / 2, repeatable)
         second = asyncio.ensure_future(a.kernel.call("transport", request))
         assert isinstance(await first, PeerFailure)
         for _ in range(10):
@@ -175,7 +175,7 @@
     """Leave `count` idle connections in the pool of each database."""
     for pool in pools(world).values():
         pool.kept_idle = count
-        connections = [await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG) for _ in range(count)]
+        connections = [await pool.acquire(NO_TENANT, NO_STATE, WAIT_TIMEOUT) for _ in range(count)]
         for connection in connections:
             connection.give_back()
 
@@ -359,12 +359,12 @@
     address = await server.start()
     async with proxied(address.port) as proxy:
         client = HttpClient(Address("127.0.0.1", proxy.port))
-        assert (await client.call("GET", "/one", FAR_TOO_LONG)).status == 200
+        assert (await client.call("GET", "/one", WAIT_TIMEOUT)).status == 200
         proxy.silence()
         with pytest.raises(HttpError) as lost:
             await client.call("GET", "/two", 0.05)
         assert lost.value.sent
-        assert (await client.call("GET", "/three", FAR_TOO_LONG)).body == b"/three"
+        assert (await client.call("GET", "/three", WAIT_TIMEOUT)).body == b"/three"
         assert proxy.accepted == 2
         client.close()
     server.close()
--- a/tests/test_slot_queue.py
+++ b/tests/test_slot_queue.py
@@ -19,7 +19,7 @@
 from bramblebeam.services.gateway.slot_queue import NoSlotError, Permit, SlotQueue
 from overload_callers import record_retries
 from platform_standins import world as worlds
-from platform_standins.world import FAR_TOO_LONG, World, running_world, until
+from platform_standins.world import WAIT_TIMEOUT, World, running_world, until
 from test_silent_connections import pools, served
 
 LONG = 1_000.0
@@ -53,7 +53,7 @@
     assert (slots.in_flight, slots.waiting) == (1, 1)
     first.release(served=True)
     first.release(served=True)
-    async with asyncio.timeout(FAR_TOO_LONG):
+    async with asyncio.timeout(WAIT_TIMEOUT):
         (await second).release(served=False)
     assert (slots.in_flight, slots.waiting) == (0, 0)
 
@@ -64,7 +64,7 @@
     waiting = [await entering(slots, work()) for _ in range(3)]
     waiting[0].cancel()
     first.release(served=True)
-    async with asyncio.timeout(FAR_TOO_LONG):
+    async with asyncio.timeout(WAIT_TIMEOUT):
         (await waiting[1]).release(served=True)
         (await waiting[2]).release(served=True)
     assert (slots.in_flight, slots.waiting) == (0, 0)
@@ -84,7 +84,7 @@
     slots = queue()
     held = await slots.enter(work())
     with pytest.raises(NoSlotError) as refused:
-        async with asyncio.timeout(FAR_TOO_LONG):
+        async with asyncio.timeout(WAIT_TIMEOUT):
             await slots.enter(work(time=0.1))
     assert refused.value.refusal.verdict is Verdict.NOT_RUN
     assert refused.value.refusal.reason is Reason.QUEUE_FULL
@@ -97,7 +97,7 @@
     """The holders of the permits may be waiting for the connections of open transactions."""
     slots = queue()
     held = await slots.enter(work())
-    async with asyncio.timeout(FAR_TOO_LONG):
+    async with asyncio.timeout(WAIT_TIMEOUT):
         of_transaction = await slots.enter(work(in_transaction=True))
     of_transaction.release(served=True)
     held.release(served=True)
@@ -117,7 +117,7 @@
     await slots.enter(work())
     waiting = await entering(slots, work())
     slots.allow(2, 0)
-    async with asyncio.timeout(FAR_TOO_LONG):
+    async with asyncio.timeout(WAIT_TIMEOUT):
         await waiting
 
 
@@ -260,7 +260,7 @@
             await asyncio.sleep(0.1)
             client.close()
             await until(lambda: all_released(world))
-        pooled = await pool.acquire(NO_TENANT, NO_STATE, FAR_TOO_LONG)
+        pooled = await pool.acquire(NO_TENANT, NO_STATE, WAIT_TIMEOUT)
         pooled.give_back()
 
 
@@ -271,7 +271,7 @@
     bounded = await slots.enter(work(in_transaction=True))
     of_transaction = await entering(slots, work(in_transaction=True))
     slots.refuse_waiting()
-    async with asyncio.timeout(FAR_TOO_LONG):
+    async with asyncio.timeout(WAIT_TIMEOUT):
         refused = await asyncio.gather(*waiting, return_exceptions=True)
         assert [type(error) for error in refused] == [NoSlotError] * 3
         assert not isinstance(
