--- a/tests/platform_standins/cuts.py
+++ b/tests/platform_standins/cuts.py
@@ -60,7 +60,7 @@
 
 
 def restore_step_downs(node: PlatformNode) -> None:
-    """Undo `keep_from()`."""
+    """Undo `drop_step_downs()`."""
     vars(_failover(node).peers).pop("step_down", None)
 
 
--- a/tests/platform_standins/group.py
+++ b/tests/platform_standins/group.py
@@ -19,8 +19,8 @@
     """Faults to inject into a database, all off by default.
 
     `busy`: number of statements to refuse as overloaded. `lose_answers`, `lose_commits`: number of
-    writes or commits to execute and then reset the connection. `mute_reads`: number of reads to
-    execute and not answer, on connections that stay open. `silent`: ignore all input.
+    writes or commits to execute and then reset the connection. `unanswered_reads`: number of reads
+    to execute and not answer, on connections that stay open. `unresponsive`: ignore all input.
     """
 
     busy: int = 0
@@ -33,9 +33,9 @@
 class LineDatabase:
     """One member, which listens on its own port.
 
-    `deaf`: receives no log entries. `island`: partition number; members of different partitions do
-    not reach each other. `lag`: maximum replication lag in seconds. `born`: start time in
-    milliseconds of the epoch, 0 if the member does not report one.
+    `replication_cut`: receives no log entries. `partition`: partition number; members of different
+    partitions do not reach each other. `lag`: maximum replication lag in seconds. `born`: start
+    time in milliseconds of the epoch, 0 if the member does not report one.
     """
 
     def __init__(self, group: LineGroup, name: str) -> None:
@@ -108,7 +108,7 @@
 
     def can_receive_from(self, leader: LineDatabase) -> bool:
         """Whether the member can receive log entries from `leader`."""
-        return self.serving and not self.replication_cut and self.partition == leader.island
+        return self.serving and not self.replication_cut and self.partition == leader.partition
 
     @property
     def position(self) -> str:
@@ -167,7 +167,7 @@
         self._buffer += data
         *lines, self._buffer = self._buffer.split(b"\r\n")
         for line in lines:
-            if not self.database.fault.silent:
+            if not self.database.fault.unresponsive:
                 self._line(line.decode())
 
     def _line(self, line: str) -> None:
@@ -248,8 +248,8 @@
         pending = dict(self.writes)
         value = pending.get(key, self.database.read(key))
         self._ran(identifier, "READ", key, value)
-        if self.database.fault.mute_reads > 0:
-            self.database.fault.mute_reads -= 1
+        if self.database.fault.unanswered_reads > 0:
+            self.database.fault.unanswered_reads -= 1
             return
         self._send(f"ROW {value}")
         self._done(f"signed-{identifier}")
@@ -326,7 +326,7 @@
     def _ran(self, identifier: str, action: str, key: str = "", value: str = "") -> None:
         database = self.database
         database.runs[identifier] += 1
-        database.ran_with[identifier] = dict(self.values)
+        database.session_values_of_run[identifier] = dict(self.values)
         values = frozenset(self.values.items())
         run = RunRecord(
             identifier,
@@ -433,7 +433,7 @@
             return
         primary = self.primary
         for member in self.members.values():
-            if not member.hears(primary):
+            if not member.can_receive_from(primary):
                 continue
             if member.held_term <= primary.term and primary.term > member.term:
                 member.paused = False
@@ -458,7 +458,12 @@
     def _receive(self, member: LineDatabase) -> None:
         member.receiving = False
         leading = any(found.is_primary for found in self.members.values())
-        if not leading or member.is_primary or member.paused or not member.hears(self.primary):
+        if (
+            not leading
+            or member.is_primary
+            or member.paused
+            or not member.can_receive_from(self.primary)
+        ):
             return
         member.receive(self.primary)
         self._answer_received()
--- a/tests/platform_standins/records.py
+++ b/tests/platform_standins/records.py
@@ -82,7 +82,7 @@
 
 
 class PromotionRecord(NamedTuple):
-    """A promotion. `spans`: log of the promoted member; `moment`: event sequence number."""
+    """A promotion. `spans`: log of the promoted member; `sequence`: event sequence number."""
 
     member: str
     term: int
--- a/tests/platform_standins/store.py
+++ b/tests/platform_standins/store.py
@@ -21,10 +21,10 @@
 class StoreFault:
     """Faults to inject into the store.
 
-    `status`: status code of every answer, 0 for no fault. `lose`: number of writes to execute and
-    not answer. `lose_orders`: number of promotions to leave unanswered and execute with the next
-    one. `delay`: delay of requests (seconds); a write is executed after it even if its client is
-    gone.
+    `status`: status code of every answer, 0 for no fault. `unanswered_writes`: number of writes to
+    execute and not answer. `unanswered_promotions`: number of promotions to leave unanswered and
+    execute with the next one. `delay`: delay of requests (seconds); a write is executed after it
+    even if its client is gone.
     """
 
     status: int = 0
@@ -58,7 +58,7 @@
 
     `checks_fences`: refuse promotions with a fencing token lower than an earlier one.
     `promotion_seconds`: time until a promotion takes effect after its answer. `era`: number of
-    restores from a snapshot. `told_era`: overrides the era in the response header.
+    restores from a snapshot. `reported_era`: overrides the era in the response header.
     """
 
     groups: dict[str, LineGroup] = field(default_factory=dict)
--- a/tests/platform_standins/world.py
+++ b/tests/platform_standins/world.py
@@ -33,7 +33,7 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait until a condition is true. Raises TimeoutError after FAR_TOO_LONG."""
+    """Wait until a condition is true. Raises TimeoutError after WAIT_TIMEOUT."""
     async with asyncio.timeout(WAIT_TIMEOUT):
         while not condition():  # noqa: ASYNC110
             await asyncio.sleep(0.01)
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -58,7 +58,7 @@
 
 
 class AttemptStart(NamedTuple):
-    """Start of an attempt. `time`: monotonic clock, seconds; `moment`: event sequence number."""
+    """Start of an attempt. `time`: monotonic clock, seconds; `sequence`: event sequence number."""
 
     time: float
     sequence: int
@@ -174,7 +174,7 @@
             answer.code,
             answer.signature,
             self._session,
-            start.moment,
+            start.sequence,
             next_sequence(),
             frozenset(self._values.items()),
             self._client is not None,
--- a/tests/soak/config_probe.py
+++ b/tests/soak/config_probe.py
@@ -30,7 +30,7 @@
 class Served(NamedTuple):
     """Observation that a node served one version. Times: event loop's clock, seconds.
 
-    `life`: start number of the node's process.
+    `start_number`: start number of the node's process.
     """
 
     node: str
@@ -40,7 +40,7 @@
     answered_at: float
 
 
-async def started(node: DeployedNode, route: str) -> Answer | None:
+async def answer_to_start(node: DeployedNode, route: str) -> Answer | None:
     """Try to open a session on `route`; return the answer, or None without a definite one."""
     try:
         async with asyncio.timeout(START_SECONDS):
@@ -76,11 +76,11 @@
         while True:
             await asyncio.sleep(PROBE_SECONDS)
             for version in self._world.marked_versions[-PROBED_VERSIONS:]:
-                life, sent_at = node.process.lives, loop.time()
-                answer = await started(node, marked_route(version))
+                start_number, sent_at = node.process.start_count, loop.time()
+                answer = await answer_to_start(node, marked_route(version))
                 is_served = answer is not None and answer.state == "I"
-                if is_served and node.process.lives == life:
-                    found = Served(node.process.name, life, version, sent_at, loop.time())
+                if is_served and node.process.start_count == start_number:
+                    found = Served(node.process.name, start_number, version, sent_at, loop.time())
                     self._served.append(found)
 
 
@@ -93,7 +93,9 @@
     """Yield the cases where one process of a node served an older version after a newer one."""
     for older in served:
         for newer in served:
-            is_regression = newer.life == older.life and newer.version > older.version
+            is_regression = (
+                newer.start_number == older.start_number and newer.version > older.version
+            )
             if is_regression and older.sent_at > newer.answered_at + REVERT_SLACK:
                 yield f"CONFIG: {older.node} served version {older.version} after {newer.version}"
                 break
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -39,9 +39,9 @@
 async def dark_leader(world: World, rng: random.Random) -> AsyncIterator[None]:
     """The leader accepts connections and answers nothing."""
     leader = leader_of(world.group)
-    leader.fault.silent = True
+    leader.fault.unresponsive = True
     yield
-    leader.fault.silent = False
+    leader.fault.unresponsive = False
 
 
 @asynccontextmanager
@@ -61,18 +61,18 @@
 async def dark_follower(world: World, rng: random.Random) -> AsyncIterator[None]:
     """A replica answers nothing."""
     follower = follower_of(world, rng)
-    follower.fault.silent = True
+    follower.fault.unresponsive = True
     yield
-    follower.fault.silent = False
+    follower.fault.unresponsive = False
 
 
 @asynccontextmanager
 async def lagging_follower(world: World, rng: random.Random) -> AsyncIterator[None]:
     """A replica receives no log entries for a while."""
     follower = follower_of(world, rng)
-    follower.deaf = True
+    follower.replication_cut = True
     yield
-    follower.deaf = False
+    follower.replication_cut = False
     world.group.replicate()
 
 
@@ -91,7 +91,7 @@
     """A partition separates the leader and one node from the replicas and the other nodes."""
     leader = leader_of(world.group)
     isolated, *others = rng.sample(world.nodes, len(world.nodes))
-    leader.deaf = True
+    leader.replication_cut = True
     cut(isolated, *(name for name in world.group.members if name != leader.name))
     for node in others:
         cut(node, leader.name)
@@ -100,7 +100,7 @@
     for node in world.nodes:
         heal(node)
         restore_step_downs(node)
-    leader.deaf = False
+    leader.replication_cut = False
 
 
 @asynccontextmanager
@@ -132,8 +132,8 @@
 
     The writes are done; the promotions take effect with the next one.
     """
-    world.platform.fault.lose += rng.randint(1, 3)
-    world.platform.fault.lose_orders += rng.randint(0, 1)
+    world.platform.fault.unanswered_writes += rng.randint(1, 3)
+    world.platform.fault.unanswered_promotions += rng.randint(0, 1)
     world.platform.forget_history()
     yield
 
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -23,9 +23,9 @@
 
     `number`: number that was written or read, 0 for none. `code`: empty for a success, NO_ANSWER
     if the connection ended or the answer timed out. `session`: sequence number of the caller's
-    session. `sent_moment`, `answered_moment`: event sequence numbers, 0 if not recorded. `values`:
-    values that the session had set. `was_sent`: whether there was a connection to send it on.
-    `node`: index of the node, -1 if not recorded.
+    session. `sent_sequence`, `answered_sequence`: event sequence numbers, 0 if not recorded.
+    `values`: values that the session had set. `was_sent`: whether there was a connection to send it
+    on. `node`: index of the node, -1 if not recorded.
     """
 
     kind: Kind
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -146,6 +146,6 @@
             continue
         term, number = positions.get((attempt.key, attempt.number), (0, 0))
         for promoted in logs.promotions:
-            is_later = promoted.term > term and promoted.moment > attempt.answered_moment
+            is_later = promoted.term > term and promoted.sequence > attempt.answered_sequence
             if term and is_later and not holds(promoted.spans, term, number):
                 yield Violation("LOST", attempt, f"{promoted.member} was promoted without it")
--- a/tests/soak/owed.py
+++ b/tests/soak/owed.py
@@ -74,10 +74,12 @@
         ]
         by_session: dict[tuple[str, int], list[tuple[float, LogPosition]]] = defaultdict(list)
         for attempt, position in acknowledged:
-            by_session[attempt.caller, attempt.session].append((attempt.answered_moment, position))
+            by_session[attempt.caller, attempt.session].append(
+                (attempt.answered_sequence, position)
+            )
         self._own = {session: _MaxPositions(found) for session, found in by_session.items()}
         self._by_sequence = _MaxPositions(
-            (found.answered_moment, position) for found, position in acknowledged
+            (found.answered_sequence, position) for found, position in acknowledged
         )
         self._by_time = _MaxPositions(
             (found.answered_at, position) for found, position in acknowledged
@@ -92,14 +94,14 @@
 
     def _required_of_session(self, read: Attempt) -> LogPosition | None:
         own = self._own.get((read.caller, read.session))
-        return None if own is None else own.before(read.sent_moment)
+        return None if own is None else own.before(read.sent_sequence)
 
     def _required_of_others(self, read: Attempt) -> LogPosition | None:
         staleness = STALENESS.get(read.route)
         if staleness is None:
             return None
         if staleness == 0:
-            return self._by_sequence.before(read.sent_moment)
+            return self._by_sequence.before(read.sent_sequence)
         return self._by_time.before(read.sent_at - staleness)
 
 
--- a/tests/soak/process_faults.py
+++ b/tests/soak/process_faults.py
@@ -241,10 +241,10 @@
     links += [node.to_nodes[host] for node in others if host in node.to_nodes]
     if rng.random() < 0.5:
         links.append(isolated.to_store)
-    leader.island = 1
+    leader.partition = 1
     async with darkened(world, links):
         yield
-    leader.island = 0
+    leader.partition = 0
     world.group.replicate()
 
 
@@ -288,11 +288,11 @@
 async def dark_leader(world: Deployment, rng: random.Random) -> AsyncIterator[None]:
     """The leader is unresponsive to nodes and cut off from the other databases."""
     leader = leader_of(world.group)
-    leader.fault.silent = True
-    leader.island = 1
+    leader.fault.unresponsive = True
+    leader.partition = 1
     yield
-    leader.fault.silent = False
-    leader.island = 0
+    leader.fault.unresponsive = False
+    leader.partition = 0
     world.group.replicate()
 
 
@@ -350,10 +350,10 @@
     world.platform.fault.status = 503
     await asyncio.sleep(rng.uniform(0.0, MAX_STORE_DOWNTIME))
     lost = world.platform.copy()
-    world.platform.go_back(copy)
+    world.platform.restore(copy)
     world.platform.fault.status = 0
     await asyncio.sleep(rng.uniform(*REWRITE_DELAYS))
-    world.platform.write_again(lost)
+    world.platform.rewrite_lost(lost)
     yield
 
 
--- a/tests/soak/process_run.py
+++ b/tests/soak/process_run.py
@@ -18,7 +18,7 @@
 from platform_standins.records import RunRecord
 from platform_standins.world import WAIT_TIMEOUT
 from soak.change_faults import CHANGE_FAULTS
-from soak.config_probe import ConfigurationProbe, started
+from soak.config_probe import ConfigurationProbe, answer_to_start
 from soak.deployment import DeployedNode, Deployment, Size, deployment
 from soak.faults import play
 from soak.history import NO_ANSWER, Attempt, History
@@ -76,7 +76,7 @@
     problems: list[str]
 
     @property
-    def broken(self) -> bool:
+    def failed(self) -> bool:
         """Whether the run failed."""
         return bool(self.violations or self.problems)
 
@@ -167,7 +167,7 @@
                     problems=[*report.problems, *found],
                 )
         report = report._replace(problems=[*report.problems, *_log_problems(world)])
-        if report.broken and keep is not None:
+        if report.failed and keep is not None:
             _save_findings(world, report, callers.history, folder, keep / str(seed))
         return report
     finally:
@@ -212,7 +212,7 @@
         len(history),
         sum(attempt.succeeded for attempt in history),
         len(world.group.promotions),
-        sum(node.process.lives for node in world.nodes),
+        sum(node.process.start_count for node in world.nodes),
         violations,
         [*problems, *probe.regressions(), *_unexpected_exits(world), *_token_regressions(world)],
     )
@@ -249,7 +249,7 @@
     while True:
         await asyncio.sleep(POLL_SECONDS)
         for node in world.nodes:
-            if not node.process.running and node.process.ended_by_itself:
+            if not node.process.running and node.process.exited_unrequested:
                 await node.process.restart()
 
 
@@ -289,7 +289,7 @@
     try:
         async with asyncio.timeout(WAIT_TIMEOUT):
             while True:
-                answer = await started(node, route)
+                answer = await answer_to_start(node, route)
                 if answer is not None and answer.state == state:
                     return True
                 await asyncio.sleep(POLL_SECONDS)
@@ -314,11 +314,11 @@
 
 def _unexpected_exits(world: Deployment) -> Iterator[str]:
     for node in world.nodes:
-        for ending in node.process.endings:
-            if not ending.as_requested:
+        for process_exit in node.process.exits:
+            if not process_exit.as_requested:
                 yield (
-                    f"ENDED: {node.process.name} with code {ending.code}, "
-                    f"requested signal {ending.requested}"
+                    f"ENDED: {node.process.name} with code {process_exit.code}, "
+                    f"requested signal {process_exit.requested}"
                 )
 
 
@@ -354,7 +354,7 @@
     lines += [f"{found.rule}: {found.detail}: {found.attempt}" for found in report.violations]
     lines += [f"promotion: {found}" for found in world.group.promotions]
     _write(kept / "report.txt", lines)
-    _write(kept / "attempts.txt", sorted(history, key=lambda found: found.sent_moment))
+    _write(kept / "attempts.txt", sorted(history, key=lambda found: found.sent_sequence))
     _write(kept / "runs.txt", world.group.runs)
     _write(kept / "commits.txt", world.group.commits)
 
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -40,7 +40,7 @@
     while True:
         report = uvloop.run(run(seed, seconds, findings, nodes, sessions, only, restores, tenants))
         _print(report)
-        if report.broken:
+        if report.failed:
             failed_seeds += 1
             typer.echo(f"  logs: {findings / str(seed)}")
             command = f"python -m soak.processes --minutes 0 --seed {seed} --seconds {seconds}"
@@ -58,7 +58,7 @@
 def _print(report: ProcessReport) -> None:
     typer.echo(
         f"seed {report.seed} ({report.kind}): {report.succeeded} of {report.attempts} attempts "
-        f"succeeded, {report.lives} process starts, {report.promotions} promotions, "
+        f"succeeded, {report.process_starts} process starts, {report.promotions} promotions, "
         f"{len(report.violations)} violations, {len(report.problems)} problems; "
         f"faults: {' '.join(report.faults)}"
     )
--- a/tests/soak/tenants.py
+++ b/tests/soak/tenants.py
@@ -69,7 +69,7 @@
 
     async def _call(self, index: int, until: Callable[[], bool]) -> None:
         while not until():
-            client = await self._started(index)
+            client = await self._open_session(index)
             if client is not None:
                 await self._use(client, until)
                 client.close()
@@ -81,7 +81,7 @@
                 return
             await asyncio.sleep(PAUSE)
 
-    async def _started(self, index: int) -> LineClient | None:
+    async def _open_session(self, index: int) -> LineClient | None:
         client: LineClient | None = None
         with contextlib.suppress(OSError, TimeoutError):
             async with asyncio.timeout(ANSWER_SECONDS):
--- a/tests/test_database_lives.py
+++ b/tests/test_database_lives.py
@@ -439,7 +439,7 @@
             await write(client, f"parcel{number} {number}")
         former = world.group.members["db-a"]
         for name in ("db-b", "db-c"):
-            world.group.members[name].deaf = True
+            world.group.members[name].replication_cut = True
         await former.restart_empty(as_primary)
         if tells:
             world.register("db-a")
@@ -459,7 +459,7 @@
         for number in range(5):
             await write(client, f"parcel{number} {number}")
         for name in ("db-b", "db-c"):
-            world.group.members[name].deaf = True
+            world.group.members[name].replication_cut = True
         await world.group.members["db-a"].restart_empty(as_primary=True)
         await write(client, "parcel 5")
         committed = {record.value: record.member for record in world.group.commits}
@@ -486,18 +486,18 @@
     async with running_world(born=BORN) as world:
         client = await world.client("latest")
         await write(client, "parcel 1")
-        world.platform.fault.lose_orders = 1_000
+        world.platform.fault.unanswered_promotions = 1_000
         await world.group.primary.crash()
         writing = asyncio.ensure_future(write(client, "letter 2"))
         await until(lambda: bool(world.platform.promotions))
         target = world.platform.promotions[0].target
         other = next(name for name in ("db-b", "db-c") if name != target)
-        world.group.members[target].deaf = True
+        world.group.members[target].replication_cut = True
         await world.group.members[target].restart_empty()
         world.register(target)
         await until(lambda: world.platform.promotions[-1].target == other)
         world.platform._unanswered.clear()
-        world.platform.fault.lose_orders = 0
+        world.platform.fault.unanswered_promotions = 0
         await writing
         assert (await client.run("READ parcel")).rows == ["1"]
 
@@ -511,10 +511,10 @@
         settings = GroupSettings(GroupId(WORLD_GROUP), 36, synchronous_replicas=1)
         context.configure(replace(context.table, groups={GroupId(WORLD_GROUP): settings}))
         members = world.group.members
-        members["db-c"].deaf = True
+        members["db-c"].replication_cut = True
         tracker = tracker_of(world)
         tracker.lease.record_proof(tracker._newest_proof)
-        members["db-b"].deaf = True
+        members["db-b"].replication_cut = True
         await members["db-b"].restart_empty()
         world.register("db-b")
         await until(lambda: SECOND_AGAIN in context.placement.pools)
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -108,12 +108,12 @@
         platform.era = 2
         platform.put(KIND, "a", {})
         assert [found.name for found in (await client.list(KIND))[0]] == ["a"]
-        platform.told_era = header
+        platform.reported_era = header
         with caplog.at_level(logging.INFO), pytest.raises(StoreUnavailableError):
             await client.list(KIND)
         (line,) = logged(caplog, STORE_ERA_UNUSABLE)
         assert len(line) < 300
-        platform.told_era = None
+        platform.reported_era = None
         assert (await client.list(KIND))[1].era == 2
 
 
@@ -122,7 +122,7 @@
     async with store() as (platform, client):
         platform.put(KIND, "a", {})
         _, revision = await client.list(KIND)
-        platform.go_back(platform.copy())
+        platform.restore(platform.copy())
         for _ in range(3):
             platform.put(KIND, "b", {})
         with pytest.raises(HistoryGoneError):
@@ -134,7 +134,7 @@
         for name in ("a", "b"):
             platform.put(KIND, name, {})
         monkeypatch.setattr(platform, "page_size", 1)
-        platform.before_page = lambda: platform.go_back(platform.copy())
+        platform.before_page = lambda: platform.restore(platform.copy())
         with pytest.raises(StoreUnavailableError):
             await client.list(KIND)
         platform.before_page = lambda: None
@@ -145,7 +145,7 @@
     """The list may be older than the era that its answer reports."""
     async with store() as (platform, client):
         platform.put(KIND, "a", {})
-        platform.go_back(platform.copy())
+        platform.restore(platform.copy())
         batch = await database_source(client).list_cached()
         assert batch.revision == at(0, era=1)
         assert [item.revision for item in batch.items] == [NO_REVISION]
--- a/tests/test_failover_promise.py
+++ b/tests/test_failover_promise.py
@@ -27,7 +27,7 @@
             make_unresponsive(replica)
             world.platform.delete("servers", replica.name)
             await until(lambda: bool(world.platform.promotions))
-            former.fault.silent = replica.fault.silent = False
+            former.fault.unresponsive = replica.fault.unresponsive = False
             world.register(replica.name)
             await until(lambda: bool(world.group.promotions))
             length = world.group.log_lengths_at_promotion[former.name]
@@ -51,7 +51,7 @@
 
 def make_unresponsive(member: LineDatabase) -> None:
     """Make a member unresponsive, and unaware of any other leader from now on."""
-    member.deaf = True
-    member.fault.silent = True
+    member.replication_cut = True
+    member.fault.unresponsive = True
     for connection in list(member.connections):
         connection.abort()
--- a/tests/test_failover_unwritten_change.py
+++ b/tests/test_failover_unwritten_change.py
@@ -85,12 +85,12 @@
         await until(lambda: watch_of(lost).lease.is_own)
         split = Split(world, lost, beside, client)
         for name in ("db-b", "db-c"):
-            world.group.members[name].deaf = True
+            world.group.members[name].replication_cut = True
         assert not (await client.run("WRITE parcel 1")).code
-        split.former.deaf = True
+        split.former.replication_cut = True
         for name in ("db-b", "db-c"):
-            world.group.members[name].island = 1
-            world.group.members[name].deaf = False
+            world.group.members[name].partition = 1
+            world.group.members[name].replication_cut = False
         world.platform.fault.status = 503
         cut(beside, "db-b", "db-c")
         drop_step_downs(lost, node_id(beside))
--- a/tests/test_gateway_forwarding.py
+++ b/tests/test_gateway_forwarding.py
@@ -147,7 +147,9 @@
         await second.run("PREPARE s1 WRITE cancel")
         for client, zone in ((first, "a"), (second, "b"), (first, "a")):
             await client.run("EXEC s1 parcel yes")
-            assert world.group.primary.ran_with[client.last_identifier] == {"zone": zone}
+            assert world.group.primary.session_values_of_run[client.last_identifier] == {
+                "zone": zone
+            }
         assert world.group.primary.read("confirm/parcel") == "yes"
         assert world.group.primary.read("cancel/parcel") == "yes"
 
@@ -218,7 +220,7 @@
     async with forwarding_world() as (world, outside):
         client = await world.client("session", outside)
         await client.run("WRITE parcel 1")
-        world.group.primary.fault.silent = True
+        world.group.primary.fault.unresponsive = True
         running = asyncio.ensure_future(client.run("WRITE parcel 2"))
         await until(lambda: any(node.gateway.host.busy for node in world.nodes))
         for node in [node for node in world.nodes if node.gateway.host.busy]:
--- a/tests/test_group_goes_on.py
+++ b/tests/test_group_goes_on.py
@@ -23,8 +23,8 @@
 
 
 def make_unresponsive(replica: LineDatabase) -> None:
-    replica.deaf = True
-    replica.fault.silent = True
+    replica.replication_cut = True
+    replica.fault.unresponsive = True
 
 
 def make_unresponsive_and_drop_connections(replica: LineDatabase) -> None:
@@ -59,7 +59,7 @@
 async def test_a_node_that_reaches_only_the_leader_does_not_keep_others_from_replacing_it() -> None:
     """Guards against a lease holder that renewed its lease for each attempt, all bound to fail."""
     async with world_with_a_change_ahead() as world:
-        world.group.members["db-a"].deaf = True
+        world.group.members["db-a"].replication_cut = True
         leader_only, replicas_only = world.nodes
         if world.platform.found("leases", GROUP)["spec"]["holder"] == "node-1":
             leader_only, replicas_only = replicas_only, leader_only
--- a/tests/test_leases_restored.py
+++ b/tests/test_leases_restored.py
@@ -58,7 +58,7 @@
             world.register("db-c")
         await replace_crashed_primary(world, client)
         if is_restored:
-            world.platform.go_back(copy)
+            world.platform.restore(copy)
             world.configure(1)
             register_all(world)
         await replace_crashed_primary(world, client)
@@ -107,7 +107,7 @@
         copy = platform.copy()
         assert await first.lease.write(None, None) is not None
         number = platform.copy().revision
-        platform.go_back(copy)
+        platform.restore(copy)
         await second.lease.create_or_read()
         count_up_to(platform, number - 1)
         second.now += FAR_FROM_TROUBLE
@@ -128,7 +128,7 @@
         await holder.lease.create_or_read()
         copy = platform.copy()
         assert await holder.lease.write(CHANGE, None) is not None
-        platform.go_back(copy)
+        platform.restore(copy)
         assert await holder.lease.write(CHANGE, None) is None
         known = holder.lease.known
         assert known is not None
@@ -148,7 +148,7 @@
         other = Keeper("second", platform)
         await other.lease.create_or_read()
         assert await other.lease.write(None, None) is not None
-        platform.go_back(copy)
+        platform.restore(copy)
         again = Keeper("first", platform)
         await again.lease.create_or_read()
         assert not again.lease.is_own
@@ -175,7 +175,7 @@
         client = await world.client("latest")
         await write(client, "start 1")
         await until(lambda: world.platform.has("leases", GROUP))
-        world.platform.go_back(world.platform.copy())
+        world.platform.restore(world.platform.copy())
         await until(lambda: world.platform.found("leases", GROUP)["spec"]["era"] == 1)
         assert world.platform.found("leases", GROUP)["spec"]["holder"] == "node-0"
 
@@ -206,7 +206,7 @@
         world.platform.fault.status = 503
         if moment is Moment.WHILE_AWAY:
             await former.crash()
-        world.platform.go_back(copies[has_lease])
+        world.platform.restore(copies[has_lease])
         world.platform.fault.status = 0
         world.configure(1)
         if moment is Moment.AFTER:
@@ -226,7 +226,7 @@
         copy = platform.copy()
         claimed = await holder.lease.write(None, None)
         assert claimed is not None
-        platform.go_back(copy)
+        platform.restore(copy)
         holder.lease.record_era(1)
         assert holder.lease.known is not None
         assert not holder.lease.is_own
--- a/tests/test_limits_over_nodes.py
+++ b/tests/test_limits_over_nodes.py
@@ -192,10 +192,10 @@
 async def replicas_are_busy(world: World) -> None:
     """The first read at a replica runs and gets no answer; all later ones are refused as busy."""
     for member in world.group.members.values():
-        member.fault.mute_reads = 1
+        member.fault.unanswered_reads = 1
     await until(lambda: any(run.action == "READ" for run in world.group.runs))
     for member in world.group.members.values():
-        member.fault.mute_reads = 0
+        member.fault.unanswered_reads = 0
         member.fault.busy = 1_000_000
 
 
@@ -222,7 +222,7 @@
         client = await open_session(world, SECRET, "bounded")
         records = world.nodes[0].gateway.context.metrics.tenants
         for member in world.group.members.values():
-            member.fault.mute_reads = 1
+            member.fault.unanswered_reads = 1
         async with asyncio.timeout(WAIT_TIMEOUT):
             answer = await client.run("READ k")
         assert not answer.code
--- a/tests/test_overload_read_path.py
+++ b/tests/test_overload_read_path.py
@@ -115,12 +115,12 @@
 ) -> None:
     async with three_regions(monkeypatch) as world:
         member = world.group.members[NEAR]
-        member.fault.silent = True
+        member.fault.unresponsive = True
         assert await read(world, 10) == [""] * 10
         pool = world.nodes[NODE].gateway.context.placement.pools[InstanceId(NEAR)]
         assert targets(world).is_unresponsive(pool)
         assert world.nodes[NODE].gateway.context.metrics._ejections["silent"] >= 1
-        member.fault.silent = False
+        member.fault.unresponsive = False
 
         async with asyncio.timeout(WAIT_TIMEOUT):
             while ejection_state(world, NEAR) is not EjectionState.IN_SERVICE:
@@ -152,7 +152,7 @@
         world.configure(2, bounded={"route_type": "bounded", "max_staleness_ms": 600})
         nodes = world.nodes
         await until(lambda: all(node.gateway.context.table.version == 2 for node in nodes))
-        world.group.members[NEAR].deaf = True
+        world.group.members[NEAR].replication_cut = True
         writer = await world.client("bounded", MEMBERS.index(LEADER))
         assert (await writer.run("WRITE parcel late")).code == ""
         await asyncio.sleep(0.7)
--- a/tests/test_platform_leaders.py
+++ b/tests/test_platform_leaders.py
@@ -62,7 +62,7 @@
 def isolate_first_primary(world: World) -> LineDatabase:
     """Return the first primary, which no longer receives anything from another one."""
     former = world.group.members["db-a"]
-    former.deaf = True
+    former.replication_cut = True
     return former
 
 
@@ -112,12 +112,12 @@
     async with world_without_demotion(nodes=1) as world:
         former = isolate_first_primary(world)
         client = await world.client("latest")
-        former.fault.silent = True
+        former.fault.unresponsive = True
         for connection in list(former.connections):
             connection.abort()
         await write(client, "parcel 2")
         assert former.is_primary
-        former.fault.silent = False
+        former.fault.unresponsive = False
         await until(lambda: not former.is_primary)
         assert (await client.run("READ parcel")).rows == ["2"]
 
@@ -162,7 +162,7 @@
         former = world.group.members["db-a"]
         others = [world.group.members[name] for name in ("db-b", "db-c")]
         for member in others:
-            member.deaf = True
+            member.replication_cut = True
         client = await world.client("latest")
         await write(client, "parcel 2")
         world.register("db-a", state="draining")
@@ -172,7 +172,7 @@
         assert world.platform.promotions == []
         for member in others:
             member.log = list(former.log)
-            member.deaf = False
+            member.replication_cut = False
         await until(lambda: any(member.is_primary for member in others))
         assert world.group.primary.read("parcel") == "2"
 
@@ -187,7 +187,7 @@
         settings = GroupSettings(GroupId(GROUP), 36, synchronous_replicas=1)
         context.configure(replace(context.table, groups={GroupId(GROUP): settings}))
         departed = world.group.members["db-c"]
-        departed.fault.silent = True
+        departed.fault.unresponsive = True
         world.register("db-c", state="draining")
         await until(lambda: "db-c" not in context.placement.pools)
         client = await world.client("latest")
@@ -207,13 +207,13 @@
     async with world_without_demotion(nodes=1) as world:
         former = world.group.members["db-a"]
         client = await world.client("latest")
-        world.platform.fault.lose_orders = 1
-        former.fault.silent = True
+        world.platform.fault.unanswered_promotions = 1
+        former.fault.unresponsive = True
         for connection in list(former.connections):
             connection.abort()
         writing = asyncio.ensure_future(write(client, "parcel 2"))
         await until(lambda: len(world.platform.promotions) == 1)
-        former.fault.silent = False
+        former.fault.unresponsive = False
         await writing
         target = world.platform.promotions[0].target
         assert world.group.primary.name == target
@@ -274,7 +274,7 @@
         await client.run("WRITE parcel 2" if wrote else "READ parcel")
         tracker(world.nodes[0]).lease.confirmed_at = float("-inf")
         for name in ("db-b", "db-c"):
-            world.group.members[name].fault.silent = True
+            world.group.members[name].fault.unresponsive = True
         length = len(former.log)
         answer = await client.run("COMMIT")
         assert answer.code == ("ABORTED" if wrote else "")
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -269,7 +269,7 @@
                 expected = {"zone": f"z{number}"}
                 if number % 2:
                     expected["depot"] = f"d{number}"
-                assert world.group.primary.ran_with[client.last_identifier] == expected
+                assert world.group.primary.session_values_of_run[client.last_identifier] == expected
 
 
 async def test_prepared_names_of_sessions_do_not_clash() -> None:
@@ -385,7 +385,7 @@
         client = await world.client("session")
         await client.run("WRITE parcel 1")
         await until(lambda: world.platform.has("leases", GROUP))
-        world.platform.fault.lose = 1
+        world.platform.fault.unanswered_writes = 1
         await world.group.primary.crash()
         answer = await client.run("WRITE parcel 2")
         while answer.code:
@@ -421,7 +421,7 @@
     async with running_world() as world:
         client = await world.client("session")
         await client.run("WRITE parcel 1")
-        world.platform.fault.lose_orders = 2
+        world.platform.fault.unanswered_promotions = 2
         await world.group.primary.crash()
         await until(lambda: len(world.platform.promotions) == 1)
         first = world.platform.promotions[0].target
@@ -579,7 +579,7 @@
         context = world.nodes[0].gateway.context
         settings = GroupSettings(GroupId(GROUP), 36, synchronous_replicas=1)
         context.configure(replace(context.table, groups={GroupId(GROUP): settings}))
-        members["db-b"].deaf = True
+        members["db-b"].replication_cut = True
         assert (await client.run("WRITE parcel 2")).code == ""
         world.register("db-c", state="draining")
         await until(lambda: "db-c" not in context.placement.pools)
--- a/tests/test_slot_queue.py
+++ b/tests/test_slot_queue.py
@@ -224,7 +224,7 @@
         client = await world.client("latest")
         assert (await served(client, "WRITE x 1")).code == ""
         leader = world.group.primary
-        leader.fault.mute_reads = 1
+        leader.fault.unanswered_reads = 1
         answer = await client.run("READ x")
         assert (answer.code, answer.rows) == ("", ["1"])
         assert leader.runs[client.last_identifier] == 2
--- a/tests/test_soak_processes.py
+++ b/tests/test_soak_processes.py
@@ -193,16 +193,18 @@
 
 
 @pytest.mark.parametrize(
-    ("life", "sent_at", "expected"),
+    ("start_number", "sent_at", "expected"),
     [
         pytest.param(1, 14.0, 1, id="long after the newer one"),
         pytest.param(1, 11.0, 0, id="within the slack"),
         pytest.param(2, 14.0, 0, id="by the next process"),
     ],
 )
-def test_node_that_reverts_to_an_older_version(life: int, sent_at: float, expected: int) -> None:
+def test_node_that_reverts_to_an_older_version(
+    start_number: int, sent_at: float, expected: int
+) -> None:
     newer = Served("node-0", 1, 7, 10.0, 10.0)
-    older = Served("node-0", life, 5, sent_at, sent_at)
+    older = Served("node-0", start_number, 5, sent_at, sent_at)
     assert len(list(regressions([newer, older]))) == expected
 
 
--- a/tests/test_start_after_restore.py
+++ b/tests/test_start_after_restore.py
@@ -50,7 +50,7 @@
         world.configure(23)
         await until(lambda: all(version_at(node) == 23 for node in world.nodes))
         if is_restored:
-            world.platform.go_back(copy)
+            world.platform.restore(copy)
             feeds = [node.kernel._services["feed"] for node in world.nodes]
             await until(lambda: all(feed._routes.revision.era == 1 for feed in feeds))  # type: ignore[attr-defined]
         async with another_node(world) as late:
@@ -65,7 +65,7 @@
         await until(lambda: version_at(world.nodes[0]) == 20)
         copy = world.platform.copy()
         world.configure(23)
-        world.platform.go_back(copy)
+        world.platform.restore(copy)
         peer = await world.nodes[0].kernel.call("transport", BoundAddressRequest())
         await world.nodes[0].stop()
         settings = parse_settings(node_settings("node-late", world.platform.port))
@@ -97,7 +97,7 @@
     async with joined_world(1, CONNECTIONS) as world:
         world.configure(20)
         await until(lambda: version_at(world.nodes[0]) == 20)
-        world.platform.go_back(world.platform.copy())
+        world.platform.restore(world.platform.copy())
         world.configure(23)
         await until(lambda: version_at(world.nodes[0]) == 23)
         text = world.nodes[0].gateway.context.metrics.text().decode()
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -63,7 +63,7 @@
         copy = await backup_before_23(world)
         if is_restored:
             world.platform.fault.status = 503
-            world.platform.go_back(copy)
+            world.platform.restore(copy)
             world.configure(23)
         world.configure(27)
         if is_overtaken:
@@ -77,7 +77,7 @@
     async with running_world() as world:
         world.configure(23)
         await until_in_force(world, 23)
-        world.platform.go_back(world.platform.copy())
+        world.platform.restore(world.platform.copy())
         world.configure(23, other={"route_type": "primary"})
         table = world.nodes[0].gateway.context
         await until(lambda: table.table.route("other") is not None)
@@ -208,7 +208,7 @@
             for loop, _ in sources._loops.values():
                 loop._source = LostList()
     for _ in range(restores):
-        followed_world.platform.go_back(copy)
+        followed_world.platform.restore(copy)
     followed_world.configure(27)
     others = [
         node for node in followed_world.nodes if not is_cut_off or feed_of(node) is not cut_off
