--- a/src/bramblebeam/lab/adapter_bench.py
+++ b/src/bramblebeam/lab/adapter_bench.py
@@ -1,9 +1,9 @@
-"""Measures the callers' protocol adapter alone: `python -m bramblebeam.lab.adapter_bench`.
+"""Benchmarks the MySQL protocol server on its own: `python -m bramblebeam.lab.adapter_bench`.
 
-A child process serves fixed answers; this one is the client. Printed as one JSON object:
-statements a second and the server's processor time for each (microseconds) in the text and the
-prepared protocol, the same for connecting, memory for each idle connection (KB), and how much a
-result of a million rows raises the server's and the client's memory (KB).
+A child process serves fixed results and this process is the client. Prints one JSON object:
+statements per second and server CPU time per statement (microseconds) for the text and the
+prepared protocol, the same for connecting, memory per idle connection (KB), and the growth of
+server and client memory during a result of a million rows (KB).
 """
 
 import asyncio
@@ -38,19 +38,19 @@
 USAGE_COLUMNS = (ColumnSpec("cpu", DOUBLE), ColumnSpec("memory", LONGLONG))
 LARGE_ROWS = 1_000_000
 FETCH_ROWS = 1_000
-CONNECTS_AT_ONCE = 32
+MAX_CONCURRENT_CONNECTS = 32
 
 app = typer.Typer(add_completion=False)
 
 
 class FixedSession(CallerSession):
-    """Answers every statement at once with one row, no row, many rows, or the process's usage."""
+    """Answers each statement immediately with one row, an OK, many rows or the process's usage."""
 
     async def opened(self, connection: ConnectionInfo) -> None:
-        """Admit everybody."""
+        """Accept every connection."""
 
     async def execute(self, sql: str, attributes: dict[str, Any]) -> OkResult | RowsResult:
-        """Answer by the statement's beginning."""
+        """Choose the result by the prefix of the statement."""
         if sql.startswith("SELECT usage"):
             return RowsResult(USAGE_COLUMNS, [usage()])
         if sql.startswith("SELECT large"):
@@ -60,23 +60,23 @@
         return OkResult(1, 0, "position=1:17")
 
     async def use(self, database: str) -> None:
-        """Accept every name."""
+        """Accept every database name."""
 
     async def reset(self) -> None:
-        """Nothing is kept."""
+        """Do nothing: the session has no state."""
 
     async def closed(self) -> None:
-        """Nothing is kept."""
+        """Do nothing: the session has no state."""
 
 
 async def large_rows() -> AsyncIterator[tuple[int, str]]:
-    """Yield a million rows."""
+    """Yield `LARGE_ROWS` rows."""
     for number in range(LARGE_ROWS):
         yield number, ROW[1]
 
 
 def usage() -> tuple[float, int]:
-    """Return this process's processor time (seconds) and resident memory (KB)."""
+    """Return this process's CPU time (seconds) and resident memory (KB)."""
     used = resource.getrusage(resource.RUSAGE_SELF)
     for line in Path("/proc/self/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
@@ -86,7 +86,7 @@
 
 @app.command()
 def serve() -> None:
-    """Serve until killed."""
+    """Run the benchmark server until killed."""
     uvloop.run(_serve())
 
 
@@ -103,7 +103,7 @@
     connections: Annotated[int, typer.Option(help="Connections that send statements.")] = 8,
     idle: Annotated[int, typer.Option(help="Idle connections.")] = 1_000,
 ) -> None:
-    """Run the measurement and print its result."""
+    """Run the benchmark and print its result as JSON."""
     print(json.dumps(uvloop.run(_measure(statements, connections, idle))))
 
 
@@ -130,19 +130,19 @@
 
 
 class AdapterBench:
-    """The client. `control` asks the server for its usage."""
+    """The benchmark's client. `control` is the connection that queries the server's usage."""
 
     def __init__(self, address: Address, control: BackendConnection) -> None:
         self.address = address
         self.control = control
 
     async def usage(self) -> tuple[float, int]:
-        """Return the server's processor time (seconds) and memory (KB)."""
+        """Return the server's CPU time (seconds) and memory (KB)."""
         cpu, memory = (await self.control.execute("SELECT usage")).rows[0]
         return cpu, memory
 
     async def text(self, sql: str, statements: int, connections: int) -> dict[str, float]:
-        """Measure a statement in the text protocol."""
+        """Measure a statement sent by the text protocol."""
         clients = [await _connect(self.address) for _ in range(connections)]
 
         async def work(client: BackendConnection) -> None:
@@ -173,8 +173,8 @@
         return result
 
     async def connects(self, count: int) -> dict[str, float]:
-        """Measure connecting and leaving, 32 at a time."""
-        limit = asyncio.Semaphore(CONNECTS_AT_ONCE)
+        """Measure connecting and disconnecting, up to `MAX_CONCURRENT_CONNECTS` at a time."""
+        limit = asyncio.Semaphore(MAX_CONCURRENT_CONNECTS)
 
         async def work() -> None:
             async with limit:
@@ -184,20 +184,20 @@
         return await self._timed(count, [work() for _ in range(count)])
 
     async def idle(self, count: int) -> dict[str, float]:
-        """Measure the memory that idle connections hold."""
+        """Measure the server memory per idle connection."""
         _, before = await self.usage()
-        held = [await _connect(self.address) for _ in range(count)]
+        connections = [await _connect(self.address) for _ in range(count)]
         _, after = await self.usage()
-        for client in held:
+        for client in connections:
             client.abort()
         return {"connections": count, "kilobytes_each": round((after - before) / count, 2)}
 
     async def large(self) -> dict[str, float]:
-        """Measure the memory that a large result takes on its way."""
+        """Measure throughput and peak memory growth while a large result is fetched in batches."""
         client = await _connect(self.address)
         _, before = await self.usage()
-        own_before = usage()[1]
-        highest = before
+        client_before = usage()[1]
+        peak = before
         start = time.perf_counter()
         result = await client.execute("SELECT large", maximum_rows=FETCH_ROWS)
         rows, more, number = len(result.rows), result.more, 0
@@ -205,13 +205,13 @@
             batch = await client.fetch(FETCH_ROWS)
             rows, more, number = rows + len(batch.rows), batch.more, number + 1
             if number % 50 == 0:
-                highest = max(highest, (await self.usage())[1])
+                peak = max(peak, (await self.usage())[1])
         seconds = time.perf_counter() - start
         assert rows == LARGE_ROWS
         return {
             "rows_per_second": round(rows / seconds),
-            "server_kilobytes_more": highest - before,
-            "client_kilobytes_more": usage()[1] - own_before,
+            "server_kilobytes_more": peak - before,
+            "client_kilobytes_more": usage()[1] - client_before,
         }
 
     async def _timed(self, statements: int, work: list[Any]) -> dict[str, float]:
--- a/src/bramblebeam/lab/cli.py
+++ b/src/bramblebeam/lab/cli.py
@@ -1,4 +1,4 @@
-"""The laboratory's commands: `bramblebeam lab …`."""
+"""Commands of the test lab: `bramblebeam lab …`."""
 
 import asyncio
 import sys
@@ -18,7 +18,7 @@
 
 
 class LabGroup(LazyGroup):
-    """The commands here, and those of other modules of the lab."""
+    """Commands of this module, merged with those of the lab's other modules."""
 
     merged = (
         "bramblebeam.lab.simulator.cli",
@@ -31,7 +31,7 @@
 
 application = typer.Typer(
     cls=LabGroup,
-    help="Stand-ins, loads, faults and judged runs. Nothing here is part of a node.",
+    help="Test lab: simulated dependencies, load, faults and checked runs. Not part of a node.",
     no_args_is_help=True,
     add_completion=False,
 )
@@ -44,15 +44,19 @@
 
 @application.command()
 def run(
-    scenario: Annotated[str, typer.Argument(help="A scenario's file, or the name of one here.")],
-    seed: Annotated[int, typer.Option(help="Seed of every random choice.")] = 1,
-    simulate: Annotated[bool, typer.Option(help="In virtual time, without processes.")] = False,
+    scenario: Annotated[str, typer.Argument(help="Scenario file, or name of a bundled one.")],
+    seed: Annotated[int, typer.Option(help="Seed of all random choices.")] = 1,
+    simulate: Annotated[
+        bool, typer.Option(help="Simulate in virtual time, without processes.")
+    ] = False,
     as_json: Annotated[bool, typer.Option("--json", help="The result as one JSON object.")] = False,
-    seconds: Annotated[float, typer.Option(help="Length of the load. 0: the scenario's.")] = 0.0,
-    keep: Annotated[Path | None, typer.Option(help="Directory that keeps logs, history.")] = None,
+    seconds: Annotated[
+        float, typer.Option(help="Duration of the load. 0: as in the scenario.")
+    ] = 0.0,
+    keep: Annotated[Path | None, typer.Option(help="Directory for logs and history.")] = None,
     mutate: Annotated[str, typer.Option(help="Run the nodes with this mutation.")] = "",
 ) -> None:
-    """Run a scenario and judge it. Exit code 0: nothing was violated, 1: something was."""
+    """Run a scenario and check its history. Exit code 0: no violations, 1: violations found."""
     try:
         loaded = load_scenario(scenario)
     except ScenarioError as error:
@@ -74,7 +78,7 @@
 
 @application.command()
 def demo() -> None:
-    """The main job on real processes, with faults, in under a minute. Exit code 0: all held."""
+    """Run a demo with faults on real processes in under a minute. Exit code 0: no violations."""
     from bramblebeam.lab.demo import run_demo
 
     sys.exit(asyncio.run(run_demo()))
@@ -83,12 +87,12 @@
 @application.command()
 def roam(
     moves: Annotated[int, typer.Option(help="Moves between nodes.")] = 1_000,
-    lag_ms: Annotated[int, typer.Option(help="How far one replica is behind.")] = 300,
-    with_token: Annotated[bool, typer.Option(help="The session carries its token.")] = False,
+    lag_ms: Annotated[int, typer.Option(help="Replication lag of one replica.")] = 300,
+    with_token: Annotated[bool, typer.Option(help="The session sends its causal token.")] = False,
     mutate: Annotated[str, typer.Option(help="Run the nodes with this mutation.")] = "",
     as_json: Annotated[bool, typer.Option("--json", help="The result as one JSON object.")] = False,
 ) -> None:
-    """Move one session between nodes after each write. Exit code 1: a read missed its write."""
+    """Move a session between nodes after each write. Exit code 1: a read missed its write."""
     from bramblebeam.lab.roam import run_roaming
 
     with tempfile.TemporaryDirectory() as directory:
@@ -100,7 +104,7 @@
 def crash(
     owner: Annotated[bool, typer.Option(help="Kill the owner of the primary's slots.")] = False,
 ) -> None:
-    """Kill a node in the middle of transactions; the result is one JSON object."""
+    """Kill a node with open transactions and print the result as one JSON object."""
     from bramblebeam.lab.crash import run_crash
 
     with tempfile.TemporaryDirectory() as directory:
@@ -112,9 +116,9 @@
 @application.command()
 def report(
     result: Annotated[Path, typer.Argument(help="The JSON object of a run.")],
-    page: Annotated[Path | None, typer.Option(help="Where the page goes.")] = None,
+    page: Annotated[Path | None, typer.Option(help="File to write the page to.")] = None,
 ) -> None:
-    """Write a page with plots of a run."""
+    """Write an HTML page with plots of a run."""
     from bramblebeam.lab.report import write_report
 
     target = page or result.with_suffix(".html")
@@ -127,7 +131,7 @@
     before: Annotated[Path, typer.Argument(help="The JSON object of a run.")],
     after: Annotated[Path, typer.Argument(help="The JSON object of a later run.")],
 ) -> None:
-    """Show two runs side by side."""
+    """Compare the results of two runs."""
     from bramblebeam.lab.report import compare_text
 
     typer.echo(compare_text(_read(before), _read(after)), nl=False)
@@ -141,7 +145,7 @@
 
 
 def _read(path: Path) -> RunResult:
-    """Return the result in a file, of which the last line may be the JSON object."""
+    """Return the result in a file whose last line is the JSON object of a run."""
     try:
         return RunResult.model_validate_json(path.read_text().strip().splitlines()[-1])
     except (OSError, IndexError, ValidationError) as error:
--- a/src/bramblebeam/lab/cluster.py
+++ b/src/bramblebeam/lab/cluster.py
@@ -1,4 +1,4 @@
-"""A scenario's platform, database groups and nodes as real processes on loopback."""
+"""Starts a scenario's platform, database groups and nodes as processes on loopback."""
 
 import asyncio
 import json
@@ -14,9 +14,10 @@
 
 
 class Cluster:
-    """The processes of a scenario, by name. `clients` holds the callers' address of each node up.
+    """The processes of a scenario, by name.
 
-    Every process keeps its address over a restart. `mutation`: nodes run with it in force.
+    `clients` maps each running node to the address for callers. Processes keep their addresses
+    across restarts. `mutation`: the mutation that the nodes run with, if any.
     """
 
     def __init__(self, scenario: Scenario, processes: ProcessGroup, mutation: str = "") -> None:
@@ -38,20 +39,20 @@
 
     @property
     def directory(self) -> Path:
-        """Return where the run's files are."""
+        """Return the directory of the run's files."""
         return self.processes.directory
 
     @property
     def platform_url(self) -> str:
-        """Return the address of the platform's store."""
+        """Return the URL of the platform's store."""
         return _url(self.platform_address)
 
     def control_url(self, instance: str) -> str:
-        """Return the control end of a database server."""
+        """Return the URL of a database server's control API."""
         return _url(self.control_addresses[instance])
 
     def admin_url(self, node: str) -> str:
-        """Return the administration API of a node."""
+        """Return the URL of a node's administration API."""
         return _url(self.admin_addresses[node])
 
     async def start(self) -> None:
@@ -65,38 +66,42 @@
         """Start the stand-in platform with the scenario's rows."""
         rows = self.directory / "rows.json"
         rows.write_text(json.dumps(initial_rows(self.scenario, self.database_addresses)))
-        listen = _text(self.platform_address)
+        listen = _host_port(self.platform_address)
         arguments = ["-m", "bramblebeam.lab.platform", "--listen", listen, "--rows", str(rows)]
         self.platform = await self.processes.start("platform", arguments)
 
     async def start_database(self, instance: str) -> None:
-        """Start, or start again, one database server; its log file outlives it."""
+        """Start or restart a database server; its log file is kept across restarts."""
         arguments = [
             "-m",
             "bramblebeam.lab.database",
             f"--instance={instance}",
-            f"--listen={_text(self.database_addresses[instance])}",
-            f"--peer-listen={_text(self.replication_addresses[instance])}",
-            f"--control={_text(self.control_addresses[instance])}",
+            f"--listen={_host_port(self.database_addresses[instance])}",
+            f"--peer-listen={_host_port(self.replication_addresses[instance])}",
+            f"--control={_host_port(self.control_addresses[instance])}",
             f"--log={self.directory / f'{instance}.entries'}",
         ]
         self.databases[instance] = await self.processes.start(instance, arguments)
 
     async def start_node(self, node: str) -> None:
-        """Start, or start again, one node, and let callers know of it."""
-        file = self.directory / f"{node}.toml"
+        """Start or restart a node and add its address to `clients`."""
+        settings_file = self.directory / f"{node}.toml"
         listen = {
             "peer": self.peer_addresses[node],
             "client": self.client_addresses[node],
             "admin": self.admin_addresses[node],
         }
-        others = {peer: at for peer, at in self.peer_addresses.items() if peer != node}
-        seeds = dict(list(others.items())[:SEEDS_PER_NODE])
-        file.write_text(node_settings(self.scenario, node, seeds, self.platform_url, listen))
+        other_peers = {
+            peer: address for peer, address in self.peer_addresses.items() if peer != node
+        }
+        seeds = dict(list(other_peers.items())[:SEEDS_PER_NODE])
+        settings_file.write_text(
+            node_settings(self.scenario, node, seeds, self.platform_url, listen)
+        )
         program = ["bramblebeam"]
         if self.mutation:
             program = ["bramblebeam.lab.mutant", self.mutation]
-        arguments = ["-m", *program, "node", "--config", str(file)]
+        arguments = ["-m", *program, "node", "--config", str(settings_file)]
         self.nodes[node] = await self.processes.start(node, arguments)
         self.clients[node] = self.client_addresses[node]
 
@@ -105,9 +110,9 @@
     return {name: (HOST, free_port()) for name in names}
 
 
-def _text(address: Address) -> str:
+def _host_port(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
 
 
 def _url(address: Address) -> str:
-    return f"http://{_text(address)}"
+    return f"http://{_host_port(address)}"
--- a/src/bramblebeam/lab/collect.py
+++ b/src/bramblebeam/lab/collect.py
@@ -1,4 +1,4 @@
-"""Turns what the back ends and nodes recorded into facts of a history."""
+"""Converts the records of database servers and nodes into history records."""
 
 import json
 import re
@@ -27,10 +27,10 @@
 from bramblebeam.lab.rows import slots_of_group
 
 SLOT_USER = "bramblebeam"
-"""The account whose connections take slots."""
+"""The database account whose connections occupy slots."""
 
 CALLERS_ACCEPTED_EVENT = 1101
-"""The first event of a node's life: before it, no row is in force."""
+"""First event after a node's start; no row is in force before it."""
 
 ROW_IN_FORCE_EVENT = 1507
 _NODE_FACT = re.compile(rf'"event": (?:{CALLERS_ACCEPTED_EVENT}|{ROW_IN_FORCE_EVENT})\b')
@@ -48,9 +48,11 @@
 
 
 class ServedRead(NamedTuple):
-    """A back end began a read of a caller. `at_replica`: another member acknowledged writes.
+    """A caller's read that a database server began to run.
 
-    `request`: the load's name of it, where its text holds that. `in_transaction`: one was open.
+    `at_replica`: the server was not the one that acknowledged the latest write before the read.
+    `request`: the load's request name, or empty if the statement does not contain it.
+    `in_transaction`: the read ran in an open transaction.
     """
 
     time: float
@@ -60,17 +62,20 @@
 
 
 class BackendRecorder:
-    """Fetches the records of the database servers; a server that is killed is asked before."""
+    """Fetches the records of the database servers.
+
+    They are lost with the process, so fetch them before killing a server.
+    """
 
     def __init__(self, cluster: Cluster, http: aiohttp.ClientSession) -> None:
         self._cluster = cluster
         self._http = http
         self._lives: dict[str, list[Records]] = defaultdict(list)
-        """What each life of each server recorded; a restarted server begins anew."""
+        """The records of each incarnation of each server; a restart discards a server's records."""
         self.reads: list[ServedRead] = []
 
     async def fetch(self, instance: str) -> bool:
-        """Fetch a server's records of its present life; tell whether it answered."""
+        """Fetch the records of a server's current incarnation; return whether it replied."""
         records: Records = {}
         for kind in RECORD_KINDS:
             url = f"{self._cluster.control_url(instance)}/{kind}"
@@ -84,7 +89,10 @@
         return True
 
     async def collect(self, history: History) -> tuple[str, ...]:
-        """Add every server's facts; return the groups without a member's whole log."""
+        """Add every server's records; return the groups whose logs may be incomplete.
+
+        That is where no majority of the members replied.
+        """
         incomplete = []
         for group in self._cluster.scenario.topology.groups:
             names = [member.instance for member in group.members]
@@ -98,8 +106,8 @@
         sessions = {sent.value: sent.session for sent in history.of(RequestSent) if sent.value}
         values: dict[tuple[int, int], list[str]] = {}
         for instance in instances:
-            for life in self._lives[instance]:
-                facts = list(_committed(instance, group, life["applied"]))
+            for incarnation in self._lives[instance]:
+                facts = list(_committed(instance, group, incarnation["applied"]))
                 history.extend(facts)
                 for fact in facts:
                     values.setdefault((fact.term, fact.offset), [])
@@ -108,39 +116,39 @@
         self._add_reads(instances)
         slots = slots_of_group(self._cluster.scenario, group)
         for instance in instances:
-            for number, life in enumerate(self._lives[instance]):
-                history.extend(_acknowledged(instance, group, life["acknowledged"], values))
-                history.extend(_statements(instance, number, life["statements"], sessions))
-                history.extend(_connections(instance, life["connections"], slots))
+            for number, incarnation in enumerate(self._lives[instance]):
+                history.extend(_acknowledged(instance, group, incarnation["acknowledged"], values))
+                history.extend(_statements(instance, number, incarnation["statements"], sessions))
+                history.extend(_connections(instance, incarnation["connections"], slots))
 
     def _add_reads(self, instances: list[str]) -> None:
-        """Count each read by whether its server was the one that acknowledged writes last."""
+        """Add each read; the last server to acknowledge a write before it counts as primary."""
         primaries = sorted(
             (record["time"], instance)
             for instance in instances
-            for life in self._lives[instance]
-            for record in life["acknowledged"]
+            for incarnation in self._lives[instance]
+            for record in incarnation["acknowledged"]
         )
         times = [time for time, _ in primaries]
         for instance in instances:
-            for life in self._lives[instance]:
-                for record in life["statements"]:
+            for incarnation in self._lives[instance]:
+                for record in incarnation["statements"]:
                     if record["user"] != SLOT_USER or not _READ.match(record["sql"]):
                         continue
                     last = bisect_right(times, record["time"]) - 1
                     at_primary = last >= 0 and primaries[last][1] == instance
-                    self.reads.append(_served(record, not at_primary))
+                    self.reads.append(_served_read(record, not at_primary))
 
 
-def _served(record: dict[str, Any], at_replica: bool) -> ServedRead:
-    """Return a begun read; `at_replica`: another server was the primary then."""
+def _served_read(record: dict[str, Any], at_replica: bool) -> ServedRead:
+    """Return a read from its statement record."""
     name = _READ_NAME.search(record["sql"])
     request = name[1] if name else ""
     return ServedRead(record["time"], at_replica, request, record["in_transaction"])
 
 
 def markers_of(sql: str) -> list[str]:
-    """Return the values that a statement of the load writes."""
+    """Return the values that a statement of the load writes; each marks one request."""
     return [first or second for first, second in _MARKER.findall(sql)]
 
 
@@ -170,12 +178,13 @@
 
 
 def _statements(
-    instance: str, life: int, begun: Iterable[dict[str, Any]], sessions: dict[str, str]
+    instance: str, incarnation: int, begun: Iterable[dict[str, Any]], sessions: dict[str, str]
 ) -> Iterator[BackendStatement | BackendWorkStarted]:
-    """Yield the starts of work, and the transactions that hold a marker with their sessions.
+    """Yield work starts, and the statements of transactions that write a marker, with the session.
 
-    Where the server says that no transaction is open, the one before has ended, as by a reset of
-    its connection, which is no statement.
+    A statement outside a transaction means that the connection's previous transaction has ended.
+    If no COMMIT or ROLLBACK was recorded, it was rolled back, for example by a connection reset,
+    which is not recorded as a statement.
     """
     begins: dict[str, float] = {}
     owners: dict[str, str] = {}
@@ -183,7 +192,7 @@
         if record["user"] != SLOT_USER:
             continue
         at, sql = record["time"], record["sql"]
-        connection = f"{life}/{record['connection']}"
+        connection = f"{incarnation}/{record['connection']}"
         if not record["in_transaction"]:
             if _WORK.search(sql):
                 yield BackendWorkStarted(at, instance)
@@ -204,8 +213,8 @@
                 session = sessions.get(value, "")
                 if connection not in owners:
                     owners[connection] = session
-                    began = begins[connection]
-                    yield BackendStatement(began, instance, connection, session, "begin")
+                    begun_at = begins[connection]
+                    yield BackendStatement(begun_at, instance, connection, session, "begin")
                 yield BackendStatement(at, instance, connection, session, "statement", value)
 
 
@@ -218,7 +227,7 @@
 
 
 def node_facts(node: str, log: Path) -> Iterator[NodeStarted | RowInForce]:
-    """Yield a node's starts and the rows that came into force, from its log of JSON lines."""
+    """Yield a node's starts and the rows that came into force, from its JSON log."""
     to_monotonic = time.monotonic() - time.time()
     for text in log.read_text(errors="replace").splitlines():
         if not _NODE_FACT.search(text):
@@ -234,6 +243,6 @@
 
 
 def collect_nodes(cluster: Cluster, history: History) -> None:
-    """Add what the nodes' logs tell."""
+    """Add the starts and rows in force from the nodes' logs."""
     for node, process in cluster.nodes.items():
         history.extend(node_facts(node, process.log))
--- a/src/bramblebeam/lab/control.py
+++ b/src/bramblebeam/lab/control.py
@@ -1,4 +1,4 @@
-"""The control ends of the stand-ins, and the status of their database groups."""
+"""Controls faults of the simulated platform and databases, and reads database status."""
 
 import asyncio
 from typing import Any
@@ -15,7 +15,7 @@
 
 
 class StandInControl:
-    """Puts faults in force at the stand-ins; several faults at once add up."""
+    """Sets faults at the simulated platform and databases; concurrent faults are combined."""
 
     def __init__(self, cluster: Cluster, http: aiohttp.ClientSession) -> None:
         self._cluster = cluster
@@ -24,16 +24,16 @@
         self._databases: dict[str, dict[str, Any]] = {}
 
     async def fault_platform(self, **faults: Any) -> None:
-        """Change faults of the platform's store; those not named stay as they are."""
+        """Change faults of the platform's store; faults not given are unchanged."""
         self._platform.update(faults)
         url = f"{self._cluster.platform_url}/control/faults"
         async with self._http.put(url, json=self._platform) as response:
             response.raise_for_status()
 
     async def fault_database(self, instance: str, **faults: Any) -> None:
-        """Change faults of a database server; those not named stay as they are.
+        """Change faults of a database server; faults not given are unchanged.
 
-        A server that is down takes them when it is started again.
+        For a server that is down they are only stored; `restore_database` applies them.
         """
         state = self._databases.setdefault(instance, {})
         state.update(faults)
@@ -44,22 +44,22 @@
             response.raise_for_status()
 
     async def restore_database(self, instance: str) -> None:
-        """Put the faults of a restarted database server in force again."""
+        """Apply the stored faults to a restarted database server."""
         if self._databases.get(instance):
             await self.fault_database(instance)
 
     async def primary_of(self, group: str) -> str:
-        """Return the member that is primary at the highest term, or an empty name."""
+        """Return the primary with the highest term, or an empty string if there is none."""
         members = self._members(group)
         found = await asyncio.gather(*(self.status(member) for member in members))
-        best = max(
+        highest = max(
             ((int(row["term"]), name) for name, row in found if row.get("role") == "primary"),
             default=(0, ""),
         )
-        return best[1]
+        return highest[1]
 
     def others(self, instance: str) -> list[str]:
-        """Return the other members of the instance's group."""
+        """Return the other members of the instance's group. Raises KeyError."""
         for group in self._cluster.scenario.topology.groups:
             names = [member.instance for member in group.members]
             if instance in names:
@@ -73,7 +73,7 @@
         raise KeyError(group)
 
     async def status(self, instance: str) -> tuple[str, dict[str, Any]]:
-        """Return the member and its status row; an empty row when it does not answer."""
+        """Return the instance and its status row, which is empty if the instance does not reply."""
         address = Address(*self._cluster.database_addresses[instance])
         try:
             connection = await BackendConnection.connect(
--- a/src/bramblebeam/lab/crash.py
+++ b/src/bramblebeam/lab/crash.py
@@ -1,4 +1,4 @@
-"""A node killed in the middle of transactions: are they rolled back, and are the slots free?"""
+"""Kills a node with open transactions and checks that they roll back and free their slots."""
 
 import asyncio
 import time
@@ -16,16 +16,18 @@
 from bramblebeam.lab.run import Run, open_run
 from bramblebeam.lab.scenario import load_scenario
 
-OPEN_SECONDS = 600.0
-HEAD_START_SECONDS = 1.0
+MAX_TRANSACTION_SECONDS = 600.0
+WARMUP_SECONDS = 1.0
 SLOTS_TIMEOUT_SECONDS = 20.0
 SETTLE_SECONDS = 2.0
 
 
 class CrashResult(BaseModel):
-    """`outcomes`: how each open transaction ended for its caller, counted.
+    """The result of killing a node with open transactions.
 
-    `slots_free_ms`: from the kill until other callers held every slot in a transaction at once.
+    `outcomes`: number of open transactions by the outcome that their callers saw.
+    `slots_free_ms`: time from the kill until other callers held all slots in transactions at
+    once; None if that did not happen within the timeout.
     """
 
     model_config = ConfigDict(extra="forbid")
@@ -39,24 +41,24 @@
 
 
 async def run_crash(owner: bool, directory: Path) -> CrashResult:
-    """Kill the node that the callers use (`owner`: the one that owns the primary's slots)."""
+    """Kill the callers' node, or with `owner` the node that owns the primary's slots."""
     async with open_run(load_scenario("demo"), 1, directory) as run:
         run.settle_seconds = SETTLE_SECONDS
         await run.begin()
         run.start = time.monotonic()
-        owning = await _owner_of_primary(run)
-        others = [node for node in sorted(run.cluster.clients) if node != owning]
-        killed, entry = (owning, others[0]) if owner else (others[0], others[0])
+        owner_node = await _slot_owner_of_primary(run)
+        others = [node for node in sorted(run.cluster.clients) if node != owner_node]
+        killed, entry = (owner_node, others[0]) if owner else (others[0], others[0])
         slots = run.scenario.load.services[0].slots
         sessions = [_session(run, f"open-{number}") for number in range(slots)]
         work = [asyncio.create_task(_transaction(one, run, entry)) for one in sessions]
-        await asyncio.sleep(HEAD_START_SECONDS)
+        await asyncio.sleep(WARMUP_SECONDS)
         killed_at = await _kill(run, killed)
         survivor = next(node for node in others if node != killed)
-        free = await _until_slots_free(run, survivor, slots, killed_at)
+        free = await _measure_slots_free(run, survivor, slots, killed_at)
         for task in work:
             task.cancel()
-        outcomes = _outcomes(await asyncio.gather(*work, return_exceptions=True))
+        outcomes = _count_outcomes(await asyncio.gather(*work, return_exceptions=True))
         result = await run.end()
         result.scenario = "crash"
         return CrashResult(
@@ -80,7 +82,7 @@
     return killed_at
 
 
-async def _owner_of_primary(run: Run) -> str:
+async def _slot_owner_of_primary(run: Run) -> str:
     group = run.scenario.topology.groups[0].name
     node = sorted(run.cluster.clients)[0]
     url = f"{run.cluster.admin_url(node)}/api/v1/groups/{group}"
@@ -100,11 +102,11 @@
 
 
 async def _transaction(session: LoadSession, run: Run, node: str) -> str:
-    """Open a transaction and go on in it until something ends it; return how that was told."""
+    """Write in one transaction until a write fails; return that write's outcome and reason."""
     await session.client.connect(node, run.cluster.clients[node])
     await session.client.execute("BEGIN")
     name = f"crash-{session.client.name}"
-    end = time.monotonic() + OPEN_SECONDS
+    end = time.monotonic() + MAX_TRANSACTION_SECONDS
     while time.monotonic() < end:
         _, answer = await session.write_key("k1", transaction=name)
         if not answer.ok:
@@ -113,16 +115,16 @@
     return "still open"
 
 
-def _outcomes(ends: list[str | BaseException]) -> dict[str, int]:
+def _count_outcomes(results: list[str | BaseException]) -> dict[str, int]:
     found: dict[str, int] = {}
-    for end in ends:
-        text = end if isinstance(end, str) else "still open"
+    for result in results:
+        text = result if isinstance(result, str) else "still open"
         found[text] = found.get(text, 0) + 1
     return found
 
 
-async def _until_slots_free(run: Run, node: str, slots: int, killed_at: float) -> float | None:
-    """Hold every slot in a transaction at once through another node; return when (ms)."""
+async def _measure_slots_free(run: Run, node: str, slots: int, killed_at: float) -> float | None:
+    """Return the time from the kill until all slots are held at once through `node` (ms)."""
     clients = []
     try:
         async with asyncio.timeout(SLOTS_TIMEOUT_SECONDS):
--- a/src/bramblebeam/lab/demo.py
+++ b/src/bramblebeam/lab/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: real processes, a real MySQL client, faults, and a judged report."""
+"""The demo: a load with faults on real processes, checked and reported."""
 
 import asyncio
 import tempfile
@@ -17,45 +17,45 @@
 
 SEED = 1
 SETTLE_SECONDS = 3.0
-EDIT_AT_SECONDS = 4.0
+EDIT_DELAY_SECONDS = 4.0
 MOVES = 20
 FAILED = 1
 EDITED_INSTANCE = "deliveries-c"
 
 
 async def run_demo() -> int:
-    """Run the demonstration; return the exit code (0: nothing was violated)."""
-    begun = time.monotonic()
+    """Run the demo; return the exit code (0: no violations)."""
+    started = time.monotonic()
     with tempfile.TemporaryDirectory() as directory:
         try:
             async with open_run(load_scenario("demo"), SEED, Path(directory)) as run:
-                result = await _carry_out(run)
+                result = await _run_steps(run)
         except (ProcessStartError, SetupError) as error:
             print(f"failed: {error}")
             return FAILED
-    _report(result, time.monotonic() - begun)
+    _report(result, time.monotonic() - started)
     return FAILED if result.violated else 0
 
 
-async def _carry_out(run: Run) -> RunResult:
+async def _run_steps(run: Run) -> RunResult:
     run.settle_seconds = SETTLE_SECONDS
-    print("starting the stand-in platform, a group of three databases and three nodes …")
+    print("starting the simulated platform, a group of three databases and three nodes …")
     await run.begin()
-    print(f"ready: {', '.join(sorted(run.cluster.clients))}; offering the load …")
+    print(f"ready: {', '.join(sorted(run.cluster.clients))}; running the load …")
     load = asyncio.create_task(run.offer_load())
     moved = await _move_session(run)
-    print(f"a session wrote, moved to another node and got its read there {moved} times")
-    await asyncio.sleep(max(0.0, run.start + EDIT_AT_SECONDS - time.monotonic()))
+    print(f"session moves with a write before and an answered read after: {moved}")
+    await asyncio.sleep(max(0.0, run.start + EDIT_DELAY_SECONDS - time.monotonic()))
     await _edit_row(run)
     await load
-    print("load, kill of the primary and planned stop of a node are over; judging …")
+    print("load, primary kill and planned node stop are done; checking the history …")
     return await run.end()
 
 
 async def _move_session(run: Run) -> int:
-    """Write at one node and read at another; return how many reads were answered.
+    """Write at one node and read at another; return the number of answered reads.
 
-    Whether each saw the write is judged from the history.
+    Whether each read saw the write is checked later, from the history.
     """
     service = run.scenario.load.services[0]
     client = CallerClient("mover", service.name, service.group, carries_token=False)
@@ -63,22 +63,22 @@
     session = LoadSession(client, run.cluster.clients, plan, run.history, Random(SEED))
     nodes = sorted(run.cluster.clients)
     await session.move_to(nodes[0])
-    seen = 0
+    answered = 0
     for step in range(1, MOVES + 1):
         key = f"k{step % plan.keys}"
         await session.write_key(key)
         await session.move_to(nodes[step % len(nodes)])
         _, answer = await session.read_key(key)
-        seen += answer.ok
+        answered += answer.ok
     await client.close()
-    return seen
+    return answered
 
 
 async def _edit_row(run: Run) -> None:
     version = await run.operators.edit(
         "weight", EDITED_INSTANCE, lambda spec: {**spec, "read_weight": 50}
     )
-    print(f"an operator edited the weight of {EDITED_INSTANCE}: version {version}")
+    print(f"weight row of {EDITED_INSTANCE} edited, version {version}")
 
 
 def _report(result: RunResult, seconds: float) -> None:
@@ -86,7 +86,7 @@
     print(f"{result.statements} statements, {result.moves} moves of sessions between nodes")
     print(f"reads served by replicas   {format_percentage(result.replica_read_share)}")
     gaps = ", ".join(f"{gap:.0f}" for gap in result.failover_gap_ms)
-    print(f"failover gap               {gaps or 'none seen'} ms")
+    print(f"failover gap               {gaps or 'none measured'} ms")
     print(f"edit in force everywhere   {format_number(result.config_in_force_ms.max)} ms")
     print(f"latency p50, p99           {format_number(result.latency_ms.p50)}, ", end="")
     print(f"{format_number(result.latency_ms.p99)} ms")
@@ -99,5 +99,5 @@
         print(f"{name:44}{result.examined.get(name, 0):>14}{count:>12}")
     for violation in result.violations:
         print(f"  {violation}")
-    verdict = "nothing was violated" if not result.violated else "VIOLATED"
+    verdict = "no violations" if not result.violated else "VIOLATED"
     print(f"\n{verdict}; {seconds:.0f} s")
--- a/src/bramblebeam/lab/failover_bench.py
+++ b/src/bramblebeam/lab/failover_bench.py
@@ -1,8 +1,8 @@
-"""Measures changes of primary on real processes: `bramblebeam lab failover`.
+"""Benchmarks failover on real processes: `bramblebeam lab failover`.
 
-One group of three stand-in members and three nodes; clients write through the nodes at a steady
-pace. Each fault is aimed at the primary of the moment. The gap is the longest time without an
-acknowledged write from just before the fault until writes flow again.
+Clients write at a constant rate through three nodes to one group of three simulated database
+servers. Each fault targets the current primary. The failover gap is the longest time without an
+acknowledged write, from just before the fault until writes have recovered.
 """
 
 import asyncio
@@ -33,17 +33,17 @@
 GROUP = "deliveries"
 SERVICE = "dispatch"
 PAUSE_SECONDS = 0.48
-"""Length of a pause that must not change the primary; the signals' own delay comes on top."""
+"""A pause that must not cause a failover. The delay of the signals adds to it."""
 
 RECOVERY_SECONDS = 12.0
 SETTLE_SECONDS = 1.0
-BEFORE = 0.1
+MARGIN_SECONDS = 0.1
 MILLISECONDS = 1000.0
 
 
 @dataclass(slots=True)
 class Series:
-    """One kind of fault: the gaps (milliseconds) and how many of them changed the primary."""
+    """Results for one kind of fault: failover gaps (milliseconds) and number of primary changes."""
 
     gaps_ms: list[int] = field(default_factory=list)
     longest_waits_ms: list[int] = field(default_factory=list)
@@ -51,7 +51,7 @@
     not_recovered: int = 0
 
     def summary(self) -> dict[str, Any]:
-        """Return count, p50, p99 and maximum."""
+        """Return the counts and the p50, p99 and maximum gap."""
         gaps = sorted(self.gaps_ms)
         shown = {"count": len(gaps), "changes": self.changes, "not_recovered": self.not_recovered}
         if gaps:
@@ -65,7 +65,7 @@
 
 
 class Bench:
-    """Aims faults at the primary of a running cluster."""
+    """Injects faults at the primary of a running cluster and measures their failover gaps."""
 
     def __init__(self, cluster: Cluster, control: StandInControl, writers: Writers) -> None:
         self.cluster = cluster
@@ -74,65 +74,65 @@
         self.series: dict[str, Series] = {}
 
     async def measure(self, kind: str, fault: Callable[[str], Awaitable[None]]) -> None:
-        """Wait for calm, put a fault in force, and note the gap when it is over."""
+        """Wait for a stable group, inject a fault, and record the gap after recovery."""
         series = self.series.setdefault(kind, Series())
-        primary = await self._calm()
+        primary = await self._wait_until_stable()
         term = await self._term(primary)
         at = time.monotonic()
         await fault(primary)
-        recovered = await self._recovered(at)
-        after = await self._calm()
+        recovered = await self._wait_until_recovered(at)
+        after = await self._wait_until_stable()
         if await self._term(after) != term:
             series.changes += 1
         if not recovered:
             series.not_recovered += 1
-        gap = round(self.writers.longest_silence(at - BEFORE) * MILLISECONDS)
+        gap = round(self.writers.longest_silence(at - MARGIN_SECONDS) * MILLISECONDS)
         series.gaps_ms.append(gap)
         series.longest_waits_ms.append(round(self.writers.longest_wait(at) * MILLISECONDS))
-        typer.echo(f"{kind} of {primary}: {gap} ms, primary then {after}", err=True)
+        typer.echo(f"{kind} of {primary}: {gap} ms, primary afterwards: {after}", err=True)
 
     async def kill(self, primary: str) -> None:
-        """Kill the primary; start it again when the writes have found another one."""
+        """Kill the primary; restart it when writes have recovered or the timeout has passed."""
         process = self.cluster.databases[primary]
         at = time.monotonic()
         process.kill()
         await process.wait()
-        await self._recovered(at)
+        await self._wait_until_recovered(at)
         await self.cluster.start_database(primary)
         await self.control.restore_database(primary)
 
     async def cut(self, primary: str) -> None:
-        """Cut the primary off from the members and from clients, and heal it later."""
+        """Isolate the primary from members and clients until writes recover, or a timeout."""
         others = self.control.others(primary)
         at = time.monotonic()
         await self.control.fault_database(primary, cut_peers=others, cut_clients=True)
-        await self._recovered(at)
+        await self._wait_until_recovered(at)
         await self.control.fault_database(primary, cut_peers=[], cut_clients=False)
 
     async def cut_clients(self, primary: str) -> None:
-        """Cut the primary off from clients only, and heal it later."""
+        """Isolate the primary from clients only until writes recover, or a timeout."""
         at = time.monotonic()
         await self.control.fault_database(primary, cut_clients=True)
-        await self._recovered(at)
+        await self._wait_until_recovered(at)
         await self.control.fault_database(primary, cut_clients=False)
 
     async def cut_members(self, primary: str) -> None:
-        """Cut the primary off from the other members only, and heal it later."""
+        """Isolate the primary from members only until writes recover, or a timeout."""
         at = time.monotonic()
         others = self.control.others(primary)
         await self.control.fault_database(primary, cut_peers=others)
-        await self._recovered(at)
+        await self._wait_until_recovered(at)
         await self.control.fault_database(primary, cut_peers=[])
 
     async def pause(self, primary: str) -> None:
-        """Stop the primary's process for less than half a second."""
+        """Suspend the primary's process for `PAUSE_SECONDS`."""
         process = self.cluster.databases[primary]
         process.pause()
         await asyncio.sleep(PAUSE_SECONDS)
         process.resume()
 
     async def change(self, primary: str) -> None:
-        """Ask the administration for a planned change to another member."""
+        """Request a planned switch to another member through the administration API."""
         target = self.control.others(primary)[0]
         node = next(iter(self.cluster.nodes))
         url = f"{self.cluster.admin_url(node)}/api/v1/groups/{GROUP}/primary"
@@ -145,28 +145,28 @@
                 raise RuntimeError(f"{url}: {response.status} {await response.text()}")
 
     async def lost_writes(self) -> int:
-        """Return how many acknowledged writes the primary does not hold."""
+        """Return the number of acknowledged writes that are missing at the primary."""
         client = CallerClient("reader", SERVICE, GROUP, False)
         await client.connect(*next(iter(self.cluster.clients.items())))
         answer = await client.execute("SELECT v FROM entries FOR UPDATE")
         await client.close()
         if not answer.ok:
-            raise RuntimeError(f"rows could not be read: {answer.outcome}")
-        held = {str(row[0]) for row in answer.rows}
-        return sum(str(number) not in held for number in self.writers.keys)
+            raise RuntimeError(f"reading the written rows failed: {answer.outcome}")
+        stored = {str(row[0]) for row in answer.rows}
+        return sum(str(number) not in stored for number in self.writers.keys)
 
-    async def _recovered(self, since: float) -> bool:
-        """Wait until writes that began after `since` flow again."""
+    async def _wait_until_recovered(self, since: float) -> bool:
+        """Wait until writes are acknowledged steadily after `since`; return whether they were."""
         deadline = since + RECOVERY_SECONDS
         while time.monotonic() < deadline:
-            recent = [at for at in self.writers.acknowledged[-20:] if at > since + BEFORE]
-            if len(recent) >= 10 and time.monotonic() - recent[-1] < BEFORE:
+            recent = [at for at in self.writers.acknowledged[-20:] if at > since + MARGIN_SECONDS]
+            if len(recent) >= 10 and time.monotonic() - recent[-1] < MARGIN_SECONDS:
                 return True
             await asyncio.sleep(0.02)
         return False
 
-    async def _calm(self) -> str:
-        """Wait until all members follow one primary; return it."""
+    async def _wait_until_stable(self) -> str:
+        """Wait until all members report the same primary and term; return the primary."""
         deadline = time.monotonic() + RECOVERY_SECONDS
         while time.monotonic() < deadline:
             statuses = await asyncio.gather(
@@ -178,7 +178,7 @@
                 await asyncio.sleep(SETTLE_SECONDS)
                 return str(view[1])
             await asyncio.sleep(0.05)
-        raise RuntimeError("the group did not become calm")
+        raise RuntimeError("the members did not agree on a primary in time")
 
     async def _term(self, instance: str) -> int:
         _, row = await self.control.status(instance)
@@ -187,7 +187,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """How many faults of each kind."""
+    """Number of faults of each kind, and the latency between members."""
 
     kills: int
     cuts: int
@@ -199,7 +199,7 @@
 
 
 async def run_bench(plan: Plan, directory: Path) -> dict[str, Any]:
-    """Run all faults of the plan; return the result as plain data."""
+    """Inject all faults of the plan; return the result as JSON-compatible data."""
     scenario = load_scenario("demo")
     async with process_group(directory) as processes, aiohttp.ClientSession() as http:
         cluster = Cluster(scenario, processes)
@@ -212,7 +212,7 @@
         bench = Bench(cluster, control, writers)
         writing = asyncio.create_task(writers.run())
         try:
-            await _carry_out(plan, bench)
+            await _inject_faults(plan, bench)
         finally:
             writing.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -229,7 +229,7 @@
     }
 
 
-async def _carry_out(plan: Plan, bench: Bench) -> None:
+async def _inject_faults(plan: Plan, bench: Bench) -> None:
     faults = [
         ("pause", plan.pauses, bench.pause),
         ("planned", plan.planned, bench.change),
@@ -246,18 +246,18 @@
 @application.command()
 def failover(
     kills: Annotated[int, typer.Option(help="Kills of the primary.")] = 20,
-    cuts: Annotated[int, typer.Option(help="Cut-offs from members and clients.")] = 20,
-    client_cuts: Annotated[int, typer.Option(help="Cut-offs from clients only.")] = 5,
-    member_cuts: Annotated[int, typer.Option(help="Cut-offs from members only.")] = 5,
+    cuts: Annotated[int, typer.Option(help="Isolations from members and clients.")] = 20,
+    client_cuts: Annotated[int, typer.Option(help="Isolations from clients only.")] = 5,
+    member_cuts: Annotated[int, typer.Option(help="Isolations from members only.")] = 5,
     pauses: Annotated[int, typer.Option(help="Pauses below half a second.")] = 10,
-    planned: Annotated[int, typer.Option(help="Planned changes.")] = 5,
-    latency_ms: Annotated[float, typer.Option(help="One way between members.")] = 0.0,
-    keep: Annotated[Path | None, typer.Option(help="Directory that keeps the logs.")] = None,
+    planned: Annotated[int, typer.Option(help="Planned switches.")] = 5,
+    latency_ms: Annotated[float, typer.Option(help="One-way latency between members.")] = 0.0,
+    keep: Annotated[Path | None, typer.Option(help="Directory for the logs.")] = None,
 ) -> None:
-    """Measure the failover gap on real processes; the result is one JSON object."""
+    """Measure failover gaps on real processes and print the result as one JSON object."""
     plan = Plan(kills, cuts, client_cuts, member_cuts, pauses, planned, latency_ms)
     with tempfile.TemporaryDirectory() as directory:
-        place = keep or Path(directory)
-        place.mkdir(parents=True, exist_ok=True)
-        result = asyncio.run(run_bench(plan, place))
+        log_directory = keep or Path(directory)
+        log_directory.mkdir(parents=True, exist_ok=True)
+        result = asyncio.run(run_bench(plan, log_directory))
     typer.echo(json.dumps(result))
--- a/src/bramblebeam/lab/faults.py
+++ b/src/bramblebeam/lab/faults.py
@@ -1,4 +1,4 @@
-"""Injects a scenario's faults into real processes, each at its time and for its duration."""
+"""Injects a scenario's faults into real processes, on schedule."""
 
 import asyncio
 import time
@@ -22,9 +22,11 @@
 from bramblebeam.lab.witnesses import StopWitnesses
 
 NOT_ON_PROCESSES: tuple[FaultKind, ...] = ("one_way_cut", "message_loss")
-"""Kinds that need a network under the lab's control; the simulator has them."""
+"""Fault kinds that need control of the network; only the simulator supports them."""
 
 LOST_ANSWERS = 1_000_000
+"""More writes than the store receives during a fault, so that all their answers are lost."""
+
 STALE_LIST_SECONDS = 60.0
 DEFAULT_LAG_MS = 500
 DEFAULT_SLOW_MS = 1_000
@@ -34,14 +36,14 @@
 
 
 class Injection(NamedTuple):
-    """A fault in force: what it was aimed at in the end, and how to end it."""
+    """An active fault: the target that was chosen, and a callable that ends the fault."""
 
     target: str
     heal: Heal
 
 
 class FaultInjector:
-    """Carries out the faults of one run and records when each began and ended."""
+    """Injects the faults of one run and records when each begins and ends."""
 
     def __init__(
         self,
@@ -59,7 +61,7 @@
         self._operators = operators
         self._load = load
         self._history = history
-        self._begin: dict[FaultKind, Callable[[Fault], Awaitable[Injection]]] = {
+        self._injectors: dict[FaultKind, Callable[[Fault], Awaitable[Injection]]] = {
             "primary_kill": self._primary_kill,
             "primary_cut": self._primary_cut,
             "primary_pause": self._primary_pause,
@@ -79,20 +81,20 @@
         }
 
     async def run(self, faults: Sequence[Fault], start: float) -> None:
-        """Carry out the faults; `start` is when the load began. Ends when all are healed."""
-        await asyncio.gather(*(self._one(fault, start) for fault in faults))
+        """Inject the faults and return when all have ended. `start` is when the load began."""
+        await asyncio.gather(*(self._inject(fault, start) for fault in faults))
 
-    async def _one(self, fault: Fault, start: float) -> None:
+    async def _inject(self, fault: Fault, start: float) -> None:
         if fault.kind in NOT_ON_PROCESSES:
             self.not_injected.append(f"{fault.kind} {fault.target}".strip())
             return
         await asyncio.sleep(max(0.0, start + fault.at - time.monotonic()))
-        shown = fault.target
-        self._history.add(FaultInjected(time.monotonic(), fault.kind, shown, True))
-        injection = await self._begin[fault.kind](fault)
+        target = fault.target
+        self._history.add(FaultInjected(time.monotonic(), fault.kind, target, True))
+        injection = await self._injectors[fault.kind](fault)
         await asyncio.sleep(fault.duration)
         await injection.heal()
-        self._history.add(FaultInjected(time.monotonic(), fault.kind, shown, False))
+        self._history.add(FaultInjected(time.monotonic(), fault.kind, target, False))
 
     async def _primary_kill(self, fault: Fault) -> Injection:
         return await self._kill_database(await self._control.primary_of(fault.target))
@@ -175,7 +177,7 @@
         return await self._pause(fault.target, [fault.target], [])
 
     async def _zone_pause(self, fault: Fault) -> Injection:
-        """Pause every process of the zone: on loopback no link between zones can be cut."""
+        """Pause every process of the zone, because links between zones can't be cut on loopback."""
         topology = self._cluster.scenario.topology
         nodes = [node for node, zone in topology.nodes.items() if zone == fault.target]
         databases = [name for name, zone in topology.instances.items() if zone == fault.target]
--- a/src/bramblebeam/lab/measures.py
+++ b/src/bramblebeam/lab/measures.py
@@ -1,4 +1,4 @@
-"""Figures worked out from a recorded history."""
+"""Computes the measures of a run from its recorded history."""
 
 import math
 from collections import defaultdict
@@ -25,7 +25,7 @@
 
 
 def delays(values: Sequence[float]) -> Delays:
-    """Return the percentiles of some times (milliseconds)."""
+    """Return the percentiles, maximum and count of times in milliseconds."""
     if not values:
         return Delays()
     ordered = sorted(values)
@@ -38,15 +38,15 @@
 
 
 def percentile(ordered: Sequence[float], share: float) -> float:
-    """Return the smallest value that at least `share` of the ordered values do not exceed."""
+    """Return the nearest-rank percentile of sorted values; `share` is between 0 and 1."""
     return round(ordered[max(0, math.ceil(share * len(ordered)) - 1)], 3)
 
 
 def failover_gaps(history: History) -> list[float]:
-    """Return, for each loss of a primary, the time without an acknowledged write (milliseconds).
+    """Return the failover gap of each primary that was killed or cut off (milliseconds).
 
-    The longest time between two acknowledgements after the fault, so it is too long by up to the
-    time between two writes of the load.
+    The gap is the longest time between two acknowledged writes around the fault, which
+    overestimates the outage by up to the load's write interval.
     """
     acknowledged = _write_acknowledgements(history)
     gaps = []
@@ -54,12 +54,12 @@
         if not fault.begins or fault.fault not in GAP_FAULTS:
             continue
         times = acknowledged.get(fault.target, [])
-        gaps.append(round(_longest_hole(times, fault.time) * 1000, 1))
+        gaps.append(round(_longest_gap(times, fault.time) * 1000, 1))
     return gaps
 
 
 def primary_changes(history: History) -> dict[str, int]:
-    """Return how often each group's writes moved on to a higher term."""
+    """Return the number of term changes among each group's acknowledged writes."""
     terms: dict[str, set[int]] = defaultdict(set)
     for record in history.of(BackendAcknowledged):
         terms[record.group].add(record.term)
@@ -79,25 +79,25 @@
     return times
 
 
-def _longest_hole(times: Sequence[float], fault: float) -> float:
+def _longest_gap(times: Sequence[float], fault: float) -> float:
     end = fault + GAP_WINDOW_SECONDS
     before = [time for time in times if time < fault]
-    points = [before[-1] if before else fault]
-    points += [time for time in times if fault <= time <= end]
-    if len(points) == 1:
+    times_in_window = [before[-1] if before else fault]
+    times_in_window += [time for time in times if fault <= time <= end]
+    if len(times_in_window) == 1:
         return GAP_WINDOW_SECONDS
-    return max(later - earlier for earlier, later in pairwise(points))
+    return max(later - earlier for earlier, later in pairwise(times_in_window))
 
 
 def edit_spreads(
     history: History, start: float, sent_at: Mapping[tuple[str, int], float]
 ) -> list[EditSpread]:
-    """Return, for each accepted edit, how long each node took to have it, or a later one.
+    """Return how long each accepted edit, or a later version, took to come into force per node.
 
-    Counted from when the operator sent the edit, so that the acceptance is part of it; at a node
-    that was down, paused or cut off then, from when it was back.
+    Measured from when the operator sent the edit, so the time to accept it is included. For a
+    node that was down, paused or cut off meanwhile, measured from its recovery.
     """
-    back = _times_back(history)
+    recovered_at = _recovery_times(history)
     rows: dict[tuple[str, str], list[RowInForce]] = defaultdict(list)
     for row in history.of(RowInForce):
         rows[row.key, row.node].append(row)
@@ -107,26 +107,26 @@
         begin = sent_at.get((edit.key, edit.version), edit.time)
         spread = EditSpread(at=round(begin - start, 3), row=edit.key, version=edit.version)
         for node in nodes:
-            came = [row.time for row in rows[edit.key, node] if row.version >= edit.version]
-            if came:
-                first = min(came)
-                since = max((at for at in back.get(node, ()) if at <= first), default=begin)
+            in_force_at = [row.time for row in rows[edit.key, node] if row.version >= edit.version]
+            if in_force_at:
+                first = min(in_force_at)
+                since = max((at for at in recovered_at.get(node, ()) if at <= first), default=begin)
                 spread.delays_ms[node] = round(max(0.0, first - max(begin, since)) * 1000, 1)
         spreads.append(spread)
     return spreads
 
 
-def _times_back(history: History) -> dict[str, list[float]]:
-    """Return when each node was started, resumed or connected again."""
-    back: dict[str, list[float]] = defaultdict(list)
+def _recovery_times(history: History) -> dict[str, list[float]]:
+    """Return the times at which each node was started, resumed or reconnected."""
+    recovered_at: dict[str, list[float]] = defaultdict(list)
     for record in history:
         if isinstance(record, NodeStarted) or (isinstance(record, NodeCut) and not record.cut):
-            back[record.node].append(record.time)
-    return back
+            recovered_at[record.node].append(record.time)
+    return recovered_at
 
 
 def fault_spans(history: History, start: float) -> list[FaultSpan]:
-    """Return the faults with their begin and end."""
+    """Return the faults with begin and end in seconds from `start`."""
     spans: list[FaultSpan] = []
     for record in history.of(FaultInjected):
         at = round(record.time - start, 3)
@@ -141,7 +141,7 @@
 
 
 def replica_read_share(reads: Iterable[ServedRead]) -> float | None:
-    """Return the share of reads that replicas served, or None without reads."""
+    """Return the share of reads that replicas served, or None if there were no reads."""
     served = [read.at_replica for read in reads]
     return round(sum(served) / len(served), 5) if served else None
 
@@ -152,7 +152,10 @@
     history: History,
     start: float,
 ) -> list[TimeBin]:
-    """Return latency and errors by interval, each request counted where it was meant to start."""
+    """Return latency and errors per interval.
+
+    Latencies count at the request's intended start, errors and replica reads at their own time.
+    """
     latencies: dict[int, list[float]] = defaultdict(list)
     errors: dict[int, int] = defaultdict(int)
     for intended, latency in samples:
--- a/src/bramblebeam/lab/mutant.py
+++ b/src/bramblebeam/lab/mutant.py
@@ -1,6 +1,6 @@
-"""Runs the program with one mutation in force: `python -m bramblebeam.lab.mutant NAME node …`.
+"""Runs the program with one mutation applied: `python -m bramblebeam.lab.mutant NAME node …`.
 
-A run of mutated nodes shows that the judge sees the fault; nothing of it is in the product.
+Runs with mutated nodes verify that the judge detects the defect. Not part of the product.
 """
 
 import sys
@@ -10,7 +10,7 @@
 
 
 def main() -> None:
-    """Put the mutation of the first argument in force, then run the rest as the program."""
+    """Apply the mutation named by the first argument, then run the program with the others."""
     apply_mutation(sys.argv[1])
     application(sys.argv[2:])
 
--- a/src/bramblebeam/lab/operators.py
+++ b/src/bramblebeam/lab/operators.py
@@ -1,4 +1,4 @@
-"""Operators of a run: they edit weight and limit rows through the nodes' administration API."""
+"""Simulated operators that edit weight and limit rows through the administration API."""
 
 import asyncio
 import time
@@ -21,14 +21,14 @@
 
 
 class Operators:
-    """Edits rows now and then, and in races; records each edit that was accepted."""
+    """Edits rows at random times and concurrently; records each accepted edit."""
 
     def __init__(
         self, cluster: Cluster, http: aiohttp.ClientSession, history: History, seed: int
     ) -> None:
         self.conflicts = 0
         self.sent_at: dict[tuple[str, int], float] = {}
-        """When the operator sent the edit that became a version of a row."""
+        """When each accepted edit was sent, by row key and resulting version."""
         self.failures = 0
         self._cluster = cluster
         self._http = http
@@ -36,17 +36,19 @@
         self._random = Random(seed)
 
     async def run(self, edits_per_second: float, end: float) -> None:
-        """Edit the weights of random instances until `end`."""
+        """Edit the weights of random instances until `end` (monotonic time)."""
         instances = sorted(self._cluster.scenario.topology.instances)
         while edits_per_second > 0:
             await asyncio.sleep(self._random.expovariate(edits_per_second))
             if time.monotonic() >= end:
                 return
             weight = self._random.randrange(50, 200)
-            await self.edit("weight", self._random.choice(instances), _set("read_weight", weight))
+            await self.edit(
+                "weight", self._random.choice(instances), _set_field("read_weight", weight)
+            )
 
     async def race(self, service: str) -> None:
-        """Let two operators edit the limit row of a service at once through two nodes."""
+        """Edit the limit row of a service from the same version through two nodes at once."""
         name = next(
             f"{found.name}.{found.group}"
             for found in self._cluster.scenario.load.services
@@ -58,13 +60,13 @@
             self.failures += 1
             return
         edits = (
-            self._write(node, "limit", name, row, _set("queue", 100 + number))
+            self._write(node, "limit", name, row, _set_field("queue", 100 + number))
             for number, node in enumerate(nodes)
         )
         await asyncio.gather(*edits)
 
     async def edit(self, kind: str, name: str, change: Change) -> int | None:
-        """Change one row through a random node; return the accepted version."""
+        """Change a row through a random node; return the accepted version, or None."""
         if not self._cluster.clients:
             return None
         node = self._random.choice(sorted(self._cluster.clients))
@@ -114,5 +116,5 @@
             return 0, {}
 
 
-def _set(field: str, value: int) -> Change:
+def _set_field(field: str, value: int) -> Change:
     return lambda spec: {**spec, field: value}
--- a/src/bramblebeam/lab/pool_bench.py
+++ b/src/bramblebeam/lab/pool_bench.py
@@ -1,9 +1,9 @@
-"""Measures the pool alone: `python -m bramblebeam.lab.pool_bench`.
+"""Benchmarks the connection pool on its own: `python -m bramblebeam.lab.pool_bench`.
 
-Pool services of two nodes run in this process, joined without sockets, before one stand-in database
-in a process of its own. Measured are the pool's processor time a statement, the slots used in a
-burst, the time in which a lender gets its slots back, and the highest number of connections that
-the back end sees while the owner changes.
+The pool services of two nodes run in this process and call each other without sockets. They use
+one simulated database in a child process. Measures the CPU time per statement, slot utilization
+during a burst, the time in which a service reclaims slots that another one borrowed, and the peak
+number of connections at the database while the owner changes.
 """
 
 import asyncio
@@ -49,7 +49,7 @@
 
 
 class DirectTransport(Service):
-    """Hands requests to the other nodes' pools in this process."""
+    """Delivers peer requests to the pools of the other nodes in this process."""
 
     name = "transport"
 
@@ -58,20 +58,20 @@
         self._nodes = nodes
 
     async def handle(self, envelope: Envelope) -> None:
-        """Carry a request, and drop everything else."""
+        """Deliver a request; acknowledge and drop any other message."""
         message = envelope.message
         if isinstance(message, PeerRequest):
-            self.spawn(self._carry(message, envelope))
+            self.spawn(self._deliver(message, envelope))
         else:
             answer(envelope, None)
 
-    async def _carry(self, message: PeerRequest, envelope: Envelope) -> None:
+    async def _deliver(self, message: PeerRequest, envelope: Envelope) -> None:
         delivery = PeerDelivery(NodeId("a"), message.message)
         answer(envelope, await self._nodes[message.to].call("pool", delivery, message.timeout))
 
 
 class PoolBench:
-    """Two nodes' pools before one database."""
+    """The pools of two nodes in front of one database."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
@@ -79,7 +79,7 @@
         self._sequence = itertools.count()
 
     async def start(self) -> None:
-        """Make the database a primary, and start both nodes."""
+        """Promote the database to primary and start both nodes."""
         control = await BackendConnection.connect(self.address, "bramblebeam_control", "")
         await control.execute("CALL bramblebeam.promise(1)")
         listed = f"{INSTANCE}={self.address.host}:{self.address.port}"
@@ -100,13 +100,13 @@
             await kernel.stop()
 
     async def change_owner(self, owner: str) -> float:
-        """Name another owner; return the time until it serves (seconds)."""
+        """Publish a new owner; return the time until it owns the pool (seconds)."""
         started = time.perf_counter()
         view = MembersView(owners={ZONE: (NodeId(owner),)})
         for kernel in self.nodes.values():
             kernel.publish(MembersChanged(view))
-        asked = SubscribeRequest(INSTANCE)
-        while not (await self.nodes[NodeId(owner)].call("pool", asked, 5.0)).owned:  # noqa: ASYNC110
+        request = SubscribeRequest(INSTANCE)
+        while not (await self.nodes[NodeId(owner)].call("pool", request, 5.0)).owned:  # noqa: ASYNC110
             await asyncio.sleep(0.001)
         return time.perf_counter() - started
 
@@ -118,7 +118,7 @@
         node: str = "a",
         wait_ms: int = 5000,
     ) -> ExecuteReply:
-        """Run one statement."""
+        """Run one statement through a node's pool."""
         request = ExecuteRequest(
             RequestId("bench", next(self._sequence)), INSTANCE, service, kind, sql, wait_ms=wait_ms
         )
@@ -140,23 +140,23 @@
 async def processor_time(
     bench: PoolBench, sql: str, kind: StatementKind, statements: int
 ) -> dict[str, float]:
-    """Return the rate and this process's processor time a statement: the best of some rounds."""
-    part = statements // ROUNDS
-    rounds = [await _round(bench, sql, kind, part) for _ in range(ROUNDS)]
+    """Return the rate and this process's CPU time per statement, the best of `ROUNDS` rounds."""
+    per_round = statements // ROUNDS
+    rounds = [await _round(bench, sql, kind, per_round) for _ in range(ROUNDS)]
     return {
-        "microseconds_a_statement": round(min(spent for spent, _ in rounds) / part * 1e6, 1),
-        "statements_a_second": round(part / min(elapsed for _, elapsed in rounds)),
+        "microseconds_a_statement": round(min(spent for spent, _ in rounds) / per_round * 1e6, 1),
+        "statements_a_second": round(per_round / min(elapsed for _, elapsed in rounds)),
     }
 
 
 async def _round(
     bench: PoolBench, sql: str, kind: StatementKind, statements: int
 ) -> tuple[float, float]:
-    """Return the processor time and the time (seconds) of some statements."""
-    left = itertools.count()
+    """Return the CPU time and the elapsed time of `statements` statements (seconds)."""
+    started = itertools.count()
 
     async def caller() -> None:
-        while next(left) < statements:
+        while next(started) < statements:
             reply = await bench.run(LENDER, sql, kind)
             assert reply.refusal is None, reply.refusal
 
@@ -166,21 +166,24 @@
 
 
 async def driver_time(address: Address, statements: int) -> float:
-    """Return the processor time of a statement on a bare connection (microseconds)."""
+    """Return the CPU time per statement on a connection without a pool (microseconds)."""
     connection = await BackendConnection.connect(address, "bramblebeam_control", "")
-    part = statements // ROUNDS
+    per_round = statements // ROUNDS
     best = float("inf")
     for _ in range(ROUNDS):
         started = time.process_time()
-        for _ in range(part):
+        for _ in range(per_round):
             await connection.execute(READ, 500)
         best = min(best, time.process_time() - started)
     await connection.close()
-    return round(best / part * 1e6, 1)
+    return round(best / per_round * 1e6, 1)
 
 
 async def burst(bench: PoolBench, rounds: int = 20, hold: float = 0.02) -> dict[str, Any]:
-    """One service bursts with statements of `hold` seconds; then the lender comes back."""
+    """Measure how soon a service gets its slots while another one bursts.
+
+    The statements of the bursting service take `hold` seconds.
+    """
     sql = f"SELECT SLEEP({hold})"
     stop = asyncio.Event()
 
@@ -209,7 +212,7 @@
 
 
 async def burst_share(bench: PoolBench, statements: int = 400, hold: float = 0.02) -> float:
-    """Return the part of all slots that is in use on average while one service bursts."""
+    """Return the mean slot utilization while one service bursts."""
     sql = f"SELECT SLEEP({hold})"
     work = asyncio.gather(
         *(bench.run(BORROWER, sql, StatementKind.READ, wait_ms=60_000) for _ in range(statements))
@@ -224,7 +227,7 @@
 
 
 async def churn(bench: PoolBench, changes: int) -> dict[str, Any]:
-    """Change the owner again and again under load."""
+    """Measure handover times and refused statements while the owner changes under load."""
     stop = asyncio.Event()
     refused: dict[str, int] = {}
 
@@ -251,7 +254,7 @@
 
 
 async def measure(statements: int, changes: int, directory: Path) -> dict[str, Any]:
-    """Run every measurement against a database process."""
+    """Run all measurements against a database process."""
     async with process_group(directory) as group:
         arguments = ("-m", "bramblebeam.lab.database", "--instance", INSTANCE)
         listen = ("--listen", "127.0.0.1:0", "--peer-listen", "127.0.0.1:0")
@@ -275,7 +278,7 @@
 
 
 async def highest_connections(control: tuple[str, int]) -> int:
-    """Return the most slot connections that the database has seen at once."""
+    """Return the peak number of slot connections at the database."""
     import aiohttp
 
     host, port = control
@@ -291,9 +294,9 @@
 @application.command()
 def main(
     statements: Annotated[int, typer.Option(help="Statements of each kind.")] = 10_000,
-    changes: Annotated[int, typer.Option(help="Changes of owner.")] = 100,
+    changes: Annotated[int, typer.Option(help="Number of owner changes.")] = 100,
 ) -> None:
-    """Measure the pool and print one JSON object."""
+    """Run the benchmark and print its result as one JSON object."""
     with tempfile.TemporaryDirectory() as directory:
         result = uvloop.run(measure(statements, changes, Path(directory)))
     typer.echo(json.dumps(result, indent=2))
--- a/src/bramblebeam/lab/ports.py
+++ b/src/bramblebeam/lab/ports.py
@@ -1,7 +1,7 @@
-"""Ports for processes that must keep their address over a restart.
+"""Allocates ports for processes that must keep their address across restarts.
 
-A run takes whole blocks of ports, each guarded by a locked file, so that runs side by side on one
-machine never give out the same port.
+Each run reserves whole blocks of ports by locking a file per block, so that concurrent runs on one
+machine never get the same port.
 """
 
 import fcntl
@@ -14,28 +14,28 @@
 
 FIRST_PORT = 20_000
 LAST_PORT = 32_000
-"""Below the range that the system gives to outgoing connections."""
+"""Below the system's ephemeral port range for outgoing connections."""
 
 BLOCK_SIZE = 50
 
 
 class NoPortError(Exception):
-    """Every block of ports is taken by other runs."""
+    """All blocks of ports are used up, by this run or others."""
 
 
 def free_port(host: str = "127.0.0.1") -> int:
-    """Return a port that is free for TCP and UDP now and was not given out before.
+    """Return a port that is currently free for TCP and UDP and was not returned before.
 
     Raises NoPortError.
     """
     for port in _ports:
         if _is_free(host, port):
             return port
-    raise NoPortError(f"no free block of {BLOCK_SIZE} ports from {FIRST_PORT} to {LAST_PORT}")
+    raise NoPortError(f"no free block of {BLOCK_SIZE} ports between {FIRST_PORT} and {LAST_PORT}")
 
 
-def _own_ports() -> Iterator[int]:
-    """Yield the ports of one block after the other; a block is kept until the process ends."""
+def _reserved_ports() -> Iterator[int]:
+    """Yield ports from randomly chosen blocks; each stays locked until this process ends."""
     blocks = list(range(FIRST_PORT, LAST_PORT, BLOCK_SIZE))
     SystemRandom().shuffle(blocks)
     for first in blocks:
@@ -65,4 +65,4 @@
 
 
 _locks: list[TextIOWrapper] = []
-_ports = _own_ports()
+_ports = _reserved_ports()
--- a/src/bramblebeam/lab/probe.py
+++ b/src/bramblebeam/lab/probe.py
@@ -1,4 +1,4 @@
-"""What a run reads of its nodes from outside: processor time, memory, counted bytes."""
+"""Measures a run's nodes from outside: CPU time, memory and bytes sent."""
 
 import asyncio
 import os
@@ -22,7 +22,7 @@
 
 
 async def scrape(http: aiohttp.ClientSession, admin_url: str) -> Counters | None:
-    """Return a node's metrics by name with labels, or None when it does not answer."""
+    """Return a node's metrics by name with labels, or None if the request fails."""
     headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
     timeout = aiohttp.ClientTimeout(total=SCRAPE_TIMEOUT_SECONDS)
     try:
@@ -39,29 +39,29 @@
 
 
 async def idle_cost(cluster: Cluster, http: aiohttp.ClientSession, seconds: float) -> ControlCost:
-    """Return what nodes spend while no caller asks anything, as means over the nodes."""
+    """Measure the mean resource usage per node for `seconds` without load."""
     processes = list(cluster.nodes.values())
     bytes_before = await _control_bytes(cluster, http)
     before = [processor_seconds(process) for process in processes]
     started = time.monotonic()
     await asyncio.sleep(seconds)
-    passed = time.monotonic() - started
+    elapsed = time.monotonic() - started
     used = [processor_seconds(process) for process in processes]
     bytes_after = await _control_bytes(cluster, http)
     count = max(1, len(processes))
     cpu = sum(after - first for after, first in zip(used, before, strict=True))
     rss = sum(memory_bytes(process) for process in processes)
     cost = ControlCost(
-        cpu_percent_per_node=round(100 * cpu / passed / count, 2),
+        cpu_percent_per_node=round(100 * cpu / elapsed / count, 2),
         rss_mb_per_node=round(rss / count / 1e6, 1),
     )
     if bytes_before is not None and bytes_after is not None:
-        cost.bytes_per_second_per_node = round((bytes_after - bytes_before) / passed / count, 1)
+        cost.bytes_per_second_per_node = round((bytes_after - bytes_before) / elapsed / count, 1)
     return cost
 
 
 async def _control_bytes(cluster: Cluster, http: aiohttp.ClientSession) -> float | None:
-    """Return the bytes of control traffic that all nodes sent, or None if they do not count."""
+    """Return the bytes sent to peers by all nodes, or None if no node reports the metric."""
     total = 0.0
     counted = False
     for node in cluster.clients:
@@ -73,11 +73,11 @@
 
 
 def processor_seconds(process: LabProcess) -> float:
-    """Return the processor time that a process has used."""
+    """Return the CPU time that a process has used (seconds)."""
     fields = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / _TICKS
 
 
 def memory_bytes(process: LabProcess) -> int:
-    """Return a process's resident memory."""
+    """Return a process's resident memory (bytes)."""
     return int(Path(f"/proc/{process.pid}/statm").read_text().split()[1]) * _PAGE_BYTES
--- a/src/bramblebeam/lab/processes.py
+++ b/src/bramblebeam/lab/processes.py
@@ -1,7 +1,7 @@
-"""Starts the real processes of a run, faults them by signal, and always ends them.
+"""Starts the processes of a run, sends them signals as faults, and always ends them.
 
-Only the laboratory starts processes; a node never does. Every process is a child of this one, is
-addressed by its own id, and is gone when the `ProcessGroup` is left, however it is left.
+Only the lab starts processes; a node never does. Each process is a child of this one and is
+signalled by its own id. `process_group` ends them all on exit, also after an error.
 """
 
 import asyncio
@@ -20,12 +20,12 @@
 
 
 class ProcessStartError(Exception):
-    """A process ended, or said nothing, before it was ready. The text holds its last log lines."""
+    """A process exited or timed out before it was ready. The text has its last log lines."""
 
 
 @dataclass(slots=True)
 class LabProcess:
-    """One child process. `ready` is the object that it printed when it was up."""
+    """A child process. `ready` is the parsed ready line that it printed after its start."""
 
     name: str
     arguments: tuple[str, ...]
@@ -41,32 +41,32 @@
 
     @property
     def running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process is still running."""
         return self.process.returncode is None
 
     def address(self, key: str) -> tuple[str, int]:
-        """Return an address that the process told when it was up. Raises KeyError."""
+        """Return an address from the process's ready line. Raises KeyError."""
         host, port = self.ready[key]
         return str(host), int(port)
 
     def kill(self) -> None:
-        """End the process at once (SIGKILL)."""
+        """Kill the process immediately (SIGKILL)."""
         self._signal(signal.SIGKILL)
 
     def terminate(self) -> None:
-        """Ask for a planned stop (SIGTERM)."""
+        """Request a planned stop (SIGTERM)."""
         self._signal(signal.SIGTERM)
 
     def pause(self) -> None:
-        """Stop the process where it is (SIGSTOP) until `resume`."""
+        """Suspend the process (SIGSTOP) until `resume`."""
         self._signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a paused process go on (SIGCONT)."""
+        """Resume a paused process (SIGCONT)."""
         self._signal(signal.SIGCONT)
 
     async def wait(self) -> int:
-        """Wait for the end; return the exit code (negative: the signal's number)."""
+        """Wait for the process to exit; return the exit code (negative: the signal number)."""
         return await self.process.wait()
 
     def log_tail(self, lines: int = 12) -> str:
@@ -83,7 +83,7 @@
 
 
 class ProcessGroup:
-    """The processes of one run. `directory` takes their logs."""
+    """The processes of one run. Their logs are in `directory`."""
 
     def __init__(self, directory: Path) -> None:
         self.directory = directory
@@ -107,19 +107,21 @@
         self.processes.append(started)
         try:
             async with asyncio.timeout(timeout):
-                started.ready = await _ready(started)
+                started.ready = await _read_ready_line(started)
         except TimeoutError as error:
-            raise ProcessStartError(f"{name} is not ready: {started.log_tail()}") from error
+            raise ProcessStartError(
+                f"{name} was not ready in time: {started.log_tail()}"
+            ) from error
         started.output = asyncio.create_task(_discard(process))
         return started
 
     async def restart(self, ended: LabProcess) -> LabProcess:
-        """Start a process that has ended again, with the same arguments."""
+        """Wait for a process to exit and start it again with the same arguments."""
         await ended.wait()
         return await self.start(ended.name, ended.arguments)
 
     async def stop(self) -> None:
-        """End every process: asked first, killed when it does not end in time."""
+        """Terminate all processes, and kill them if any does not exit in time."""
         for process in self.processes:
             process.resume()
             process.terminate()
@@ -134,14 +136,14 @@
                 await process.output
 
     def kill_all(self) -> None:
-        """Kill every process that still runs."""
+        """Kill all processes that are still running."""
         for process in self.processes:
             process.kill()
 
 
 @contextlib.asynccontextmanager
 async def process_group(directory: Path) -> AsyncIterator[ProcessGroup]:
-    """Give a group of processes; end them all when the block is left."""
+    """Yield a process group; end all its processes on exit."""
     group = ProcessGroup(directory)
     try:
         yield group
@@ -151,7 +153,7 @@
         await asyncio.gather(*(process.wait() for process in group.processes))
 
 
-async def _ready(started: LabProcess) -> dict[str, Any]:
+async def _read_ready_line(started: LabProcess) -> dict[str, Any]:
     assert started.process.stdout is not None
     line = await started.process.stdout.readline()
     if not line:
@@ -161,7 +163,7 @@
 
 
 def parse_ready_line(line: str) -> dict[str, Any]:
-    """Read a ready line: a JSON object, or `HOST:PORT`, which is told under the key `listen`."""
+    """Parse a ready line: a JSON object, or `HOST:PORT`, returned under the key `listen`."""
     text = line.strip()
     if text.startswith("{"):
         found: dict[str, Any] = json.loads(text)
--- a/src/bramblebeam/lab/reads.py
+++ b/src/bramblebeam/lab/reads.py
@@ -1,7 +1,7 @@
 """Measures the share of reads that replicas serve: `bramblebeam lab reads`.
 
-Both deployments, each scaled down to one group with one node in the zone of each member, run side
-by side as real processes. The load goes through the phases of `reads_phases` without a break.
+Runs both deployments concurrently on real processes, each scaled down to one group and one node
+per zone of its members. The load runs through the phases of `reads_phases` without a break.
 """
 
 import asyncio
@@ -31,17 +31,17 @@
 application = typer.Typer()
 
 DEPLOYMENTS = (("villacres", "routes"), ("velotrans", "positions"))
-"""Scenario and the one group of it that is run."""
+"""Scenario names, each with the one group that is run."""
 
 STALENESS_MS = 1_000
-"""Bound of the rows in the run, below that of the deployments so that phases can be short."""
+"""Staleness bound in the run; lower than in the deployments so that phases can be short."""
 SETTLE_SECONDS = 1.0
 VIOLATED = 1
 RUN_FAILED = 3
 
 
 def scaled_down(scenario: Scenario, group: str) -> Scenario:
-    """Return the scenario with one group, its part of the load, and one node in each zone of it."""
+    """Return the scenario with one group, its share of the load, and one node per zone."""
     chosen = next(found for found in scenario.topology.groups if found.name == group)
     zones = {member.zone for member in chosen.members}
     regions = [
@@ -75,7 +75,10 @@
 
 
 async def run_deployment(name: str, group: str, seed: int, directory: Path) -> ReadsResult:
-    """Run one deployment through all phases. Raises ProcessStartError, SetupError."""
+    """Run one deployment through all phases.
+
+    Raises ProcessStartError and SetupError.
+    """
     scenario = scaled_down(load_scenario(name), group)
     async with open_run(scenario, seed, directory) as run:
         await run.begin()
@@ -83,7 +86,7 @@
         phases = PhaseRunner(run)
         await asyncio.gather(run.load.run(), phases.run())
         await asyncio.sleep(SETTLE_SECONDS)
-        await _collect(run)
+        await _collect_records(run)
         violations = judge(run.history)
         stale = [found for found in violations if found.invariant == BOUNDED_STALENESS]
         result = measure(name, run.history, run.recorder.reads, phases.spans, stale)
@@ -91,24 +94,24 @@
         return result
 
 
-async def _collect(run: Run) -> None:
+async def _collect_records(run: Run) -> None:
     incomplete = await run.recorder.collect(run.history)
     collect_nodes(run.cluster, run.history)
     run.history.add(RunEnded(time.monotonic(), True, incomplete))
 
 
 async def run_all(seed: int, directory: Path) -> list[ReadsResult]:
-    """Run the deployments side by side."""
-    works = []
+    """Run the deployments concurrently."""
+    runs = []
     for name, group in DEPLOYMENTS:
-        place = directory / name
-        place.mkdir(parents=True, exist_ok=True)
-        works.append(run_deployment(name, group, seed, place))
-    return list(await asyncio.gather(*works))
+        run_directory = directory / name
+        run_directory.mkdir(parents=True, exist_ok=True)
+        runs.append(run_deployment(name, group, seed, run_directory))
+    return list(await asyncio.gather(*runs))
 
 
 def show(results: Sequence[ReadsResult]) -> None:
-    """Print the tables."""
+    """Print a table per deployment, followed by its violations."""
     console = Console(width=128)
     for result in results:
         table = Table(title=f"{result.deployment}: reads by phase")
@@ -138,11 +141,11 @@
 
 @application.command()
 def reads(
-    seed: Annotated[int, typer.Option(help="Seed of every random choice.")] = 1,
+    seed: Annotated[int, typer.Option(help="Seed of all random choices.")] = 1,
     as_json: Annotated[bool, typer.Option("--json", help="The result as one JSON object.")] = False,
-    keep: Annotated[Path | None, typer.Option(help="Directory that keeps the logs.")] = None,
+    keep: Annotated[Path | None, typer.Option(help="Directory for the logs.")] = None,
 ) -> None:
-    """Measure reads from replicas under lag, a burst and a lost primary. Exit code 1: violated."""
+    """Measure replica reads under lag, a burst and a failover. Exit code 1: violations found."""
     try:
         with tempfile.TemporaryDirectory() as temporary:
             results = asyncio.run(run_all(seed, keep or Path(temporary)))
--- a/src/bramblebeam/lab/reads_measures.py
+++ b/src/bramblebeam/lab/reads_measures.py
@@ -1,4 +1,4 @@
-"""Figures of each phase's reads, from the history and the database servers' logs."""
+"""Computes the measures of each phase's reads from the history and the servers' records."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -12,15 +12,16 @@
 from bramblebeam.lab.reads_phases import PhaseSpan
 
 NO_TOKEN_EACH = 4
-"""Of the load's sessions, every fourth never carries its token."""
+"""Every fourth session of the load never sends its causal token."""
 
 
 @dataclass(slots=True)
 class PhaseReads:
-    """The reads of one phase, outside transactions. Times are milliseconds from the sending.
+    """The reads of one phase outside transactions. Latencies are in milliseconds.
 
-    `share`: part of the answered reads that a replica served. `not_run`, `lost`: reads refused,
-    and reads that got no answer or an unclear one. `stale`: reads staler than the bound.
+    `share`: share of the answered reads that a replica served. `not_run`: refused reads. `lost`:
+    all other unsuccessful reads. `stale`: reads that violated the staleness bound. `reasons`:
+    number of unsuccessful reads by reason.
     """
 
     phase: str
@@ -42,7 +43,7 @@
 
 @dataclass(slots=True)
 class ReadsResult:
-    """The phases of one deployment, and every violation of any invariant in its history."""
+    """The phases of one deployment, and all invariant violations in its history."""
 
     deployment: str
     phases: list[PhaseReads]
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Read:
-    """One read: `at_replica` None where no server's log shows who answered it."""
+    """A read. `at_replica` is None if no server recorded it."""
 
     sent: RequestSent
     answer: RequestAnswered
@@ -73,7 +74,7 @@
     spans: Sequence[PhaseSpan],
     stale: Iterable[Violation],
 ) -> ReadsResult:
-    """Return the figures of each phase; `stale` are the violations of the staleness bound."""
+    """Return the measures of each phase; `stale` holds the staleness violations."""
     reads = _reads(history, served)
     stale_at = [violation.records[0].time for violation in stale]
     phases = []
@@ -86,7 +87,10 @@
 
 
 def _reads(history: History, served: Iterable[ServedRead]) -> list[_Read]:
-    """Return the reads of one key outside transactions; the last server that began one has it."""
+    """Return the single-key reads outside transactions.
+
+    A read that several servers began is assigned to the last one.
+    """
     at_replica = {
         read.request: read.at_replica
         for read in sorted(served, key=lambda read: read.time)
--- a/src/bramblebeam/lab/reads_phases.py
+++ b/src/bramblebeam/lab/reads_phases.py
@@ -1,4 +1,4 @@
-"""The phases of the measurement of reads: what is done to the group, and for how long."""
+"""The phases of the replica read measurement: the fault in each, and its duration."""
 
 import asyncio
 import time
@@ -13,7 +13,7 @@
 BURST_SECONDS = 10.0
 AFTER_CHANGE_SECONDS = 8.0
 PAUSE_SECONDS = 1.5
-"""Time between two phases, whose reads belong to neither."""
+"""Interval between two phases; its reads count for neither."""
 
 LAG_BEYOND_BOUND_MS = 3_000
 LAG_WITHIN_BOUND_MS = 200
@@ -30,7 +30,7 @@
 
 
 class PhaseSpan(NamedTuple):
-    """When a phase began and ended (seconds)."""
+    """Begin and end of a phase (monotonic time in seconds)."""
 
     phase: str
     begin: float
@@ -38,14 +38,14 @@
 
 
 def more_reads(load: Load, factor: float) -> tuple[Load, float]:
-    """Return the load with `factor` times the reads, and the factor of its rate of statements."""
+    """Return the load with `factor` times the reads, and the factor of its statement rate."""
     rate = 1 - load.read_share + factor * load.read_share
     share = factor * load.read_share / rate
     return load.model_copy(update={"read_share": share}), rate
 
 
 class PhaseRunner:
-    """Carries out the phases one after another while the load runs."""
+    """Runs the phases one after another while the load runs."""
 
     def __init__(self, run: Run) -> None:
         self.spans: list[PhaseSpan] = []
@@ -61,7 +61,7 @@
         self._steps = tuple(zip(PHASES, steps, strict=True))
 
     async def run(self) -> None:
-        """Carry out every phase."""
+        """Run all phases and record their spans."""
         for (name, seconds), step in self._steps:
             begin = time.monotonic()
             await step(seconds)
@@ -88,13 +88,13 @@
 
     async def _burst(self, seconds: float) -> None:
         load = self._run.load
-        calm = load.load
-        load.load, load.rate_factor = more_reads(calm, BURST_FACTOR)
+        normal_load = load.load
+        load.load, load.rate_factor = more_reads(normal_load, BURST_FACTOR)
         await asyncio.sleep(seconds)
-        load.load, load.rate_factor = calm, 1.0
+        load.load, load.rate_factor = normal_load, 1.0
 
     async def _lose_primary(self, seconds: float) -> None:
-        """Kill the primary, and start its server again at the end of the phase."""
+        """Kill the primary and restart its server at the end of the phase."""
         run = self._run
         primary = await run.control.primary_of(self._group.name)
         await run.recorder.fetch(primary)
--- a/src/bramblebeam/lab/result.py
+++ b/src/bramblebeam/lab/result.py
@@ -1,4 +1,4 @@
-"""The result of a run: what is measured, as one JSON object."""
+"""The result of a run, printed as one JSON object."""
 
 from typing import Literal
 
@@ -10,7 +10,7 @@
 
 
 class Delays(_Part):
-    """Times in milliseconds. None: nothing was measured."""
+    """Percentiles and maximum of times in milliseconds. None: no measurements."""
 
     p50: float | None = None
     p99: float | None = None
@@ -19,7 +19,7 @@
 
 
 class Errors(_Part):
-    """Statements that ended in an error, by verdict; `lost`: without any answer."""
+    """Number of failed statements by verdict; `lost`: without an answer."""
 
     not_run: int = 0
     ran: int = 0
@@ -28,7 +28,7 @@
 
 
 class ControlCost(_Part):
-    """What a node spends while it serves no traffic. None: not measured in this mode."""
+    """Mean resource usage of a node without load. None: not measured."""
 
     cpu_percent_per_node: float | None = None
     bytes_per_second_per_node: float | None = None
@@ -36,7 +36,7 @@
 
 
 class FaultSpan(_Part):
-    """A fault, in seconds from the start of the load."""
+    """A fault's begin and end in seconds from the start of the load; `end` None: still active."""
 
     kind: str
     target: str
@@ -45,7 +45,7 @@
 
 
 class TimeBin(_Part):
-    """One interval of the run. `start`: seconds from the start of the load."""
+    """Measures of one interval of the run. `start`: seconds from the start of the load."""
 
     start: float
     requests: int = 0
@@ -56,7 +56,7 @@
 
 
 class EditSpread(_Part):
-    """One accepted edit: when, and how long until each node had it in force (milliseconds)."""
+    """An accepted edit and, per node, the time until it was in force (milliseconds)."""
 
     at: float
     row: str
@@ -65,7 +65,7 @@
 
 
 class RunResult(_Part):
-    """One run of one scenario."""
+    """The result of one run of a scenario."""
 
     scenario: str
     seed: int
@@ -93,5 +93,5 @@
 
     @property
     def violated(self) -> int:
-        """Return how many violations there were of all invariants."""
+        """Return the total number of invariant violations."""
         return sum(self.invariant_violations.values())
--- a/src/bramblebeam/lab/roam.py
+++ b/src/bramblebeam/lab/roam.py
@@ -1,4 +1,4 @@
-"""One session that moves to another node after each write, while a replica lags."""
+"""Runs a session that moves to another node after each write while a replica lags."""
 
 import time
 from collections import Counter
@@ -19,9 +19,9 @@
 async def run_roaming(
     moves: int, lag_ms: int, with_token: bool, mutation: str, directory: Path
 ) -> RunResult:
-    """Let a session write, move and read `moves` times; judge whether each read saw the write.
+    """Write, move and read `moves` times in one session; check that each read saw the write.
 
-    `lag_ms`: how far one replica is behind. `with_token`: the session carries its causal token.
+    `lag_ms`: replication lag of one replica. `with_token`: the session sends its causal token.
     """
     async with open_run(load_scenario("demo"), 1, directory, mutation) as run:
         run.settle_seconds = SETTLE_SECONDS
--- a/src/bramblebeam/lab/rows.py
+++ b/src/bramblebeam/lab/rows.py
@@ -1,4 +1,4 @@
-"""A scenario's rows of the table and its nodes' settings files."""
+"""Builds a scenario's configuration rows and its nodes' settings files."""
 
 import json
 from collections.abc import Mapping
@@ -9,13 +9,13 @@
 Address = tuple[str, int]
 
 QUEUE_WAIT_MS = 4_000
-"""Longer than the loss of a node takes to be made good: callers wait and get no error."""
+"""Longer than recovery from the loss of a node, so that callers wait without an error."""
 
 OPERATOR_TOKEN = "laboratory-operator"
 
 
 def initial_rows(scenario: Scenario, databases: Mapping[str, Address]) -> list[dict[str, Any]]:
-    """Return the rows of every group, limit and weight, as the stand-in platform takes them."""
+    """Return all group, limit and weight rows in the format of the simulated platform."""
     rows = [
         {"kind": "group", "name": group.name, "spec": _group_spec(group, databases)}
         for group in scenario.topology.groups
@@ -39,7 +39,7 @@
 
 
 def slots_of_group(scenario: Scenario, group: str) -> int:
-    """Return how many slots a member of the group has for all services."""
+    """Return the number of slots per member of the group, summed over all services."""
     return sum(service.slots for service in scenario.load.services if service.group == group)
 
 
@@ -50,7 +50,10 @@
     platform_url: str,
     listen: Mapping[str, Address],
 ) -> str:
-    """Return the settings file of one node. `listen`: its `peer`, `client`, `admin` addresses."""
+    """Return the text of a node's settings file.
+
+    `listen` holds its addresses by section: `peer`, `client` and `admin`.
+    """
     zones = scenario.topology.nodes
     zone = zones[node]
     lines = [
--- a/src/bramblebeam/lab/run.py
+++ b/src/bramblebeam/lab/run.py
@@ -1,4 +1,4 @@
-"""Runs a scenario on real processes, judges it and measures it."""
+"""Runs a scenario on real processes, checks its history and computes its measures."""
 
 import asyncio
 import contextlib
@@ -35,14 +35,14 @@
 
 IDLE_SECONDS = 3.0
 SETTLE_SECONDS = 10.0
-"""How long the run goes on after the load: edits must be in force within 9 s."""
+"""Duration of the run after the load; edits must be in force within 9 s."""
 
 MICROSECONDS_PER_MILLISECOND = 1000.0
 VIOLATIONS_SHOWN = 20
 
 
 class Run:
-    """One run's parts. `settle_seconds`: how long it goes on after the load."""
+    """The components of one run. `settle_seconds`: duration of the run after the load."""
 
     def __init__(
         self, scenario: Scenario, seed: int, cluster: Cluster, http: aiohttp.ClientSession
@@ -64,16 +64,16 @@
         self._http = http
 
     async def begin(self) -> None:
-        """Start the processes and get the groups ready. Raises ProcessStartError, SetupError."""
+        """Start the processes and prepare the groups. Raises ProcessStartError and SetupError."""
         await self.cluster.start()
         await prepare(self.cluster, self.history)
 
     async def measure_idle(self) -> None:
-        """Measure what the nodes spend without a load."""
+        """Measure the nodes' resource usage without load."""
         self.cost = await idle_cost(self.cluster, self._http, IDLE_SECONDS)
 
     async def offer_load(self) -> None:
-        """Offer the load with its faults and edits."""
+        """Run the load together with its faults and edits."""
         self.start = time.monotonic()
         end = self.start + self.scenario.load.duration_seconds
         faults = [fault for fault in self.scenario.faults if self.start + fault.at < end]
@@ -84,7 +84,7 @@
         )
 
     async def end(self) -> RunResult:
-        """Let edits come into force, collect what every party saw, and judge it."""
+        """Wait for edits to come into force, collect all records, and return the checked result."""
         await asyncio.sleep(self.settle_seconds)
         incomplete = await self.recorder.collect(self.history)
         collect_nodes(self.cluster, self.history)
@@ -136,20 +136,20 @@
         histogram = self.load.latency
         if not histogram.total_count:
             return Delays()
-        found = [
+        values = [
             round(histogram.get_value_at_percentile(share) / MICROSECONDS_PER_MILLISECOND, 3)
             for share in (50.0, 99.0, 100.0)
         ]
-        return Delays(p50=found[0], p99=found[1], max=found[2], count=histogram.total_count)
+        return Delays(p50=values[0], p99=values[1], max=values[2], count=histogram.total_count)
 
 
 @contextlib.asynccontextmanager
 async def open_run(
     scenario: Scenario, seed: int, directory: Path, mutation: str = ""
 ) -> AsyncIterator[Run]:
-    """Give a run whose processes are ended when the block is left, however it is left.
+    """Yield a run; end its processes on exit, also after an error.
 
-    `mutation`: the nodes run with this mutation in force.
+    `mutation`: the mutation that the nodes run with, if any.
     """
     async with process_group(directory) as processes, aiohttp.ClientSession() as http:
         yield Run(scenario, seed, Cluster(scenario, processes, mutation), http)
@@ -162,7 +162,11 @@
     keep: Path | None = None,
     mutation: str = "",
 ) -> RunResult:
-    """Run a scenario (`seconds`: another length of the load; `keep`: where its files stay)."""
+    """Run a scenario and return its result.
+
+    `seconds` overrides the duration of the load unless 0. `keep` is a directory for the run's
+    files; without it they are deleted.
+    """
     if seconds:
         load = scenario.load.model_copy(update={"duration_seconds": seconds})
         scenario = scenario.model_copy(update={"load": load})
--- a/src/bramblebeam/lab/scenario.py
+++ b/src/bramblebeam/lab/scenario.py
@@ -1,7 +1,7 @@
-"""Scenarios: a topology, a load and faults, read from TOML and checked.
+"""Scenarios: a topology, a load and faults, read from TOML and validated.
 
-The same scenario runs on real processes and in the simulator. Latencies are one-way and in
-milliseconds; times of faults are seconds from the start of the load.
+The same scenario runs on real processes and in the simulator. Latencies are one-way, in
+milliseconds; fault times are in seconds from the start of the load.
 """
 
 import tomllib
@@ -44,7 +44,7 @@
 
 
 class ScenarioError(Exception):
-    """A scenario file is missing or wrong; the text names the file, the key and what is wanted."""
+    """A scenario file is missing or invalid; the text names the file, the key and the problem."""
 
 
 class _Table(BaseModel):
@@ -52,7 +52,7 @@
 
 
 class Latency(_Table):
-    """One-way latencies between two places (milliseconds), and the time a new connection takes."""
+    """One-way latencies by distance, and the time to connect (milliseconds)."""
 
     local_ms: float = Field(default=0.1, ge=0)
     zone_ms: float = Field(default=1.0, ge=0)
@@ -69,21 +69,21 @@
 
 
 class Member(_Table):
-    """A database server: its name and zone."""
+    """A database server and its zone."""
 
     instance: str
     zone: str
 
 
 class Group(_Table):
-    """A database group. The first member is its first primary."""
+    """A database group. Its first member is the initial primary."""
 
     name: str
     members: tuple[Member, ...] = Field(min_length=1)
 
 
 class Topology(_Table):
-    """Where everything is. `nodes_of_zone`: zones with another number of nodes than the rest."""
+    """Placement of nodes and groups. `nodes_of_zone` overrides `nodes_per_zone` by zone."""
 
     latency: Latency = Latency()
     regions: tuple[Region, ...] = Field(min_length=1)
@@ -98,7 +98,7 @@
 
     @property
     def nodes(self) -> dict[str, str]:
-        """Return the zone of each node, by the node's name."""
+        """Return the zone of each node by node name."""
         return {
             f"{zone}-{index}": zone
             for zone in self.zones
@@ -107,7 +107,7 @@
 
     @property
     def instances(self) -> dict[str, str]:
-        """Return the zone of each database server, by its name."""
+        """Return the zone of each database server by instance name."""
         return {member.instance: member.zone for group in self.groups for member in group.members}
 
     def region_of(self, zone: str) -> str:
@@ -116,7 +116,7 @@
 
 
 class Service(_Table):
-    """A calling service, the group it uses, and its row of limits."""
+    """A calling service, the group it uses, and its limits."""
 
     name: str
     group: str
@@ -127,11 +127,11 @@
 
 
 class Load(_Table):
-    """What callers do.
+    """The load that callers generate.
 
-    `statements_per_second` is the total. `read_share`, `transaction_share` and
-    `request_id_share` are shares of statements, of write work and of single writes.
-    `roaming` is the chance that a session moves to another node before a statement.
+    `statements_per_second` is the total. `read_share` is a share of all statements,
+    `transaction_share` of the write work and `request_id_share` of the single writes.
+    `roaming` is the probability that a session moves to another node before a statement.
     """
 
     duration_seconds: float = Field(default=30.0, gt=0)
@@ -146,12 +146,12 @@
 
 
 class Fault(_Table):
-    """One fault.
+    """A scheduled fault. `at` is its start time and `duration` its length.
 
     `target`: a group for `primary_*`, an instance for `replica_*` and `instance_leaving`, a node
-    for `node_*`, a zone for `zone_cut` and `one_way_cut`, a row's service for `operator_race`;
-    otherwise empty. `value`: milliseconds for `replica_lag` and `store_slow`, a share for
-    `message_loss`, a factor of the load for `burst`.
+    for `node_*`, a zone for `zone_cut` and `one_way_cut`, the service of a limit row for
+    `operator_race`; otherwise empty. `value`: milliseconds for `replica_lag` and `store_slow`, a
+    share for `message_loss`, a load factor for `burst`.
     """
 
     at: float = Field(ge=0)
@@ -162,7 +162,7 @@
 
 
 class Scenario(_Table):
-    """A whole scenario."""
+    """A scenario; the targets of its faults and the groups of its services must exist."""
 
     name: str
     topology: Topology
@@ -173,13 +173,13 @@
     def _names_exist(self) -> Self:
         groups = {group.name for group in self.topology.groups}
         for instance, zone in self.topology.instances.items():
-            _require(zone, self.topology.zones, f"zone of {instance}")
+            _require_known(zone, self.topology.zones, f"zone of {instance}")
         for service in self.load.services:
-            _require(service.group, groups, f"group of service {service.name}")
+            _require_known(service.group, groups, f"group of service {service.name}")
         for fault in self.faults:
             known = self._targets(fault.kind)
             if known is not None:
-                _require(fault.target, known, f"target of {fault.kind}")
+                _require_known(fault.target, known, f"target of {fault.kind}")
         return self
 
     def _targets(self, kind: FaultKind) -> tuple[str, ...] | None:
@@ -194,18 +194,18 @@
         return None
 
     def targets(self, kind: FaultKind) -> tuple[str, ...]:
-        """Return what a fault of this kind may be aimed at (one empty name: it needs no target)."""
+        """Return the valid targets of a fault kind; one empty string if it has no target."""
         return self._targets(kind) or ("",)
 
 
-def _require(name: str, known: Iterable[str], what: str) -> None:
+def _require_known(name: str, known: Iterable[str], what: str) -> None:
     names = tuple(known)
     if name not in names:
-        raise ValueError(f"{what}: {name!r} is none of {', '.join(sorted(names))}")
+        raise ValueError(f"{what}: {name!r} is not one of {', '.join(sorted(names))}")
 
 
 def load_scenario(name: str | Path) -> Scenario:
-    """Read a scenario by its path, or by the name of one that comes with the program.
+    """Read a scenario by path, or by the name of a bundled one.
 
     Raises ScenarioError.
     """
--- a/src/bramblebeam/lab/witnesses.py
+++ b/src/bramblebeam/lab/witnesses.py
@@ -1,4 +1,4 @@
-"""Callers with work in flight at a node while it is told to stop as planned."""
+"""Callers with work in flight at a node during its planned stop."""
 
 import asyncio
 from random import Random
@@ -11,11 +11,11 @@
 READERS = 3
 WRITERS = 2
 WORK_SECONDS = 0.5
-HEAD_START_SECONDS = 0.15
+WARMUP_SECONDS = 0.15
 
 
 class StopWitnesses:
-    """Slow reads and open transactions through one node, recorded like the load's."""
+    """Runs slow reads and open transactions through one node, recorded like the load."""
 
     def __init__(self, cluster: Cluster, history: History, node: str) -> None:
         self._cluster = cluster
@@ -25,7 +25,7 @@
         self._work: list[asyncio.Task[object]] = []
 
     async def begin(self) -> None:
-        """Connect, and begin work that is still in flight when this returns."""
+        """Connect and start work; it is in flight when this returns."""
         for number in range(READERS + WRITERS):
             session = await self._session(f"witness-{self._node}-{number}")
             if number < READERS:
@@ -33,10 +33,10 @@
                 self._work.append(asyncio.create_task(work))
             else:
                 self._work.append(asyncio.create_task(session.transaction(WORK_SECONDS)))
-        await asyncio.sleep(HEAD_START_SECONDS)
+        await asyncio.sleep(WARMUP_SECONDS)
 
     async def end(self) -> None:
-        """Wait for the work and close."""
+        """Wait for the work and close the connections."""
         await asyncio.gather(*self._work)
         for client in self._clients:
             await client.close()
--- a/tests/test_lab_reads.py
+++ b/tests/test_lab_reads.py
@@ -1,4 +1,4 @@
-"""The measurement of reads from replicas: its scaled-down scenarios, phases and figures."""
+"""The replica read measurement: scaled-down scenarios, phases and measures."""
 
 from typing import Any
 
@@ -25,26 +25,28 @@
     assert {service.group for service in checked.load.services} == {group}
 
 
-def test_five_times_the_reads_leaves_the_writes_as_they_are() -> None:
+def test_a_read_burst_keeps_the_write_rate() -> None:
     load = load_scenario("villacres").load
     more, rate = more_reads(load, 5.0)
     assert rate * more.read_share == pytest.approx(5 * load.read_share)
     assert rate * (1 - more.read_share) == pytest.approx(1 - load.read_share)
 
 
-def _exchange(name: str, at: float, milliseconds: float, outcome: str = "ok") -> list[object]:
+def _request_and_answer(
+    name: str, at: float, milliseconds: float, outcome: str = "ok"
+) -> list[object]:
     sent = RequestSent(at, "n", "tracking-4", name, "g", "read", "k")
     answer = RequestAnswered(at + milliseconds / 1000, "n", "tracking-4", name, outcome, "k", "w")  # type: ignore[arg-type]
     return [sent, answer]
 
 
-def test_reads_are_counted_in_their_phase_by_the_server_that_began_them_last() -> None:
+def test_reads_count_in_their_phase_at_the_last_server_that_began_them() -> None:
     records = [
-        *_exchange("r1", 1.0, 10),
-        *_exchange("r2", 1.1, 30),
-        *_exchange("r3", 1.2, 20, "not_run"),
-        *_exchange("r4", 1.3, 20, "lost"),
-        *_exchange("r5", 2.5, 20),
+        *_request_and_answer("r1", 1.0, 10),
+        *_request_and_answer("r2", 1.1, 30),
+        *_request_and_answer("r3", 1.2, 20, "not_run"),
+        *_request_and_answer("r4", 1.3, 20, "lost"),
+        *_request_and_answer("r5", 2.5, 20),
     ]
     served = [
         ServedRead(1.15, False, "r2"),
@@ -63,6 +65,6 @@
     assert (burst.reads, burst.share, burst.stale) == (1, 1.0, 0)
 
 
-def test_the_command_is_one_of_the_laboratory() -> None:
+def test_reads_is_a_lab_command() -> None:
     group: Any = get_command(application)
     assert group.get_command(None, "reads") is not None
--- a/tests/test_lab_scenario.py
+++ b/tests/test_lab_scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files are read and checked."""
+"""Loading and validation of scenario files."""
 
 from pathlib import Path
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("name", ["villacres", "velotrans"])
-def test_the_deployments_are_scenarios(name: str) -> None:
+def test_deployments_are_valid_scenarios(name: str) -> None:
     scenario = load_scenario(name)
     assert scenario.name == name
     assert len(scenario.topology.groups) == 3
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "message"),
     [
         ('kind = "zone_cut"', 'kind = "zone_burns"', "faults"),
         ('target = "quito-norte-b"', 'target = "loja"', "loja"),
@@ -31,15 +31,17 @@
         ("[load]", "[load", "villacres.toml"),
     ],
 )
-def test_a_wrong_scenario_is_a_clear_error(tmp_path: Path, old: str, new: str, said: str) -> None:
+def test_an_invalid_scenario_raises_an_error_that_names_the_problem(
+    tmp_path: Path, old: str, new: str, message: str
+) -> None:
     text = (SCENARIO_DIRECTORY / "villacres.toml").read_text()
     assert old in text
     path = tmp_path / "villacres.toml"
     path.write_text(text.replace(old, new, 1))
-    with pytest.raises(ScenarioError, match=said):
+    with pytest.raises(ScenarioError, match=message):
         load_scenario(path)
 
 
-def test_a_missing_scenario_is_a_clear_error() -> None:
+def test_a_missing_scenario_raises_an_error_that_names_it() -> None:
     with pytest.raises(ScenarioError, match="nowhere"):
         load_scenario("nowhere")
