--- a/src/bramblebeam/lab/__init__.py
+++ b/src/bramblebeam/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: stand-ins, simulator, load, faults and the judge. Not part of a node."""
+"""The test lab: simulated dependencies, simulator, load, faults, history checks; not in nodes."""
--- a/src/bramblebeam/lab/cluster.py
+++ b/src/bramblebeam/lab/cluster.py
@@ -63,7 +63,7 @@
         await asyncio.gather(*(self.start_node(name) for name in self.scenario.topology.nodes))
 
     async def start_platform(self) -> None:
-        """Start the stand-in platform with the scenario's rows."""
+        """Start the simulated platform with the scenario's rows."""
         rows = self.directory / "rows.json"
         rows.write_text(json.dumps(initial_rows(self.scenario, self.database_addresses)))
         listen = _host_port(self.platform_address)
--- a/src/bramblebeam/lab/collect.py
+++ b/src/bramblebeam/lab/collect.py
@@ -178,7 +178,7 @@
 
 
 def _statements(
-    instance: str, incarnation: int, begun: Iterable[dict[str, Any]], sessions: dict[str, str]
+    instance: str, incarnation: int, statements: Iterable[dict[str, Any]], sessions: dict[str, str]
 ) -> Iterator[BackendStatement | BackendWorkStarted]:
     """Yield work starts, and the statements of transactions that write a marker, with the session.
 
@@ -188,7 +188,7 @@
     """
     begins: dict[str, float] = {}
     owners: dict[str, str] = {}
-    for record in begun:
+    for record in statements:
         if record["user"] != SLOT_USER:
             continue
         at, sql = record["time"], record["sql"]
--- a/src/bramblebeam/lab/control.py
+++ b/src/bramblebeam/lab/control.py
@@ -51,9 +51,9 @@
     async def primary_of(self, group: str) -> str:
         """Return the primary with the highest term, or an empty string if there is none."""
         members = self._members(group)
-        found = await asyncio.gather(*(self.status(member) for member in members))
+        statuses = await asyncio.gather(*(self.status(member) for member in members))
         highest = max(
-            ((int(row["term"]), name) for name, row in found if row.get("role") == "primary"),
+            ((int(row["term"]), name) for name, row in statuses if row.get("role") == "primary"),
             default=(0, ""),
         )
         return highest[1]
@@ -67,9 +67,9 @@
         raise KeyError(instance)
 
     def _members(self, group: str) -> list[str]:
-        for found in self._cluster.scenario.topology.groups:
-            if found.name == group:
-                return [member.instance for member in found.members]
+        for candidate in self._cluster.scenario.topology.groups:
+            if candidate.name == group:
+                return [member.instance for member in candidate.members]
         raise KeyError(group)
 
     async def status(self, instance: str) -> tuple[str, dict[str, Any]]:
--- a/src/bramblebeam/lab/crash.py
+++ b/src/bramblebeam/lab/crash.py
@@ -48,17 +48,20 @@
         run.start = time.monotonic()
         owner_node = await _slot_owner_of_primary(run)
         others = [node for node in sorted(run.cluster.clients) if node != owner_node]
-        killed, entry = (owner_node, others[0]) if owner else (others[0], others[0])
+        killed, entry_node = (owner_node, others[0]) if owner else (others[0], others[0])
         slots = run.scenario.load.services[0].slots
         sessions = [_session(run, f"open-{number}") for number in range(slots)]
-        work = [asyncio.create_task(_transaction(one, run, entry)) for one in sessions]
+        tasks = [
+            asyncio.create_task(_write_until_failure(session, run, entry_node))
+            for session in sessions
+        ]
         await asyncio.sleep(WARMUP_SECONDS)
         killed_at = await _kill(run, killed)
         survivor = next(node for node in others if node != killed)
         free = await _measure_slots_free(run, survivor, slots, killed_at)
-        for task in work:
+        for task in tasks:
             task.cancel()
-        outcomes = _count_outcomes(await asyncio.gather(*work, return_exceptions=True))
+        outcomes = _count_outcomes(await asyncio.gather(*tasks, return_exceptions=True))
         result = await run.end()
         result.scenario = "crash"
         return CrashResult(
@@ -101,7 +104,7 @@
     return LoadSession(client, run.cluster.clients, plan, run.history, Random(name))
 
 
-async def _transaction(session: LoadSession, run: Run, node: str) -> str:
+async def _write_until_failure(session: LoadSession, run: Run, node: str) -> str:
     """Write in one transaction until a write fails; return that write's outcome and reason."""
     await session.client.connect(node, run.cluster.clients[node])
     await session.client.execute("BEGIN")
@@ -116,11 +119,11 @@
 
 
 def _count_outcomes(results: list[str | BaseException]) -> dict[str, int]:
-    found: dict[str, int] = {}
+    counts: dict[str, int] = {}
     for result in results:
         text = result if isinstance(result, str) else "still open"
-        found[text] = found.get(text, 0) + 1
-    return found
+        counts[text] = counts.get(text, 0) + 1
+    return counts
 
 
 async def _measure_slots_free(run: Run, node: str, slots: int, killed_at: float) -> float | None:
--- a/src/bramblebeam/lab/failover_bench.py
+++ b/src/bramblebeam/lab/failover_bench.py
@@ -53,15 +53,15 @@
     def summary(self) -> dict[str, Any]:
         """Return the counts and the p50, p99 and maximum gap."""
         gaps = sorted(self.gaps_ms)
-        shown = {"count": len(gaps), "changes": self.changes, "not_recovered": self.not_recovered}
+        summary = {"count": len(gaps), "changes": self.changes, "not_recovered": self.not_recovered}
         if gaps:
-            shown |= {
+            summary |= {
                 "p50_ms": gaps[(len(gaps) - 1) // 2],
                 "p99_ms": gaps[min(len(gaps) - 1, round(0.99 * (len(gaps) - 1)))],
                 "max_ms": gaps[-1],
                 "longest_wait_ms": max(self.longest_waits_ms),
             }
-        return shown | {"gaps_ms": self.gaps_ms}
+        return summary | {"gaps_ms": self.gaps_ms}
 
 
 class Bench:
--- a/src/bramblebeam/lab/measures.py
+++ b/src/bramblebeam/lab/measures.py
@@ -169,12 +169,12 @@
     bins = []
     for number in sorted(number for number in {*latencies, *errors} if number >= 0):
         ordered = sorted(latencies[number])
-        one = TimeBin(start=number * BIN_SECONDS, requests=len(ordered), errors=errors[number])
+        time_bin = TimeBin(start=number * BIN_SECONDS, requests=len(ordered), errors=errors[number])
         if ordered:
-            one.p50_ms = percentile(ordered, 0.5)
-            one.p99_ms = percentile(ordered, 0.99)
-        one.replica_read_share = replica_read_share(served[number])
-        bins.append(one)
+            time_bin.p50_ms = percentile(ordered, 0.5)
+            time_bin.p99_ms = percentile(ordered, 0.99)
+        time_bin.replica_read_share = replica_read_share(served[number])
+        bins.append(time_bin)
     return bins
 
 
--- a/src/bramblebeam/lab/operators.py
+++ b/src/bramblebeam/lab/operators.py
@@ -50,9 +50,9 @@
     async def race(self, service: str) -> None:
         """Edit the limit row of a service from the same version through two nodes at once."""
         name = next(
-            f"{found.name}.{found.group}"
-            for found in self._cluster.scenario.load.services
-            if not service or found.name == service
+            f"{row.name}.{row.group}"
+            for row in self._cluster.scenario.load.services
+            if not service or row.name == service
         )
         nodes = self._random.sample(sorted(self._cluster.clients), 2)
         row = await self._row(nodes[0], "limit", name)
--- a/src/bramblebeam/lab/pool_bench.py
+++ b/src/bramblebeam/lab/pool_bench.py
@@ -39,7 +39,7 @@
 from bramblebeam.settings.model import NodeSettings
 
 ZONE, GROUP, INSTANCE = ZoneId("z1"), GroupId("parcels"), InstanceId("db")
-LENDER, BORROWER = ServiceId("tracking"), ServiceId("dispatch")
+GUARANTEED_SERVICE, BURSTING_SERVICE = ServiceId("tracking"), ServiceId("dispatch")
 SLOTS = 5
 BURST = 5
 READ = "SELECT 1"
@@ -132,7 +132,7 @@
             (service, GROUP): LimitSpec(
                 service=service, group=GROUP, slots=SLOTS, burst=BURST, queue=1_000
             )
-            for service in (LENDER, BORROWER)
+            for service in (GUARANTEED_SERVICE, BURSTING_SERVICE)
         }
         return ConfigurationView(1, {GROUP: GroupSpec(members=(member,))}, limits)
 
@@ -157,7 +157,7 @@
 
     async def caller() -> None:
         while next(started) < statements:
-            reply = await bench.run(LENDER, sql, kind)
+            reply = await bench.run(GUARANTEED_SERVICE, sql, kind)
             assert reply.refusal is None, reply.refusal
 
     processor, wall = time.process_time(), time.perf_counter()
@@ -187,20 +187,22 @@
     sql = f"SELECT SLEEP({hold})"
     stop = asyncio.Event()
 
-    async def borrower() -> None:
+    async def burst_caller() -> None:
         while not stop.is_set():
-            await bench.run(BORROWER, sql, StatementKind.READ)
+            await bench.run(BURSTING_SERVICE, sql, StatementKind.READ)
 
-    borrowers = [asyncio.ensure_future(borrower()) for _ in range(40)]
+    burst_callers = [asyncio.ensure_future(burst_caller()) for _ in range(40)]
     await asyncio.sleep(10 * hold)
     waits = []
     for _ in range(rounds):
         started = time.perf_counter()
-        await asyncio.gather(*(bench.run(LENDER, READ, StatementKind.READ) for _ in range(SLOTS)))
+        await asyncio.gather(
+            *(bench.run(GUARANTEED_SERVICE, READ, StatementKind.READ) for _ in range(SLOTS))
+        )
         waits.append((time.perf_counter() - started) * 1000)
         await asyncio.sleep(3 * hold)
     stop.set()
-    await asyncio.gather(*borrowers)
+    await asyncio.gather(*burst_callers)
     waits.sort()
     return {
         "statement_ms": hold * 1000,
@@ -211,11 +213,14 @@
     }
 
 
-async def burst_share(bench: PoolBench, statements: int = 400, hold: float = 0.02) -> float:
+async def burst_utilization(bench: PoolBench, statements: int = 400, hold: float = 0.02) -> float:
     """Return the mean slot utilization while one service bursts."""
     sql = f"SELECT SLEEP({hold})"
     work = asyncio.gather(
-        *(bench.run(BORROWER, sql, StatementKind.READ, wait_ms=60_000) for _ in range(statements))
+        *(
+            bench.run(BURSTING_SERVICE, sql, StatementKind.READ, wait_ms=60_000)
+            for _ in range(statements)
+        )
     )
     samples: list[float] = []
     while not work.done():
@@ -226,14 +231,16 @@
     return round(sum(samples) / len(samples), 3)
 
 
-async def churn(bench: PoolBench, changes: int) -> dict[str, Any]:
+async def measure_owner_changes(bench: PoolBench, changes: int) -> dict[str, Any]:
     """Measure handover times and refused statements while the owner changes under load."""
     stop = asyncio.Event()
     refused: dict[str, int] = {}
 
     async def caller(node: str) -> None:
         while not stop.is_set():
-            reply = await bench.run(LENDER, "SELECT SLEEP(0.002)", StatementKind.READ, node, 500)
+            reply = await bench.run(
+                GUARANTEED_SERVICE, "SELECT SLEEP(0.002)", StatementKind.READ, node, 500
+            )
             if reply.refusal is not None:
                 name = f"{reply.refusal.verdict.name}/{reply.refusal.reason.name}"
                 refused[name] = refused.get(name, 0) + 1
@@ -261,15 +268,15 @@
         process = await group.start("database", (*arguments, *listen, "--control", "127.0.0.1:0"))
         bench = PoolBench(Address(*process.address("listen")))
         await bench.start()
-        await bench.run(LENDER, "CREATE TABLE b (n BIGINT)", StatementKind.WRITE)
+        await bench.run(GUARANTEED_SERVICE, "CREATE TABLE b (n BIGINT)", StatementKind.WRITE)
         read, write = StatementKind.READ, StatementKind.WRITE
         result = {
             "driver_microseconds_a_statement": await driver_time(bench.address, statements),
             "read": await processor_time(bench, READ, read, statements),
             "write": await processor_time(bench, "INSERT INTO b VALUES (1)", write, statements),
             "burst": await burst(bench),
-            "slots_used_in_a_burst": await burst_share(bench),
-            "churn": await churn(bench, changes),
+            "slots_used_in_a_burst": await burst_utilization(bench),
+            "churn": await measure_owner_changes(bench, changes),
             "highest_connections": await highest_connections(process.address("control")),
             "slots": 2 * SLOTS,
         }
--- a/src/bramblebeam/lab/probe.py
+++ b/src/bramblebeam/lab/probe.py
@@ -66,9 +66,9 @@
     counted = False
     for node in cluster.clients:
         counters = await scrape(http, cluster.admin_url(node)) or {}
-        found = [value for name, value in counters.items() if name.startswith(_BYTES_SENT)]
-        counted = counted or bool(found)
-        total += sum(found)
+        sent = [value for name, value in counters.items() if name.startswith(_BYTES_SENT)]
+        counted = counted or bool(sent)
+        total += sum(sent)
     return total if counted else None
 
 
--- a/src/bramblebeam/lab/processes.py
+++ b/src/bramblebeam/lab/processes.py
@@ -166,8 +166,8 @@
     """Parse a ready line: a JSON object, or `HOST:PORT`, returned under the key `listen`."""
     text = line.strip()
     if text.startswith("{"):
-        found: dict[str, Any] = json.loads(text)
-        return found
+        parsed: dict[str, Any] = json.loads(text)
+        return parsed
     host, _, port = text.rpartition(":")
     return {"listen": [host, int(port)]}
 
--- a/src/bramblebeam/lab/reads.py
+++ b/src/bramblebeam/lab/reads.py
@@ -42,8 +42,8 @@
 
 def scaled_down(scenario: Scenario, group: str) -> Scenario:
     """Return the scenario with one group, its share of the load, and one node per zone."""
-    chosen = next(found for found in scenario.topology.groups if found.name == group)
-    zones = {member.zone for member in chosen.members}
+    selected = next(item for item in scenario.topology.groups if item.name == group)
+    zones = {member.zone for member in selected.members}
     regions = [
         region.model_copy(update={"zones": tuple(zone for zone in region.zones if zone in zones)})
         for region in scenario.topology.regions
@@ -51,7 +51,7 @@
     ]
     topology = scenario.topology.model_copy(
         update={
-            "groups": (chosen,),
+            "groups": (selected,),
             "regions": tuple(regions),
             "nodes_of_zone": {},
             "nodes_per_zone": 1,
@@ -88,9 +88,11 @@
         await asyncio.sleep(SETTLE_SECONDS)
         await _collect_records(run)
         violations = judge(run.history)
-        stale = [found for found in violations if found.invariant == BOUNDED_STALENESS]
+        stale = [violation for violation in violations if violation.invariant == BOUNDED_STALENESS]
         result = measure(name, run.history, run.recorder.reads, phases.spans, stale)
-        result.violations = [f"{found.invariant}: {found.detail}" for found in violations]
+        result.violations = [
+            f"{violation.invariant}: {violation.detail}" for violation in violations
+        ]
         return result
 
 
@@ -153,7 +155,9 @@
         typer.echo(f"run failed: {error}", err=True)
         raise typer.Exit(RUN_FAILED) from error
     if as_json:
-        typer.echo(json.dumps({"seed": seed, "deployments": [asdict(one) for one in results]}))
+        typer.echo(
+            json.dumps({"seed": seed, "deployments": [asdict(result) for result in results]})
+        )
     else:
         show(results)
     if any(result.violations for result in results):
--- a/src/bramblebeam/lab/setup.py
+++ b/src/bramblebeam/lab/setup.py
@@ -25,7 +25,9 @@
     for row in cluster.scenario.load.services:
         history.add(StalenessBound(time.monotonic(), row.group, row.staleness_ms))
     services = {service.group: service for service in cluster.scenario.load.services}
-    await asyncio.gather(*(_prepare_group(cluster, one, history) for one in services.values()))
+    await asyncio.gather(
+        *(_prepare_group(cluster, service, history) for service in services.values())
+    )
     service = next(iter(services.values()))
     await asyncio.gather(
         *(_wait_until_accepting(cluster, service, node) for node in cluster.clients)
