--- a/src/bramblebeam/lab/run.py
+++ b/src/bramblebeam/lab/run.py
@@ -1,27 +1,37 @@
 """Runs a scenario on real processes, checks its history and computes its measures."""
 
-import aiohttp
 import asyncio
 import contextlib
 import tempfile
 import time
-from bramblebeam.lab.cluster import (Cluster)
-from bramblebeam.lab.collect import (BackendRecorder, collect_nodes)
-from bramblebeam.lab.control import (StandInControl)
-from bramblebeam.lab.faults import (FaultInjector)
-from bramblebeam.lab.history import (History, write_history)
-from bramblebeam.lab.history.records import (RunEnded)
-from bramblebeam.lab.judge import (count_observations, count_violations, judge)
-from bramblebeam.lab.load import (LoadGenerator)
-from bramblebeam.lab.measures import (delays, edit_spreads, failover_gaps, fault_spans, primary_changes, replica_read_share, time_bins)
-from bramblebeam.lab.operators import (Operators)
-from bramblebeam.lab.probe import (idle_cost)
-from bramblebeam.lab.processes import (process_group)
-from bramblebeam.lab.result import (ControlCost, Delays, Errors, RunResult)
-from bramblebeam.lab.scenario import (Scenario)
-from bramblebeam.lab.setup import (prepare)
-from collections.abc import (AsyncIterator)
-from pathlib import (Path)
+from collections.abc import AsyncIterator
+from pathlib import Path
+
+import aiohttp
+
+from bramblebeam.lab.cluster import Cluster
+from bramblebeam.lab.collect import BackendRecorder, collect_nodes
+from bramblebeam.lab.control import StandInControl
+from bramblebeam.lab.faults import FaultInjector
+from bramblebeam.lab.history import History, write_history
+from bramblebeam.lab.history.records import RunEnded
+from bramblebeam.lab.judge import count_observations, count_violations, judge
+from bramblebeam.lab.load import LoadGenerator
+from bramblebeam.lab.measures import (
+    delays,
+    edit_spreads,
+    failover_gaps,
+    fault_spans,
+    primary_changes,
+    replica_read_share,
+    time_bins,
+)
+from bramblebeam.lab.operators import Operators
+from bramblebeam.lab.probe import idle_cost
+from bramblebeam.lab.processes import process_group
+from bramblebeam.lab.result import ControlCost, Delays, Errors, RunResult
+from bramblebeam.lab.scenario import Scenario
+from bramblebeam.lab.setup import prepare
 
 IDLE_SECONDS = 3.0
 SETTLE_SECONDS = 10.0
